--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -48,12 +48,12 @@
 const (
 	// memory is how long it takes until a third is left of what counts as an account's
 	// work of late: some objectives of long jobs.
-	memory = time.Minute
+	workDecay = time.Minute
 	// reach is how many objectives a job goes before or behind its time at the most. A
 	// whole one would let it pass everything that has just come.
-	reach = 0.5
-	// useMemory is the same for what an account uses.
-	useMemory = 10 * time.Second
+	maxShift = 0.5
+	// useDecay is the same for what an account uses.
+	useDecay = 10 * time.Second
 )
 
 // Entitlement is what accounts may hand in: weight jobs a second over a window, and some
@@ -82,7 +82,7 @@
 	// tokens of hand-ins within the entitlement, as of tokensAt; full until the first one.
 	tokens   float64
 	tokensAt time.Duration
-	handedIn bool
+	submitted bool
 	beyond   uint64 // hand-ins that were not within
 	// late and all are the work of jobs that have ended of late, decaying since workAt.
 	late, all float64
@@ -131,8 +131,8 @@
 	a := b.account(name)
 	rate := a.weight * b.entitled.Share // jobs a second
 	most := rate*b.entitled.Window.Seconds() + b.entitled.Slack
-	if !a.handedIn {
-		a.handedIn, a.tokens, a.tokensAt = true, most, at
+	if !a.submitted {
+		a.submitted, a.tokens, a.tokensAt = true, most, at
 	}
 	a.tokens = min(most, a.tokens+rate*max(at-a.tokensAt, 0).Seconds())
 	a.tokensAt = max(a.tokensAt, at)
@@ -159,7 +159,7 @@
 		return
 	}
 	a := b.account(name)
-	left := decay(at-a.workAt, memory)
+	left := decay(at-a.workAt, workDecay)
 	a.late, a.all, a.workAt = a.late*left, a.all*left+work, at
 	if !inTime {
 		a.late += work
@@ -172,8 +172,8 @@
 		return
 	}
 	a := b.account(name)
-	a.use, a.useAt = a.use*decay(at-a.useAt, useMemory)+coreSeconds, at
-	b.used, b.usedAt = b.used*decay(at-b.usedAt, useMemory)+coreSeconds, at
+	a.use, a.useAt = a.use*decay(at-a.useAt, useDecay)+coreSeconds, at
+	b.used, b.usedAt = b.used*decay(at-b.usedAt, useDecay)+coreSeconds, at
 }
 
 func decay(d, over time.Duration) float64 { return math.Exp(-float64(max(d, 0)) / float64(over)) }
@@ -181,37 +181,37 @@
 // Turn returns the time by which a job of so much work is ordered among others of its
 // priority: due, moved by up to reach of its objective.
 func (b *Book) Turn(name string, now, due, objective time.Duration, work float64) time.Duration {
-	return due - time.Duration(reach*b.favour(name, now, work)*float64(objective))
+	return due - time.Duration(maxShift*b.advance(name, now, work)*float64(objective))
 }
 
 // favour is how much a job of the account goes before its time: from -1 to 1.
-func (b *Book) favour(name string, now time.Duration, work float64) float64 {
+func (b *Book) advance(name string, now time.Duration, work float64) float64 {
 	switch b.way {
 	case Dominant:
-		return b.unused(name, now)
+		return b.dominantAdvance(name, now)
 	case Risk:
-		return b.risk(name, now, work)
+		return b.riskAdvance(name, now, work)
 	}
 	return 0
 }
 
 // risk is the share of the account's work of late that is lost if the job is late.
-func (b *Book) risk(name string, now time.Duration, work float64) float64 {
+func (b *Book) riskAdvance(name string, now time.Duration, work float64) float64 {
 	a := b.account(name)
-	left := decay(now-a.workAt, memory)
+	left := decay(now-a.workAt, workDecay)
 	if work <= 0 {
 		return 0
 	}
 	return (a.late*left + work) / (a.all*left + work)
 }
 
-// unused is 1 for an account that uses nothing, 0 for one that uses as much for its weight
+// dominantAdvance is 1 for an account that uses nothing, 0 for one that uses as much for its weight
 // as all together, and less for one that uses more.
-func (b *Book) unused(name string, now time.Duration) float64 {
+func (b *Book) dominantAdvance(name string, now time.Duration) float64 {
 	a := b.account(name)
-	usual := b.used * decay(now-b.usedAt, useMemory) / b.weights
+	usual := b.used * decay(now-b.usedAt, useDecay) / b.weights
 	if usual <= 0 {
 		return 0
 	}
-	return max(-1, 1-a.use*decay(now-a.useAt, useMemory)/a.weight/usual)
+	return max(-1, 1-a.use*decay(now-a.useAt, useDecay)/a.weight/usual)
 }
--- a/process/fair/fair_test.go
+++ b/process/fair/fair_test.go
@@ -95,7 +95,7 @@
 	b.Used("south", now, 100)
 	require.Less(t, b.Turn("north", now, due, objective, 1), due, "a third of what its weight is worth")
 	require.Greater(t, b.Turn("south", now, due, objective, 1), due)
-	later := now + 20*useMemory
+	later := now + 20*useDecay
 	b.Used("north", later, 100)
 	require.Less(t, b.Turn("south", later, due, objective, 1), b.Turn("north", later, due, objective, 1), "what was used long ago is forgotten")
 }
@@ -121,7 +121,7 @@
 			}
 			const due, objective = time.Hour, 10 * time.Second
 			turn := b.Turn(name, now, due, objective, work)
-			require.LessOrEqual(t, (turn - due).Abs(), time.Duration(reach*float64(objective)))
+			require.LessOrEqual(t, (turn - due).Abs(), time.Duration(maxShift*float64(objective)))
 		}
 	})
 }
--- a/process/jobs/bench_test.go
+++ b/process/jobs/bench_test.go
@@ -107,7 +107,7 @@
 	})
 	p.events = func(e plan.Events) {
 		if s := m.shard(0); s != nil {
-			_ = s.call(context.Background(), func(st *state) { st.takeEvents(&e) })
+			_ = s.call(context.Background(), func(st *state) { st.applyEvents(&e) })
 		}
 	}
 	c.apply(nil, jobs...)
--- a/process/jobs/block.go
+++ b/process/jobs/block.go
@@ -7,9 +7,9 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// refusedFor is how long a worker is left alone after a refusal that the
+// refusalTTL is how long a worker is left alone after a refusal that the
 // snapshot did not foresee.
-const refusedFor = 250 * time.Millisecond
+const refusalTTL = 250 * time.Millisecond
 
 // Reasons why the shard keeps off a worker that its snapshot calls usable, as
 // explain tells them.
@@ -18,10 +18,10 @@
 	reasonNoPlans = "its owner takes no plans now"
 )
 
-// noteRefusal leaves a worker alone until a newer snapshot is likely to show
+// recordRefusal leaves a worker alone until a newer snapshot is likely to show
 // why its owner refused it.
-func (st *state) noteRefusal(id worker.ID) {
-	st.round.refused[id] = time.Now().Add(refusedFor)
+func (st *state) recordRefusal(id worker.ID) {
+	st.round.refused[id] = time.Now().Add(refusalTTL)
 }
 
 // blockUnusable keeps the decisions of this round off workers whose owner takes
--- a/process/jobs/cell_test.go
+++ b/process/jobs/cell_test.go
@@ -37,20 +37,20 @@
 	tuning  Tuning
 	metrics *Metrics
 
-	mu         sync.Mutex // guards all below
-	rng        *rand.Rand
-	workers    map[worker.ID]*fakeWorker
-	partitions map[string]*fakePartition
-	daemons    []*daemon
-	runs       map[spec.TaskID]*runRecord
-	crashes    func(spec.TaskID) bool // tasks that crash their workers; nil: none
-	held       map[string]spec.Resources
-	quotas     map[string]spec.Resources
-	problems   []string
-	runTime    func(worker.Start) (time.Duration, worker.TaskState)
-	lives      uint64
-	loseEvents float64
-	committed  func(p *fakePartition, result *plan.Result) // before the answer leaves
+	mu           sync.Mutex // guards all below
+	rng          *rand.Rand
+	workers      map[worker.ID]*fakeWorker
+	partitions   map[string]*fakePartition
+	daemons      []*daemon
+	runs         map[spec.TaskID]*runRecord
+	crashes      func(spec.TaskID) bool // tasks that crash their workers; nil: none
+	held         map[string]spec.Resources
+	quotas       map[string]spec.Resources
+	problems     []string
+	runTime      func(worker.Start) (time.Duration, worker.TaskState)
+	incarnations uint64
+	loseEvents   float64
+	committed    func(p *fakePartition, result *plan.Result) // before the answer leaves
 }
 
 // runRecord is what truly happened to a task.
@@ -132,8 +132,8 @@
 
 func (c *cell) startDaemon(ctx context.Context, id peer.MemberID) *daemon {
 	c.mu.Lock()
-	c.lives++
-	ref := peer.Ref{ID: id, Incarnation: c.lives}
+	c.incarnations++
+	ref := peer.Ref{ID: id, Incarnation: c.incarnations}
 	c.mu.Unlock()
 	caller, mux := c.net.Node(ref)
 	ctx, cancel := context.WithCancel(ctx)
@@ -205,8 +205,8 @@
 // startPartition gives the partition a new owner.
 func (c *cell) startPartition(ctx context.Context, name string) {
 	c.mu.Lock()
-	c.lives++
-	ref := peer.Ref{ID: peer.MemberID("p-" + name), Incarnation: c.lives}
+	c.incarnations++
+	ref := peer.Ref{ID: peer.MemberID("p-" + name), Incarnation: c.incarnations}
 	old := c.partitions[name]
 	c.mu.Unlock()
 	if old != nil {
--- a/process/jobs/check.go
+++ b/process/jobs/check.go
@@ -32,7 +32,7 @@
 func (st *state) check() error {
 	var errs []error
 	held := map[string]spec.Resources{}
-	attempts := len(st.strays)
+	attempts := len(st.surplus)
 	for _, j := range st.jobs {
 		errs = append(errs, checkJob(j))
 		attempts += len(j.live)
@@ -40,7 +40,7 @@
 			held[j.spec.Team] = held[j.spec.Team].Add(a.size)
 		}
 	}
-	for _, a := range st.strays {
+	for _, a := range st.surplus {
 		held[a.job.spec.Team] = held[a.job.spec.Team].Add(a.size)
 	}
 	st.accounts.Each(func(a *quota.Account) {
--- a/process/jobs/commit.go
+++ b/process/jobs/commit.go
@@ -65,13 +65,13 @@
 }
 
 // touch notes that a job's record changed.
-func (st *state) touch(j *job) {
-	st.mark()
+func (st *state) markDirty(j *job) {
+	st.markPending()
 	st.commit.dirty[j] = struct{}{}
 }
 
 // mark notes since when there is something to write.
-func (st *state) mark() {
+func (st *state) markPending() {
 	if !st.commit.pending() {
 		st.commit.since = time.Now()
 	}
@@ -94,15 +94,15 @@
 }
 
 // group is what one write makes durable.
-type group struct {
+type writeSet struct {
 	update  progress.Update
-	limits  []limitMark
+	limits  []encodedLimit
 	waiting []*attempt
 	acks    []ackRef
 }
 
-// limitMark is a job's record as it was when it was encoded.
-type limitMark struct {
+// encodedLimit is a job's record as it was when it was encoded.
+type encodedLimit struct {
 	job   *job
 	limit uint32
 }
@@ -123,8 +123,8 @@
 }
 
 // take moves what is pending into a group.
-func (c *commitState) take() (*group, error) {
-	g := &group{waiting: c.waiting, acks: c.acks}
+func (c *commitState) take() (*writeSet, error) {
+	g := &writeSet{waiting: c.waiting, acks: c.acks}
 	g.update.Jobs = make(map[progress.Key][]byte, len(c.dirty)+len(c.removed))
 	for key := range c.removed {
 		g.update.Jobs[key] = nil
@@ -138,7 +138,7 @@
 			return nil, err
 		}
 		g.update.Jobs[j.key] = data
-		g.limits = append(g.limits, limitMark{j, j.record.StartLimit})
+		g.limits = append(g.limits, encodedLimit{j, j.record.StartLimit})
 	}
 	g.update.ConfigVersion = c.version
 	g.update.Partitions = maps.Clone(c.partitions)
@@ -151,7 +151,7 @@
 // write runs in its own goroutine until the group is durable, the shard is
 // superseded or lost. While the store is down the shard goes on with what
 // needs no write.
-func (st *state) write(g *group) {
+func (st *state) write(g *writeSet) {
 	file := st.commit.file
 	file.Apply(g.update)
 	policy := backoff.NewExponentialBackOff()
@@ -164,11 +164,11 @@
 		return struct{}{}, err
 	}
 	_, err := backoff.Retry(st.ctx, flush, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(0))
-	st.shard.post(st.ctx, st.life, func(st *state) { st.written(g, err) })
+	st.shard.post(st.ctx, st.incarnation, func(st *state) { st.written(g, err) })
 }
 
 // written takes the result of a write.
-func (st *state) written(g *group, err error) {
+func (st *state) written(g *writeSet, err error) {
 	st.commit.writing = false
 	if err != nil {
 		st.commit.err = err
@@ -209,6 +209,6 @@
 	}
 	if limit, wanted := j.wantsLimit(st.o.Tuning.StartAhead); wanted {
 		j.record.StartLimit = limit
-		st.touch(j)
+		st.markDirty(j)
 	}
 }
--- a/process/jobs/events.go
+++ b/process/jobs/events.go
@@ -11,7 +11,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// takeEvents takes what a partition reports. Events of an owner older than the
+// applyEvents takes what a partition reports. Events of an owner older than the
 // newest known are dropped: its word that a worker is gone is worth nothing
 // once another daemon owns the worker. What it reported truly, the new owner
 // reports again.
@@ -19,7 +19,7 @@
 // It reports false when the events are to be sent again later: while a list of
 // what the partition holds is on its way, an end that overtook the list would
 // be undone by it, and a task that has ended would count as live for ever.
-func (st *state) takeEvents(events *plan.Events) bool {
+func (st *state) applyEvents(events *plan.Events) bool {
 	p := st.partition(events.Partition)
 	if events.Epoch < p.owner.Epoch || events.Epoch < p.fencedEpoch {
 		return true
@@ -28,27 +28,27 @@
 		return false
 	}
 	for i := range events.Events {
-		st.takeEvent(p, &events.Events[i], false)
+		st.applyEvent(p, &events.Events[i], false)
 	}
 	st.round.dirty = true
 	return true
 }
 
-// takeEvent takes one event. It may come twice, before the answer to its plan,
+// applyEvent takes one event. It may come twice, before the answer to its plan,
 // after a later one, or from an attempt that this owner has not made. Only a
 // list of what the partition holds (listed) can make an attempt live: a report
 // of a running task that was delayed may be about one that has ended since.
-func (st *state) takeEvent(p *partition, ev *plan.Event, listed bool) {
+func (st *state) applyEvent(p *partition, ev *plan.Event, listed bool) {
 	ref := worker.Ref{Task: ev.Task, Attempt: ev.Attempt}
-	if a := st.strays[ref]; a != nil {
-		st.strayEvent(p, a, ev)
+	if a := st.surplus[ref]; a != nil {
+		st.applySurplusEvent(p, a, ev)
 		return
 	}
 	key := progress.Key{Job: ev.Task.Job, Generation: ev.Task.Generation}
 	if key.Generation > st.config.Version {
 		// A later configuration started it; this daemon will know it soon
 		// and then asks for the list again.
-		p.doubt = true
+		p.unconfirmed = true
 		return
 	}
 	if st.ofAnotherShard(key) {
@@ -59,7 +59,7 @@
 		j = st.adoptJob(key, ev)
 	}
 	if j == nil && (listed || ended(ev)) {
-		st.unwanted(p, nil, ev)
+		st.discardAttempt(p, nil, ev)
 	}
 	if j == nil {
 		return
@@ -67,15 +67,15 @@
 	a := j.live[uint32(ev.Task.Index)]
 	switch {
 	case a != nil && a.number == ev.Attempt:
-		st.liveEvent(p, a, ev)
+		st.applyLiveEvent(p, a, ev)
 	case ended(ev):
-		st.oldResult(p, j, a, ev)
+		st.applyOldResult(p, j, a, ev)
 	case !listed:
 		// Ended here already, or listed soon.
 	case a == nil && !j.record.Finished(uint32(ev.Task.Index)) && ev.Task.Index < j.spec.Count:
 		st.adopt(p, j, ev)
 	default:
-		st.unwanted(p, j, ev)
+		st.discardAttempt(p, j, ev)
 	}
 }
 
@@ -91,10 +91,10 @@
 // ended reports whether the attempt certainly does not run any more.
 func ended(ev *plan.Event) bool { return ev.Lost || ev.NotStarted || ev.State.Ended() }
 
-// liveEvent takes news of the attempt that this owner counts as live.
-func (st *state) liveEvent(p *partition, a *attempt, ev *plan.Event) {
+// applyLiveEvent takes news of the attempt that this owner counts as live.
+func (st *state) applyLiveEvent(p *partition, a *attempt, ev *plan.Event) {
 	if ev.Worker != "" {
-		st.placed(a, ev.Worker)
+		st.setWorker(a, ev.Worker)
 	}
 	if ended(ev) {
 		st.endAttempt(a, ev)
@@ -154,9 +154,9 @@
 	return j.spec.Size
 }
 
-// unwanted deals with an attempt that must not run: its task is finished, lives
+// discardAttempt deals with an attempt that must not run: its task is finished, lives
 // elsewhere, or belongs to no job.
-func (st *state) unwanted(p *partition, j *job, ev *plan.Event) {
+func (st *state) discardAttempt(p *partition, j *job, ev *plan.Event) {
 	ref := worker.Ref{Task: ev.Task, Attempt: ev.Attempt}
 	if ended(ev) {
 		st.queueAck(p.name, ref)
@@ -173,35 +173,35 @@
 	a := st.attemptOf(p, j, ev)
 	a.stopping = true
 	st.account(j).Adopt(quota.Size(a.size))
-	st.strays[ref] = a
+	st.surplus[ref] = a
 	st.stopping[a] = struct{}{}
 	st.sendStop(a, plan.StopNow)
 }
 
-func (st *state) strayEvent(p *partition, a *attempt, ev *plan.Event) {
+func (st *state) applySurplusEvent(p *partition, a *attempt, ev *plan.Event) {
 	if !ended(ev) {
 		return
 	}
-	st.dropStray(a)
+	st.removeSurplus(a)
 	st.queueAck(p.name, a.ref())
 }
 
-// makeStray stops a live attempt whose task needs it no more.
-func (st *state) makeStray(a *attempt) {
+// makeSurplus stops a live attempt whose task needs it no more.
+func (st *state) makeSurplus(a *attempt) {
 	delete(a.job.live, a.index)
 	if !a.phase.mayRun() {
 		a.job.live[a.index] = a
 		st.removeLive(a)
 		return
 	}
-	st.strays[a.ref()] = a
+	st.surplus[a.ref()] = a
 	a.stopping = true
 	st.stopping[a] = struct{}{}
 	st.sendStop(a, plan.StopNow)
 }
 
-func (st *state) dropStray(a *attempt) {
-	delete(st.strays, a.ref())
+func (st *state) removeSurplus(a *attempt) {
+	delete(st.surplus, a.ref())
 	delete(st.stopping, a)
 	st.learner.Ended(a.ref(), 0, false) // it may have been reported while live
 	st.account(a.job).Refund(quota.Size(a.size))
@@ -210,9 +210,9 @@
 	}
 }
 
-// oldResult takes the end of an attempt that is not live here: reported again,
+// applyOldResult takes the end of an attempt that is not live here: reported again,
 // or of a previous owner. A task that has succeeded is done whoever started it.
-func (st *state) oldResult(p *partition, j *job, live *attempt, ev *plan.Event) {
+func (st *state) applyOldResult(p *partition, j *job, live *attempt, ev *plan.Event) {
 	index := uint32(ev.Task.Index)
 	if ev.Task.Index >= j.spec.Count || j.record.Finished(index) || j.cancelled || j.service() {
 		st.ackDurable(j, p.name, worker.Ref{Task: ev.Task, Attempt: ev.Attempt})
@@ -230,7 +230,7 @@
 	}
 	if live != nil {
 		// The worker was given up for lost and came back with the result.
-		st.makeStray(live)
+		st.makeSurplus(live)
 	}
 	a := st.attemptOf(p, j, ev)
 	st.account(j).Adopt(quota.Size(a.size))
@@ -240,8 +240,8 @@
 
 // endAttempt takes the confirmed end of a live attempt.
 func (st *state) endAttempt(a *attempt, ev *plan.Event) {
-	if st.strays[a.ref()] == a {
-		st.dropStray(a)
+	if st.surplus[a.ref()] == a {
+		st.removeSurplus(a)
 		return
 	}
 	j := a.job
@@ -253,13 +253,13 @@
 		st.queueAck(a.partition, a.ref())
 		st.instanceEnded(a, ev)
 	case ev.NotStarted:
-		st.makeReadyAgain(a)
+		st.requeue(a)
 		st.failGang(j, "start refused: "+ev.Message)
 	case ev.State == worker.Succeeded && !ev.Lost:
-		j.failuresInRow = 0
+		j.consecutiveFailures = 0
 		st.finish(j, a, j.record.Done.Add)
 	default:
-		st.unfinished(a, ev)
+		st.handleUnsuccessful(a, ev)
 	}
 	st.afterEnd(j)
 }
@@ -282,7 +282,7 @@
 	delete(j.avoid, a.index)
 	delete(j.restarts, a.index)
 	st.o.Metrics.Finished.Add(1)
-	st.touch(j)
+	st.markDirty(j)
 	st.ackDurable(j, a.partition, a.ref())
 }
 
@@ -294,21 +294,21 @@
 		st.queueAck(partition, ref)
 		return
 	}
-	st.mark()
+	st.markPending()
 	st.commit.acks = append(st.commit.acks, ackRef{partition, ref})
 }
 
 // unfinished takes the end of a task that did not succeed.
-func (st *state) unfinished(a *attempt, ev *plan.Event) {
+func (st *state) handleUnsuccessful(a *attempt, ev *plan.Event) {
 	j := a.job
 	switch {
 	case j.spec.NonIdempotent:
 		st.endNonIdempotent(a, ev)
 	case ev.Lost:
 		st.o.Metrics.Lost.Add(1)
-		st.lost(a, ev)
+		st.handleLoss(a, ev)
 	case ev.State == worker.Failed:
-		st.failed(a)
+		st.handleFailure(a)
 	default: // stopped: preempted, or its worker is leaving
 		st.ackDurable(j, a.partition, a.ref())
 		st.makeReady(j, a.index, time.Now())
@@ -328,19 +328,19 @@
 
 // failed counts a failure and starts the task again later, until its retries
 // are used up.
-func (st *state) failed(a *attempt) {
+func (st *state) handleFailure(a *attempt) {
 	j := a.job
 	st.o.Metrics.Failed.Add(1)
 	failures := j.record.AddFailure(a.index)
-	j.failuresInRow++
+	j.consecutiveFailures++
 	if failures > j.spec.Retries {
 		st.finish(j, a, j.record.Failed.Add)
 		return
 	}
 	st.avoid(a)
-	st.touch(j)
+	st.markDirty(j)
 	st.ackDurable(j, a.partition, a.ref())
-	st.delay(j, a.index, st.o.Tuning.retryDelay(max(failures, j.failuresInRow/failuresPerStep)))
+	st.delay(j, a.index, st.o.Tuning.retryDelay(max(failures, j.consecutiveFailures/failuresPerStep)))
 }
 
 // avoidLimit is how many workers a task keeps away from.
@@ -362,14 +362,14 @@
 
 // lost starts a task again that was lost with its worker, unless workers die under it
 // again and again.
-func (st *state) lost(a *attempt, ev *plan.Event) {
+func (st *state) handleLoss(a *attempt, ev *plan.Event) {
 	if !ev.Suspect {
 		st.requeueLost(a)
 		return
 	}
 	j := a.job
 	losses, sole := j.record.AddLoss(a.index, ev.Sole)
-	st.touch(j)
+	st.markDirty(j)
 	if crash.Guilty(losses, sole) {
 		st.o.Metrics.CrashedWorkers.Add(1)
 		st.o.Log.Warn().Stringer("task", a.task()).Int("workers", losses).Int("sole", sole).Msg("task given up: workers crashed under it")
--- a/process/jobs/exchange.go
+++ b/process/jobs/exchange.go
@@ -68,7 +68,7 @@
 	if len(all) == 0 {
 		return
 	}
-	x.manager.takeTotals(ctx, all)
+	x.manager.postTotals(ctx, all)
 	for _, to := range x.owners() {
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, x.manager.options.Tuning.CallTimeout)
@@ -106,17 +106,17 @@
 	if err := cbor.Unmarshal(payload, &all); err != nil {
 		return nil, fmt.Errorf("totals: %w", err)
 	}
-	m.takeTotals(ctx, all)
+	m.postTotals(ctx, all)
 	return nil, nil
 }
 
-func (m *Manager) takeTotals(ctx context.Context, all []Totals) {
+func (m *Manager) postTotals(ctx context.Context, all []Totals) {
 	for _, s := range m.ownShards() {
 		s.post(ctx, 0, func(st *state) {
 			now := time.Now()
 			for i := range all {
 				if all[i].Shard != st.shard.number {
-					st.takeTotal(&all[i], now)
+					st.applyTotals(&all[i], now)
 				}
 			}
 		})
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -47,7 +47,7 @@
 	d := st.round.planner.PlaceGang(asks)
 	if !d.Placed {
 		if d.Infeasible == "" {
-			st.wantProtection(j, asks, now)
+			st.offerGang(j, asks, now)
 		}
 		st.refuseJob(e, d.Rejections, d.Infeasible)
 		return false
@@ -107,7 +107,7 @@
 	for _, a := range try.attempts {
 		p := st.partition(a.partition)
 		if !st.usable(p) {
-			st.endTry(try, "owner of the workers not reachable")
+			st.abortTry(try, "owner of the workers not reachable")
 			return
 		}
 		groups[p] = append(groups[p], a)
@@ -122,8 +122,8 @@
 func (st *state) askReservation(try *gangTry, p *partition, attempts []*attempt) {
 	request := plan.Reserve{
 		Partition: p.name, Author: st.author(), Reservation: try.reservation, Seq: st.shard.seq.Add(1),
-		TTLMillis: st.o.Tuning.GangHold.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
-		MayRebind: true, Kept: st.keptFrom(try.job, p),
+		TTLMillis: st.o.Tuning.GangReservationTTL.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
+		MayRebind: true, Kept: st.keptWorkers(try.job, p),
 	}
 	for i, a := range attempts {
 		request.Steps[i] = step(a)
@@ -138,11 +138,11 @@
 			if result.Steps[i].Outcome != plan.Accepted {
 				try.fail(reasonOf(&result.Steps[i]))
 			} else if i < len(attempts) && try.job.gang == try {
-				st.placed(attempts[i], result.Steps[i].Worker)
+				st.setWorker(attempts[i], result.Steps[i].Worker)
 			}
 		}
 		if try.unanswered == 0 {
-			st.reservationsAnswered(try)
+			st.handleReservations(try)
 		}
 	})
 }
@@ -153,16 +153,16 @@
 	}
 }
 
-// reservationsAnswered starts the whole gang or gives every reservation back.
-func (st *state) reservationsAnswered(try *gangTry) {
+// handleReservations starts the whole gang or gives every reservation back.
+func (st *state) handleReservations(try *gangTry) {
 	if try.job.gang != try {
 		return
 	}
 	if try.failed {
-		st.endTry(try, try.reason)
+		st.abortTry(try, try.reason)
 		return
 	}
-	st.gotRoom(try.job)
+	st.endProtection(try.job)
 	try.job.gang, try.job.tries = nil, 0
 	for _, a := range try.attempts {
 		if try.job.live[a.index] == a {
@@ -171,10 +171,10 @@
 	}
 }
 
-// endTry gives all reservations back and tries again after a random pause. The
+// abortTry gives all reservations back and tries again after a random pause. The
 // pause shrinks with the age of the gang, so that of two gangs which keep
 // refusing each other the older one soon comes first.
-func (st *state) endTry(try *gangTry, reason string) {
+func (st *state) abortTry(try *gangTry, reason string) {
 	j := try.job
 	try.fail(reason)
 	j.gang = nil
@@ -187,17 +187,17 @@
 	j.nextTry = time.Now().Add(st.gangPause(j))
 	for _, a := range try.attempts {
 		if j.live[a.index] == a {
-			st.notStarted(a, reason)
+			st.revertStart(a, reason)
 		}
 	}
 	st.o.Metrics.GangRetries.Add(1)
 }
 
-// oldGang is the age at which a gang's pauses are halved.
-const oldGang = 10 * time.Second
+// pauseHalvingAge is the age at which a gang's pauses are halved.
+const pauseHalvingAge = 10 * time.Second
 
 func (st *state) gangPause(j *job) time.Duration {
-	age := float64(time.Since(j.arrived)) / float64(oldGang)
+	age := float64(time.Since(j.arrived)) / float64(pauseHalvingAge)
 	mean := float64(st.o.Tuning.GangRetry) * float64(min(j.tries, 8)) / (1 + age)
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
@@ -211,22 +211,22 @@
 	j.failing = true
 	defer func() { j.failing = false }()
 	if j.gang != nil {
-		st.endTry(j.gang, reason)
+		st.abortTry(j.gang, reason)
 	}
 	for _, a := range j.live {
 		st.stop(a)
 	}
 	if !j.record.Failed.IsEmpty() && !j.cancelled {
-		st.failRest(j)
+		st.failRemaining(j)
 	}
 }
 
-// failRest ends a gang of which a task has used up its retries.
-func (st *state) failRest(j *job) {
+// failRemaining ends a gang of which a task has used up its retries.
+func (st *state) failRemaining(j *job) {
 	j.record.Failed.Or(j.ready)
 	j.record.Failed.Or(j.delayed)
 	j.ready.Clear()
 	j.delayed.Clear()
 	st.queue.Remove(j.entry)
-	st.touch(j)
+	st.markDirty(j)
 }
--- a/process/jobs/home.go
+++ b/process/jobs/home.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// findHome notes the partitions that this daemon owns. Decisions go there
+// updateLocalPartitions notes the partitions that this daemon owns. Decisions go there
 // first: shards of different daemons that decide at the same time then seldom
 // want the same worker.
-func (st *state) findHome() {
+func (st *state) updateLocalPartitions() {
 	var home []string
 	for _, p := range st.partitions {
 		if p.known && p.owner.Owner == st.o.Self {
@@ -16,17 +16,17 @@
 		}
 	}
 	slices.Sort(home)
-	if slices.Equal(home, st.round.home) {
+	if slices.Equal(home, st.round.localPartitions) {
 		return
 	}
-	st.round.home = home
-	st.preferHome()
+	st.round.localPartitions = home
+	st.preferLocalPartitions()
 }
 
-// preferHome tells the planner, if there is one yet. The name gives each shard
+// preferLocalPartitions tells the planner, if there is one yet. The name gives each shard
 // an order of its own for the partitions of other daemons.
-func (st *state) preferHome() {
+func (st *state) preferLocalPartitions() {
 	if st.round.planner != nil {
-		st.round.planner.Prefer(fmt.Sprint("shard-", st.shard.number), st.round.home)
+		st.round.planner.Prefer(fmt.Sprint("shard-", st.shard.number), st.round.localPartitions)
 	}
 }
--- a/process/jobs/idle_test.go
+++ b/process/jobs/idle_test.go
@@ -58,8 +58,8 @@
 		require.NoError(t, d.manager.shard(0).call(ctx, func(st *state) {
 			a := st.current["b"].live[0]
 			p := st.partitions[a.partition]
-			st.takeEvent(p, &plan.Event{Task: a.task(), Attempt: a.number, Worker: a.worker, State: worker.Running, Usage: core}, false)
-			st.takeEvent(p, &plan.Event{Task: a.task(), Attempt: a.number - 1, Worker: a.worker, State: worker.Succeeded}, false)
+			st.applyEvent(p, &plan.Event{Task: a.task(), Attempt: a.number, Worker: a.worker, State: worker.Running, Usage: core}, false)
+			st.applyEvent(p, &plan.Event{Task: a.task(), Attempt: a.number - 1, Worker: a.worker, State: worker.Succeeded}, false)
 		}))
 		c.await(5*time.Second, "the other attempt is stopped", func() bool { return c.runningTasks("b") == 0 })
 		c.check()
--- a/process/jobs/job.go
+++ b/process/jobs/job.go
@@ -98,7 +98,7 @@
 	tries   int
 	failing bool // guards failGang against itself
 	// pacing of a job that fails everywhere.
-	failuresInRow int
+	consecutiveFailures int
 	// size is what the next task reserves and runTime how long it is expected
 	// to run, learned at sizedAt.
 	size    spec.Resources
@@ -106,15 +106,15 @@
 	sizedAt time.Time
 }
 
-// freeStarts is how many tasks of a job may be started before its record is
+// initialStartLimit is how many tasks of a job may be started before its record is
 // written, so that small and urgent jobs start without a write. A takeover
 // counts them as possibly started. It must not be lowered between two releases
 // that run side by side: a new owner would take started tasks for never
 // started ones.
-const freeStarts = 64
+const initialStartLimit = 64
 
 func newJob(vj *spec.VersionedJob, record *progress.Job, now time.Time, arrival uint64) *job {
-	record.StartLimit = max(record.StartLimit, freeStarts)
+	record.StartLimit = max(record.StartLimit, initialStartLimit)
 	j := &job{
 		key: progress.Key{Job: vj.Name, Generation: vj.Generation}, spec: vj, class: vj.EffectiveClass(),
 		record: record, durableIntent: record.Intent.Clone(), durableLimit: record.StartLimit,
--- a/process/jobs/jobs.go
+++ b/process/jobs/jobs.go
@@ -72,16 +72,16 @@
 	// violations are logged and counted in any case.
 	Violation func(error)
 
-	// agreed is closed when the number of shards is known to be the cell's.
-	agreed chan struct{}
+	// countConfirmed is closed when the number of shards is known to be the cell's.
+	countConfirmed chan struct{}
 }
 
 // Manager runs the shards that this daemon owns. It implements ownership.User
 // for ownership.ShardPrefix.
 type Manager struct {
-	options    Options
-	supervisor *suture.Supervisor
-	agreeOnce  sync.Once
+	options     Options
+	supervisor  *suture.Supervisor
+	confirmOnce sync.Once
 
 	mu     sync.Mutex // guards shards
 	shards map[plan.Shard]*ownedShard
@@ -99,11 +99,11 @@
 	if o.Metrics == nil {
 		o.Metrics = &Metrics{}
 	}
-	o.agreed = make(chan struct{})
+	o.countConfirmed = make(chan struct{})
 	m := &Manager{options: o, shards: map[plan.Shard]*ownedShard{}}
 	m.supervisor = suture.New("jobs", suture.Spec{EventHook: m.logEvent})
 	m.supervisor.Add(&exchange{manager: m})
-	m.supervisor.Add(&layout{manager: m})
+	m.supervisor.Add(&shardCountCheck{manager: m})
 	o.Registrar.Handle(plan.MethodEvents, m.handleEvents)
 	o.Registrar.Handle(MethodTotals, m.handleTotals)
 	m.registerReports()
@@ -136,7 +136,7 @@
 // known that this daemon's number of shards is the cell's, so that it claims
 // none before.
 func (m *Manager) Resources() []ownership.Resource {
-	if !m.agrees() {
+	if !m.shardCountConfirmed() {
 		return nil
 	}
 	all := make([]ownership.Resource, m.options.Shards)
@@ -234,7 +234,7 @@
 		return nil, &peer.RemoteError{Code: CodeNotOwner, Message: "shard not owned here"}
 	}
 	taken := false
-	if err := s.call(ctx, func(st *state) { taken = st.takeEvents(&events) }); err != nil {
+	if err := s.call(ctx, func(st *state) { taken = st.applyEvents(&events) }); err != nil {
 		return nil, err
 	}
 	if !taken {
@@ -272,16 +272,16 @@
 	// LossSpread is the time over which batch tasks lost with their workers
 	// are put back into the queue.
 	LossSpread time.Duration
-	// StopRepeat is how often an unanswered stop is sent again.
-	StopRepeat time.Duration
-	// FenceRepeat is the time between two tries to fence a partition.
-	FenceRepeat time.Duration
-	// ForgetPartition is after how long without an owner a partition that is
+	// StopResendInterval is how often an unanswered stop is sent again.
+	StopResendInterval time.Duration
+	// FenceRetryInterval is the time between two tries to fence a partition.
+	FenceRetryInterval time.Duration
+	// PartitionTimeout is after how long without an owner a partition that is
 	// no longer listed counts as gone with all its tasks. It must exceed the
 	// renew authority of an owner plus the task lease at the workers.
-	ForgetPartition time.Duration
-	// GangHold is the time to live of a gang's reservations.
-	GangHold time.Duration
+	PartitionTimeout time.Duration
+	// GangReservationTTL is the time to live of a gang's reservations.
+	GangReservationTTL time.Duration
 	// GangRetry is the mean time between two tries to reserve for a gang.
 	GangRetry time.Duration
 	// ShareInterval is the time between two messages with the totals of the
@@ -308,10 +308,10 @@
 	t.RetryFirst = cmp.Or(t.RetryFirst, time.Second)
 	t.RetryLast = cmp.Or(t.RetryLast, time.Minute)
 	t.LossSpread = cmp.Or(t.LossSpread, 5*time.Second)
-	t.StopRepeat = cmp.Or(t.StopRepeat, 5*time.Second)
-	t.FenceRepeat = cmp.Or(t.FenceRepeat, time.Second)
-	t.ForgetPartition = cmp.Or(t.ForgetPartition, 2*time.Hour)
-	t.GangHold = cmp.Or(t.GangHold, 10*time.Second)
+	t.StopResendInterval = cmp.Or(t.StopResendInterval, 5*time.Second)
+	t.FenceRetryInterval = cmp.Or(t.FenceRetryInterval, time.Second)
+	t.PartitionTimeout = cmp.Or(t.PartitionTimeout, 2*time.Hour)
+	t.GangReservationTTL = cmp.Or(t.GangReservationTTL, 10*time.Second)
 	t.GangRetry = cmp.Or(t.GangRetry, 500*time.Millisecond)
 	t.ShareInterval = cmp.Or(t.ShareInterval, 2*time.Second)
 	t.Drain = cmp.Or(t.Drain, 30*time.Second)
--- a/process/jobs/layout.go
+++ b/process/jobs/layout.go
@@ -19,8 +19,8 @@
 // Pauses between two looks at the number of shards in the store: after an
 // error, and while it differs from this daemon's.
 const (
-	layoutRetry   = time.Second
-	layoutRecheck = 30 * time.Second
+	shardCountRetryInterval   = time.Second
+	shardCountRecheckInterval = 30 * time.Second
 )
 
 // layout compares this daemon's number of shards with the cell's. The progress
@@ -28,22 +28,22 @@
 // looked for in other shards, their progress would be taken for that of jobs
 // which are gone, and everything would start again, tasks included that must
 // start only once. So no shard is claimed or served before the numbers agree.
-type layout struct {
+type shardCountCheck struct {
 	manager *Manager
 }
 
 // Serve implements suture.Service; it ends when the numbers agree.
-func (l *layout) Serve(ctx context.Context) error {
+func (l *shardCountCheck) Serve(ctx context.Context) error {
 	for {
-		pause := layoutRecheck
-		stored, err := l.cellShards(ctx)
+		pause := shardCountRecheckInterval
+		stored, err := l.storedShardCount(ctx)
 		switch {
 		case err != nil:
 			l.manager.options.Log.Warn().Err(err).Msg("number of shards of the cell not known")
-			pause = layoutRetry
+			pause = shardCountRetryInterval
 		case stored == l.manager.options.Shards:
 			l.manager.options.Metrics.ShardsDiffer.Set(0)
-			l.manager.agree()
+			l.manager.confirmShardCount()
 			return suture.ErrDoNotRestart
 		default:
 			l.manager.options.Metrics.ShardsDiffer.Set(1)
@@ -58,9 +58,9 @@
 	}
 }
 
-// cellShards returns the number of shards of the cell, which is this daemon's
+// storedShardCount returns the number of shards of the cell, which is this daemon's
 // when none is stored yet.
-func (l *layout) cellShards(ctx context.Context) (int, error) {
+func (l *shardCountCheck) storedShardCount(ctx context.Context) (int, error) {
 	s, own := l.manager.options.Store, l.manager.options.Shards
 	item, err := s.Get(ctx, shardsKey)
 	if errors.Is(err, store.ErrNotFound) {
@@ -78,12 +78,12 @@
 }
 
 // agree lets shards be claimed and served.
-func (m *Manager) agree() { m.agreeOnce.Do(func() { close(m.options.agreed) }) }
+func (m *Manager) confirmShardCount() { m.confirmOnce.Do(func() { close(m.options.countConfirmed) }) }
 
 // agrees reports whether the number of shards is the cell's.
-func (m *Manager) agrees() bool {
+func (m *Manager) shardCountConfirmed() bool {
 	select {
-	case <-m.options.agreed:
+	case <-m.options.countConfirmed:
 		return true
 	default:
 		return false
--- a/process/jobs/partition.go
+++ b/process/jobs/partition.go
@@ -23,12 +23,12 @@
 	// was lost and a new list is needed.
 	fencedEpoch uint64
 	fencing     bool
-	doubt       bool
+	unconfirmed bool
 	nextFence   time.Time
 	// unaccounted are workers on which any task may still run.
 	unaccounted map[worker.ID]struct{}
-	// orphaned is since when the partition has no owner.
-	orphaned time.Time
+	// ownerlessSince is since when the partition has no owner.
+	ownerlessSince time.Time
 
 	planning, stopping, acking bool
 	starts                     []*attempt
@@ -40,24 +40,24 @@
 // usable reports whether plans may be sent: the present owner has listed what
 // it holds, no answer is missing, and the owner's epoch is durable.
 func (st *state) usable(p *partition) bool {
-	return p.known && !p.fencing && !p.doubt &&
+	return p.known && !p.fencing && !p.unconfirmed &&
 		p.fencedEpoch == p.owner.Epoch && st.commit.durable[p.name] == p.owner.Epoch
 }
 
 func (st *state) partition(name string) *partition {
 	p := st.partitions[name]
 	if p == nil {
-		p = &partition{name: name, stops: map[plan.StopMode][]worker.Ref{}, orphaned: time.Now()}
+		p = &partition{name: name, stops: map[plan.StopMode][]worker.Ref{}, ownerlessSince: time.Now()}
 		st.partitions[name] = p
-		st.lookUpOwner(p)
+		st.refreshOwner(p)
 	}
 	return p
 }
 
-func (st *state) lookUpOwner(p *partition) {
+func (st *state) refreshOwner(p *partition) {
 	claim, ok := st.o.Directory.Owner(ownership.Resource(ownership.PartitionPrefix + p.name))
 	if p.known && !ok {
-		p.orphaned = time.Now()
+		p.ownerlessSince = time.Now()
 	}
 	if ok && claim.Epoch < p.owner.Epoch {
 		return
@@ -77,17 +77,17 @@
 		st.partition(name)
 	}
 	for _, p := range st.partitions {
-		st.lookUpOwner(p)
+		st.refreshOwner(p)
 	}
-	st.findHome()
-	st.forgetPartitions(time.Now())
+	st.updateLocalPartitions()
+	st.removePartitions(time.Now())
 	st.fenceAll(time.Now())
 }
 
 // fenceAll asks each partition that needs it for what it holds.
 func (st *state) fenceAll(now time.Time) {
 	for _, p := range st.partitions {
-		wanted := p.doubt || p.fencedEpoch != p.owner.Epoch || len(p.unaccounted) > 0
+		wanted := p.unconfirmed || p.fencedEpoch != p.owner.Epoch || len(p.unaccounted) > 0
 		if wanted && p.known && !p.fencing && !p.planning && !now.Before(p.nextFence) {
 			st.fence(p, now)
 		}
@@ -99,7 +99,7 @@
 // the list could not be put in order.
 func (st *state) fence(p *partition, now time.Time) {
 	p.fencing = true
-	p.nextFence = now.Add(st.o.Tuning.FenceRepeat)
+	p.nextFence = now.Add(st.o.Tuning.FenceRetryInterval)
 	request := plan.Fence{
 		Partition: p.name, Author: st.author(), MinSeq: st.shard.seq.Add(1), Jobs: st.jobNames(),
 	}
@@ -108,7 +108,7 @@
 	st.callOwner(owner, plan.MethodFence, &request, reply, func(st *state, err error) {
 		p.fencing = false
 		if err == nil && owner == p.owner {
-			st.fenced(p, owner, reply)
+			st.applyFenceReply(p, owner, reply)
 		}
 	})
 }
@@ -122,7 +122,7 @@
 			names[key.Job] = struct{}{}
 		}
 	}
-	for ref := range st.strays {
+	for ref := range st.surplus {
 		names[ref.Task.Job] = struct{}{}
 	}
 	return slices.Sorted(maps.Keys(names))
@@ -132,12 +132,12 @@
 // shard's goroutine.
 func (st *state) callOwner(to ownership.Claim, method peer.Method, request, reply any, done func(*state, error)) {
 	st.calls++
-	s, ctx, life := st.shard, st.ctx, st.life
+	s, ctx, incarnation := st.shard, st.ctx, st.incarnation
 	go func() {
 		callCtx, cancel := contextWithTimeout(ctx, s.o.Tuning.CallTimeout)
 		defer cancel()
 		err := s.o.Caller.Call(callCtx, to.Owner, method, request, reply)
-		s.post(ctx, life, func(st *state) {
+		s.post(ctx, incarnation, func(st *state) {
 			st.calls--
 			done(st, err)
 		})
@@ -145,12 +145,12 @@
 }
 
 // fenced takes the list of what a partition holds.
-func (st *state) fenced(p *partition, owner ownership.Claim, reply *plan.FenceReply) {
+func (st *state) applyFenceReply(p *partition, owner ownership.Claim, reply *plan.FenceReply) {
 	if owner.Epoch < st.commit.partitions[p.name] {
 		return // a previous owner of the shard sent plans to a later one
 	}
-	p.fencedEpoch, p.doubt = owner.Epoch, false
-	st.usePartition(p)
+	p.fencedEpoch, p.unconfirmed = owner.Epoch, false
+	st.recordPartitionEpoch(p)
 	p.unaccounted = make(map[worker.ID]struct{}, len(reply.Unaccounted))
 	for _, id := range reply.Unaccounted {
 		p.unaccounted[id] = struct{}{}
@@ -159,39 +159,39 @@
 	for i := range reply.Tasks {
 		ev := &reply.Tasks[i]
 		listed[worker.Ref{Task: ev.Task, Attempt: ev.Attempt}] = struct{}{}
-		st.takeEvent(p, ev, true)
+		st.applyEvent(p, ev, true)
 	}
-	st.dropMissing(p, listed)
-	if len(p.unaccounted) == 0 && !p.doubt {
+	st.endMissing(p, listed)
+	if len(p.unaccounted) == 0 && !p.unconfirmed {
 		// A list with tasks of a configuration that is not known here puts the
 		// partition in doubt: they are not taken in, and would start again.
-		st.accountedFor(p.name)
+		st.markAccounted(p.name)
 	}
 	st.round.dirty = true
 }
 
-// usePartition has the epoch of a partition's owner written before plans are
+// recordPartitionEpoch has the epoch of a partition's owner written before plans are
 // sent to it.
-func (st *state) usePartition(p *partition) {
+func (st *state) recordPartitionEpoch(p *partition) {
 	if st.commit.partitions[p.name] == p.owner.Epoch {
 		return
 	}
-	st.mark()
+	st.markPending()
 	st.commit.partitions[p.name] = p.owner.Epoch
 	st.commit.partitionsDirty = true
 }
 
-// dropMissing ends the attempts that the partition should hold and does not
+// endMissing ends the attempts that the partition should hold and does not
 // list. Its owner lists every task that runs, starts or has a result not yet
 // acknowledged; one that is missing does not run and, since the plan numbers
 // were raised before, never will.
-func (st *state) dropMissing(p *partition, listed map[worker.Ref]struct{}) {
+func (st *state) endMissing(p *partition, listed map[worker.Ref]struct{}) {
 	var missing []*attempt
 	st.eachAttempt(func(a *attempt) {
 		if a.partition != p.name || !a.phase.mayRun() {
 			return
 		}
-		if p.mayHide(a) {
+		if p.mayRunUnseen(a) {
 			return
 		}
 		if _, ok := listed[a.ref()]; !ok {
@@ -207,11 +207,11 @@
 	}
 }
 
-// mayHide reports whether an attempt may run on a worker that the partition's
+// mayRunUnseen reports whether an attempt may run on a worker that the partition's
 // owner could not ask. The answer to a plan may be lost together with its
 // partition's owner; the attempt is then not where it was decided to go, and a
 // look at that worker alone would have it started again beside itself.
-func (p *partition) mayHide(a *attempt) bool {
+func (p *partition) mayRunUnseen(a *attempt) bool {
 	if a.unplaced {
 		return len(p.unaccounted) > 0
 	}
@@ -226,29 +226,29 @@
 			f(a)
 		}
 	}
-	for _, a := range st.strays {
+	for _, a := range st.surplus {
 		f(a)
 	}
 }
 
-// forgetPartitions gives up partitions that are no longer listed and have had
+// removePartitions gives up partitions that are no longer listed and have had
 // no owner for so long that every task lease has run out.
-func (st *state) forgetPartitions(now time.Time) {
+func (st *state) removePartitions(now time.Time) {
 	listed := map[string]struct{}{}
 	for _, name := range st.o.Partitions() {
 		listed[name] = struct{}{}
 	}
 	for name, p := range st.partitions {
-		if _, ok := listed[name]; ok || p.known || now.Sub(p.orphaned) < st.o.Tuning.ForgetPartition {
+		if _, ok := listed[name]; ok || p.known || now.Sub(p.ownerlessSince) < st.o.Tuning.PartitionTimeout {
 			continue
 		}
 		p.unaccounted = nil
-		st.dropMissing(p, nil)
+		st.endMissing(p, nil)
 		st.returnStarts(p)
-		st.accountedFor(name)
+		st.markAccounted(name)
 		delete(st.partitions, name)
 		if _, used := st.commit.partitions[name]; used {
-			st.mark()
+			st.markPending()
 			delete(st.commit.partitions, name)
 			st.commit.partitionsDirty = true
 		}
--- a/process/jobs/progress/file.go
+++ b/process/jobs/progress/file.go
@@ -74,14 +74,14 @@
 // higher epoch was here; after any other error it may be called again.
 func Open(ctx context.Context, s Store, shard int, epoch uint64, owner peer.Ref) (*File, []*Job, Head, error) {
 	f := &File{store: s}
-	first, err := f.takeHead(ctx, shard, epoch, owner)
+	first, err := f.claimHead(ctx, shard, epoch, owner)
 	if err != nil {
 		return nil, nil, Head{}, err
 	}
 	before := first.Head
 	contents := []page{first}
 	if f.head.Pages > 1 {
-		if contents, err = f.takePages(ctx); err != nil {
+		if contents, err = f.claimPages(ctx); err != nil {
 			return nil, nil, Head{}, err
 		}
 	}
@@ -89,8 +89,8 @@
 	return f, jobs, before, err
 }
 
-// takeHead replaces the head by one of this epoch and returns the old one.
-func (f *File) takeHead(ctx context.Context, shard int, epoch uint64, owner peer.Ref) (page, error) {
+// claimHead replaces the head by one of this epoch and returns the old one.
+func (f *File) claimHead(ctx context.Context, shard int, epoch uint64, owner peer.Ref) (page, error) {
 	key := HeadKey(shard)
 	old, rev, err := f.read(ctx, key)
 	if err != nil {
@@ -100,18 +100,18 @@
 		return page{}, ErrSuperseded
 	}
 	old.Head.Pages = max(old.Head.Pages, 1)
-	taken := old
-	taken.Head.Shard, taken.Head.Epoch, taken.Head.Owner = shard, epoch, owner
-	taken.Head.Writer = rand.Uint64()
-	if f.headRev, err = f.write(ctx, key, taken, rev); err != nil {
+	claimed := old
+	claimed.Head.Shard, claimed.Head.Epoch, claimed.Head.Owner = shard, epoch, owner
+	claimed.Head.Writer = rand.Uint64()
+	if f.headRev, err = f.write(ctx, key, claimed, rev); err != nil {
 		return page{}, err
 	}
-	f.head = taken.Head
+	f.head = claimed.Head
 	return old, nil
 }
 
-// takePages rewrites every page under this epoch and returns their contents.
-func (f *File) takePages(ctx context.Context) ([]page, error) {
+// claimPages rewrites every page under this epoch and returns their contents.
+func (f *File) claimPages(ctx context.Context) ([]page, error) {
 	f.revs = make([]store.Revision, f.head.Pages)
 	contents := make([]page, f.head.Pages)
 	for i := range contents {
--- a/process/jobs/protect.go
+++ b/process/jobs/protect.go
@@ -39,12 +39,12 @@
 	needExpiry = 10 * time.Second
 )
 
-// wantProtection notes a gang of this shard that found no room. The gang that
+// offerGang notes a gang of this shard that found no room. The gang that
 // waits longest has capacity kept for it: without that, small tasks would take
 // each piece of room as it comes free and a large gang would never start. One
 // gang at a time is enough for each to get its turn, and costs the small work
 // no more than that gang's room.
-func (st *state) wantProtection(j *job, asks []sched.Ask, now time.Time) {
+func (st *state) offerGang(j *job, asks []sched.Ask, now time.Time) {
 	need := GangNeed{
 		Job: j.key.Job, Generation: j.key.Generation, Size: asks[0].Size, Constraints: j.spec.Constraints,
 		Class: j.class, Team: j.spec.Team, Count: len(asks), WaitingMillis: now.Sub(j.arrived).Milliseconds(),
@@ -55,10 +55,10 @@
 // protectAfter is how long a single task waits before capacity is kept for it.
 const protectAfter = 5 * time.Second
 
-// wantRoom notes a batch job of which a task has waited long. A task larger
+// offerTask notes a batch job of which a task has waited long. A task larger
 // than what most others leave free would otherwise see each piece of room
 // taken by smaller ones. Gangs come first: they need it more.
-func (st *state) wantRoom(j *job, now time.Time) {
+func (st *state) offerTask(j *job, now time.Time) {
 	index, ok := j.next()
 	if !ok {
 		return
@@ -74,11 +74,11 @@
 	st.offerShadow(&gangShadow{need: need, own: j, since: since, lastSeen: now}, now)
 }
 
-// gotRoom ends the protection of a task that has started.
-func (st *state) gotRoom(j *job) {
+// endProtection ends the protection of a task that has started.
+func (st *state) endProtection(j *job) {
 	if s := st.round.protected; s != nil && s.own == j {
 		st.round.protected = nil
-		st.keep(nil)
+		st.setProtected(nil)
 	}
 }
 
@@ -109,8 +109,8 @@
 	return s.since.Before(o.since)
 }
 
-// protectGang keeps the protection up to date at the begin of a round.
-func (st *state) protectGang(now time.Time) {
+// refreshProtection keeps the protection up to date at the begin of a round.
+func (st *state) refreshProtection(now time.Time) {
 	s := st.round.protected
 	if s == nil {
 		return
@@ -118,7 +118,7 @@
 	ended := s.own != nil && (s.own.cancelled || s.own.infeasible != "")
 	if ended || now.Sub(s.lastSeen) > needExpiry {
 		st.round.protected = nil
-		st.keep(nil)
+		st.setProtected(nil)
 		return
 	}
 	if now.Sub(s.planned) >= replanInterval {
@@ -131,18 +131,18 @@
 	s := st.round.protected
 	s.planned = now
 	asks := s.need.asks()
-	st.keep(nil)
+	st.setProtected(nil)
 	shadow, ok := st.round.planner.PlanGang(asks, func(t *snapshot.Task) (time.Duration, bool) {
 		return st.learner.Remaining(t, now)
 	})
 	if ok {
-		st.keep(&shadow)
+		st.setProtected(&shadow)
 	}
 }
 
-// keptFrom lists the workers of a partition that the tasks of a job must not be
+// keptWorkers lists the workers of a partition that the tasks of a job must not be
 // rebound to: those that keep room, unless it is for the job itself.
-func (st *state) keptFrom(j *job, p *partition) []worker.ID {
+func (st *state) keptWorkers(j *job, p *partition) []worker.ID {
 	if s := st.round.protected; s != nil && s.own == j {
 		return nil
 	}
@@ -151,7 +151,7 @@
 
 // keep has capacity kept for a gang by the decisions of this shard, and its
 // workers left alone by the owners that rebind; nil keeps none.
-func (st *state) keep(shadow *sched.Shadow) {
+func (st *state) setProtected(shadow *sched.Shadow) {
 	st.round.planner.Protect(shadow)
 	st.round.kept = nil
 	if shadow == nil {
--- a/process/jobs/queue/queue.go
+++ b/process/jobs/queue/queue.go
@@ -37,30 +37,30 @@
 	Shape   Shape
 	Arrival uint64
 
-	line *line[V]
+	parent *shapeQueue[V]
 }
 
 // Queued reports whether the entry is in a queue.
-func (e *Entry[V]) Queued() bool { return e.line != nil }
+func (e *Entry[V]) Queued() bool { return e.parent != nil }
 
 // line holds the entries of one shape of one team, by arrival.
-type line[V any] struct {
+type shapeQueue[V any] struct {
 	shape   Shape
 	entries *btree.BTreeG[*Entry[V]]
 	team    *teamQueue[V]
 }
 
-func (l *line[V]) head() *Entry[V] {
+func (l *shapeQueue[V]) head() *Entry[V] {
 	e, _ := l.entries.Min()
 	return e
 }
 
 // teamQueue holds the lines of one team in one class, by their head's arrival.
 type teamQueue[V any] struct {
-	name  string
-	class int
-	lines map[Shape]*line[V]
-	order *btree.BTreeG[*line[V]]
+	name        string
+	class       int
+	shapeQueues map[Shape]*shapeQueue[V]
+	order       *btree.BTreeG[*shapeQueue[V]]
 }
 
 // Queue holds entries. It belongs to one goroutine.
@@ -104,10 +104,10 @@
 	if !e.Queued() {
 		return
 	}
-	team := e.line.team
+	team := e.parent.team
 	team.remove(e)
 	q.size[team.class]--
-	if len(team.lines) == 0 {
+	if len(team.shapeQueues) == 0 {
 		delete(q.teams[team.class], team.name)
 	}
 }
@@ -115,31 +115,31 @@
 func newTeamQueue[V any](name string, class int) *teamQueue[V] {
 	return &teamQueue[V]{
 		name: name, class: class,
-		lines: map[Shape]*line[V]{},
-		order: btree.NewG(degree, func(a, b *line[V]) bool { return a.head().Arrival < b.head().Arrival }),
+		shapeQueues: map[Shape]*shapeQueue[V]{},
+		order:       btree.NewG(degree, func(a, b *shapeQueue[V]) bool { return a.head().Arrival < b.head().Arrival }),
 	}
 }
 
 func (t *teamQueue[V]) add(e *Entry[V]) {
-	l := t.lines[e.Shape]
+	l := t.shapeQueues[e.Shape]
 	if l == nil {
-		l = &line[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
-		t.lines[e.Shape] = l
+		l = &shapeQueue[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
+		t.shapeQueues[e.Shape] = l
 	} else {
 		t.order.Delete(l)
 	}
 	l.entries.ReplaceOrInsert(e)
-	e.line = l
+	e.parent = l
 	t.order.ReplaceOrInsert(l)
 }
 
 func (t *teamQueue[V]) remove(e *Entry[V]) {
-	l := e.line
+	l := e.parent
 	t.order.Delete(l)
 	l.entries.Delete(e)
-	e.line = nil
+	e.parent = nil
 	if l.entries.Len() == 0 {
-		delete(t.lines, l.shape)
+		delete(t.shapeQueues, l.shape)
 		return
 	}
 	t.order.ReplaceOrInsert(l)
@@ -155,7 +155,7 @@
 	class   int
 	lowest  int
 	teams   teamHeap[V]
-	skipped map[*line[V]]bool
+	skipped map[*shapeQueue[V]]bool
 	shapes  map[Shape]bool
 }
 
@@ -170,7 +170,7 @@
 func (r *Round[V]) nextClass() {
 	r.class--
 	r.teams = r.teams[:0]
-	r.skipped = map[*line[V]]bool{}
+	r.skipped = map[*shapeQueue[V]]bool{}
 	r.shapes = map[Shape]bool{}
 	if r.class < r.lowest {
 		return
@@ -201,7 +201,7 @@
 // first returns the earliest entry of the team that is not skipped.
 func (r *Round[V]) first(t *teamQueue[V]) *Entry[V] {
 	var found *Entry[V]
-	t.order.Ascend(func(l *line[V]) bool {
+	t.order.Ascend(func(l *shapeQueue[V]) bool {
 		if r.skipped[l] || r.shapes[l.shape] {
 			return true
 		}
@@ -223,11 +223,11 @@
 // SkipShape tells that no worker takes the shape in this round, in this class.
 func (r *Round[V]) SkipShape(e *Entry[V]) { r.shapes[e.Shape] = true }
 
-// SkipLine tells that entries of this shape of this team are not served in
+// SkipTeamShape tells that entries of this shape of this team are not served in
 // this round, for example because the team's quota is used up.
-func (r *Round[V]) SkipLine(e *Entry[V]) {
-	if e.line != nil {
-		r.skipped[e.line] = true
+func (r *Round[V]) SkipTeamShape(e *Entry[V]) {
+	if e.parent != nil {
+		r.skipped[e.parent] = true
 	}
 }
 
--- a/process/jobs/queue/queue_test.go
+++ b/process/jobs/queue/queue_test.go
@@ -58,14 +58,14 @@
 			class spec.Class
 			shape Shape
 		}
-		type lineOf struct {
+		type teamShape struct {
 			shapeOf
 			team string
 		}
-		shapes, lines := map[shapeOf]bool{}, map[lineOf]bool{}
+		shapes, teamShapes := map[shapeOf]bool{}, map[teamShape]bool{}
 		skipped := func(e *Entry[int]) bool {
 			s := shapeOf{e.Class, e.Shape}
-			return shapes[s] || lines[lineOf{s, e.Team}]
+			return shapes[s] || teamShapes[teamShape{s, e.Team}]
 		}
 		round := q.NewRound(spec.Low, func(team string) float64 { return share[team] })
 		for {
@@ -82,8 +82,8 @@
 				shapes[s] = true
 				round.SkipShape(got)
 			case 1:
-				lines[lineOf{s, got.Team}] = true
-				round.SkipLine(got)
+				teamShapes[teamShape{s, got.Team}] = true
+				round.SkipTeamShape(got)
 			case 2:
 				q.Remove(got)
 				require.False(rt, got.Queued())
--- a/process/jobs/reconcile.go
+++ b/process/jobs/reconcile.go
@@ -18,7 +18,7 @@
 	}
 	st.config = config
 	if config.Version > st.commit.version {
-		st.mark()
+		st.markPending()
 		st.commit.version = config.Version
 	}
 	st.applyTeams()
@@ -32,7 +32,7 @@
 		st.addJob(declared)
 	}
 	st.dropRecords()
-	st.countPending()
+	st.chargeBlocked()
 	st.rollServices()
 	st.recheckAll()
 	st.round.dirty = true
@@ -53,9 +53,9 @@
 // account returns the account of a job's team.
 func (st *state) account(j *job) *quota.Account { return st.accounts.Account(j.spec.Team) }
 
-// forgetTeams drops the accounts of teams that are no longer declared and hold
+// removeUnusedTeams drops the accounts of teams that are no longer declared and hold
 // nothing.
-func (st *state) forgetTeams() {
+func (st *state) removeUnusedTeams() {
 	st.accounts.Each(func(a *quota.Account) {
 		if st.config.Teams[a.Name] == nil {
 			st.accounts.Forget(a.Name)
@@ -86,15 +86,15 @@
 
 func (st *state) addJob(declared *spec.VersionedJob) {
 	key := progress.Key{Job: declared.Name, Generation: declared.Generation}
-	record, unsure := st.takeover.record(key)
+	record, mayBeRunning := st.takeover.record(key)
 	st.arrivals++
 	j := newJob(declared, record, time.Now(), st.arrivals)
 	st.jobs[key], st.current[declared.Name] = j, j
 	st.learner.Declare(j.key.Job, declared.Size, declared.RunTime.Std())
-	st.sortTasks(j, unsure)
+	st.classifyTasks(j, mayBeRunning)
 	st.raiseLimit(j)
 	st.enqueue(j)
-	if st.takeover.done && unsure {
+	if st.takeover.done && mayBeRunning {
 		st.unblock(j)
 	}
 }
@@ -102,7 +102,7 @@
 // dropRecords removes the progress of jobs that are no longer declared.
 func (st *state) dropRecords() {
 	for key := range st.takeover.records {
-		st.mark()
+		st.markPending()
 		st.commit.removed[key] = struct{}{}
 	}
 	clear(st.takeover.records)
@@ -112,7 +112,7 @@
 // The instances of a service that is replaced by a new generation are stopped
 // step by step by rollServices.
 func (st *state) cancel(j *job) {
-	st.mark()
+	st.markPending()
 	st.commit.removed[j.key] = struct{}{}
 	delete(st.commit.dirty, j)
 	delete(st.current, j.key.Job)
@@ -161,11 +161,11 @@
 		return
 	}
 	delete(st.jobs, j.key)
-	olds := slices.DeleteFunc(st.rolling[j.key.Job], func(o *job) bool { return o == j })
-	if len(olds) == 0 {
+	oldJobs := slices.DeleteFunc(st.rolling[j.key.Job], func(o *job) bool { return o == j })
+	if len(oldJobs) == 0 {
 		delete(st.rolling, j.key.Job)
 	} else {
-		st.rolling[j.key.Job] = olds
+		st.rolling[j.key.Job] = oldJobs
 	}
 	st.round.dirty = true
 }
@@ -175,22 +175,22 @@
 // one starts when an old one has ended, so that there are never more than
 // Count.
 func (st *state) rollServices() {
-	for name, olds := range st.rolling {
-		st.roll(st.current[name], slices.Clone(olds))
+	for name, oldJobs := range st.rolling {
+		st.roll(st.current[name], slices.Clone(oldJobs))
 	}
 }
 
-func (st *state) roll(current *job, olds []*job) {
+func (st *state) roll(current *job, oldJobs []*job) {
 	if current == nil || !current.service() {
-		for _, old := range olds {
+		for _, old := range oldJobs {
 			for _, a := range old.live {
 				st.stop(a)
 			}
 		}
 		return
 	}
-	spare := st.runningInstances(current, olds) - (current.spec.Count - maxUnavailable(current))
-	for _, old := range olds {
+	spare := st.runningInstances(current, oldJobs) - (current.spec.Count - maxUnavailable(current))
+	for _, old := range oldJobs {
 		for _, a := range old.live {
 			switch {
 			case a.stopping:
@@ -212,9 +212,9 @@
 }
 
 // runningInstances counts the instances that run and were not asked to stop.
-func (st *state) runningInstances(current *job, olds []*job) int {
+func (st *state) runningInstances(current *job, oldJobs []*job) int {
 	n := 0
-	for _, j := range append(olds, current) {
+	for _, j := range append(oldJobs, current) {
 		for _, a := range j.live {
 			if a.phase == running && !a.stopping {
 				n++
@@ -224,8 +224,8 @@
 	return n
 }
 
-// rollingHold reports whether a new instance has to wait for an old one's end.
-func (st *state) rollingHold(j *job) bool {
+// waitsForOldInstance reports whether a new instance has to wait for an old one's end.
+func (st *state) waitsForOldInstance(j *job) bool {
 	live := len(j.live)
 	for _, old := range st.rolling[j.key.Job] {
 		live += len(old.live)
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -33,7 +33,7 @@
 	// blocked holds the workers that the planner keeps off, and why.
 	blocked map[worker.ID]string
 	// home are the partitions that this daemon owns, sorted.
-	home []string
+	localPartitions []string
 	// kept lists, by partition, the workers that keep room for protected.
 	kept map[string][]worker.ID
 }
@@ -85,16 +85,16 @@
 	}
 	if st.round.planner == nil {
 		st.round.planner = sched.NewPlanner(snap)
-		st.preferHome()
+		st.preferLocalPartitions()
 	} else {
 		st.round.planner.Rebase(snap)
 	}
 	if snap != st.round.snap {
 		st.round.snap = snap
-		st.countCapacity(snap)
+		st.updateCapacity(snap)
 	}
 	st.blockUnusable(now)
-	st.protectGang(now)
+	st.refreshProtection(now)
 	st.others.rank(now, st.accounts, st.round.used)
 	st.round.dirty = false
 	st.round.active = st.queue.NewRound(spec.Low, func(team string) float64 { return st.accounts.Share(st.accounts.Account(team)) })
@@ -123,12 +123,12 @@
 	st.round.dirty = true
 }
 
-func (st *state) countCapacity(snap *sched.Snapshot) {
+func (st *state) updateCapacity(snap *sched.Snapshot) {
 	var total, largest, used spec.Resources
 	snap.All(func(w *snapshot.Worker) bool {
 		if w.Unusable == "" {
 			total = total.Add(w.Capacity)
-			largest = atLeast(largest, w.Capacity)
+			largest = maxResources(largest, w.Capacity)
 			used = used.Add(w.Reserved)
 		}
 		return true
@@ -137,7 +137,7 @@
 	st.round.largest, st.round.used = largest, used
 }
 
-func atLeast(a, b spec.Resources) spec.Resources {
+func maxResources(a, b spec.Resources) spec.Resources {
 	return spec.Resources{
 		MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB),
 		Accelerators: max(a.Accelerators, b.Accelerators),
@@ -179,12 +179,12 @@
 		st.queue.Remove(e)
 		return false
 	}
-	if j.service() && st.rollingHold(j) {
+	if j.service() && st.waitsForOldInstance(j) {
 		j.wait = "rolling replacement: waits for an old instance to end"
 		st.round.active.SkipShape(e)
 		return false
 	}
-	if st.resized(e, now) || !st.fitsQuota(e, j.size) || !st.paced(j, now) {
+	if st.resized(e, now) || !st.fitsQuota(e, j.size) || !st.withinStartRate(j, now) {
 		return false
 	}
 	ask := st.ask(j, index, st.attemptNumber(j, index))
@@ -196,7 +196,7 @@
 	}
 	if !d.Placed() {
 		if d.Infeasible == "" {
-			st.wantRoom(j, now)
+			st.offerTask(j, now)
 		}
 		delete(st.others.yielding, j.spec.Team)
 		st.refuseJob(e, d.Rejections, d.Infeasible)
@@ -205,7 +205,7 @@
 	if st.yields(e, now) {
 		return false
 	}
-	st.gotRoom(j)
+	st.endProtection(j)
 	st.assign(j, index, &ask, &d, now)
 	st.round.active.Served(j.spec.Team)
 	return true
@@ -222,7 +222,7 @@
 	if !st.account(j).Fits(quota.Size(size)) {
 		j.wait = "quota of the team is used up"
 		j.rejections = nil
-		st.round.active.SkipLine(e)
+		st.round.active.SkipTeamShape(e)
 		return false
 	}
 	return true
@@ -231,7 +231,7 @@
 // paced reports whether a start is within the rate of the shard. Urgent work
 // and services are never held back: after the loss of a rack they go first and
 // the rest follows at a rate that the workers' owners can take.
-func (st *state) paced(j *job, now time.Time) bool {
+func (st *state) withinStartRate(j *job, now time.Time) bool {
 	if j.class.Rank() >= spec.High.Rank() || st.limiter.TokensAt(now) >= 1 {
 		return true
 	}
--- a/process/jobs/scenario_test.go
+++ b/process/jobs/scenario_test.go
@@ -313,8 +313,8 @@
 		}}
 		s := d.manager.shard(0)
 		require.NoError(t, s.call(ctx, func(st *state) {
-			require.True(t, st.takeEvents(&late))
-			require.Empty(t, st.strays)
+			require.True(t, st.applyEvents(&late))
+			require.Empty(t, st.surplus)
 		}))
 	})
 }
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -12,12 +12,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// unsentLimit is how long an attempt waits for its partition to become usable
+// unsentTimeout is how long an attempt waits for its partition to become usable
 // before its task is decided on again.
-const unsentLimit = time.Second
+const unsentTimeout = time.Second
 
-// groupLimit bounds the tasks of one Stop or Ack.
-const groupLimit = 1024
+// maxTasksPerCall bounds the tasks of one Stop or Ack.
+const maxTasksPerCall = 1024
 
 func contextWithTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, d)
@@ -29,7 +29,7 @@
 func (st *state) queueStart(a *attempt) {
 	if st.needsWrite(a) {
 		a.phase = intending
-		st.mark()
+		st.markPending()
 		st.commit.waiting = append(st.commit.waiting, a)
 		return
 	}
@@ -51,7 +51,7 @@
 		return false
 	}
 	a.job.record.Intent.Add(a.index)
-	st.touch(a.job)
+	st.markDirty(a.job)
 	return true
 }
 
@@ -76,12 +76,12 @@
 		return
 	}
 	if !st.usable(p) || !st.mayStart() {
-		if now.Sub(p.starts[0].decided) > unsentLimit || st.releasing {
+		if now.Sub(p.starts[0].decided) > unsentTimeout || st.releasing {
 			st.returnStarts(p)
 		}
 		return
 	}
-	attempts := st.takeStarts(p)
+	attempts := st.nextStarts(p)
 	if len(attempts) == 0 {
 		return
 	}
@@ -101,13 +101,13 @@
 	result := new(plan.Result)
 	st.callOwner(p.owner, plan.MethodCommit, &request, result, func(st *state, err error) {
 		p.planning = false
-		st.planAnswered(p, attempts, result, err)
+		st.handlePlanResult(p, attempts, result, err)
 	})
 }
 
-// takeStarts takes the next group out of the outbox, the highest class first.
+// nextStarts takes the next group out of the outbox, the highest class first.
 // Steps on a reservation go alone.
-func (st *state) takeStarts(p *partition) []*attempt {
+func (st *state) nextStarts(p *partition) []*attempt {
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool { return a.job.live[a.index] != a })
 	slices.SortStableFunc(p.starts, func(a, b *attempt) int { return b.job.class.Rank() - a.job.class.Rank() })
 	if len(p.starts) == 0 {
@@ -132,7 +132,7 @@
 	p.starts = nil
 	for _, a := range starts {
 		if a.job.live[a.index] == a {
-			st.notStarted(a, "owner of the workers not reachable")
+			st.revertStart(a, "owner of the workers not reachable")
 		}
 	}
 }
@@ -154,24 +154,24 @@
 	return s
 }
 
-// planAnswered takes the answer of a plan. When the call certainly did not run
+// handlePlanResult takes the answer of a plan. When the call certainly did not run
 // its tasks are free again. When that is not known they stay live until the
 // partition has listed what it holds under a higher plan number.
-func (st *state) planAnswered(p *partition, attempts []*attempt, result *plan.Result, err error) {
+func (st *state) handlePlanResult(p *partition, attempts []*attempt, result *plan.Result, err error) {
 	switch {
 	case err == nil && len(result.Steps) == len(attempts):
 		for i, a := range attempts {
-			st.stepAnswered(p, a, &result.Steps[i])
+			st.handleStepResult(p, a, &result.Steps[i])
 		}
 	case notRun(err):
 		for _, a := range attempts {
 			if a.job.live[a.index] == a && a.phase == sent {
-				st.notStarted(a, "owner of the workers not reachable")
+				st.revertStart(a, "owner of the workers not reachable")
 			}
 		}
 		p.fencedEpoch = 0
 	default:
-		p.doubt, p.nextFence = true, time.Time{}
+		p.unconfirmed, p.nextFence = true, time.Time{}
 		st.o.Metrics.LostAnswers.Add(1)
 		for _, a := range attempts {
 			if a.phase == sent {
@@ -187,24 +187,24 @@
 	return errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife) || errors.Is(err, peer.ErrNoMethod)
 }
 
-func (st *state) stepAnswered(p *partition, a *attempt, r *plan.StepResult) {
+func (st *state) handleStepResult(p *partition, a *attempt, r *plan.StepResult) {
 	if a.job.live[a.index] != a {
 		return // an event has ended it already
 	}
 	switch r.Outcome {
 	case plan.Accepted:
-		st.placed(a, r.Worker)
-		st.accepted(a)
+		st.setWorker(a, r.Worker)
+		st.markAccepted(a)
 	case plan.Duplicate:
 		// Another attempt of the task is there that this owner does not know.
 		a.phase = uncertain
-		p.doubt, p.nextFence = true, time.Time{}
+		p.unconfirmed, p.nextFence = true, time.Time{}
 	case plan.NoWorker, plan.NoRoom:
-		st.noteRefusal(a.worker)
-		st.notStarted(a, reasonOf(r))
+		st.recordRefusal(a.worker)
+		st.revertStart(a, reasonOf(r))
 	default: // Stale, NotOwner, NotFenced
 		p.fencedEpoch = 0
-		st.notStarted(a, reasonOf(r))
+		st.revertStart(a, reasonOf(r))
 	}
 }
 
@@ -216,7 +216,7 @@
 }
 
 // placed notes the worker that a task was started on, when it was rebound.
-func (st *state) placed(a *attempt, id worker.ID) {
+func (st *state) setWorker(a *attempt, id worker.ID) {
 	a.unplaced = false
 	if id == "" || id == a.worker {
 		return
@@ -228,7 +228,7 @@
 	}
 }
 
-func (st *state) accepted(a *attempt) {
+func (st *state) markAccepted(a *attempt) {
 	if a.phase < starting {
 		a.phase = starting
 	}
@@ -239,19 +239,19 @@
 }
 
 // notStarted frees a task whose start certainly did not happen.
-func (st *state) notStarted(a *attempt, reason string) {
+func (st *state) revertStart(a *attempt, reason string) {
 	st.o.Metrics.Refused.Add(1)
 	st.removeLive(a)
 	st.failGang(a.job, reason)
 	if !a.stopping {
 		a.job.wait = reason
 	}
-	st.makeReadyAgain(a)
+	st.requeue(a)
 	st.afterEnd(a.job)
 }
 
-// makeReadyAgain requeues a task under the time since which it waits.
-func (st *state) makeReadyAgain(a *attempt) {
+// requeue requeues a task under the time since which it waits.
+func (st *state) requeue(a *attempt) {
 	st.makeReady(a.job, a.index, time.Now())
 	if _, ok := a.job.requeued[a.index]; ok {
 		a.job.requeued[a.index] = a.waitingSince
@@ -265,7 +265,7 @@
 	}
 	a.stopping = true
 	if !a.phase.mayRun() {
-		st.notStarted(a, "cancelled")
+		st.revertStart(a, "cancelled")
 		return
 	}
 	st.stopping[a] = struct{}{}
@@ -283,7 +283,7 @@
 // repeatStops sends stops again whose effect has not been seen.
 func (st *state) repeatStops(now time.Time) {
 	for a := range st.stopping {
-		if a.phase >= starting && now.Sub(a.stopSent) > st.o.Tuning.StopRepeat+st.o.Tuning.drainOf(a.job) {
+		if a.phase >= starting && now.Sub(a.stopSent) > st.o.Tuning.StopResendInterval+st.o.Tuning.drainOf(a.job) {
 			st.sendStop(a, plan.StopNow)
 		}
 	}
@@ -299,7 +299,7 @@
 
 func (st *state) sendStops(p *partition) {
 	for mode, refs := range p.stops {
-		n := min(len(refs), groupLimit)
+		n := min(len(refs), maxTasksPerCall)
 		request := plan.Stop{
 			Partition: p.name, Author: st.author(), Tasks: refs[:n:n], Mode: mode,
 			DrainMillis: st.o.Tuning.Drain.Milliseconds(),
@@ -320,7 +320,7 @@
 }
 
 func (st *state) sendAcks(p *partition) {
-	n := min(len(p.acks), groupLimit)
+	n := min(len(p.acks), maxTasksPerCall)
 	refs := p.acks[:n:n]
 	p.acks = p.acks[n:]
 	p.acking = true
@@ -329,7 +329,7 @@
 		p.acking = false
 		if err != nil && p.known {
 			p.acks = append(p.acks, refs...)
-			p.ackAfter = time.Now().Add(st.o.Tuning.FenceRepeat)
+			p.ackAfter = time.Now().Add(st.o.Tuning.FenceRetryInterval)
 		}
 	})
 }
--- a/process/jobs/shard.go
+++ b/process/jobs/shard.go
@@ -28,8 +28,8 @@
 // numbers of the next, where only an event delayed over a takeover could tell.
 const attemptEpochBits = 12
 
-// startsPerLife is what a restart within an epoch adds to the attempt numbers.
-const startsPerLife = 256
+// attemptsPerIncarnation is what a restart within an epoch adds to the attempt numbers.
+const attemptsPerIncarnation = 256
 
 // shard is one claimed shard. Its state lives in the goroutine of Serve; other
 // goroutines reach it through call.
@@ -44,7 +44,7 @@
 
 	// seq and lives outlive a restart of Serve after a panic: no number of a
 	// plan or an attempt is used twice in an epoch.
-	seq, lives atomic.Uint64
+	seq, incarnations atomic.Uint64
 }
 
 // command is work for the goroutine of the shard.
@@ -52,7 +52,7 @@
 	run  func(st *state)
 	done chan struct{}
 	// life is that of the state which the command belongs to; 0 means any.
-	life uint64
+	incarnation uint64
 }
 
 func newShard(o *Options, number plan.Shard, claim ownership.Claim) *shard {
@@ -91,9 +91,9 @@
 // an earlier life means nothing to the state of this one: it would take the
 // end of the other's write for its own. post must not be called from the
 // goroutine of the shard.
-func (s *shard) post(ctx context.Context, life uint64, f func(st *state)) {
+func (s *shard) post(ctx context.Context, incarnation uint64, f func(st *state)) {
 	select {
-	case s.commands <- command{run: f, life: life}:
+	case s.commands <- command{run: f, incarnation: incarnation}:
 	case <-s.quit:
 	case <-ctx.Done():
 	}
@@ -101,7 +101,7 @@
 
 // Serve takes the shard over and runs it until it is lost.
 func (s *shard) Serve(ctx context.Context) error {
-	s.lives.Add(1)
+	s.incarnations.Add(1)
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -149,11 +149,11 @@
 		return opened{file, jobs, head}, err
 	}
 	select {
-	case <-s.o.agreed:
+	case <-s.o.countConfirmed:
 	case <-ctx.Done():
 		return nil, ctx.Err()
 	}
-	got, err := untilDone(ctx, open)
+	got, err := retryUntilDone(ctx, open)
 	if err != nil {
 		return nil, err
 	}
@@ -172,11 +172,11 @@
 	if s.o.LatestVersion == nil {
 		return 0, nil
 	}
-	return untilDone(ctx, func() (uint64, error) { return s.o.LatestVersion(ctx) })
+	return retryUntilDone(ctx, func() (uint64, error) { return s.o.LatestVersion(ctx) })
 }
 
-// untilDone calls f until it succeeds, fails for good or ctx ends.
-func untilDone[T any](ctx context.Context, f func() (T, error)) (T, error) {
+// retryUntilDone calls f until it succeeds, fails for good or ctx ends.
+func retryUntilDone[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval, policy.MaxInterval = 50*time.Millisecond, 2*time.Second
 	return backoff.Retry(ctx, f, backoff.WithBackOff(policy), backoff.WithMaxElapsedTime(0))
@@ -200,7 +200,7 @@
 // an error, for example when the store is down until ctx ends, the shard goes
 // on as before: the claim is kept, and nobody else would do its work.
 func (s *shard) release(ctx context.Context) error {
-	err := s.settle(ctx)
+	err := s.quiesce(ctx)
 	if err != nil {
 		// Not bounded by ctx, which has ended, but by the life of the shard.
 		go s.post(context.Background(), 0, func(st *state) { st.releasing = false })
@@ -208,16 +208,16 @@
 	return err
 }
 
-func (s *shard) settle(ctx context.Context) error {
+func (s *shard) quiesce(ctx context.Context) error {
 	if err := s.call(ctx, func(st *state) { st.releasing = true }); err != nil {
 		return err
 	}
 	for {
-		settled := false
-		if err := s.call(ctx, func(st *state) { settled = st.settled() }); err != nil {
+		quiescent := false
+		if err := s.call(ctx, func(st *state) { quiescent = st.quiescent() }); err != nil {
 			return err
 		}
-		if settled {
+		if quiescent {
 			return nil
 		}
 		select {
--- a/process/jobs/shares.go
+++ b/process/jobs/shares.go
@@ -45,8 +45,8 @@
 // is still free then is of no use to them and is taken.
 const yieldLimit = time.Second
 
-// takeTotal takes the message of another shard.
-func (st *state) takeTotal(t *Totals, now time.Time) {
+// applyTotals takes the message of another shard.
+func (st *state) applyTotals(t *Totals, now time.Time) {
 	o := &st.others
 	if t.Epoch < o.shards[t.Shard].epoch {
 		return
--- a/process/jobs/state.go
+++ b/process/jobs/state.go
@@ -22,14 +22,14 @@
 	o     *Options
 	ctx   context.Context
 	// life counts the starts of the shard in this daemon.
-	life uint64
+	incarnation uint64
 
 	config  *spec.Config
 	jobs    map[progress.Key]*job
 	current map[string]*job
 	// strays are attempts that must end: of jobs that are gone, or beside a
 	// live attempt.
-	strays   map[worker.Ref]*attempt
+	surplus  map[worker.Ref]*attempt
 	arrivals uint64
 	// rolling holds the older generations of services that are replaced.
 	rolling map[string][]*job
@@ -57,9 +57,9 @@
 func newState(s *shard, file *progress.File, records []*progress.Job, head progress.Head) *state {
 	t := &s.o.Tuning
 	st := &state{
-		shard: s, o: s.o, life: s.lives.Load(),
+		shard: s, o: s.o, incarnation: s.incarnations.Load(),
 		config: &spec.Config{}, jobs: map[progress.Key]*job{}, current: map[string]*job{},
-		strays: map[worker.Ref]*attempt{}, rolling: map[string][]*job{}, queue: queue.New[*job](), accounts: quota.NewLedger(),
+		surplus: map[worker.Ref]*attempt{}, rolling: map[string][]*job{}, queue: queue.New[*job](), accounts: quota.NewLedger(),
 		limiter:    rate.NewLimiter(rate.Limit(t.StartsPerSecond), t.StartBurst),
 		partitions: map[string]*partition{}, learner: usage.New(), stopping: map[*attempt]struct{}{},
 	}
@@ -77,7 +77,7 @@
 
 // attemptBase returns the lowest number of an attempt in this life of the shard.
 func (st *state) attemptBase() int {
-	return int(st.shard.claim.Epoch<<attemptEpochBits + (st.life-1)*startsPerLife)
+	return int(st.shard.claim.Epoch<<attemptEpochBits + (st.incarnation-1)*attemptsPerIncarnation)
 }
 
 // attemptNumber returns the number of the next attempt of a task.
@@ -124,7 +124,7 @@
 // answers cost one pass.
 func (st *state) runCommands(c command) {
 	for range commandBuffer {
-		if c.life == 0 || c.life == st.life {
+		if c.incarnation == 0 || c.incarnation == st.incarnation {
 			c.run(st)
 		}
 		if c.done != nil {
@@ -160,7 +160,7 @@
 	st.repeatStops(now)
 	st.rollServices()
 	st.recheckInfeasible(now)
-	st.forgetTeams()
+	st.removeUnusedTeams()
 	st.checkNow(now)
 }
 
@@ -201,7 +201,7 @@
 	return a
 }
 
-// settled reports whether nothing is on its way and everything is durable.
-func (st *state) settled() bool {
+// quiescent reports whether nothing is on its way and everything is durable.
+func (st *state) quiescent() bool {
 	return st.calls == 0 && !st.commit.writing && !st.commit.pending()
 }
--- a/process/jobs/takeover.go
+++ b/process/jobs/takeover.go
@@ -42,8 +42,8 @@
 
 // record returns the progress of a job and whether tasks may be running that
 // this owner has not seen. That may be so for a job without a record, too: see
-// freeStarts.
-func (t *takeover) record(key progress.Key) (record *progress.Job, unsure bool) {
+// initialStartLimit.
+func (t *takeover) record(key progress.Key) (record *progress.Job, mayBeRunning bool) {
 	if r := t.records[key]; r != nil {
 		delete(t.records, key)
 		return r, !t.done
@@ -51,14 +51,14 @@
 	return progress.NewJob(key.Job, key.Generation), !t.done
 }
 
-// sortTasks puts each unfinished task of a new job into ready or blocked. Only
+// classifyTasks puts each unfinished task of a new job into ready or blocked. Only
 // indexes below the stored limit may have been started by a previous owner.
-func (st *state) sortTasks(j *job, unsure bool) {
+func (st *state) classifyTasks(j *job, mayBeRunning bool) {
 	j.ready.AddRange(0, uint64(j.spec.Count))
 	j.ready.AndNot(j.record.Done)
 	j.ready.AndNot(j.record.Failed)
 	j.ready.AndNot(j.record.Unknown)
-	if unsure {
+	if mayBeRunning {
 		j.blocked.Or(j.ready)
 		j.blocked.RemoveRange(uint64(j.record.StartLimit), maxTasks)
 		j.ready.AndNot(j.blocked)
@@ -68,25 +68,25 @@
 // maxTasks is above every task index.
 const maxTasks = 1 << 32
 
-// accountedFor notes that a partition holds no task that this owner does not
+// markAccounted notes that a partition holds no task that this owner does not
 // know of.
-func (st *state) accountedFor(partition string) {
+func (st *state) markAccounted(partition string) {
 	if st.takeover.done {
 		return
 	}
 	delete(st.takeover.waiting, partition)
 	if len(st.takeover.waiting) > 0 {
-		st.countPending()
+		st.chargeBlocked()
 		return
 	}
 	st.takeover.done = true
 	st.o.Log.Info().Int("shard", int(st.shard.number)).Msg("takeover complete")
 	for _, j := range st.jobs {
 		st.unblock(j)
-		st.wholeGang(j)
+		st.stopPartialGang(j)
 	}
 	clear(st.takeover.failed)
-	st.countPending()
+	st.chargeBlocked()
 }
 
 // endWhileBlocked takes the end, without a success, of an attempt of a blocked
@@ -99,7 +99,7 @@
 	if _, counted := st.takeover.failed[ref]; !counted && ev.State == worker.Failed && !ev.Lost && !ev.NotStarted {
 		st.takeover.failed[ref] = struct{}{}
 		j.record.AddFailure(uint32(ev.Task.Index))
-		st.touch(j)
+		st.markDirty(j)
 	}
 	st.ackDurable(j, p.name, ref)
 }
@@ -115,7 +115,7 @@
 		j.record.Failed.Add(index)
 		j.record.ClearFailures(index)
 		st.o.Metrics.Finished.Add(1)
-		st.touch(j)
+		st.markDirty(j)
 	}
 }
 
@@ -132,7 +132,7 @@
 		j.record.Unknown.Or(unknown)
 		j.blocked.AndNot(unknown)
 		st.o.Metrics.Unknown.Add(int64(unknown.GetCardinality()))
-		st.touch(j)
+		st.markDirty(j)
 	}
 	st.failBlocked(j)
 	j.ready.Or(j.blocked)
@@ -140,12 +140,12 @@
 	st.enqueue(j)
 }
 
-// wholeGang stops a gang of which only a part runs: the previous owner died
+// stopPartialGang stops a gang of which only a part runs: the previous owner died
 // between the starts in two partitions, or a task has ended meanwhile. The
 // part would hold its room and wait for the rest, which starts only when all
 // tasks are ready. It is also the place to end a gang of which a blocked task
 // has used up its retries.
-func (st *state) wholeGang(j *job) {
+func (st *state) stopPartialGang(j *job) {
 	if j.spec.Kind != spec.Gang || j.cancelled || j.gang != nil || j.ready.IsEmpty() {
 		return
 	}
@@ -154,10 +154,10 @@
 	}
 }
 
-// countPending counts against the quotas what blocked tasks may hold: what the
+// chargeBlocked counts against the quotas what blocked tasks may hold: what the
 // workers that are not accounted for can carry. A previous owner may have
 // learned larger sizes than the declared ones, so these are no bound.
-func (st *state) countPending() {
+func (st *state) chargeBlocked() {
 	blocked := map[string]spec.Resources{}
 	for _, j := range st.current {
 		declared := j.spec.Size.Times(learnedFactor * int64(j.blocked.GetCardinality()))
