--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -1,14 +1,15 @@
-// Package fair decides which account's work goes first where that of several waits for the
-// same room: it moves the time at which a job should be done, by which waiting work of one
-// priority is ordered, and tells which hand-ins are beyond what their account is entitled
-// to.
+// Package fair orders the waiting jobs of different accounts that compete for the same
+// capacity. Waiting jobs of one priority are ordered by their due times; the package shifts
+// the due time used for ordering in favour of some accounts. It also reports which
+// submissions exceed the entitlement of their account.
 //
-// Load pattern: a cell that is full, with accounts of unlike size, of which one hands in
-// several times its usual. What goes wrong if only the time counts by which a job should be
-// done: an account with few jobs loses half of its work by one gang that is late, while a
-// large one hardly notices; and the one that hands in too much takes the others' room.
+// In a full cell with accounts of different sizes, of which one submits several times its
+// usual load, ordering by due time alone is unfair in two ways: an account with few jobs
+// loses half of its work by one late gang, which a large account hardly notices, and the
+// account that submits too much takes the capacity of the others.
 //
-// A Book has no clock and makes no decision on room or quota. It belongs to one goroutine.
+// A Book has no clock of its own and makes no decision on capacity or quota. It must be used
+// by one goroutine.
 package fair
 
 import (
@@ -19,24 +20,24 @@
 	"time"
 )
 
-// Way is how accounts take turns.
+// Way is the policy by which the jobs of different accounts are ordered.
 type Way string
 
 // Ways. The zero value stands for DefaultWay.
 const (
-	// Due: the job that should be done first goes first, whoever handed it in.
+	// Due orders jobs by due time alone, regardless of their account.
 	Due Way = "due"
-	// Dominant: accounts that use less than the others for their weight go first.
+	// Dominant prefers accounts that use less than others relative to their weight.
 	Dominant Way = "dominant"
-	// Risk: accounts go first that would lose the most of their work of late, were the
-	// job late.
+	// Risk prefers accounts of which the largest share of recent work would be late if the
+	// job were late.
 	Risk Way = "risk"
 )
 
-// DefaultWay is the one that measured best.
+// DefaultWay is the policy used for the zero value. It gives the best results of the three.
 const DefaultWay = Risk
 
-// Check returns an error for a way that does not exist.
+// Check returns an error for an unknown policy.
 func (w Way) Check() error {
 	ways := []Way{"", Due, Dominant, Risk}
 	if !slices.Contains(ways, w) {
@@ -46,48 +47,52 @@
 }
 
 const (
-	// memory is how long it takes until a third is left of what counts as an account's
-	// work of late: some objectives of long jobs.
+	// workDecay is the time constant by which an account's recent work decays: after it
+	// about a third is left. It spans several objectives of long jobs.
 	workDecay = time.Minute
-	// reach is how many objectives a job goes before or behind its time at the most. A
-	// whole one would let it pass everything that has just come.
+	// maxShift is the maximum shift of a job's due time, in objectives. With a whole
+	// objective a job could overtake every job that has just been submitted.
 	maxShift = 0.5
-	// useDecay is the same for what an account uses.
+	// useDecay is the time constant by which an account's recent usage decays.
 	useDecay = 10 * time.Second
 )
 
-// Entitlement is what accounts may hand in: weight jobs a second over a window, and some
-// more.
+// Entitlement is the rate at which accounts may submit jobs: as many jobs per second as
+// their weight, with a burst of Window seconds at that rate and Slack jobs.
 type Entitlement struct {
-	Window time.Duration // 0: everything is within
-	// Slack is in jobs; each part of a cell grants the whole of it, since the jobs of a
-	// small account do not spread evenly over the parts.
+	Window time.Duration // 0: no limit
+	// Slack is in jobs. Each shard of a cell grants the whole of it, since the jobs of a
+	// small account are not spread evenly over the shards.
 	Slack float64
-	// Share of the hand-ins that come here: less than 1 where a cell has several parts.
+	// Share is the share of the cell's submissions that arrive here: less than 1 in a cell
+	// with several shards.
 	Share float64
 }
 
-// Book holds what counts of each account.
+// Book holds the submissions, recent work and usage of each account.
 type Book struct {
 	way      Way
 	entitled Entitlement
 	accounts map[string]*account
-	// used is the use by weight of all accounts together, and weights theirs.
+	// used is the recent usage of all accounts in core-seconds, weights the sum of their
+	// weights.
 	used, weights float64
 	usedAt        time.Duration
 }
 
 type account struct {
 	weight float64
-	// tokens of hand-ins within the entitlement, as of tokensAt; full until the first one.
-	tokens   float64
-	tokensAt time.Duration
+	// tokens is the number of further submissions within the entitlement as of tokensAt;
+	// the bucket is full until the first submission.
+	tokens    float64
+	tokensAt  time.Duration
 	submitted bool
-	beyond   uint64 // hand-ins that were not within
-	// late and all are the work of jobs that have ended of late, decaying since workAt.
+	beyond    uint64 // submissions that exceeded the entitlement
+	// late and all are the work of recently ended jobs, of the late ones and of all,
+	// decaying since workAt.
 	late, all float64
 	workAt    time.Duration
-	use       float64 // core-seconds of late, decaying since useAt
+	use       float64 // recent usage in core-seconds, decaying since useAt
 	useAt     time.Duration
 }
 
@@ -122,8 +127,8 @@
 	a.weight = weight
 }
 
-// HandedIn notes a hand-in, and reports whether it is within the account's entitlement.
-// Jobs of no account always are.
+// HandedIn records a submission and reports whether it is within the account's
+// entitlement. Jobs without an account always are.
 func (b *Book) HandedIn(name string, at time.Duration) bool {
 	if name == "" || b.entitled.Window <= 0 {
 		return true
@@ -144,7 +149,7 @@
 	return true
 }
 
-// Beyond returns how many hand-ins of the account were beyond its entitlement.
+// Beyond returns how many submissions of the account exceeded its entitlement.
 func (b *Book) Beyond(name string) uint64 {
 	if a := b.accounts[name]; a != nil {
 		return a.beyond
@@ -152,8 +157,8 @@
 	return 0
 }
 
-// Ended notes a job of so much work, in core-seconds, that is done: in time, or not. It
-// counts for Risk.
+// Ended records a completed job with its work in core-seconds and whether it was in time.
+// Only Risk uses it.
 func (b *Book) Ended(name string, at time.Duration, work float64, inTime bool) {
 	if b.way != Risk {
 		return
@@ -166,7 +171,7 @@
 	}
 }
 
-// Used notes so many core-seconds of an account's. It counts for Dominant.
+// Used records core-seconds used by an account. Only Dominant uses it.
 func (b *Book) Used(name string, at time.Duration, coreSeconds float64) {
 	if b.way != Dominant {
 		return
@@ -178,13 +183,14 @@
 
 func decay(d, over time.Duration) float64 { return math.Exp(-float64(max(d, 0)) / float64(over)) }
 
-// Turn returns the time by which a job of so much work is ordered among others of its
-// priority: due, moved by up to reach of its objective.
+// Turn returns the time by which a job is ordered among others of its priority: its due
+// time, shifted by at most maxShift times its objective.
 func (b *Book) Turn(name string, now, due, objective time.Duration, work float64) time.Duration {
 	return due - time.Duration(maxShift*b.advance(name, now, work)*float64(objective))
 }
 
-// favour is how much a job of the account goes before its time: from -1 to 1.
+// advance returns how far a job of the account is ordered ahead of its due time, from -1 to
+// 1 in units of maxShift objectives.
 func (b *Book) advance(name string, now time.Duration, work float64) float64 {
 	switch b.way {
 	case Dominant:
@@ -195,7 +201,7 @@
 	return 0
 }
 
-// risk is the share of the account's work of late that is lost if the job is late.
+// riskAdvance returns the share of the account's recent work that is late if this job is.
 func (b *Book) riskAdvance(name string, now time.Duration, work float64) float64 {
 	a := b.account(name)
 	left := decay(now-a.workAt, workDecay)
@@ -205,8 +211,8 @@
 	return (a.late*left + work) / (a.all*left + work)
 }
 
-// dominantAdvance is 1 for an account that uses nothing, 0 for one that uses as much for its weight
-// as all together, and less for one that uses more.
+// dominantAdvance returns 1 for an account that uses nothing, 0 for one that uses as much
+// relative to its weight as all accounts together, and less for one that uses more.
 func (b *Book) dominantAdvance(name string, now time.Duration) float64 {
 	a := b.account(name)
 	usual := b.used * decay(now-b.usedAt, useDecay) / b.weights
--- a/process/jobs/block.go
+++ b/process/jobs/block.go
@@ -7,25 +7,25 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// refusalTTL is how long a worker is left alone after a refusal that the
-// snapshot did not foresee.
+// refusalTTL is how long a worker is avoided after its owner refused a start
+// that the snapshot showed as possible.
 const refusalTTL = 250 * time.Millisecond
 
-// Reasons why the shard keeps off a worker that its snapshot calls usable, as
-// explain tells them.
+// Reasons shown by explain for avoiding a worker that is usable according to the
+// snapshot.
 const (
 	reasonRefused = "its owner refused a start a moment ago"
 	reasonNoPlans = "its owner takes no plans now"
 )
 
-// recordRefusal leaves a worker alone until a newer snapshot is likely to show
-// why its owner refused it.
+// recordRefusal avoids a worker until a newer snapshot is likely to show why its
+// owner refused the start.
 func (st *state) recordRefusal(id worker.ID) {
 	st.round.refused[id] = time.Now().Add(refusalTTL)
 }
 
-// blockUnusable keeps the decisions of this round off workers whose owner takes
-// no plans now or has just refused one.
+// blockUnusable excludes from this round the workers whose owner accepts no
+// plans at the moment or has just refused a start.
 func (st *state) blockUnusable(now time.Time) {
 	blocked := st.unusableWorkers(now)
 	for id := range st.round.blocked {
--- a/process/jobs/check.go
+++ b/process/jobs/check.go
@@ -16,7 +16,7 @@
 	checkLimit = 20_000
 )
 
-// checkNow checks the whole state from time to time while the daemon runs.
+// checkNow checks the whole state every checkInterval while the daemon runs.
 func (st *state) checkNow(now time.Time) {
 	if now.Sub(st.lastCheck) < checkInterval || len(st.jobs) > checkLimit {
 		return
@@ -27,8 +27,8 @@
 	}
 }
 
-// check verifies the whole state; its cost is that of all jobs and attempts.
-// All violations are joined.
+// check verifies the whole state and joins all violations. Its cost is
+// proportional to the number of jobs and attempts.
 func (st *state) check() error {
 	var errs []error
 	held := map[string]spec.Resources{}
@@ -45,20 +45,20 @@
 	}
 	st.accounts.Each(func(a *quota.Account) {
 		if counted := spec.Resources(a.Held()); counted != held[a.Name] {
-			errs = append(errs, fmt.Errorf("team %q: %+v counted, attempts hold %+v", a.Name, counted, held[a.Name]))
+			errs = append(errs, fmt.Errorf("team %q: account charged with %+v, attempts hold %+v", a.Name, counted, held[a.Name]))
 		}
 	})
 	if n := st.learner.Reported(); n > attempts {
-		errs = append(errs, fmt.Errorf("reports of %d attempts are kept, %d have not ended", n, attempts))
+		errs = append(errs, fmt.Errorf("usage reports of %d attempts are kept, but only %d attempts have not ended", n, attempts))
 	}
 	return errors.Join(errs...)
 }
 
-// checkJob verifies that each task of a job is in exactly one place.
+// checkJob verifies that each task of a job is in exactly one state.
 func checkJob(j *job) error {
 	if j.cancelled {
 		if !j.ready.IsEmpty() || !j.blocked.IsEmpty() || !j.delayed.IsEmpty() {
-			return fmt.Errorf("job %v: cancelled and still has waiting tasks", j.key)
+			return fmt.Errorf("job %v: cancelled but has waiting tasks", j.key)
 		}
 		return nil
 	}
@@ -76,18 +76,18 @@
 		total += s.n
 	}
 	if total != uint64(j.spec.Count) {
-		return fmt.Errorf("job %v: %d tasks counted, %d declared: %v", j.key, total, j.spec.Count, sets)
+		return fmt.Errorf("job %v: states cover %d tasks, %d are declared: %v", j.key, total, j.spec.Count, sets)
 	}
 	for index, a := range j.live {
 		if a.index != index || a.job != j {
-			return fmt.Errorf("job %v: live task %d is listed as %d", j.key, a.index, index)
+			return fmt.Errorf("job %v: live attempt of task %d is indexed as task %d", j.key, a.index, index)
 		}
 		if j.ready.Contains(index) || j.blocked.Contains(index) || j.delayed.Contains(index) || j.record.Finished(index) {
 			return fmt.Errorf("job %v: task %d is live and also waiting or finished", j.key, index)
 		}
 	}
 	if j.ready.Intersects(j.blocked) || j.ready.Intersects(j.delayed) || j.blocked.Intersects(j.delayed) {
-		return fmt.Errorf("job %v: a task waits in two places", j.key)
+		return fmt.Errorf("job %v: a task is in two waiting states", j.key)
 	}
 	return nil
 }
--- a/process/jobs/commit.go
+++ b/process/jobs/commit.go
@@ -12,29 +12,31 @@
 	"fennelshunt.example/fennelshunt/process/jobs/progress"
 )
 
-// commitState groups changes of the progress into writes. One write is under
-// way at a time, in its own goroutine, which owns file meanwhile.
+// commitState groups changes of the progress into writes. One write is in flight
+// at a time, in a goroutine of its own, which owns file until it ends.
 type commitState struct {
 	file    *progress.File
 	limiter *rate.Limiter
 	gather  time.Duration
 	writing bool
-	// err is set when the shard was superseded; the loop ends.
+	// err is the final error of a write, ErrSuperseded or that of a context; it
+	// ends the loop.
 	err error
 
 	dirty map[*job]struct{}
-	// removed holds jobs whose progress is dropped.
+	// removed holds jobs whose progress is to be deleted.
 	removed map[progress.Key]struct{}
-	// version is the configuration acted on.
+	// version is that of the configuration in force here, takenVersion the last
+	// one handed to a write.
 	version, takenVersion uint64
-	// partitions holds the owners' epochs that plans may be sent to; durable
-	// are those that are written.
+	// partitions holds, by partition, the epoch of the owner that plans may be
+	// sent to; durable holds those that are written.
 	partitions      map[string]uint64
 	durable         map[string]uint64
 	partitionsDirty bool
 	since           time.Time
 	// waiting holds the attempts that may be sent after the next write, acks
-	// the results to be acknowledged after it.
+	// the results to acknowledge after it.
 	waiting []*attempt
 	acks    []ackRef
 }
@@ -58,19 +60,20 @@
 	return c
 }
 
-// pending reports whether anything is not durable yet.
+// pending reports whether changes wait for a write.
 func (c *commitState) pending() bool {
 	return len(c.dirty) > 0 || len(c.removed) > 0 || c.partitionsDirty ||
 		len(c.waiting) > 0 || len(c.acks) > 0 || c.version > c.takenVersion
 }
 
-// touch notes that a job's record changed.
+// markDirty schedules a write of a job's record.
 func (st *state) markDirty(j *job) {
 	st.markPending()
 	st.commit.dirty[j] = struct{}{}
 }
 
-// mark notes since when there is something to write.
+// markPending records the time of the first change that waits for a write. It
+// must be called before the change.
 func (st *state) markPending() {
 	if !st.commit.pending() {
 		st.commit.since = time.Now()
@@ -93,7 +96,7 @@
 	return at, true
 }
 
-// group is what one write makes durable.
+// writeSet is the set of changes that one write makes durable.
 type writeSet struct {
 	update  progress.Update
 	limits  []encodedLimit
@@ -101,7 +104,7 @@
 	acks    []ackRef
 }
 
-// encodedLimit is a job's record as it was when it was encoded.
+// encodedLimit is the start limit of a job in its encoded record.
 type encodedLimit struct {
 	job   *job
 	limit uint32
@@ -115,14 +118,14 @@
 	st.commit.limiter.AllowN(now, 1)
 	g, err := st.commit.take()
 	if err != nil {
-		st.violated("progress can not be encoded: %v", err)
+		st.violated("cannot encode the progress: %v", err)
 		return
 	}
 	st.commit.writing = true
 	go st.write(g)
 }
 
-// take moves what is pending into a group.
+// take moves the pending changes into a write set.
 func (c *commitState) take() (*writeSet, error) {
 	g := &writeSet{waiting: c.waiting, acks: c.acks}
 	g.update.Jobs = make(map[progress.Key][]byte, len(c.dirty)+len(c.removed))
@@ -148,9 +151,9 @@
 	return g, nil
 }
 
-// write runs in its own goroutine until the group is durable, the shard is
-// superseded or lost. While the store is down the shard goes on with what
-// needs no write.
+// write runs in its own goroutine until the write set is durable or the shard is
+// superseded or lost. While the store is down the shard continues with all work
+// that needs no write.
 func (st *state) write(g *writeSet) {
 	file := st.commit.file
 	file.Apply(g.update)
@@ -167,7 +170,7 @@
 	st.shard.post(st.ctx, st.incarnation, func(st *state) { st.written(g, err) })
 }
 
-// written takes the result of a write.
+// written handles the result of a write.
 func (st *state) written(g *writeSet, err error) {
 	st.commit.writing = false
 	if err != nil {
@@ -190,7 +193,7 @@
 	}
 }
 
-// intentDurable sends an attempt on whose write has become durable.
+// intentDurable queues an attempt whose intent has become durable.
 func (st *state) intentDurable(a *attempt) {
 	if a.job.live[a.index] != a || a.phase != intending {
 		return
@@ -201,8 +204,8 @@
 	st.queueStart(a)
 }
 
-// raiseLimit asks for a higher durable limit of starts when a job comes close
-// to it.
+// raiseLimit schedules a write of a higher start limit when the starts of a job
+// come close to the current one.
 func (st *state) raiseLimit(j *job) {
 	if j.cancelled {
 		return
--- a/process/jobs/delay.go
+++ b/process/jobs/delay.go
@@ -8,8 +8,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// delayedTask is a task that becomes ready at a time. It is void when the
-// job's delayed bitmap does not hold the index any more.
+// delayedTask is a task that becomes ready at a given time. It is obsolete when
+// the job's delayed bitmap no longer contains the index.
 type delayedTask struct {
 	at    time.Time
 	job   *job
@@ -29,7 +29,7 @@
 	return last
 }
 
-// delay makes a task ready after a time.
+// delay makes a task ready after the given duration.
 func (st *state) delay(j *job, index uint32, after time.Duration) {
 	if j.cancelled || j.record.Finished(index) {
 		return
@@ -47,8 +47,8 @@
 	}
 }
 
-// retryDelay returns the pause before a task is started again after the given
-// number of failures, with jitter.
+// retryDelay returns the delay, with jitter, before a task is started again after
+// the given number of failures.
 func (t *Tuning) retryDelay(failures int) time.Duration {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval, b.MaxInterval, b.Multiplier = t.RetryFirst, t.RetryLast, 2
@@ -59,10 +59,11 @@
 	return next
 }
 
-// maxBackoffSteps bounds the steps until RetryLast is certainly reached.
+// maxBackoffSteps bounds the loop of retryDelay; after so many steps the delay
+// has reached RetryLast.
 const maxBackoffSteps = 16
 
-// spread returns a random time below d.
+// spread returns a random duration below d.
 func spread(d time.Duration) time.Duration {
 	if d <= 0 {
 		return 0
--- a/process/jobs/events.go
+++ b/process/jobs/events.go
@@ -11,14 +11,14 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// applyEvents takes what a partition reports. Events of an owner older than the
-// newest known are dropped: its word that a worker is gone is worth nothing
-// once another daemon owns the worker. What it reported truly, the new owner
-// reports again.
+// applyEvents applies the events reported by a partition. Events of an owner
+// with an older epoch than the newest known one are dropped, since its report
+// that a worker is lost has no authority once another daemon owns the worker.
+// The new owner reports again whatever is still true.
 //
-// It reports false when the events are to be sent again later: while a list of
-// what the partition holds is on its way, an end that overtook the list would
-// be undone by it, and a task that has ended would count as live for ever.
+// It returns false when the sender has to repeat the events later. While a fence
+// reply is in flight, a completion that overtook it would be undone by the older
+// list in the reply, and the ended task would count as live for ever.
 func (st *state) applyEvents(events *plan.Events) bool {
 	p := st.partition(events.Partition)
 	if events.Epoch < p.owner.Epoch || events.Epoch < p.fencedEpoch {
@@ -34,10 +34,10 @@
 	return true
 }
 
-// applyEvent takes one event. It may come twice, before the answer to its plan,
-// after a later one, or from an attempt that this owner has not made. Only a
-// list of what the partition holds (listed) can make an attempt live: a report
-// of a running task that was delayed may be about one that has ended since.
+// applyEvent applies one event. It may arrive twice, before the response to its
+// plan, after a later event, or for an attempt of a previous owner. Only an event
+// from a fence reply (listed) can make an attempt live: a delayed report of a
+// running task may be about an attempt that has ended since.
 func (st *state) applyEvent(p *partition, ev *plan.Event, listed bool) {
 	ref := worker.Ref{Task: ev.Task, Attempt: ev.Attempt}
 	if a := st.surplus[ref]; a != nil {
@@ -46,8 +46,8 @@
 	}
 	key := progress.Key{Job: ev.Task.Job, Generation: ev.Task.Generation}
 	if key.Generation > st.config.Version {
-		// A later configuration started it; this daemon will know it soon
-		// and then asks for the list again.
+		// It was started under a later configuration; the partition is fenced
+		// again until that configuration has arrived here.
 		p.unconfirmed = true
 		return
 	}
@@ -71,7 +71,7 @@
 	case ended(ev):
 		st.applyOldResult(p, j, a, ev)
 	case !listed:
-		// Ended here already, or listed soon.
+		// It has ended here already, or the next fence reply will list it.
 	case a == nil && !j.record.Finished(uint32(ev.Task.Index)) && ev.Task.Index < j.spec.Count:
 		st.adopt(p, j, ev)
 	default:
@@ -79,19 +79,19 @@
 	}
 }
 
-// ofAnotherShard reports whether a job is declared for another shard. An owner
-// of workers that did not know the job yet takes its tasks for those of shard
-// 0, which must neither stop them nor acknowledge their results: their own
-// shard asks for them by the name of the job.
+// ofAnotherShard reports whether a job is declared for another shard. A partition
+// owner that does not have the job's configuration yet assigns its tasks to shard
+// 0, which must neither stop them nor acknowledge their results. Their own shard
+// requests them by the name of the job when it fences the partition.
 func (st *state) ofAnotherShard(key progress.Key) bool {
 	declared := st.config.Jobs[key.Job]
 	return declared != nil && declared.Generation == key.Generation && !st.mine(declared.Team)
 }
 
-// ended reports whether the attempt certainly does not run any more.
+// ended reports whether the attempt certainly no longer runs.
 func ended(ev *plan.Event) bool { return ev.Lost || ev.NotStarted || ev.State.Ended() }
 
-// applyLiveEvent takes news of the attempt that this owner counts as live.
+// applyLiveEvent applies an event of the task's live attempt.
 func (st *state) applyLiveEvent(p *partition, a *attempt, ev *plan.Event) {
 	if ev.Worker != "" {
 		st.setWorker(a, ev.Worker)
@@ -102,7 +102,7 @@
 	}
 	st.learner.Observe(a.ref(), ev.Usage)
 	if a.partition != p.name {
-		st.violated("task %s attempt %d runs in %s and was sent to %s", a.task(), a.number, p.name, a.partition)
+		st.violated("task %s attempt %d runs in partition %s but was sent to %s", a.task(), a.number, p.name, a.partition)
 		a.partition = p.name
 	}
 	if a.phase < running && (ev.State == worker.Running || ev.State == worker.Throttled) {
@@ -115,7 +115,7 @@
 	}
 }
 
-// adopt counts an attempt of a previous owner as live.
+// adopt makes an attempt of a previous owner live.
 func (st *state) adopt(p *partition, j *job, ev *plan.Event) {
 	a := st.attemptOf(p, j, ev)
 	st.account(j).Adopt(quota.Size(a.size))
@@ -141,8 +141,8 @@
 	}
 }
 
-// sizeOf returns what an adopted attempt holds: what the snapshot shows, or
-// the declared size.
+// sizeOf returns the size that an adopted attempt reserves according to the
+// snapshot, or the declared size.
 func (st *state) sizeOf(j *job, ev *plan.Event) spec.Resources {
 	if snap := st.o.Snapshots(); snap != nil {
 		if w := snap.Lookup(ev.Worker); w != nil {
@@ -154,8 +154,9 @@
 	return j.spec.Size
 }
 
-// discardAttempt deals with an attempt that must not run: its task is finished, lives
-// elsewhere, or belongs to no job.
+// discardAttempt stops an attempt that must not run, because its task is
+// finished, has another live attempt or belongs to no job; if the attempt has
+// ended, it acknowledges the result.
 func (st *state) discardAttempt(p *partition, j *job, ev *plan.Event) {
 	ref := worker.Ref{Task: ev.Task, Attempt: ev.Attempt}
 	if ended(ev) {
@@ -186,7 +187,7 @@
 	st.queueAck(p.name, a.ref())
 }
 
-// makeSurplus stops a live attempt whose task needs it no more.
+// makeSurplus stops a live attempt whose task has succeeded in another attempt.
 func (st *state) makeSurplus(a *attempt) {
 	delete(a.job.live, a.index)
 	if !a.phase.mayRun() {
@@ -210,8 +211,9 @@
 	}
 }
 
-// applyOldResult takes the end of an attempt that is not live here: reported again,
-// or of a previous owner. A task that has succeeded is done whoever started it.
+// applyOldResult applies the completion of an attempt that is not live here: it
+// is a repeated report, or the attempt was started by a previous owner. A task
+// that has succeeded is done whichever attempt it was.
 func (st *state) applyOldResult(p *partition, j *job, live *attempt, ev *plan.Event) {
 	index := uint32(ev.Task.Index)
 	if ev.Task.Index >= j.spec.Count || j.record.Finished(index) || j.cancelled || j.service() {
@@ -220,7 +222,7 @@
 	}
 	succeeded := ev.State == worker.Succeeded && !ev.Lost && !ev.NotStarted
 	if !succeeded && !j.blocked.Contains(index) {
-		// Known here as ended already; the sender has not seen the answer.
+		// Recorded as ended already; the sender has not received the response.
 		st.queueAck(p.name, worker.Ref{Task: ev.Task, Attempt: ev.Attempt})
 		return
 	}
@@ -229,7 +231,7 @@
 		return
 	}
 	if live != nil {
-		// The worker was given up for lost and came back with the result.
+		// The worker had been declared lost and reports the result after all.
 		st.makeSurplus(live)
 	}
 	a := st.attemptOf(p, j, ev)
@@ -238,7 +240,7 @@
 	st.endAttempt(a, ev)
 }
 
-// endAttempt takes the confirmed end of a live attempt.
+// endAttempt applies the confirmed completion of an attempt.
 func (st *state) endAttempt(a *attempt, ev *plan.Event) {
 	if st.surplus[a.ref()] == a {
 		st.removeSurplus(a)
@@ -264,7 +266,7 @@
 	st.afterEnd(j)
 }
 
-// removeLive takes an attempt out of the live ones and gives its charge back.
+// removeLive removes an attempt from the live ones and refunds its charge.
 func (st *state) removeLive(a *attempt) {
 	delete(a.job.live, a.index)
 	delete(st.stopping, a)
@@ -275,7 +277,7 @@
 	st.round.dirty = true
 }
 
-// finish makes a task's fate final and has it acknowledged once durable.
+// finish records a task's final outcome, which is acknowledged once durable.
 func (st *state) finish(j *job, a *attempt, mark func(uint32)) {
 	mark(a.index)
 	j.record.ClearFailures(a.index)
@@ -286,9 +288,9 @@
 	st.ackDurable(j, a.partition, a.ref())
 }
 
-// ackDurable acknowledges a result with the next write, which contains it. An
-// earlier acknowledgement would let the worker forget a result that a new
-// owner of this shard still needs.
+// ackDurable acknowledges a result after the next write, which contains it. An
+// earlier acknowledgement would let the worker drop a result that a new owner of
+// this shard still needs.
 func (st *state) ackDurable(j *job, partition string, ref worker.Ref) {
 	if j.cancelled || j.service() {
 		st.queueAck(partition, ref)
@@ -298,7 +300,7 @@
 	st.commit.acks = append(st.commit.acks, ackRef{partition, ref})
 }
 
-// unfinished takes the end of a task that did not succeed.
+// handleUnsuccessful handles the completion of an attempt that did not succeed.
 func (st *state) handleUnsuccessful(a *attempt, ev *plan.Event) {
 	j := a.job
 	switch {
@@ -316,8 +318,8 @@
 	st.failGang(j, "a task of the gang ended early")
 }
 
-// endNonIdempotent makes the fate of a task final that must not start again: a
-// failure reported by the worker is known; all else may have run.
+// endNonIdempotent records the final outcome of a task that must not start
+// again: failed if the worker reported so, otherwise unknown, as it may have run.
 func (st *state) endNonIdempotent(a *attempt, ev *plan.Event) {
 	if ev.State == worker.Failed && !ev.Lost {
 		st.finish(a.job, a, a.job.record.Failed.Add)
@@ -326,8 +328,8 @@
 	st.finish(a.job, a, a.job.record.Unknown.Add)
 }
 
-// failed counts a failure and starts the task again later, until its retries
-// are used up.
+// handleFailure counts a failure and starts the task again after a delay, until
+// its retries are used up.
 func (st *state) handleFailure(a *attempt) {
 	j := a.job
 	st.o.Metrics.Failed.Add(1)
@@ -343,11 +345,11 @@
 	st.delay(j, a.index, st.o.Tuning.retryDelay(max(failures, j.consecutiveFailures/failuresPerStep)))
 }
 
-// avoidLimit is how many workers a task keeps away from.
+// avoidLimit is the number of workers that a task avoids at most.
 const avoidLimit = 3
 
-// avoid keeps the next attempt of a failed task away from the worker it failed
-// on: the worker may be what fails.
+// avoid excludes the worker of a failed attempt from the task's next ones, since
+// the worker may be the cause of the failure.
 func (st *state) avoid(a *attempt) {
 	avoided := append(a.job.avoid[a.index], a.worker)
 	if len(avoided) > avoidLimit {
@@ -356,12 +358,13 @@
 	a.job.avoid[a.index] = avoided
 }
 
-// failuresPerStep is how many failures in a row, without a success of any task
-// of the job, lengthen the backoff of its tasks by one step.
+// failuresPerStep is the number of consecutive failures of a job, without a
+// success of any of its tasks, that lengthens the backoff of its tasks by one
+// step.
 const failuresPerStep = 16
 
-// lost starts a task again that was lost with its worker, unless workers die under it
-// again and again.
+// handleLoss starts a task again that was lost with its worker, unless it is
+// found to crash its workers.
 func (st *state) handleLoss(a *attempt, ev *plan.Event) {
 	if !ev.Suspect {
 		st.requeueLost(a)
@@ -372,7 +375,7 @@
 	st.markDirty(j)
 	if crash.Guilty(losses, sole) {
 		st.o.Metrics.CrashedWorkers.Add(1)
-		st.o.Log.Warn().Stringer("task", a.task()).Int("workers", losses).Int("sole", sole).Msg("task given up: workers crashed under it")
+		st.o.Log.Warn().Stringer("task", a.task()).Int("workers", losses).Int("sole", sole).Msg("task failed for good: its workers crashed repeatedly after its start")
 		st.finish(j, a, j.record.Failed.Add)
 		return
 	}
@@ -380,9 +383,9 @@
 	st.delay(j, a.index, st.o.Tuning.retryDelay(losses))
 }
 
-// requeueLost starts a task again whose worker is gone. After the loss of a
-// rack the batch work comes back spread over a few seconds, so that services
-// and urgent work, which come back at once, find the workers' owners idle.
+// requeueLost starts a task again whose worker was lost. After the loss of a
+// rack, batch work is requeued over a few seconds (LossSpread), so that services
+// and urgent work, which are requeued at once, find the partition owners idle.
 func (st *state) requeueLost(a *attempt) {
 	if a.job.class.Rank() >= spec.High.Rank() || a.job.spec.Kind == spec.Gang {
 		st.makeReady(a.job, a.index, time.Now())
@@ -392,7 +395,8 @@
 }
 
 // instanceEnded starts an instance of a service again: at once after a loss or
-// preemption, with a growing pause when it fails or may have crashed its worker.
+// preemption, with exponential backoff when it failed or may have crashed its
+// worker.
 func (st *state) instanceEnded(a *attempt, ev *plan.Event) {
 	j := a.job
 	if j.cancelled {
--- a/process/jobs/exchange.go
+++ b/process/jobs/exchange.go
@@ -16,24 +16,25 @@
 // MethodTotals carries Totals between the owners of shards; no reply.
 const MethodTotals peer.Method = "shard.totals"
 
-// Totals is what the owner of a shard tells the owners of the others, so that
-// teams of different shards get fair shares of the one cell.
+// Totals is what the owner of a shard reports to the owners of the other shards,
+// so that teams of different shards get fair shares of the cell.
 type Totals struct {
 	Shard plan.Shard  `cbor:"1,keyasint"`
 	Epoch uint64      `cbor:"2,keyasint"`
 	Teams []TeamTotal `cbor:"3,keyasint,omitempty"`
-	// Gang is the shard's gang that waits longest.
+	// Gang is the shard's longest-waiting gang.
 	Gang *GangNeed `cbor:"4,keyasint,omitempty"`
 }
 
-// TeamTotal is what a team holds, of the teams that have work waiting for room.
+// TeamTotal is the usage of a team that has tasks waiting for capacity.
 type TeamTotal struct {
 	Team   string         `cbor:"1,keyasint"`
 	Weight int            `cbor:"2,keyasint"`
 	Held   spec.Resources `cbor:"3,keyasint"`
 }
 
-// exchange sends the totals of this daemon's shards to the other owners.
+// exchange periodically sends the totals of this daemon's shards to the owners of
+// the other shards.
 type exchange struct {
 	manager *Manager
 }
@@ -52,8 +53,8 @@
 	}
 }
 
-// send gathers one message for all shards of this daemon. It is sent as long
-// as there is anything in it, and once more after that.
+// send collects the totals of all shards of this daemon and sends them in one
+// message to each other owner. It sends nothing when no team or gang waits.
 func (x *exchange) send(ctx context.Context) {
 	var all []Totals
 	for _, s := range x.manager.ownShards() {
@@ -73,7 +74,7 @@
 		go func() {
 			callCtx, cancel := context.WithTimeout(ctx, x.manager.options.Tuning.CallTimeout)
 			defer cancel()
-			// A lost message only makes shares less even until the next one.
+			// A lost message only makes the shares less fair until the next one.
 			_ = x.manager.options.Caller.Call(callCtx, to, MethodTotals, all, nil)
 		}()
 	}
--- a/process/jobs/explain.go
+++ b/process/jobs/explain.go
@@ -30,7 +30,7 @@
 	return e, true
 }
 
-// nextWaiting returns the task that the queue would start next, or task 0.
+// nextWaiting returns the index of the task that would start next, or 0.
 func (j *job) nextWaiting() int {
 	for _, set := range j.waitingSets() {
 		if !set.IsEmpty() {
@@ -101,7 +101,7 @@
 	}
 }
 
-// waitReason tells why the job's ready tasks are not started.
+// waitReason returns the reason why the job's ready tasks are not started.
 func (st *state) waitReason(j *job) (reason string, infeasible bool) {
 	switch {
 	case j.infeasible != "":
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -12,14 +12,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// gangTry is one try to reserve room for all tasks of a gang. It holds nothing
-// while it waits: a reservation that one partition refuses releases the others.
+// gangTry is one attempt to reserve capacity for all tasks of a gang. It never
+// holds capacity while it waits for more: if one partition refuses its
+// reservation, the others are released.
 type gangTry struct {
 	job         *job
 	reservation string
 	attempts    []*attempt
-	// unready counts attempts whose intent is not durable yet, unanswered the
-	// reservations without an answer.
+	// unready counts the attempts whose intent is not durable yet, unanswered
+	// the reservation calls in flight.
 	unready, unanswered int
 	failed              bool
 	reason              string
@@ -28,7 +29,7 @@
 }
 
 // serveGang tries to place all unfinished tasks of a gang at once and reports
-// whether reservations are asked for.
+// whether it has started to reserve capacity for them.
 func (st *state) serveGang(e *queue.Entry[*job], now time.Time) bool {
 	j := e.Value
 	remaining := j.spec.Count - j.record.FinishedCount()
@@ -80,7 +81,7 @@
 	for i, a := range try.attempts {
 		st.round.planner.Assume(asks[i], d.Decisions[i])
 		if err := st.account(j).Charge(quota.Size(a.size)); err != nil {
-			st.violated("quota checked and then exceeded: %v", err)
+			st.violated("charge exceeds the quota although it was checked: %v", err)
 		}
 		st.makeLive(a)
 	}
@@ -89,8 +90,8 @@
 	}
 }
 
-// gangReady notes that an attempt of a try waits for no write; with the last
-// one the reservations are asked for.
+// gangReady records that an attempt needs no write before it may be sent. After
+// the last attempt of the gang it requests the reservations.
 func (st *state) gangReady(a *attempt) {
 	a.phase = reserving
 	try := a.job.gang
@@ -153,7 +154,8 @@
 	}
 }
 
-// handleReservations starts the whole gang or gives every reservation back.
+// handleReservations starts the whole gang, or releases all reservations if one
+// was refused.
 func (st *state) handleReservations(try *gangTry) {
 	if try.job.gang != try {
 		return
@@ -171,16 +173,16 @@
 	}
 }
 
-// abortTry gives all reservations back and tries again after a random pause. The
-// pause shrinks with the age of the gang, so that of two gangs which keep
-// refusing each other the older one soon comes first.
+// abortTry releases all reservations and schedules the next attempt after a
+// random delay. The delay decreases with the age of the gang, so that of two
+// gangs that repeatedly block each other the older one soon succeeds.
 func (st *state) abortTry(try *gangTry, reason string) {
 	j := try.job
 	try.fail(reason)
 	j.gang = nil
 	for _, p := range try.asked {
 		release := plan.ReleaseReservation{Partition: p.name, Author: st.author(), Reservation: try.reservation}
-		// A release that is lost costs room until the reservation expires.
+		// If the release is lost, the capacity is reserved until its TTL expires.
 		st.callOwner(p.owner, plan.MethodRelease, &release, nil, func(*state, error) {})
 	}
 	j.tries++
@@ -193,7 +195,7 @@
 	st.o.Metrics.GangRetries.Add(1)
 }
 
-// pauseHalvingAge is the age at which a gang's pauses are halved.
+// pauseHalvingAge is the age at which a gang's retry delay is halved.
 const pauseHalvingAge = 10 * time.Second
 
 func (st *state) gangPause(j *job) time.Duration {
@@ -202,8 +204,8 @@
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
 
-// failGang stops the rest of a gang after one of its tasks has ended without
-// success: the others make no progress and only hold room.
+// failGang stops the remaining tasks of a gang after one of them has ended
+// without success: they would hold capacity without making progress.
 func (st *state) failGang(j *job, reason string) {
 	if j.spec.Kind != spec.Gang || j.failing {
 		return
@@ -221,7 +223,8 @@
 	}
 }
 
-// failRemaining ends a gang of which a task has used up its retries.
+// failRemaining fails the waiting tasks of a gang of which a task has used up
+// its retries.
 func (st *state) failRemaining(j *job) {
 	j.record.Failed.Or(j.ready)
 	j.record.Failed.Or(j.delayed)
--- a/process/jobs/job.go
+++ b/process/jobs/job.go
@@ -12,15 +12,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// phase is how far an attempt has come.
+// phase is the stage of an attempt between its decision and its end.
 type phase uint8
 
 const (
-	intending phase = iota // waits for a durable write before it may be sent
+	intending phase = iota // its intent must be durable before it may be sent
 	reserving              // waits for all reservations of its gang
 	unsent                 // in the outbox of its partition
-	sent                   // in a plan without an answer yet
-	uncertain              // the answer of its plan was lost
+	sent                   // in a plan that has no response yet
+	uncertain              // the response to its plan was lost
 	starting               // accepted by the partition
 	running                // reported by the worker
 )
@@ -39,16 +39,16 @@
 	worker    worker.ID
 	size      spec.Resources
 	victims   []worker.Ref
-	// unplaced is set while the owner of the workers may have started the task
-	// on any worker of the partition: its plan may be rebound, and neither its
-	// answer nor a report has named the worker yet.
+	// unplaced is set while the partition's owner may have started the task on
+	// any worker of the partition: the plan may be rebound, and neither its
+	// response nor an event has named the worker yet.
 	unplaced bool
-	// sentEpoch is the epoch of the partition's owner that got the plan.
+	// sentEpoch is the epoch of the partition's owner that the plan was sent to.
 	sentEpoch uint64
 	// reservation is set for tasks of a gang.
 	reservation string
 	// waitingSince is when the task became ready, decided when its worker was
-	// chosen.
+	// chosen, stopSent when the last stop was sent.
 	waitingSince, decided, stopSent time.Time
 }
 
@@ -64,53 +64,56 @@
 	key   progress.Key
 	spec  *spec.VersionedJob
 	class spec.Class
-	// record is what is or will be made durable; durableLimit and
-	// durableIntent are the parts of it that are.
+	// record is the progress that is durable or will be with the next write;
+	// durableLimit and durableIntent are the values of it that are durable.
 	record        *progress.Job
 	durableLimit  uint32
 	durableIntent *roaring.Bitmap
 
 	ready   *roaring.Bitmap
-	blocked *roaring.Bitmap // unaccounted for after a takeover
-	delayed *roaring.Bitmap // waiting for a retry
+	blocked *roaring.Bitmap // may be running since before a takeover
+	delayed *roaring.Bitmap // waits for its retry delay
 	live    map[uint32]*attempt
 
 	entry   *queue.Entry[*job]
 	arrived time.Time
-	// requeued holds since when a task is ready that was ready before.
+	// requeued holds the time at which a task became ready again.
 	requeued map[uint32]time.Time
 	// restarts counts the attempts of a task that ended in this epoch.
 	restarts map[uint32]int
 	// avoid holds the workers on which a task failed before.
 	avoid map[uint32][]worker.ID
-	// cancelled jobs are only kept until their last attempt has ended.
+	// cancelled is set on a job that is kept only until its last attempt ends.
 	cancelled bool
-	// adopted is set for a generation that was only met in a partition's list.
+	// adopted is set for an older generation that was found only in the list of
+	// a partition.
 	adopted bool
-	// wait is why the job's next task is not started; infeasible why it can
-	// never be.
+	// wait is the reason why the job's next task is not started, infeasible the
+	// reason why no worker can ever run it.
 	wait       string
 	rejections []sched.Rejection
 	infeasible string
-	// gang is the try under way; nextTry the time of the next one.
+	// gang is the reservation attempt in progress, nextTry the time of the next
+	// one, tries the number of failed ones.
 	gang    *gangTry
 	nextTry time.Time
 	tries   int
-	failing bool // guards failGang against itself
-	// pacing of a job that fails everywhere.
+	failing bool // guards failGang against recursion
+	// consecutiveFailures lengthens the retry delay of a job whose tasks fail
+	// on every worker.
 	consecutiveFailures int
-	// size is what the next task reserves and runTime how long it is expected
-	// to run, learned at sizedAt.
+	// size is what the next task reserves and runTime its expected run time,
+	// both learned at sizedAt.
 	size    spec.Resources
 	runTime time.Duration
 	sizedAt time.Time
 }
 
-// initialStartLimit is how many tasks of a job may be started before its record is
-// written, so that small and urgent jobs start without a write. A takeover
-// counts them as possibly started. It must not be lowered between two releases
-// that run side by side: a new owner would take started tasks for never
-// started ones.
+// initialStartLimit is the number of tasks of a job that may be started before
+// its record is written, so that small and urgent jobs start without a write. A
+// takeover treats them as possibly started. It must not be lowered between two
+// releases that run side by side: a new owner of the newer release would treat
+// started tasks as never started.
 const initialStartLimit = 64
 
 func newJob(vj *spec.VersionedJob, record *progress.Job, now time.Time, arrival uint64) *job {
@@ -126,8 +129,9 @@
 	return j
 }
 
-// shape tells the queue which jobs look alike to the scheduler. Services and
-// gangs are never alike: where their tasks may go depends on their own tasks.
+// shape returns the scheduling equivalence class of the job's tasks. Services,
+// gangs and spread jobs have one of their own, because the placement of their
+// tasks depends on where their other tasks run.
 func (j *job) shape() queue.Shape {
 	s := queue.Shape{Size: j.size, Kind: j.spec.Kind, Constraints: constraintsKey(&j.spec.Constraints)}
 	if j.spec.Kind != spec.Batch || j.spec.Constraints.MaxPerWorker > 0 || j.spec.Constraints.Spread != "" {
@@ -160,7 +164,8 @@
 	return index, index < j.durableLimit
 }
 
-// wantsLimit reports whether the durable limit should be raised, and to what.
+// wantsLimit returns the start limit to make durable next, and whether the
+// limit should be raised now.
 func (j *job) wantsLimit(ahead int) (uint32, bool) {
 	count := uint32(j.spec.Count)
 	if j.record.StartLimit >= count {
@@ -182,17 +187,18 @@
 
 func (j *job) service() bool { return j.spec.Kind == spec.Service }
 
-// finished reports whether nothing of a batch job or gang is left to do.
+// finished reports whether all tasks of a batch job or gang have a final
+// outcome.
 func (j *job) finished() bool {
 	return !j.service() && j.record.FinishedCount() == j.spec.Count && len(j.live) == 0
 }
 
-// waitingSets returns the sets of tasks that wait, the next to start first.
+// waitingSets returns the sets of waiting tasks, those that start first first.
 func (j *job) waitingSets() []*roaring.Bitmap {
 	return []*roaring.Bitmap{j.ready, j.delayed, j.blocked}
 }
 
-// ask describes a task to the scheduler.
+// ask returns the scheduling request for a task.
 func (st *state) ask(j *job, index uint32, number int) sched.Ask {
 	a := j.ask(index, number)
 	a.RunTime = j.runTime
--- a/process/jobs/jobs.go
+++ b/process/jobs/jobs.go
@@ -1,12 +1,12 @@
-// Package jobs owns shards of the teams: for each shard that this daemon
-// claims it compares the declared jobs with what is known of their tasks,
-// queues what should start, proposes plans to the owners of the partitions,
-// takes their events, and keeps the progress durable.
+// Package jobs runs the shards of the teams that this daemon owns. For each
+// shard it reconciles the declared jobs with the state of their tasks, queues
+// the tasks that should start, proposes plans to the owners of the partitions,
+// applies the events that they report, and keeps the progress durable.
 //
-// Guarantees, each asserted inside the program: a task has at most one live
-// attempt; a task known to be done is not started again; a task of a
-// non-idempotent job starts at most once; the tasks of a team never hold more
-// than its quota. docs/JOBS.md states what each of them rests on.
+// Guarantees, each asserted at run time: a task has at most one live attempt; a
+// task recorded as done is not started again; a task of a non-idempotent job
+// starts at most once; the tasks of a team never hold more than its quota.
+// docs/JOBS.md states the assumptions behind each of them.
 package jobs
 
 import (
@@ -32,13 +32,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// CodeNotOwner is the code of the remote error with which events for a shard
-// that this daemon does not own are refused; they are to be sent again to the
-// owner.
+// CodeNotOwner is the code of the remote error that refuses events for a shard
+// that this daemon does not own; the sender repeats them to the owner.
 const CodeNotOwner = "not_owner"
 
-// CodeBusy is the code with which events are refused that are to be sent again
-// a little later.
+// CodeBusy is the code of the remote error that refuses events for now; the
+// sender repeats them after a short delay.
 const CodeBusy = "busy"
 
 // Options of a Manager. All fields but those with a default are required.
@@ -49,19 +48,20 @@
 	Directory ownership.Directory
 	Config    spec.Source
 	// LatestVersion reads the version of the configuration from the store. A
-	// shard that is taken over waits until Config is at least there: the
-	// previous owner may have acted on it without a write. While it fails, the
-	// shard waits and tries again. Nil leaves the version in the progress as
-	// the only bound.
+	// takeover waits until Config has reached it, because the previous owner
+	// may have acted on it without writing any progress. While the call fails,
+	// the takeover retries it. With nil, the takeover waits only for the version
+	// recorded in the progress.
 	LatestVersion func(ctx context.Context) (uint64, error)
 	// Snapshots returns the newest snapshot of the workers; it must be cheap.
 	Snapshots func() *sched.Snapshot
 	// Store holds the progress, for example a *store.Handle of RoleProgress.
 	Store progress.Store
-	// Partitions lists the partitions known now, by name without prefix.
+	// Partitions lists the names of the current partitions, without prefix.
 	Partitions func() []string
-	// Shards is the number of shards of the cell; all daemons use the same. It
-	// is stored by the first daemon, and one with another number serves none.
+	// Shards is the number of shards of the cell and must be the same for all
+	// daemons. The first daemon stores it; a daemon with another number serves
+	// no shard.
 	Shards int
 	Log    zerolog.Logger
 	// Metrics may be nil.
@@ -72,7 +72,8 @@
 	// violations are logged and counted in any case.
 	Violation func(error)
 
-	// countConfirmed is closed when the number of shards is known to be the cell's.
+	// countConfirmed is closed once Shards is confirmed to be the number of
+	// shards stored for the cell.
 	countConfirmed chan struct{}
 }
 
@@ -111,7 +112,7 @@
 }
 
 func (m *Manager) logEvent(e suture.Event) {
-	m.options.Log.Warn().Str("event", e.String()).Msg("supervision of the shards")
+	m.options.Log.Warn().Str("event", e.String()).Msg("shard supervisor event")
 }
 
 // Serve runs the shards until ctx ends.
@@ -132,9 +133,9 @@
 	return ownership.Resource(ownership.ShardPrefix + strconv.Itoa(int(n)))
 }
 
-// Resources lists the resources of all shards of the cell; none until it is
-// known that this daemon's number of shards is the cell's, so that it claims
-// none before.
+// Resources lists the resources of all shards of the cell. It returns none until
+// this daemon's number of shards is confirmed to be the cell's, so that the
+// daemon claims no shard before.
 func (m *Manager) Resources() []ownership.Resource {
 	if !m.shardCountConfirmed() {
 		return nil
@@ -159,7 +160,7 @@
 func (m *Manager) Acquired(_ context.Context, g ownership.Grant) {
 	n, err := shardOf(g.Resource)
 	if err != nil {
-		m.options.Log.Error().Err(err).Msg("claim ignored")
+		m.options.Log.Error().Err(err).Msg("ignoring claim of an invalid shard resource")
 		return
 	}
 	m.mu.Lock()
@@ -194,7 +195,7 @@
 }
 
 // Releasing implements ownership.User: it stops new starts, waits until the
-// progress is durable and ends the shard. On an error the shard stays at work.
+// progress is durable and stops the shard. On an error the shard keeps running.
 func (m *Manager) Releasing(ctx context.Context, r ownership.Resource) error {
 	n, err := shardOf(r)
 	if err != nil {
@@ -245,24 +246,25 @@
 
 // Tuning holds the intervals and limits of a shard.
 type Tuning struct {
-	// CommitInterval is the least time between two writes of progress outside
-	// bursts, and CommitBurst how many writes may be made ahead of it.
+	// CommitInterval is the minimum average time between two writes of
+	// progress, and CommitBurst the number of writes that may exceed that rate.
 	CommitInterval time.Duration
 	CommitBurst    int
-	// CommitGather is how long changes are gathered before a write.
+	// CommitGather is how long changes are collected before a write.
 	CommitGather time.Duration
 	// RoundInterval is the time between two passes over the queue when nothing
-	// happens, RoundGap the least time between two.
+	// changes, RoundGap the minimum time between two passes.
 	RoundInterval, RoundGap time.Duration
-	// SliceLimit bounds the decisions made before waiting commands are served.
+	// SliceLimit bounds the placement decisions made before pending commands
+	// are served.
 	SliceLimit int
 	// StartAhead is how many tasks of a job may be started without another
-	// write of progress; it bounds what a takeover with an unreachable worker
-	// has to hold back.
+	// write of progress. It bounds the tasks that a takeover has to keep
+	// blocked while a worker is unreachable.
 	StartAhead int
 	// PlanSteps bounds the steps of one plan.
 	PlanSteps int
-	// StartsPerSecond and StartBurst pace the starts of a shard.
+	// StartsPerSecond and StartBurst limit the rate of starts of a shard.
 	StartsPerSecond float64
 	StartBurst      int
 	// CallTimeout bounds one call to a partition's owner.
@@ -272,22 +274,25 @@
 	// LossSpread is the time over which batch tasks lost with their workers
 	// are put back into the queue.
 	LossSpread time.Duration
-	// StopResendInterval is how often an unanswered stop is sent again.
+	// StopResendInterval is the time after which a stop without a visible
+	// effect is sent again.
 	StopResendInterval time.Duration
-	// FenceRetryInterval is the time between two tries to fence a partition.
+	// FenceRetryInterval is the time between two attempts to fence a partition.
 	FenceRetryInterval time.Duration
-	// PartitionTimeout is after how long without an owner a partition that is
-	// no longer listed counts as gone with all its tasks. It must exceed the
-	// renew authority of an owner plus the task lease at the workers.
+	// PartitionTimeout is the time without an owner after which a partition
+	// that is no longer listed is removed, and its tasks count as ended. It must
+	// exceed the time for which an owner may renew leases plus the task lease at
+	// the workers.
 	PartitionTimeout time.Duration
 	// GangReservationTTL is the time to live of a gang's reservations.
 	GangReservationTTL time.Duration
-	// GangRetry is the mean time between two tries to reserve for a gang.
+	// GangRetry is the mean time between two attempts to reserve capacity for a
+	// gang.
 	GangRetry time.Duration
 	// ShareInterval is the time between two messages with the totals of the
 	// teams to the owners of the other shards.
 	ShareInterval time.Duration
-	// Drain bounds the time an instance gets to finish its requests.
+	// Drain bounds the time a service instance gets to finish its requests.
 	Drain time.Duration
 }
 
--- a/process/jobs/home.go
+++ b/process/jobs/local.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// updateLocalPartitions notes the partitions that this daemon owns. Decisions go there
-// first: shards of different daemons that decide at the same time then seldom
-// want the same worker.
+// updateLocalPartitions records the partitions that this daemon owns. Placement
+// prefers them, so that shards of different daemons that decide at the same time
+// seldom choose the same worker.
 func (st *state) updateLocalPartitions() {
 	var home []string
 	for _, p := range st.partitions {
@@ -23,8 +23,8 @@
 	st.preferLocalPartitions()
 }
 
-// preferLocalPartitions tells the planner, if there is one yet. The name gives each shard
-// an order of its own for the partitions of other daemons.
+// preferLocalPartitions passes them to the planner, if it exists yet. The name
+// gives each shard an order of its own for the partitions of other daemons.
 func (st *state) preferLocalPartitions() {
 	if st.round.planner != nil {
 		st.round.planner.Prefer(fmt.Sprint("shard-", st.shard.number), st.round.localPartitions)
--- a/process/jobs/metrics.go
+++ b/process/jobs/metrics.go
@@ -15,11 +15,12 @@
 // Metrics counts what the shards of a daemon do. The zero value is ready.
 type Metrics struct {
 	Plans, Steps           expvar.Int // sent
-	Started, Refused       expvar.Int // answers of steps
-	Rebound                expvar.Int // started on another worker than decided
-	LostAnswers            expvar.Int
-	Finished, Failed, Lost expvar.Int // ends of tasks
-	// CrashedWorkers counts tasks given up because workers crashed under them.
+	Started, Refused       expvar.Int // steps by result
+	Rebound                expvar.Int // steps started on another worker than planned
+	LostAnswers            expvar.Int // plans with an unknown outcome
+	Finished, Failed, Lost expvar.Int // completions of tasks
+	// CrashedWorkers counts tasks that failed for good because their workers
+	// crashed repeatedly after their start.
 	CrashedWorkers expvar.Int
 	Unknown        expvar.Int // tasks that may have run
 	Adopted        expvar.Int
@@ -27,7 +28,7 @@
 	GangRetries    expvar.Int
 	Writes         expvar.Int
 	Violations     expvar.Int
-	ShardsDiffer   expvar.Int // 1 while no shard is served: see layout
+	ShardsDiffer   expvar.Int // 1 while no shard is served: see shardCountCheck
 
 	mu    sync.Mutex // guards waits
 	waits [classCount]*hdrhistogram.Histogram
@@ -35,7 +36,8 @@
 
 const (
 	classCount = 4
-	// Bounds and precision of the waiting times, in milliseconds.
+	// Bounds of the recorded waiting times in milliseconds, and their
+	// significant digits.
 	lowestWait, highestWait, waitDigits = 1, 7 * 24 * 3600 * 1000, 2
 )
 
@@ -87,7 +89,7 @@
 	}
 }
 
-// violated reports a broken invariant.
+// violated logs and counts a violated invariant.
 func (st *state) violated(format string, args ...any) {
 	err := fmt.Errorf("jobs: shard "+strconv.Itoa(int(st.shard.number))+": "+format, args...)
 	st.o.Metrics.Violations.Add(1)
--- a/process/jobs/partition.go
+++ b/process/jobs/partition.go
@@ -11,23 +11,24 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// partition is what the shard knows of the owner of some workers, and what is
-// to be sent to it. One call of each kind is under way at a time, so that what
-// gathers meanwhile goes out as one group.
+// partition is the shard's view of a partition and its owner, with the outbox of
+// what is to be sent there. At most one call of each kind is in flight, so that
+// what arrives in the meantime is sent as one group.
 type partition struct {
 	name  string
 	owner ownership.Claim
 	known bool // the directory names an owner
-	// fencedEpoch is the claim epoch of the owner that last listed what it
-	// holds; fencing is set while a list is asked for, doubt when an answer
-	// was lost and a new list is needed.
+	// fencedEpoch is the claim epoch of the owner that last replied to a fence
+	// with its tasks. fencing is set while a fence is in flight, unconfirmed when
+	// the partition's tasks are uncertain, for example after a lost response, so
+	// that another fence is needed.
 	fencedEpoch uint64
 	fencing     bool
 	unconfirmed bool
 	nextFence   time.Time
-	// unaccounted are workers on which any task may still run.
+	// unaccounted holds the workers on which any task may still run.
 	unaccounted map[worker.ID]struct{}
-	// ownerlessSince is since when the partition has no owner.
+	// ownerlessSince is the time since which the partition has had no owner.
 	ownerlessSince time.Time
 
 	planning, stopping, acking bool
@@ -37,8 +38,8 @@
 	ackAfter                   time.Time
 }
 
-// usable reports whether plans may be sent: the present owner has listed what
-// it holds, no answer is missing, and the owner's epoch is durable.
+// usable reports whether plans may be sent: the current owner has listed its
+// tasks, no response is missing, and the owner's epoch is durable.
 func (st *state) usable(p *partition) bool {
 	return p.known && !p.fencing && !p.unconfirmed &&
 		p.fencedEpoch == p.owner.Epoch && st.commit.durable[p.name] == p.owner.Epoch
@@ -70,7 +71,7 @@
 	}
 }
 
-// checkPartitions takes note of new partitions and owners and fences where
+// checkPartitions detects new partitions and owners, and fences them where
 // needed.
 func (st *state) checkPartitions() {
 	for _, name := range st.o.Partitions() {
@@ -84,7 +85,7 @@
 	st.fenceAll(time.Now())
 }
 
-// fenceAll asks each partition that needs it for what it holds.
+// fenceAll fences the partitions that need it.
 func (st *state) fenceAll(now time.Time) {
 	for _, p := range st.partitions {
 		wanted := p.unconfirmed || p.fencedEpoch != p.owner.Epoch || len(p.unaccounted) > 0
@@ -94,9 +95,9 @@
 	}
 }
 
-// fence asks a partition's owner to refuse all earlier plans and to list what
-// it holds. No plan is on its way to the partition meanwhile: its answer and
-// the list could not be put in order.
+// fence asks a partition's owner to refuse all earlier plans and to list its
+// tasks of this shard. No plan to the partition is in flight at the same time,
+// since its response could not be ordered relative to the list.
 func (st *state) fence(p *partition, now time.Time) {
 	p.fencing = true
 	p.nextFence = now.Add(st.o.Tuning.FenceRetryInterval)
@@ -113,8 +114,8 @@
 	})
 }
 
-// jobNames lists the jobs of which a partition may run tasks, those included
-// that are cancelled and have not ended.
+// jobNames lists the jobs that a partition may run tasks of, including cancelled
+// ones that have not ended.
 func (st *state) jobNames() []string {
 	names := make(map[string]struct{}, len(st.jobs))
 	for key, j := range st.jobs {
@@ -128,8 +129,8 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// callOwner makes a call in its own goroutine and hands the answer back to the
-// shard's goroutine.
+// callOwner makes a call in its own goroutine and runs done in the goroutine of
+// the shard once the call has ended.
 func (st *state) callOwner(to ownership.Claim, method peer.Method, request, reply any, done func(*state, error)) {
 	st.calls++
 	s, ctx, incarnation := st.shard, st.ctx, st.incarnation
@@ -144,10 +145,10 @@
 	}()
 }
 
-// fenced takes the list of what a partition holds.
+// applyFenceReply applies a partition's list of its tasks.
 func (st *state) applyFenceReply(p *partition, owner ownership.Claim, reply *plan.FenceReply) {
 	if owner.Epoch < st.commit.partitions[p.name] {
-		return // a previous owner of the shard sent plans to a later one
+		return // a previous owner of the shard used a later owner of the partition
 	}
 	p.fencedEpoch, p.unconfirmed = owner.Epoch, false
 	st.recordPartitionEpoch(p)
@@ -163,15 +164,15 @@
 	}
 	st.endMissing(p, listed)
 	if len(p.unaccounted) == 0 && !p.unconfirmed {
-		// A list with tasks of a configuration that is not known here puts the
-		// partition in doubt: they are not taken in, and would start again.
+		// A list with tasks of a later configuration leaves the partition
+		// unconfirmed: these tasks are not adopted, and would start again.
 		st.markAccounted(p.name)
 	}
 	st.round.dirty = true
 }
 
-// recordPartitionEpoch has the epoch of a partition's owner written before plans are
-// sent to it.
+// recordPartitionEpoch schedules the write of the epoch of a partition's owner,
+// which must be durable before plans are sent there.
 func (st *state) recordPartitionEpoch(p *partition) {
 	if st.commit.partitions[p.name] == p.owner.Epoch {
 		return
@@ -181,10 +182,10 @@
 	st.commit.partitionsDirty = true
 }
 
-// endMissing ends the attempts that the partition should hold and does not
-// list. Its owner lists every task that runs, starts or has a result not yet
-// acknowledged; one that is missing does not run and, since the plan numbers
-// were raised before, never will.
+// endMissing ends the attempts that the partition should hold but does not list.
+// Its owner lists every task that runs, starts or has an unacknowledged result. A
+// missing one does not run and never will, since the fence has raised the minimum
+// plan sequence number.
 func (st *state) endMissing(p *partition, listed map[worker.Ref]struct{}) {
 	var missing []*attempt
 	st.eachAttempt(func(a *attempt) {
@@ -199,18 +200,19 @@
 		}
 	})
 	for _, a := range missing {
-		// An owner other than the one asked to start the task can not tell
-		// that it never ran: its worker may have started it and died.
+		// Only the owner that got the plan can tell that the task never ran. If
+		// another one replied, a worker may have started the task and crashed.
 		notStarted := a.phase < starting && a.sentEpoch == p.owner.Epoch
 		st.endAttempt(a, &plan.Event{Task: a.task(), Attempt: a.number, Worker: a.worker,
 			Lost: !notStarted, NotStarted: notStarted, Message: "not held by the owner of the workers"})
 	}
 }
 
-// mayRunUnseen reports whether an attempt may run on a worker that the partition's
-// owner could not ask. The answer to a plan may be lost together with its
-// partition's owner; the attempt is then not where it was decided to go, and a
-// look at that worker alone would have it started again beside itself.
+// mayRunUnseen reports whether an attempt may run on a worker that the
+// partition's owner could not reach. If the response to a plan is lost together
+// with the partition's owner, the attempt may have been rebound to any worker of
+// the partition. Checking the planned worker alone could start the task a second
+// time.
 func (p *partition) mayRunUnseen(a *attempt) bool {
 	if a.unplaced {
 		return len(p.unaccounted) > 0
@@ -231,8 +233,8 @@
 	}
 }
 
-// removePartitions gives up partitions that are no longer listed and have had
-// no owner for so long that every task lease has run out.
+// removePartitions removes partitions that are no longer listed and have had no
+// owner for so long that every task lease has expired.
 func (st *state) removePartitions(now time.Time) {
 	listed := map[string]struct{}{}
 	for _, name := range st.o.Partitions() {
--- a/process/jobs/progress/file.go
+++ b/process/jobs/progress/file.go
@@ -16,37 +16,37 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// ErrSuperseded means that a higher epoch has taken the shard over: the caller
-// must stop at once.
+// ErrSuperseded means that another writer, usually of a higher epoch, has taken
+// the shard over: the caller must stop at once.
 var ErrSuperseded = errors.New("progress: a higher epoch owns the shard")
 
-// pageLimit is the size in bytes above which the jobs are split over twice as
-// many pages; it leaves room below store.MaxValueSize for growth between two
-// writes.
+// pageLimit is the size of a page in bytes above which the jobs are split over
+// twice as many pages. It leaves headroom below store.MaxValueSize for growth
+// between two writes.
 const pageLimit = store.MaxValueSize / 2
 
-// Store is the part of *store.Handle that progress needs.
+// Store is the subset of *store.Handle that progress needs.
 type Store interface {
 	Get(ctx context.Context, key string) (store.Item, error)
 	Swap(ctx context.Context, key string, data []byte, prev store.Revision, lease store.LeaseID) (store.Revision, error)
 	Delete(ctx context.Context, key string, prev store.Revision) error
 }
 
-// Key names one generation of a job.
+// Key identifies one generation of a job.
 type Key struct {
 	Job        string
 	Generation uint64
 }
 
-// Update is a group of changes; a nil value removes the job.
+// Update is a set of changes; a nil value in Jobs removes the job.
 type Update struct {
 	ConfigVersion uint64
 	Partitions    map[string]uint64
 	Jobs          map[Key][]byte
 }
 
-// File is the stored progress of one shard, as seen by its owner. It is used
-// by one goroutine.
+// File is the stored progress of one shard, as seen by its owner. It must be used
+// by one goroutine at a time.
 type File struct {
 	store Store
 	head  Head
@@ -57,7 +57,7 @@
 	// stored beside the head.
 	headRev   store.Revision
 	headDirty bool
-	// Writes and Bytes count what was written.
+	// Writes and Bytes count the written values and their size.
 	Writes, Bytes uint64
 }
 
@@ -68,10 +68,10 @@
 	return fmt.Sprintf("%s/%d-%d", HeadKey(shard), pages, index)
 }
 
-// Open takes the progress of a shard over for the given epoch: it rewrites the
+// Open takes over the progress of a shard for the given epoch: it rewrites the
 // head and every page, so that no write of an earlier owner can succeed
-// afterwards, and returns what they held. It fails with ErrSuperseded when a
-// higher epoch was here; after any other error it may be called again.
+// afterwards, and returns their contents. It fails with ErrSuperseded if a higher
+// epoch has written before; after any other error it may be called again.
 func Open(ctx context.Context, s Store, shard int, epoch uint64, owner peer.Ref) (*File, []*Job, Head, error) {
 	f := &File{store: s}
 	first, err := f.claimHead(ctx, shard, epoch, owner)
@@ -180,8 +180,8 @@
 	return rev, nil
 }
 
-// Apply merges changes; they become durable with the next Flush that returns
-// nil.
+// Apply merges changes into the file. They become durable with the next Flush
+// that returns nil.
 func (f *File) Apply(u Update) {
 	for key, data := range u.Jobs {
 		i := f.pageOf(key.Job)
@@ -206,8 +206,9 @@
 	return int(xxhash.Sum64String(job) % uint64(len(f.jobs)))
 }
 
-// Flush writes what changed. After an error nothing, some or all of it may be
-// durable; the next Flush writes the rest. ErrSuperseded ends the owner.
+// Flush writes the changes. After an error none, some or all of them may be
+// durable; the next Flush writes the rest. After ErrSuperseded the owner must
+// stop.
 func (f *File) Flush(ctx context.Context) error {
 	if f.largest() > pageLimit {
 		if err := f.split(ctx); err != nil {
@@ -252,9 +253,9 @@
 	return nil
 }
 
-// swap writes a page. A conflict has two causes: an earlier write of this very
-// owner whose answer was lost has taken effect after all, or a takeover. The
-// epoch in the stored value tells them apart.
+// swap writes a page. A conflict has one of two causes: an earlier write of the
+// same owner took effect although its response was lost, or another owner took
+// over. The head in the stored value distinguishes them.
 func (f *File) swap(ctx context.Context, key string, p page, rev *store.Revision) error {
 	next, err := f.write(ctx, key, p, *rev)
 	if errors.Is(err, store.ErrConflict) {
@@ -275,8 +276,8 @@
 	return nil
 }
 
-// superseded reports whether a stored value is of another owner that is not
-// older than this one.
+// superseded reports whether a stored value was written by another writer whose
+// epoch is not lower than this one's.
 func (f *File) superseded(stored Head) bool {
 	if stored.Epoch == f.head.Epoch {
 		return stored.Owner != f.head.Owner || stored.Writer != f.head.Writer
@@ -315,10 +316,10 @@
 	return largest
 }
 
-// split moves the jobs to twice as many pages, or more. The new pages are
-// written under new keys first; the head that names their number makes them
-// valid in one step, and a takeover that rewrote the head meanwhile makes
-// that step fail.
+// split distributes the jobs over at least twice as many pages. The new pages are
+// first written under new keys. Writing the head with their number then makes
+// them valid atomically; that write fails if a takeover has rewritten the head in
+// the meantime.
 func (f *File) split(ctx context.Context) error {
 	old := *f
 	pages := f.head.Pages
@@ -333,7 +334,7 @@
 	}
 	for i := range old.revs {
 		if old.head.Pages > 1 {
-			// A page left behind costs space only.
+			// An error is ignored: a leftover page only uses space.
 			_ = f.store.Delete(ctx, pageKey(f.head.Shard, old.head.Pages, i), old.revs[i])
 		}
 	}
@@ -360,7 +361,7 @@
 func (f *File) writeSplit(ctx context.Context, before int) error {
 	for i := range f.jobs {
 		key := pageKey(f.head.Shard, f.head.Pages, i)
-		left, rev, err := f.read(ctx, key) // by an earlier, unfinished split
+		left, rev, err := f.read(ctx, key) // of an earlier, unfinished split
 		if err != nil {
 			return err
 		}
--- a/process/jobs/progress/record.go
+++ b/process/jobs/progress/record.go
@@ -1,11 +1,12 @@
-// Package progress keeps what must outlast the owner of a shard: which tasks
-// of each job are done, failed for good, intended or of unknown outcome. It is
-// kept as compact bitmaps in a few values of the store, written in groups.
+// Package progress persists the state of a shard that must survive its owner:
+// which tasks of each job are done, failed for good, intended or of unknown
+// outcome. The tasks are stored as compressed bitmaps in a few values of the
+// store, and changes are written in groups.
 //
-// Guarantees: a write is durable once Writer reports its sequence number; a
-// writer whose shard was taken over by a higher epoch can not write any more,
-// because the takeover rewrites every page and so changes the revisions that
-// the old writer compares against.
+// Guarantees: changes are durable once File.Flush returns nil; a writer whose
+// shard was taken over by a higher epoch cannot write any more, because the
+// takeover rewrites every page and so changes the revisions that the old writer
+// compares against.
 package progress
 
 import (
@@ -29,16 +30,17 @@
 	Done *roaring.Bitmap
 	// Failed holds the tasks that used up their retries.
 	Failed *roaring.Bitmap
-	// Intent holds the tasks of a non-idempotent job that a plan may have been
-	// sent for; it is made durable before the plan is sent.
+	// Intent holds the tasks of a non-idempotent job for which a plan may have
+	// been sent; it is made durable before the plan is sent.
 	Intent *roaring.Bitmap
 	// Unknown holds the tasks that may have run and are not started again.
 	Unknown *roaring.Bitmap
-	// StartLimit is the lowest index that certainly was never started.
+	// StartLimit bounds the started tasks: no task with this index or a higher
+	// one was ever started.
 	StartLimit uint32
 	failures   counter // failed attempts
-	// losses counts the workers that died shortly after the task's start, and soleLosses
-	// those of them under no other job's task.
+	// losses counts the workers that crashed shortly after the task's start, soleLosses
+	// those of them on which no task of another job had started as recently.
 	losses, soleLosses counter
 }
 
@@ -51,17 +53,18 @@
 	}
 }
 
-// Finished reports whether the task's fate is final.
+// Finished reports whether the task has a final outcome.
 func (j *Job) Finished(index uint32) bool {
 	return j.Done.Contains(index) || j.Failed.Contains(index) || j.Unknown.Contains(index)
 }
 
-// FinishedCount returns how many tasks have a final fate.
+// FinishedCount returns how many tasks have a final outcome.
 func (j *Job) FinishedCount() int {
 	return int(j.Done.GetCardinality() + j.Failed.GetCardinality() + j.Unknown.GetCardinality())
 }
 
-// counter counts per task, as bit slices, lowest first.
+// counter is a counter per task, stored as one bitmap for each bit, lowest bit
+// first.
 type counter []*roaring.Bitmap
 
 func (c counter) get(index uint32) int {
@@ -74,7 +77,7 @@
 	return n
 }
 
-// add counts one more and returns the new count, which stays at 255 once reached.
+// add increments the count of a task and returns the new one, which saturates at 255.
 func (c *counter) add(index uint32) int {
 	n := c.get(index)
 	if n < 1<<maxFailureBits-1 {
@@ -84,14 +87,14 @@
 	return n
 }
 
-// Failures returns how many attempts of the task failed, at most 255.
+// Failures returns the number of failed attempts of the task, at most 255.
 func (j *Job) Failures(index uint32) int { return j.failures.get(index) }
 
-// AddFailure counts one more failed attempt and returns the new count.
+// AddFailure counts a failed attempt and returns the new count.
 func (j *Job) AddFailure(index uint32) int { return j.failures.add(index) }
 
-// AddLoss counts a worker that died shortly after the task's start, and returns how many
-// there were and how many of them under no other job's task.
+// AddLoss counts a worker that crashed shortly after the task's start, and returns how
+// many there were and on how many of them no task of another job had started as recently.
 func (j *Job) AddLoss(index uint32, only bool) (losses, sole int) {
 	if only {
 		j.soleLosses.add(index)
@@ -99,7 +102,7 @@
 	return j.losses.add(index), j.soleLosses.get(index)
 }
 
-// ClearFailures forgets the failed attempts and losses of a task whose fate is final.
+// ClearFailures resets the failures and losses of a task that has a final outcome.
 func (j *Job) ClearFailures(index uint32) {
 	for _, c := range []*counter{&j.failures, &j.losses, &j.soleLosses} {
 		c.set(index, 0)
@@ -221,27 +224,27 @@
 	return nil
 }
 
-// Head is the first value of a shard: who wrote it and how the jobs are split
-// over pages.
+// Head is the first value of a shard. It identifies the writer and says how the
+// jobs are split over pages.
 type Head struct {
 	Shard int      `cbor:"1,keyasint"`
 	Epoch uint64   `cbor:"2,keyasint"`
 	Owner peer.Ref `cbor:"3,keyasint"`
-	// Writer is a random number for each Open: a shard that was restarted in
-	// the same daemon and epoch is another writer.
+	// Writer is a random number for each Open, since a shard that was restarted
+	// in the same daemon and epoch is another writer.
 	Writer uint64 `cbor:"4,keyasint"`
-	// ConfigVersion is the newest configuration the owner had acted on.
+	// ConfigVersion is the newest configuration that the owner has acted on.
 	ConfigVersion uint64 `cbor:"5,keyasint"`
 	// Partitions holds every partition that may hold tasks of the shard, with
 	// the highest epoch of its owner that plans may have been sent to. A
-	// takeover that asked an owner of a lower epoch would miss tasks.
+	// takeover that fenced an owner of a lower epoch would miss tasks.
 	Partitions map[string]uint64 `cbor:"6,keyasint,omitempty"`
 	// Pages is the number of values that hold the jobs.
 	Pages int `cbor:"7,keyasint"`
 }
 
-// page is one value with the jobs whose name hashes to it. Page 0 carries the
-// head.
+// page is one stored value with the jobs whose names hash to it. Page 0 carries
+// the head.
 type page struct {
 	Head Head              `cbor:"1,keyasint"`
 	Jobs []cbor.RawMessage `cbor:"2,keyasint,omitempty"`
--- a/process/jobs/protect.go
+++ b/process/jobs/protect.go
@@ -9,8 +9,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// GangNeed describes a gang that waits for room, for the shards of other
-// teams: they keep capacity for the one that waits longest in the cell.
+// GangNeed describes a waiting gang to the other shards, all of which keep
+// capacity free for the gang that has waited longest in the cell.
 type GangNeed struct {
 	Job           string           `cbor:"1,keyasint"`
 	Generation    uint64           `cbor:"2,keyasint"`
@@ -22,11 +22,13 @@
 	WaitingMillis int64            `cbor:"8,keyasint"`
 }
 
-// gangShadow is the gang that capacity is kept for.
+// gangShadow is a waiting gang, or a waiting batch task as a gang of one, that
+// capacity may be kept free for. Its planned start is the shadow time of
+// backfill scheduling.
 type gangShadow struct {
 	need GangNeed
 	own  *job // nil for a gang of another shard
-	// since orders gangs: the one that waits longest is protected.
+	// since orders gangs: the one that has waited longest is protected.
 	since    time.Time
 	planned  time.Time
 	lastSeen time.Time
@@ -35,15 +37,15 @@
 const (
 	// replanInterval is the time between two plans for the protected gang.
 	replanInterval = time.Second
-	// needExpiry is after how long a need that is not repeated is dropped.
+	// needExpiry is the time after which a need that is not repeated is dropped.
 	needExpiry = 10 * time.Second
 )
 
-// offerGang notes a gang of this shard that found no room. The gang that
-// waits longest has capacity kept for it: without that, small tasks would take
-// each piece of room as it comes free and a large gang would never start. One
-// gang at a time is enough for each to get its turn, and costs the small work
-// no more than that gang's room.
+// offerGang proposes a gang of this shard that could not be placed for
+// protection. Capacity is kept free for the longest-waiting gang, since otherwise
+// small tasks would take all capacity as it is freed and a large gang would never
+// start. Protecting one gang at a time is enough for each to start eventually,
+// and costs small tasks no more than the capacity of that gang.
 func (st *state) offerGang(j *job, asks []sched.Ask, now time.Time) {
 	need := GangNeed{
 		Job: j.key.Job, Generation: j.key.Generation, Size: asks[0].Size, Constraints: j.spec.Constraints,
@@ -52,12 +54,14 @@
 	st.offerShadow(&gangShadow{need: need, own: j, since: j.arrived, lastSeen: now}, now)
 }
 
-// protectAfter is how long a single task waits before capacity is kept for it.
+// protectAfter is how long a single task waits before capacity is kept free for
+// it.
 const protectAfter = 5 * time.Second
 
-// offerTask notes a batch job of which a task has waited long. A task larger
-// than what most others leave free would otherwise see each piece of room
-// taken by smaller ones. Gangs come first: they need it more.
+// offerTask proposes a batch task that has waited for protectAfter for
+// protection. Otherwise smaller tasks could take all capacity as it is freed and
+// a large task would never start. Gangs take precedence over single tasks, as
+// they are harder to place.
 func (st *state) offerTask(j *job, now time.Time) {
 	index, ok := j.next()
 	if !ok {
@@ -74,7 +78,7 @@
 	st.offerShadow(&gangShadow{need: need, own: j, since: since, lastSeen: now}, now)
 }
 
-// endProtection ends the protection of a task that has started.
+// endProtection ends the protection of a job that has been placed.
 func (st *state) endProtection(j *job) {
 	if s := st.round.protected; s != nil && s.own == j {
 		st.round.protected = nil
@@ -82,7 +86,8 @@
 	}
 }
 
-// offerShadow takes a waiting gang when it is the protected one or should be.
+// offerShadow protects a waiting gang if it takes precedence over the protected
+// one, or updates it if it is the protected one.
 func (st *state) offerShadow(s *gangShadow, now time.Time) {
 	old := st.round.protected
 	if old != nil && old.need.Job == s.need.Job && old.need.Generation == s.need.Generation {
@@ -98,7 +103,8 @@
 	}
 }
 
-// before reports whether a gang is to be protected rather than another one.
+// before reports whether a gang takes precedence over another one: by class, then
+// gangs before single tasks, then by waiting time.
 func (s *gangShadow) before(o *gangShadow) bool {
 	if s.need.Class.Rank() != o.need.Class.Rank() {
 		return s.need.Class.Rank() > o.need.Class.Rank()
@@ -109,7 +115,7 @@
 	return s.since.Before(o.since)
 }
 
-// refreshProtection keeps the protection up to date at the begin of a round.
+// refreshProtection updates or drops the protection at the start of a round.
 func (st *state) refreshProtection(now time.Time) {
 	s := st.round.protected
 	if s == nil {
@@ -126,7 +132,8 @@
 	}
 }
 
-// planShadow looks for the earliest time at which the protected gang fits.
+// planShadow finds the earliest time at which the protected gang fits, and keeps
+// the capacity of the workers that it would use then.
 func (st *state) planShadow(now time.Time) {
 	s := st.round.protected
 	s.planned = now
@@ -141,7 +148,7 @@
 }
 
 // keptWorkers lists the workers of a partition that the tasks of a job must not be
-// rebound to: those that keep room, unless it is for the job itself.
+// rebound to: those with protected capacity, unless the job itself is protected.
 func (st *state) keptWorkers(j *job, p *partition) []worker.ID {
 	if s := st.round.protected; s != nil && s.own == j {
 		return nil
@@ -149,8 +156,8 @@
 	return st.round.kept[p.name]
 }
 
-// keep has capacity kept for a gang by the decisions of this shard, and its
-// workers left alone by the owners that rebind; nil keeps none.
+// setProtected makes the planner of this shard keep capacity for a gang, and
+// excludes its workers from rebinding by partition owners; nil keeps none.
 func (st *state) setProtected(shadow *sched.Shadow) {
 	st.round.planner.Protect(shadow)
 	st.round.kept = nil
--- a/process/jobs/queue/queue.go
+++ b/process/jobs/queue/queue.go
@@ -1,8 +1,8 @@
 // Package queue orders the jobs that have tasks ready to start: by class, then
-// between teams by their share, then within a team by arrival. Jobs whose
-// tasks look alike to the scheduler share a shape: once one task of a shape
-// finds no worker, the others of that shape are skipped for the round, so a
-// round costs what it places plus one decision for each shape.
+// between teams by their share, then within a team by arrival. Jobs whose tasks
+// are equivalent to the scheduler have the same shape. Once a task of a shape
+// cannot be placed, the others of that shape are skipped for the round, so the
+// cost of a round is one decision for each placed task and for each shape.
 package queue
 
 import (
@@ -16,20 +16,20 @@
 // classes is the number of classes, see spec.Class.Rank.
 const classes = 4
 
-// degree of the trees.
+// degree is that of the B-trees.
 const degree = 8
 
-// Shape names tasks that fit on the same workers.
+// Shape identifies tasks that fit on the same workers.
 type Shape struct {
 	Size        spec.Resources
 	Kind        spec.Kind
 	Constraints string
-	// Job is set when tasks of this job do not look like those of any other,
-	// for example because instances are spread.
+	// Job is set when the tasks of a job are not equivalent to those of any
+	// other job, for example because its instances are spread.
 	Job string
 }
 
-// Entry is a job with ready tasks. V identifies the job to the caller.
+// Entry is a job with ready tasks. Value identifies the job to the caller.
 type Entry[V any] struct {
 	Value   V
 	Team    string
@@ -43,7 +43,7 @@
 // Queued reports whether the entry is in a queue.
 func (e *Entry[V]) Queued() bool { return e.parent != nil }
 
-// line holds the entries of one shape of one team, by arrival.
+// shapeQueue holds the entries of one team with the same shape, by arrival.
 type shapeQueue[V any] struct {
 	shape   Shape
 	entries *btree.BTreeG[*Entry[V]]
@@ -55,7 +55,8 @@
 	return e
 }
 
-// teamQueue holds the lines of one team in one class, by their head's arrival.
+// teamQueue holds the shape queues of one team in one class, by the arrival of
+// their first entries.
 type teamQueue[V any] struct {
 	name        string
 	class       int
@@ -63,7 +64,7 @@
 	order       *btree.BTreeG[*shapeQueue[V]]
 }
 
-// Queue holds entries. It belongs to one goroutine.
+// Queue holds entries. It must be used by one goroutine.
 type Queue[V any] struct {
 	teams [classes]map[string]*teamQueue[V]
 	size  [classes]int
@@ -84,7 +85,7 @@
 // Empty reports whether no entry is queued.
 func (q *Queue[V]) Empty() bool { return q.size == [classes]int{} }
 
-// Add puts an entry in; an entry already queued stays where it is.
+// Add queues an entry. It has no effect on an entry that is queued already.
 func (q *Queue[V]) Add(e *Entry[V]) {
 	if e.Queued() {
 		return
@@ -99,7 +100,7 @@
 	q.size[rank]++
 }
 
-// Remove takes an entry out.
+// Remove removes an entry if it is queued.
 func (q *Queue[V]) Remove(e *Entry[V]) {
 	if !e.Queued() {
 		return
@@ -147,8 +148,8 @@
 
 func earlier[V any](a, b *Entry[V]) bool { return a.Arrival < b.Arrival }
 
-// Round is one pass over the queue. Entries may be added and removed while it
-// runs.
+// Round is one pass over the queue. Entries may be added and removed during the
+// pass.
 type Round[V any] struct {
 	queue   *Queue[V]
 	share   func(team string) float64
@@ -159,8 +160,8 @@
 	shapes  map[Shape]bool
 }
 
-// NewRound starts a pass from the highest class down to lowest; share says
-// which team is served first within a class, the lowest share before others.
+// NewRound starts a pass from the highest class down to lowest. Within a class
+// the team with the lowest share is served first.
 func (q *Queue[V]) NewRound(lowest spec.Class, share func(team string) float64) *Round[V] {
 	r := &Round[V]{queue: q, share: share, class: classes, lowest: lowest.Rank()}
 	r.nextClass()
@@ -181,8 +182,8 @@
 	heap.Init(&r.teams)
 }
 
-// Next returns the entry to serve now, or false when the round has ended. The
-// caller then calls Served, SkipShape, SkipEntry or SkipTeam, or removes the
+// Next returns the next entry to serve, or false when the round has ended. The
+// caller then calls Served, SkipShape, SkipTeamShape or SkipTeam, or removes the
 // entry.
 func (r *Round[V]) Next() (*Entry[V], bool) {
 	for r.class >= r.lowest {
@@ -211,7 +212,7 @@
 	return found
 }
 
-// Served tells that a task of the team was placed, so that its share changed.
+// Served updates the team's share after one of its tasks was placed.
 func (r *Round[V]) Served(team string) {
 	if len(r.teams) == 0 || r.teams[0].team.name != team {
 		return
@@ -220,25 +221,26 @@
 	heap.Fix(&r.teams, 0)
 }
 
-// SkipShape tells that no worker takes the shape in this round, in this class.
+// SkipShape skips the entry's shape for the rest of the round in this class, for
+// all teams, because no worker has capacity for it.
 func (r *Round[V]) SkipShape(e *Entry[V]) { r.shapes[e.Shape] = true }
 
-// SkipTeamShape tells that entries of this shape of this team are not served in
-// this round, for example because the team's quota is used up.
+// SkipTeamShape skips the entries of this team with this shape for the rest of
+// the round, for example because the team's quota is used up.
 func (r *Round[V]) SkipTeamShape(e *Entry[V]) {
 	if e.parent != nil {
 		r.skipped[e.parent] = true
 	}
 }
 
-// SkipTeam ends the turn of the team for this class.
+// SkipTeam skips the team for the rest of the round in this class.
 func (r *Round[V]) SkipTeam(team string) {
 	if len(r.teams) > 0 && r.teams[0].team.name == team {
 		heap.Pop(&r.teams)
 	}
 }
 
-// rankedTeam is a team with its share at the time it was ranked.
+// rankedTeam is a team with its share when it was last computed.
 type rankedTeam[V any] struct {
 	team  *teamQueue[V]
 	share float64
--- a/process/jobs/reconcile.go
+++ b/process/jobs/reconcile.go
@@ -9,9 +9,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// applyConfig compares the declared jobs with the known ones: it adds what is
-// new and cancels what is gone or changed. A configuration older than the one
-// acted on is ignored.
+// applyConfig reconciles the jobs with a configuration: it adds new jobs and
+// cancels removed or changed ones. A configuration older than the current one is
+// ignored.
 func (st *state) applyConfig(config *spec.Config) {
 	if config.Version < st.config.Version {
 		return
@@ -53,8 +53,8 @@
 // account returns the account of a job's team.
 func (st *state) account(j *job) *quota.Account { return st.accounts.Account(j.spec.Team) }
 
-// removeUnusedTeams drops the accounts of teams that are no longer declared and hold
-// nothing.
+// removeUnusedTeams removes the accounts of teams that are no longer declared and
+// hold nothing.
 func (st *state) removeUnusedTeams() {
 	st.accounts.Each(func(a *quota.Account) {
 		if st.config.Teams[a.Name] == nil {
@@ -63,8 +63,8 @@
 	})
 }
 
-// newJobs returns the declared jobs that are not known, oldest first, so that
-// arrivals are numbered alike by every owner.
+// newJobs returns the declared jobs that are not in the state yet, oldest first,
+// so that every owner numbers arrivals in the same order.
 func (st *state) newJobs() []*spec.VersionedJob {
 	var added []*spec.VersionedJob
 	for name, declared := range st.config.Jobs {
@@ -108,9 +108,9 @@
 	clear(st.takeover.records)
 }
 
-// cancel ends a job. Its waiting tasks cost nothing; each live one is stopped.
-// The instances of a service that is replaced by a new generation are stopped
-// step by step by rollServices.
+// cancel cancels a job. Its waiting tasks are dropped without visiting them, and
+// each live one is stopped. The instances of a service that is replaced by a new
+// generation are stopped gradually by rollServices.
 func (st *state) cancel(j *job) {
 	st.markPending()
 	st.commit.removed[j.key] = struct{}{}
@@ -136,7 +136,7 @@
 	st.afterEnd(j)
 }
 
-// replaced reports whether a service goes on in a newer generation.
+// replaced reports whether a service continues in a newer generation.
 func (st *state) replaced(j *job) bool {
 	declared := st.config.Jobs[j.key.Job]
 	return j.service() && declared != nil && declared.Kind == spec.Service && st.mine(declared.Team)
@@ -151,8 +151,9 @@
 	st.stop(a)
 }
 
-// afterEnd follows the end of an attempt: a cancelled job without attempts is
-// forgotten, and a gang whose last attempt has ended is tried again as a whole.
+// afterEnd updates a job after the end of an attempt: a cancelled job without
+// live attempts is removed, and a gang without live attempts is queued again as a
+// whole.
 func (st *state) afterEnd(j *job) {
 	if j.spec.Kind == spec.Gang && len(j.live) == 0 {
 		st.enqueue(j)
@@ -170,10 +171,9 @@
 	st.round.dirty = true
 }
 
-// rollServices goes on with the replacement of services: an old instance is
-// stopped as long as at least Count - MaxUnavailable instances run, and a new
-// one starts when an old one has ended, so that there are never more than
-// Count.
+// rollServices continues the rolling replacement of services: an old instance is
+// stopped as long as at least Count - MaxUnavailable instances run, and a new one
+// starts when an old one has ended, so that there are never more than Count.
 func (st *state) rollServices() {
 	for name, oldJobs := range st.rolling {
 		st.roll(st.current[name], slices.Clone(oldJobs))
@@ -211,7 +211,7 @@
 	return max(j.spec.Service.MaxUnavailable, 1)
 }
 
-// runningInstances counts the instances that run and were not asked to stop.
+// runningInstances counts the running instances that were not asked to stop.
 func (st *state) runningInstances(current *job, oldJobs []*job) int {
 	n := 0
 	for _, j := range append(oldJobs, current) {
@@ -224,7 +224,8 @@
 	return n
 }
 
-// waitsForOldInstance reports whether a new instance has to wait for an old one's end.
+// waitsForOldInstance reports whether a new instance may start only after an old
+// one has ended.
 func (st *state) waitsForOldInstance(j *job) bool {
 	live := len(j.live)
 	for _, old := range st.rolling[j.key.Job] {
--- a/process/jobs/report.go
+++ b/process/jobs/report.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Methods with which a daemon asks the owner of a shard for a report.
+// Methods served by the owner of a shard for reports.
 const (
 	MethodExplain peer.Method = "shard.explain" // ExplainRequest -> Explanation
 	MethodStatus  peer.Method = "shard.status"  // StatusRequest -> Status
@@ -36,9 +36,9 @@
 
 // States of tasks.
 const (
-	TaskWaiting  TaskState = "waiting"     // ready, waits for room
+	TaskWaiting  TaskState = "waiting"     // ready, waits for capacity
 	TaskDelayed  TaskState = "retry_wait"  // failed, waits for its next attempt
-	TaskBlocked  TaskState = "unaccounted" // may run at a worker not reached yet
+	TaskBlocked  TaskState = "unaccounted" // may run on a worker not reached yet
 	TaskStarting TaskState = "starting"
 	TaskRunning  TaskState = "running"
 	TaskStopping TaskState = "stopping"
@@ -56,11 +56,11 @@
 	Team       string `cbor:"4,keyasint"`
 }
 
-// Explanation tells what a task does and, when it waits, why.
+// Explanation is the state of a task and, if it waits, the reason.
 type Explanation struct {
 	Task  spec.TaskID `json:"task" cbor:"1,keyasint"`
 	State TaskState   `json:"state" cbor:"2,keyasint"`
-	// Reason is why the task waits, in the words of the last decision.
+	// Reason is why the task waits, according to the last decision.
 	Reason     string            `json:"reason,omitempty" cbor:"3,keyasint,omitempty"`
 	Rejections []sched.Rejection `json:"rejections,omitempty" cbor:"4,keyasint,omitempty"`
 	Infeasible bool              `json:"infeasible,omitempty" cbor:"5,keyasint,omitempty"`
@@ -68,7 +68,7 @@
 	Partition  string            `json:"partition,omitempty" cbor:"7,keyasint,omitempty"`
 	Attempt    int               `json:"attempt,omitempty" cbor:"8,keyasint,omitempty"`
 	Failures   int               `json:"failures,omitempty" cbor:"9,keyasint,omitempty"`
-	// Waited is how long the task waits or waited before its start.
+	// Waited is how long the task has waited, or waited before its start.
 	Waited time.Duration `json:"waited" cbor:"10,keyasint"`
 	Team   string        `json:"team" cbor:"11,keyasint"`
 	Class  spec.Class    `json:"class" cbor:"12,keyasint"`
@@ -94,12 +94,12 @@
 	Cancelled  bool              `json:"cancelled,omitempty" cbor:"11,keyasint,omitempty"`
 }
 
-// TeamStatus tells what a team holds.
+// TeamStatus is the usage and quota of a team.
 type TeamStatus struct {
 	Team  string         `json:"team" cbor:"1,keyasint"`
 	Held  spec.Resources `json:"held" cbor:"2,keyasint"`
 	Quota spec.Resources `json:"quota" cbor:"3,keyasint"`
-	// Share is the dominant share of the cell divided by the weight.
+	// Share is the team's dominant share of the cell divided by its weight.
 	Share float64 `json:"share" cbor:"4,keyasint"`
 }
 
@@ -134,7 +134,8 @@
 	})
 }
 
-// Explain tells what a task does and why; it asks the owner of the shard.
+// Explain returns the state of a task with its reason, from the owner of its
+// shard.
 // A negative index stands for the next waiting task, generation 0 for the one
 // in force. It fails with ErrUnknownJob or ErrNoOwner.
 func (m *Manager) Explain(ctx context.Context, task spec.TaskID) (Explanation, error) {
@@ -155,7 +156,7 @@
 	return e, err
 }
 
-// Status returns the report of a shard; it asks the shard's owner.
+// Status returns the report of a shard, from its owner.
 func (m *Manager) Status(ctx context.Context, shard plan.Shard) (Status, error) {
 	if m.shard(shard) != nil {
 		return m.statusHere(ctx, shard)
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -11,30 +11,31 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// roundState is the pass over the queue that is under way, and when to start
-// the next one.
+// roundState is the state of the current pass over the queue, and what decides
+// when the next one starts.
 type roundState struct {
 	planner *sched.Planner
 	snap    *sched.Snapshot
 	active  *queue.Round[*job]
-	// largest is the largest VM in each dimension, used what all tasks hold.
+	// largest is the largest VM in each dimension, used what all tasks reserve.
 	largest, used spec.Resources
-	// protected is the waiting gang that capacity is kept for.
+	// protected is the waiting gang or task that capacity is kept free for.
 	protected *gangShadow
-	// wasted is the time spent in the last round on tasks that found no place.
+	// wasted is the time spent in the last round on tasks that were not placed.
 	wasted time.Duration
-	// noWorkers is set when the last look found no workers.
+	// noWorkers is set when the last snapshot had no workers.
 	noWorkers bool
-	// dirty is set when something may have changed an answer.
+	// dirty is set when something happened that may change a decision.
 	dirty                       bool
 	last, lastTick, lastRecheck time.Time
-	// refused holds workers whose owner refused a step lately, until when.
+	// refused holds the workers whose owner recently refused a step, with the
+	// time until which they are avoided.
 	refused map[worker.ID]time.Time
-	// blocked holds the workers that the planner keeps off, and why.
+	// blocked holds the workers that the planner must not use, with the reason.
 	blocked map[worker.ID]string
-	// home are the partitions that this daemon owns, sorted.
+	// localPartitions lists the partitions that this daemon owns, sorted.
 	localPartitions []string
-	// kept lists, by partition, the workers that keep room for protected.
+	// kept lists, by partition, the workers with capacity kept for protected.
 	kept map[string][]worker.ID
 }
 
@@ -63,7 +64,7 @@
 	}
 }
 
-// mayStart reports whether this daemon may start new work now.
+// mayStart reports whether this daemon may start new tasks now.
 func (st *state) mayStart() bool {
 	if st.releasing {
 		return false
@@ -78,8 +79,8 @@
 		return false
 	}
 	st.round.last, st.round.wasted = now, 0
-	// Without workers nothing can be answered, and the answers stay due:
-	// looking again after the least gap would keep a core busy.
+	// Without workers no decision can be made and the round stays due; starting
+	// it again after RoundGap would keep a core busy.
 	if st.round.noWorkers = snap.Len() == 0; st.round.noWorkers {
 		return false
 	}
@@ -101,12 +102,13 @@
 	return true
 }
 
-// wastedShare bounds the part of a core that is spent on decisions that find no
-// place to one in wastedShare: when much waits and nothing comes free, rounds
-// become rarer.
+// wastedShare is the minimum ratio between the time from one round to the next
+// and the time that a round spends on decisions that place nothing: at most one
+// part in wastedShare of a core is spent on them. When many tasks wait and no
+// capacity is freed, rounds become less frequent.
 const wastedShare = 50
 
-// nextRound returns when the next round may begin. Urgent work is not held up.
+// nextRound returns when the next round may begin. Urgent tasks are not delayed.
 func (st *state) nextRound() time.Time {
 	gap := st.o.Tuning.RoundGap
 	if st.round.noWorkers {
@@ -117,7 +119,7 @@
 	return st.round.last.Add(gap)
 }
 
-// restartRound makes the next slice begin again with the highest class.
+// restartRound makes the next slice start over with the highest class.
 func (st *state) restartRound() {
 	st.round.active = nil
 	st.round.dirty = true
@@ -144,11 +146,11 @@
 	}
 }
 
-// resizeInterval is the time between two looks at the learned size of a job.
+// resizeInterval is the minimum time between two updates of a job's learned size.
 const resizeInterval = time.Second
 
-// resized takes a newly learned size and reports whether the job moved to
-// another place in the queue.
+// resized applies a newly learned size and reports whether this moved the job to
+// another position in the queue.
 func (st *state) resized(e *queue.Entry[*job], now time.Time) bool {
 	j := e.Value
 	if now.Sub(j.sizedAt) < resizeInterval {
@@ -190,7 +192,7 @@
 	ask := st.ask(j, index, st.attemptNumber(j, index))
 	d := st.round.planner.Place(ask)
 	if !d.Placed() && len(ask.Avoid) > 0 {
-		delete(j.avoid, index) // better there than nowhere
+		delete(j.avoid, index) // no other worker has room: retry on the avoided ones
 		ask.Avoid = nil
 		d = st.round.planner.Place(ask)
 	}
@@ -211,8 +213,8 @@
 	return true
 }
 
-// fitsQuota reports whether the team may hold size more. A size over the whole
-// quota can never start.
+// fitsQuota reports whether the team's quota has room for size. A size that
+// exceeds the whole quota makes the job infeasible.
 func (st *state) fitsQuota(e *queue.Entry[*job], size spec.Resources) bool {
 	j := e.Value
 	if !st.account(j).CanEverFit(quota.Size(size)) {
@@ -228,9 +230,9 @@
 	return true
 }
 
-// paced reports whether a start is within the rate of the shard. Urgent work
-// and services are never held back: after the loss of a rack they go first and
-// the rest follows at a rate that the workers' owners can take.
+// withinStartRate reports whether a start is within the start rate of the shard.
+// Urgent work and services are never limited: after the loss of a rack they start
+// first, and the rest follows at a rate that the partition owners can process.
 func (st *state) withinStartRate(j *job, now time.Time) bool {
 	if j.class.Rank() >= spec.High.Rank() || st.limiter.TokensAt(now) >= 1 {
 		return true
@@ -240,7 +242,8 @@
 	return false
 }
 
-// refuseJob notes why a job's next task finds no place and skips its shape.
+// refuseJob records why a job's next task could not be placed and skips its
+// shape for this round; an infeasible job leaves the queue.
 func (st *state) refuseJob(e *queue.Entry[*job], rejections []sched.Rejection, infeasible string) {
 	j := e.Value
 	j.wait, j.rejections = "", rejections
@@ -250,14 +253,14 @@
 		return
 	}
 	if j.infeasible == "" {
-		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the workers known now")
+		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the current workers or within its quota")
 	}
 	j.infeasible = infeasible
 	st.queue.Remove(e)
 }
 
-// recheckInfeasible queues jobs again that could not run when they were last
-// tried: workers may have come or the quota may have been raised.
+// recheckInfeasible queues infeasible jobs again, since workers may have joined
+// or the quota may have been raised.
 func (st *state) recheckInfeasible(now time.Time) {
 	if now.Sub(st.round.lastRecheck) < recheckInterval {
 		return
@@ -274,10 +277,10 @@
 	}
 }
 
-// recheckInterval is the time between two tries of a job that can never run.
+// recheckInterval is the time between two attempts to place an infeasible job.
 const recheckInterval = 5 * time.Second
 
-// assign makes an attempt of a decision and queues its step.
+// assign creates the attempt for a placement decision and queues its step.
 func (st *state) assign(j *job, index uint32, ask *sched.Ask, d *sched.Decision, now time.Time) *attempt {
 	a := &attempt{
 		job: j, index: index, number: ask.Attempt, partition: d.Partition, worker: d.Worker,
@@ -286,7 +289,7 @@
 	st.limiter.AllowN(now, 1)
 	st.round.planner.Assume(*ask, *d)
 	if err := st.account(j).Charge(quota.Size(a.size)); err != nil {
-		st.violated("quota checked and then exceeded: %v", err)
+		st.violated("charge exceeds the quota although it was checked: %v", err)
 	}
 	st.makeLive(a)
 	j.wait, j.rejections, j.infeasible = "", nil, ""
@@ -294,7 +297,7 @@
 	return a
 }
 
-// makeLive moves a ready task to the live ones.
+// makeLive moves a waiting task to the live ones.
 func (st *state) makeLive(a *attempt) {
 	j := a.job
 	if j.live[a.index] != nil || j.record.Finished(a.index) {
@@ -311,7 +314,7 @@
 	st.raiseLimit(j)
 }
 
-// readySince returns since when a task could have started.
+// readySince returns the time since which a task has been ready.
 func (j *job) readySince(index uint32) time.Time {
 	if at, ok := j.requeued[index]; ok {
 		return at
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -13,7 +13,7 @@
 )
 
 // unsentTimeout is how long an attempt waits for its partition to become usable
-// before its task is decided on again.
+// before its task is placed again.
 const unsentTimeout = time.Second
 
 // maxTasksPerCall bounds the tasks of one Stop or Ack.
@@ -23,9 +23,10 @@
 	return context.WithTimeout(ctx, d)
 }
 
-// queueStart puts an attempt into the outbox of its partition, or has it wait
-// until the intent of its non-idempotent task is durable. Without that, a new
-// owner could not know that the task may have run, and would start it again.
+// queueStart puts an attempt into the outbox of its partition, or defers that
+// until the intent of its non-idempotent task is durable. Without a durable
+// intent, a new owner would not find out that the task may have run, and would
+// start it again.
 func (st *state) queueStart(a *attempt) {
 	if st.needsWrite(a) {
 		a.phase = intending
@@ -55,7 +56,8 @@
 	return true
 }
 
-// send empties the outboxes as far as calls are free.
+// send sends what is in the outboxes, except where a call of the same kind is in
+// flight already.
 func (st *state) send(now time.Time) {
 	st.fenceAll(now)
 	for _, p := range st.partitions {
@@ -105,8 +107,8 @@
 	})
 }
 
-// nextStarts takes the next group out of the outbox, the highest class first.
-// Steps on a reservation go alone.
+// nextStarts removes the attempts of the next plan from the outbox, highest class
+// first. A plan on a reservation contains only the attempts of that reservation.
 func (st *state) nextStarts(p *partition) []*attempt {
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool { return a.job.live[a.index] != a })
 	slices.SortStableFunc(p.starts, func(a, b *attempt) int { return b.job.class.Rank() - a.job.class.Rank() })
@@ -126,7 +128,7 @@
 	return group
 }
 
-// returnStarts gives up attempts that were never sent.
+// returnStarts reverts the attempts that were never sent.
 func (st *state) returnStarts(p *partition) {
 	starts := p.starts
 	p.starts = nil
@@ -154,9 +156,10 @@
 	return s
 }
 
-// handlePlanResult takes the answer of a plan. When the call certainly did not run
-// its tasks are free again. When that is not known they stay live until the
-// partition has listed what it holds under a higher plan number.
+// handlePlanResult handles the response to a plan. If the call certainly did not
+// run, its tasks become ready again. If that is uncertain, they stay live until
+// the partition has listed its tasks in the reply to a fence with a higher
+// sequence number.
 func (st *state) handlePlanResult(p *partition, attempts []*attempt, result *plan.Result, err error) {
 	switch {
 	case err == nil && len(result.Steps) == len(attempts):
@@ -182,21 +185,21 @@
 	st.round.dirty = true
 }
 
-// notRun reports whether a call certainly did not run at the other side.
+// notRun reports whether a call certainly did not run at the remote peer.
 func notRun(err error) bool {
 	return errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife) || errors.Is(err, peer.ErrNoMethod)
 }
 
 func (st *state) handleStepResult(p *partition, a *attempt, r *plan.StepResult) {
 	if a.job.live[a.index] != a {
-		return // an event has ended it already
+		return // an event has ended the attempt already
 	}
 	switch r.Outcome {
 	case plan.Accepted:
 		st.setWorker(a, r.Worker)
 		st.markAccepted(a)
 	case plan.Duplicate:
-		// Another attempt of the task is there that this owner does not know.
+		// The partition holds another attempt of the task, unknown to this owner.
 		a.phase = uncertain
 		p.unconfirmed, p.nextFence = true, time.Time{}
 	case plan.NoWorker, plan.NoRoom:
@@ -215,7 +218,8 @@
 	return string(r.Outcome)
 }
 
-// placed notes the worker that a task was started on, when it was rebound.
+// setWorker records the worker that a task was started on, which differs from
+// the planned one if the step was rebound.
 func (st *state) setWorker(a *attempt, id worker.ID) {
 	a.unplaced = false
 	if id == "" || id == a.worker {
@@ -238,7 +242,7 @@
 	}
 }
 
-// notStarted frees a task whose start certainly did not happen.
+// revertStart makes a task ready again whose start certainly did not happen.
 func (st *state) revertStart(a *attempt, reason string) {
 	st.o.Metrics.Refused.Add(1)
 	st.removeLive(a)
@@ -250,7 +254,7 @@
 	st.afterEnd(a.job)
 }
 
-// requeue requeues a task under the time since which it waits.
+// requeue makes a task ready again and keeps the time since which it waits.
 func (st *state) requeue(a *attempt) {
 	st.makeReady(a.job, a.index, time.Now())
 	if _, ok := a.job.requeued[a.index]; ok {
@@ -258,7 +262,7 @@
 	}
 }
 
-// stop asks for the end of an attempt.
+// stop requests the end of an attempt.
 func (st *state) stop(a *attempt) {
 	if a.stopping {
 		return
@@ -280,7 +284,7 @@
 	p.stops[mode] = append(p.stops[mode], a.ref())
 }
 
-// repeatStops sends stops again whose effect has not been seen.
+// repeatStops resends stops that have had no visible effect.
 func (st *state) repeatStops(now time.Time) {
 	for a := range st.stopping {
 		if a.phase >= starting && now.Sub(a.stopSent) > st.o.Tuning.StopResendInterval+st.o.Tuning.drainOf(a.job) {
@@ -308,7 +312,7 @@
 			delete(p.stops, mode)
 		}
 		p.stopping = true
-		// A stop that is lost is repeated until its effect is seen.
+		// An error is ignored: repeatStops resends a lost stop.
 		st.callOwner(p.owner, plan.MethodStop, &request, nil, func(_ *state, _ error) { p.stopping = false })
 		return
 	}
--- a/process/jobs/shard.go
+++ b/process/jobs/shard.go
@@ -15,24 +15,26 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// errShardEnded is returned to callers of a shard that was lost or released.
+// errShardEnded is returned by calls to a shard that was lost or released.
 var errShardEnded = errors.New("jobs: the shard is no longer owned here")
 
-// commandBuffer is the number of commands that may wait for the shard.
+// commandBuffer is the capacity of a shard's command channel.
 const commandBuffer = 64
 
-// attemptEpochBits places the claim's epoch above the count of a task's starts
-// in this epoch, so that the numbers of its attempts rise over takeovers without
-// being stored. Snapshots keep them in 32 bits, which leaves room for 500,000
-// epochs; a task started more than 4,000 times in one epoch runs into the
-// numbers of the next, where only an event delayed over a takeover could tell.
+// attemptEpochBits is the number of low bits of an attempt number that count the
+// starts of the task in one epoch; the claim's epoch is above them. Attempt
+// numbers therefore increase over takeovers without being stored. Snapshots keep
+// them in 32 bits, which leaves room for 500,000 epochs. A task started more than
+// 4,000 times in one epoch reuses numbers of the next epoch, which matters only
+// for an event that is delayed over a takeover.
 const attemptEpochBits = 12
 
-// attemptsPerIncarnation is what a restart within an epoch adds to the attempt numbers.
+// attemptsPerIncarnation is the offset between the attempt numbers of two
+// incarnations of a shard in one epoch.
 const attemptsPerIncarnation = 256
 
-// shard is one claimed shard. Its state lives in the goroutine of Serve; other
-// goroutines reach it through call.
+// shard is one claimed shard. Its state belongs to the goroutine of Serve; other
+// goroutines access it through call and post.
 type shard struct {
 	o      *Options
 	number plan.Shard
@@ -42,16 +44,16 @@
 	quit     chan struct{}
 	quitOnce sync.Once
 
-	// seq and lives outlive a restart of Serve after a panic: no number of a
-	// plan or an attempt is used twice in an epoch.
+	// seq and incarnations survive a restart of Serve after a panic, so that no
+	// plan or attempt number is used twice in an epoch.
 	seq, incarnations atomic.Uint64
 }
 
-// command is work for the goroutine of the shard.
+// command is a function to run in the goroutine of the shard.
 type command struct {
 	run  func(st *state)
 	done chan struct{}
-	// life is that of the state which the command belongs to; 0 means any.
+	// incarnation is the one that the command belongs to; 0 means any.
 	incarnation uint64
 }
 
@@ -63,10 +65,10 @@
 	}
 }
 
-// abandon ends the shard without waiting.
+// abandon stops the shard without waiting for it.
 func (s *shard) abandon() { s.quitOnce.Do(func() { close(s.quit) }) }
 
-// call runs f in the goroutine of the shard and waits for it.
+// call runs f in the goroutine of the shard and waits until it has returned.
 func (s *shard) call(ctx context.Context, f func(st *state)) error {
 	c := command{run: f, done: make(chan struct{})}
 	select {
@@ -87,10 +89,10 @@
 }
 
 // post runs f in the goroutine of the shard without waiting for it, unless the
-// shard was restarted since the given life (0: in any). An answer to a call of
-// an earlier life means nothing to the state of this one: it would take the
-// end of the other's write for its own. post must not be called from the
-// goroutine of the shard.
+// shard was restarted since the given incarnation (0 for any). A response to a
+// call of an earlier incarnation must not reach the state of the current one,
+// which would for example treat the end of the earlier one's write as that of
+// its own. post must not be called from the goroutine of the shard.
 func (s *shard) post(ctx context.Context, incarnation uint64, f func(st *state)) {
 	select {
 	case s.commands <- command{run: f, incarnation: incarnation}:
@@ -121,7 +123,7 @@
 	default:
 	}
 	if errors.Is(err, progress.ErrSuperseded) {
-		s.o.Log.Info().Int("shard", int(s.number)).Msg("a higher epoch owns the shard")
+		s.o.Log.Info().Int("shard", int(s.number)).Msg("shard stopped: a higher epoch owns it")
 		s.abandon()
 		return suture.ErrDoNotRestart
 	}
@@ -129,12 +131,13 @@
 }
 
 // takeOver opens the progress under this epoch and waits for a configuration
-// that is not older than the one the previous owner acted on: the version in
-// its last write, and the one in the store, as it may have started tasks of a
-// new job without a write. With an older one this owner would stop tasks of
-// jobs that it does not know yet, and start tasks of a new job beside those
-// that run. The version is read after the claim and after the old owner's
-// writes are fenced; while the store is down nothing is taken over.
+// that is not older than the one the previous owner acted on: the version in its
+// last write and the version in the store, since the previous owner may have
+// started tasks of a new job without a write. With an older configuration
+// this owner would stop tasks of jobs that it does not have yet, and start tasks
+// of a new job that are already running. The version is read after the claim and
+// after the old owner's writes are fenced. While the store is down no takeover
+// completes.
 func (s *shard) takeOver(ctx context.Context) (*state, error) {
 	type opened struct {
 		file *progress.File
@@ -175,7 +178,8 @@
 	return retryUntilDone(ctx, func() (uint64, error) { return s.o.LatestVersion(ctx) })
 }
 
-// retryUntilDone calls f until it succeeds, fails for good or ctx ends.
+// retryUntilDone calls f until it succeeds, returns a permanent error, or ctx
+// ends.
 func retryUntilDone[T any](ctx context.Context, f func() (T, error)) (T, error) {
 	policy := backoff.NewExponentialBackOff()
 	policy.InitialInterval, policy.MaxInterval = 50*time.Millisecond, 2*time.Second
@@ -196,13 +200,13 @@
 	}
 }
 
-// release stops new starts and waits until all answers are in and durable. On
-// an error, for example when the store is down until ctx ends, the shard goes
-// on as before: the claim is kept, and nobody else would do its work.
+// release stops new starts and waits until all responses have arrived and are
+// durable. On an error, for example when the store is down until ctx ends, the
+// shard resumes work: the claim is kept, so no other daemon would do it.
 func (s *shard) release(ctx context.Context) error {
 	err := s.quiesce(ctx)
 	if err != nil {
-		// Not bounded by ctx, which has ended, but by the life of the shard.
+		// ctx has ended; the post returns at the latest when the shard stops.
 		go s.post(context.Background(), 0, func(st *state) { st.releasing = false })
 	}
 	return err
--- a/process/jobs/layout.go
+++ b/process/jobs/shardcount.go
@@ -16,18 +16,18 @@
 // once.
 const shardsKey = "progress/shards"
 
-// Pauses between two looks at the number of shards in the store: after an
-// error, and while it differs from this daemon's.
+// Time between two reads of the number of shards in the store: after an error,
+// and while it differs from this daemon's.
 const (
 	shardCountRetryInterval   = time.Second
 	shardCountRecheckInterval = 30 * time.Second
 )
 
-// layout compares this daemon's number of shards with the cell's. The progress
-// is kept by the number of the shard: with another number the teams would be
-// looked for in other shards, their progress would be taken for that of jobs
-// which are gone, and everything would start again, tasks included that must
-// start only once. So no shard is claimed or served before the numbers agree.
+// shardCountCheck compares this daemon's number of shards with the cell's. The
+// progress is stored by shard number. With another number of shards the teams
+// would map to other shards, their stored progress would be treated as that of
+// removed jobs, and every task would start again, including those that must start
+// only once. So no shard is claimed or served before the numbers agree.
 type shardCountCheck struct {
 	manager *Manager
 }
@@ -39,7 +39,7 @@
 		stored, err := l.storedShardCount(ctx)
 		switch {
 		case err != nil:
-			l.manager.options.Log.Warn().Err(err).Msg("number of shards of the cell not known")
+			l.manager.options.Log.Warn().Err(err).Msg("cannot read the cell's number of shards")
 			pause = shardCountRetryInterval
 		case stored == l.manager.options.Shards:
 			l.manager.options.Metrics.ShardsDiffer.Set(0)
@@ -48,7 +48,7 @@
 		default:
 			l.manager.options.Metrics.ShardsDiffer.Set(1)
 			l.manager.options.Log.Error().Int("shards", l.manager.options.Shards).Int("cell", stored).
-				Msg("setting shards differs from the cell's: no shard is claimed here")
+				Msg("setting shards differs from the cell's number of shards; this daemon claims no shard")
 		}
 		select {
 		case <-time.After(pause):
@@ -65,7 +65,7 @@
 	item, err := s.Get(ctx, shardsKey)
 	if errors.Is(err, store.ErrNotFound) {
 		_, err = s.Swap(ctx, shardsKey, []byte(strconv.Itoa(own)), 0, 0)
-		return own, err // a conflict is an error, too: another was first
+		return own, err // also on a conflict: another daemon was first
 	}
 	if err != nil {
 		return 0, err
@@ -77,10 +77,11 @@
 	return n, nil
 }
 
-// agree lets shards be claimed and served.
+// confirmShardCount allows shards to be claimed and served.
 func (m *Manager) confirmShardCount() { m.confirmOnce.Do(func() { close(m.options.countConfirmed) }) }
 
-// agrees reports whether the number of shards is the cell's.
+// shardCountConfirmed reports whether this daemon's number of shards is confirmed
+// to be the cell's.
 func (m *Manager) shardCountConfirmed() bool {
 	select {
 	case <-m.options.countConfirmed:
--- a/process/jobs/shares.go
+++ b/process/jobs/shares.go
@@ -9,19 +9,19 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// otherShards is what is known of the teams of other shards that have work
-// waiting for room.
+// otherShards holds the reported totals of the other shards' teams that have
+// tasks waiting for capacity.
 type otherShards struct {
 	interval time.Duration
 	shards   map[plan.Shard]otherShard
-	// unserved holds the teams of this shard of which a task found no room,
-	// and when that was last so.
+	// unserved holds the teams of this shard with a task that could not be
+	// placed, and when that last happened.
 	unserved map[string]time.Time
-	// level is the weighted share up to which every waiting team of the cell
-	// can get; waiting is false when no team waits elsewhere.
+	// level is the weighted share that every waiting team of the cell can
+	// reach; waiting is false when no team of another shard waits.
 	level   float64
 	waiting bool
-	// yielding holds since when a team leaves room to others.
+	// yielding holds the time since which a team has left capacity to others.
 	yielding map[string]time.Time
 }
 
@@ -37,15 +37,16 @@
 	}
 }
 
-// totalsExpiry is after how many intervals totals that are not repeated count
-// no more.
+// totalsExpiry is the number of intervals after which totals that are not
+// repeated expire.
 const totalsExpiry = 3
 
-// yieldLimit is how long a team leaves room to the teams of other shards; what
-// is still free then is of no use to them and is taken.
+// yieldLimit is how long a team leaves free capacity to the teams of other
+// shards. Capacity that is still free after that is of no use to them, and the
+// team uses it.
 const yieldLimit = time.Second
 
-// applyTotals takes the message of another shard.
+// applyTotals applies a message of another shard.
 func (st *state) applyTotals(t *Totals, now time.Time) {
 	o := &st.others
 	if t.Epoch < o.shards[t.Shard].epoch {
@@ -59,10 +60,11 @@
 	st.round.dirty = true
 }
 
-// rank works out the level: what is not held by teams without waiting work is
-// divided among the waiting ones by weight. The level depends on weights more
-// than on what others hold, so it bears information of some seconds ago; teams
-// that compared their shares directly all held back on old news at once.
+// rank computes the level: the capacity that is not held by teams without waiting
+// tasks, divided among the waiting teams by weight. The level depends on weights
+// more than on current usage, so information that is some seconds old is good
+// enough. When teams compared their shares directly, all of them yielded at the
+// same time because of outdated totals.
 func (o *otherShards) rank(now time.Time, accounts *quota.Ledger, used spec.Resources) {
 	weights, held := 0, 0.0
 	count := func(team spec.Resources, weight int) {
@@ -89,8 +91,8 @@
 	}
 }
 
-// totals returns what the other shards should know: the teams that have found
-// no room lately.
+// totals returns the message to the other shards: the teams with tasks that could
+// not be placed recently, and the protected gang if it is of this shard.
 func (st *state) totals(now time.Time) Totals {
 	t := Totals{Shard: st.shard.number, Epoch: st.shard.claim.Epoch}
 	for team, at := range st.others.unserved {
@@ -109,8 +111,8 @@
 	return t
 }
 
-// yields reports whether a team leaves room that it could use to teams of other
-// shards, because it holds more than its part. Urgent work and services do not
+// yields reports whether a team leaves usable capacity to teams of other shards
+// because it holds more than its fair share. Urgent work and services do not
 // yield.
 func (st *state) yields(e *queue.Entry[*job], now time.Time) bool {
 	j, o := e.Value, &st.others
--- a/process/jobs/state.go
+++ b/process/jobs/state.go
@@ -15,23 +15,23 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// state is all that the owner of a shard knows. It belongs to the goroutine of
-// the shard.
+// state is the in-memory state of a shard at its owner. Only the goroutine of
+// the shard uses it.
 type state struct {
 	shard *shard
 	o     *Options
 	ctx   context.Context
-	// life counts the starts of the shard in this daemon.
+	// incarnation counts the starts of shard.Serve in this daemon.
 	incarnation uint64
 
 	config  *spec.Config
 	jobs    map[progress.Key]*job
 	current map[string]*job
-	// strays are attempts that must end: of jobs that are gone, or beside a
-	// live attempt.
+	// surplus holds attempts that must be stopped: their job was removed, or
+	// another attempt of the task is live or has succeeded.
 	surplus  map[worker.Ref]*attempt
 	arrivals uint64
-	// rolling holds the older generations of services that are replaced.
+	// rolling holds the older generations of services that are being replaced.
 	rolling map[string][]*job
 
 	queue    *queue.Queue[*job]
@@ -48,9 +48,9 @@
 	round     roundState
 	releasing bool
 	lastCheck time.Time
-	// calls counts calls to partitions without an answer yet.
+	// calls counts the calls to partitions that are in flight.
 	calls int
-	// stopping holds the attempts whose end was asked for.
+	// stopping holds the attempts that were asked to stop.
 	stopping map[*attempt]struct{}
 }
 
@@ -75,7 +75,7 @@
 	return plan.Authorship{Shard: st.shard.number, Epoch: st.shard.claim.Epoch, Owner: st.shard.claim.Owner}
 }
 
-// attemptBase returns the lowest number of an attempt in this life of the shard.
+// attemptBase returns the lowest attempt number of this incarnation of the shard.
 func (st *state) attemptBase() int {
 	return int(st.shard.claim.Epoch<<attemptEpochBits + (st.incarnation-1)*attemptsPerIncarnation)
 }
@@ -83,16 +83,16 @@
 // attemptNumber returns the number of the next attempt of a task.
 func (st *state) attemptNumber(j *job, index uint32) int { return st.attemptBase() + j.restarts[index] }
 
-// consume makes the number of an attempt unusable for the next one. Numbers of
-// attempts that were certainly refused are used again.
+// consume prevents the next attempt of the task from reusing this number. The
+// number of an attempt that was certainly refused is not consumed and is reused.
 func (st *state) consume(a *attempt) {
 	if base := st.attemptBase(); a.number >= base {
 		a.job.restarts[a.index] = a.number - base + 1
 	}
 }
 
-// loop serves commands, changes and timers until ctx ends or the shard is
-// superseded.
+// loop serves commands, configuration and ownership changes, and timers until
+// ctx ends or the shard is superseded.
 func (st *state) loop(ctx context.Context) error {
 	st.ctx = ctx
 	configChanged := st.o.Config.Changed()
@@ -120,8 +120,8 @@
 	return st.commit.err
 }
 
-// runCommands runs a command and those that wait behind it, so that many
-// answers cost one pass.
+// runCommands runs a command and those queued behind it, so that many responses
+// are followed by a single step.
 func (st *state) runCommands(c command) {
 	for range commandBuffer {
 		if c.incarnation == 0 || c.incarnation == st.incarnation {
@@ -138,7 +138,7 @@
 	}
 }
 
-// step does what is due and returns how long the loop may wait.
+// step does all work that is due and returns how long the loop may wait.
 func (st *state) step() time.Duration {
 	now := time.Now()
 	st.releaseDelayed(now)
@@ -149,7 +149,7 @@
 	return st.nextWake(now)
 }
 
-// tick does the slow periodic work.
+// tick does the periodic work that is due every RoundInterval.
 func (st *state) tick(now time.Time) {
 	if now.Sub(st.round.lastTick) < st.o.Tuning.RoundInterval {
 		return
@@ -170,7 +170,7 @@
 		wake = now
 	} else if st.mayStart() && (st.round.dirty || !st.queue.Empty()) {
 		wake = earlier(wake, st.nextRound())
-		if !st.round.dirty { // waits for a new snapshot
+		if !st.round.dirty { // only a new snapshot can change a decision
 			wake = later(wake, now.Add(snapshotPoll))
 		}
 	}
@@ -183,8 +183,8 @@
 	return max(wake.Sub(now), 0)
 }
 
-// snapshotPoll is the time between two looks for a new snapshot while work
-// waits.
+// snapshotPoll is the interval at which a new snapshot is polled for while tasks
+// wait.
 const snapshotPoll = 10 * time.Millisecond
 
 func later(a, b time.Time) time.Time {
@@ -201,7 +201,7 @@
 	return a
 }
 
-// quiescent reports whether nothing is on its way and everything is durable.
+// quiescent reports whether no call is in flight and all progress is durable.
 func (st *state) quiescent() bool {
 	return st.calls == 0 && !st.commit.writing && !st.commit.pending()
 }
--- a/process/jobs/takeover.go
+++ b/process/jobs/takeover.go
@@ -11,15 +11,14 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// takeover is what a new owner does not know yet: the tasks that a previous
-// owner may have started, as long as a partition that it used has not listed
-// what it holds.
+// takeover tracks the tasks that a previous owner may have started, until every
+// partition that it used has listed its tasks.
 type takeover struct {
 	records map[progress.Key]*progress.Job
 	// waiting holds the partitions that have not accounted for all their
-	// workers, with the least epoch of the owner that can.
+	// workers, with the minimum epoch of an owner whose list is valid.
 	waiting map[string]uint64
-	// failed are the failures of blocked tasks that are counted already.
+	// failed holds the failures of blocked tasks that are counted already.
 	failed map[worker.Ref]struct{}
 	done   bool
 }
@@ -41,7 +40,7 @@
 }
 
 // record returns the progress of a job and whether tasks may be running that
-// this owner has not seen. That may be so for a job without a record, too: see
+// this owner has not seen. That is possible for a job without a record, too: see
 // initialStartLimit.
 func (t *takeover) record(key progress.Key) (record *progress.Job, mayBeRunning bool) {
 	if r := t.records[key]; r != nil {
@@ -52,7 +51,7 @@
 }
 
 // classifyTasks puts each unfinished task of a new job into ready or blocked. Only
-// indexes below the stored limit may have been started by a previous owner.
+// tasks below the stored start limit may have been started by a previous owner.
 func (st *state) classifyTasks(j *job, mayBeRunning bool) {
 	j.ready.AddRange(0, uint64(j.spec.Count))
 	j.ready.AndNot(j.record.Done)
@@ -65,11 +64,11 @@
 	}
 }
 
-// maxTasks is above every task index.
+// maxTasks is greater than every task index.
 const maxTasks = 1 << 32
 
-// markAccounted notes that a partition holds no task that this owner does not
-// know of.
+// markAccounted records that this owner has seen all tasks of a partition. After
+// the last partition the takeover is complete and blocked tasks are released.
 func (st *state) markAccounted(partition string) {
 	if st.takeover.done {
 		return
@@ -89,11 +88,11 @@
 	st.chargeBlocked()
 }
 
-// endWhileBlocked takes the end, without a success, of an attempt of a blocked
-// task. A later attempt may run where nobody could be asked yet: if this end
-// freed the task, it would run in two places. So the task stays blocked until
-// the takeover is complete, and a failure is only counted, once: the partition
-// lists it until the answer has come.
+// endWhileBlocked handles the unsuccessful completion of an attempt of a blocked
+// task. A later attempt may run on a worker that could not be reached yet; if this
+// completion released the task, it would run twice. So the task stays blocked
+// until the takeover is complete. A failure is counted once, since the partition
+// reports it until it is acknowledged.
 func (st *state) endWhileBlocked(p *partition, j *job, ev *plan.Event) {
 	ref := worker.Ref{Task: ev.Task, Attempt: ev.Attempt}
 	if _, counted := st.takeover.failed[ref]; !counted && ev.State == worker.Failed && !ev.Lost && !ev.NotStarted {
@@ -104,7 +103,7 @@
 	st.ackDurable(j, p.name, ref)
 }
 
-// failBlocked ends the blocked tasks whose retries are used up.
+// failBlocked marks the blocked tasks whose retries are used up as failed.
 func (st *state) failBlocked(j *job) {
 	for it := j.blocked.Clone().Iterator(); it.HasNext(); {
 		index := it.Next()
@@ -119,9 +118,9 @@
 	}
 }
 
-// unblock frees the tasks of a job that no partition holds. A non-idempotent
-// task with an intent may have run and lost its worker since; it is not
-// started again.
+// unblock makes the blocked tasks of a job ready, as no partition holds them. A
+// non-idempotent task with an intent may have run on a worker that was lost since;
+// it is not started again.
 func (st *state) unblock(j *job) {
 	if j.cancelled || j.blocked.IsEmpty() {
 		return
@@ -140,11 +139,11 @@
 	st.enqueue(j)
 }
 
-// stopPartialGang stops a gang of which only a part runs: the previous owner died
-// between the starts in two partitions, or a task has ended meanwhile. The
-// part would hold its room and wait for the rest, which starts only when all
-// tasks are ready. It is also the place to end a gang of which a blocked task
-// has used up its retries.
+// stopPartialGang stops a gang of which only some tasks run, because the previous
+// owner crashed between the starts in two partitions or a task has ended since.
+// The running tasks would hold capacity and wait for the rest, which starts only
+// when all tasks are ready. It also fails a gang of which a blocked task has used
+// up its retries.
 func (st *state) stopPartialGang(j *job) {
 	if j.spec.Kind != spec.Gang || j.cancelled || j.gang != nil || j.ready.IsEmpty() {
 		return
@@ -154,9 +153,9 @@
 	}
 }
 
-// chargeBlocked counts against the quotas what blocked tasks may hold: what the
-// workers that are not accounted for can carry. A previous owner may have
-// learned larger sizes than the declared ones, so these are no bound.
+// chargeBlocked charges to the quotas what blocked tasks may hold: the capacity of
+// the unaccounted workers. The declared sizes are no bound, since a previous owner
+// may have learned larger ones.
 func (st *state) chargeBlocked() {
 	blocked := map[string]spec.Resources{}
 	for _, j := range st.current {
@@ -172,12 +171,14 @@
 	}
 }
 
-// learnedFactor bounds a size by the declared one where the capacity of the
-// workers is not known; declared sizes are off by a factor of three.
+// learnedFactor is the assumed maximum ratio between learned and declared sizes,
+// used where the capacity of the workers is not known. Declared sizes are off by
+// up to a factor of three.
 const learnedFactor = 3
 
-// unaccountedCapacity sums the capacity of the workers that may run unknown
-// tasks; known is false when the snapshot lacks a partition of theirs.
+// unaccountedCapacity returns the total capacity of the workers that may run
+// tasks not seen by this owner; known is false when the snapshot lacks one of the
+// partitions.
 func (st *state) unaccountedCapacity() (total spec.Resources, known bool) {
 	seen := map[string]bool{}
 	st.o.Snapshots().All(func(w *snapshot.Worker) bool {
@@ -197,7 +198,7 @@
 }
 
 // adoptJob returns a job for an attempt of an older generation of a service,
-// which is replaced step by step; nil when the attempt belongs to nothing.
+// which is replaced gradually; nil if the attempt belongs to no such service.
 func (st *state) adoptJob(key progress.Key, ev *plan.Event) *job {
 	current := st.current[key.Job]
 	if current == nil || !current.service() || key.Generation >= current.key.Generation || ended(ev) {
--- a/process/plan/plan.go
+++ b/process/plan/plan.go
@@ -1,7 +1,7 @@
-// Package plan holds the messages between the owner of a job (a shard of the
-// teams) and the owner of workers (a partition). The job's owner proposes a
-// plan from its snapshot; the partition's owner checks it against the fresh
-// ledger and commits or refuses each step with a reason.
+// Package plan defines the messages between the owner of jobs (a shard of the
+// teams) and the owner of workers (a partition). The shard's owner proposes a
+// plan based on its snapshot; the partition's owner checks it against its current
+// ledger and commits each step or refuses it with a reason.
 package plan
 
 import (
@@ -29,8 +29,9 @@
 // Shard numbers a shard of the teams.
 type Shard int
 
-// Authorship identifies who proposes: the claim of the shard. A partition's
-// owner refuses an epoch lower than the highest it has seen for the shard.
+// Authorship identifies the author of a message by the claim of its shard. A
+// partition's owner refuses an epoch lower than the highest it has seen for the
+// shard.
 type Authorship struct {
 	Shard Shard    `cbor:"1,keyasint"`
 	Epoch uint64   `cbor:"2,keyasint"`
@@ -44,11 +45,11 @@
 	Class   spec.Class   `cbor:"3,keyasint"`
 	Team    string       `cbor:"4,keyasint"`
 	Victims []worker.Ref `cbor:"5,keyasint,omitempty"`
-	// Constraints that the partition checks again on its fresh ledger.
+	// Constraints are checked again by the partition against its ledger.
 	Constraints   spec.Constraints `cbor:"6,keyasint,omitempty"`
 	NonIdempotent bool             `cbor:"7,keyasint,omitempty"`
-	// Avoid lists workers on which the task is not to start when it is rebound,
-	// for example those where it failed.
+	// Avoid lists workers that the task must not be rebound to, for example
+	// those where it failed.
 	Avoid []worker.ID `cbor:"8,keyasint,omitempty"`
 }
 
@@ -57,55 +58,56 @@
 	Partition string     `cbor:"1,keyasint"`
 	Author    Authorship `cbor:"2,keyasint"`
 	Steps     []Step     `cbor:"3,keyasint"`
-	// Reservation, when set, starts steps on capacity reserved before.
+	// Reservation, when set, names the reservation whose capacity the steps use.
 	Reservation string `cbor:"4,keyasint,omitempty"`
-	// Seq rises with every Plan and Reserve of one shard epoch; see Fence.MinSeq.
+	// Seq increases with every Plan and Reserve of one shard epoch; see
+	// Fence.MinSeq.
 	Seq uint64 `cbor:"5,keyasint,omitempty"`
 	// MayRebind lets the partition's owner start a step without victims on
-	// another worker of the partition when the named one can not take it; the
-	// result names it. Until that answer has come, the author does not know at
-	// which worker of the partition the task may run. A plan on a reservation is
-	// never rebound.
+	// another worker of the partition if the named one has no capacity for it;
+	// the result names that worker. Until the response has arrived, the task may
+	// run on any worker of the partition. A plan on a reservation is never
+	// rebound.
 	MayRebind bool `cbor:"6,keyasint,omitempty"`
-	// Kept lists workers on which nothing is rebound, because the author keeps
-	// their room for other work.
+	// Kept lists workers that no step is rebound to, because the author keeps
+	// their capacity for other tasks.
 	Kept []worker.ID `cbor:"7,keyasint,omitempty"`
 }
 
 // Outcome of one step.
 type Outcome string
 
-// Outcomes. Accepted means that the partition's owner has reserved the
-// capacity and will start the task; its fate comes with Events.
+// Outcomes. Accepted means that the partition's owner has reserved the capacity
+// and will start the task; what becomes of it is reported with Events.
 const (
 	Accepted  Outcome = "accepted"
-	NoRoom    Outcome = "no_room"    // the fresh ledger has no room
-	NoWorker  Outcome = "no_worker"  // worker gone, draining, unreachable or set aside
+	NoRoom    Outcome = "no_room"    // no capacity according to the current ledger
+	NoWorker  Outcome = "no_worker"  // worker removed, draining, unreachable or quarantined
 	Duplicate Outcome = "duplicate"  // the task already runs or is starting here
 	Stale     Outcome = "stale"      // the author's epoch is not the newest
 	NotOwner  Outcome = "not_owner"  // this daemon does not own the partition
 	NotFenced Outcome = "not_fenced" // the takeover is still under way
 )
 
-// StepResult is the fate of one step of a plan or reservation.
+// StepResult is the result of one step of a Plan or Reserve.
 type StepResult struct {
 	Outcome Outcome `cbor:"1,keyasint"`
 	Reason  string  `cbor:"2,keyasint,omitempty"`
-	// Worker is set on an accepted step that was rebound: the worker that the
-	// task starts on, or that is reserved for it, in place of Step.Worker.
+	// Worker is set on an accepted step that was rebound: the worker on which
+	// the task starts or capacity is reserved, in place of Step.Worker.
 	Worker worker.ID `cbor:"3,keyasint,omitempty"`
 }
 
-// Result answers a Plan or Reserve, step by step.
+// Result is the response to a Plan or Reserve, with one entry for each step.
 type Result struct {
 	Steps []StepResult `cbor:"1,keyasint"`
 	// Epoch is the partition's epoch.
 	Epoch uint64 `cbor:"2,keyasint"`
 }
 
-// Reserve holds capacity for the tasks of a gang until it is used by a Plan
-// with the same Reservation, released, or expired. Reserving never waits: what
-// does not fit at once is refused, so two gangs can not wait for each other.
+// Reserve reserves capacity for the tasks of a gang until it is used by a Plan
+// with the same Reservation, is released, or expires. Reserving never waits: what
+// does not fit at once is refused, so that two gangs cannot deadlock.
 type Reserve struct {
 	Partition   string     `cbor:"1,keyasint"`
 	Author      Authorship `cbor:"2,keyasint"`
@@ -115,19 +117,19 @@
 	// Seq is as in Plan.
 	Seq uint64 `cbor:"6,keyasint,omitempty"`
 	// MayRebind and Kept are as in Plan. The plan that uses the reservation
-	// names the workers that the result of this call names.
+	// must name the workers given in the result of this call.
 	MayRebind bool        `cbor:"7,keyasint,omitempty"`
 	Kept      []worker.ID `cbor:"8,keyasint,omitempty"`
 }
 
-// ReleaseReservation gives reserved capacity back.
+// ReleaseReservation releases reserved capacity.
 type ReleaseReservation struct {
 	Partition   string     `cbor:"1,keyasint"`
 	Author      Authorship `cbor:"2,keyasint"`
 	Reservation string     `cbor:"3,keyasint"`
 }
 
-// StopMode tells how to end a task.
+// StopMode is how a task is stopped.
 type StopMode string
 
 // Stop modes.
@@ -136,8 +138,8 @@
 	StopCheckpoint StopMode = "checkpoint"
 )
 
-// Stop ends tasks. For a service instance the partition's owner first marks
-// the endpoint as leaving and waits for its requests, up to DrainMillis.
+// Stop stops tasks. For a service instance the partition's owner first marks the
+// endpoint as leaving and waits up to DrainMillis for its requests to finish.
 type Stop struct {
 	Partition   string       `cbor:"1,keyasint"`
 	Author      Authorship   `cbor:"2,keyasint"`
@@ -146,17 +148,17 @@
 	DrainMillis int64        `cbor:"5,keyasint,omitempty"`
 }
 
-// Ack tells that the results are durable in the shard's progress; the worker
-// may forget them.
+// Ack confirms that the results are durable in the shard's progress, so that the
+// workers may drop them.
 type Ack struct {
 	Partition string       `cbor:"1,keyasint"`
 	Author    Authorship   `cbor:"2,keyasint"`
 	Tasks     []worker.Ref `cbor:"3,keyasint"`
 }
 
-// Fence is sent by a new owner of a shard to the owner of each partition. The
-// partition's owner refuses lower epochs from then on and lists what it holds
-// of the shard's tasks.
+// Fence is sent by a new owner of a shard to the owner of each partition, and
+// after a response was lost. The partition's owner refuses lower epochs from then
+// on and lists the shard's tasks that it holds.
 type Fence struct {
 	Partition string     `cbor:"1,keyasint"`
 	Author    Authorship `cbor:"2,keyasint"`
@@ -164,9 +166,9 @@
 	Jobs []string `cbor:"3,keyasint"`
 	// MinSeq makes the partition's owner refuse as Stale, from now on, every
 	// Plan and Reserve of this author epoch with a lower Seq. A plan whose
-	// answer was lost may still be on its way; without this bound it could be
-	// committed after the reply to this Fence said that its tasks do not run
-	// here and they were started elsewhere.
+	// response was lost may still be in flight; without this bound it could be
+	// committed after the reply to this Fence did not list its tasks and they
+	// were started elsewhere.
 	MinSeq uint64 `cbor:"4,keyasint,omitempty"`
 }
 
@@ -174,8 +176,8 @@
 // holds results of.
 type FenceReply struct {
 	Tasks []Event `cbor:"1,keyasint"`
-	// Unaccounted lists workers of the partition that could not be fenced
-	// yet: any task may still run there.
+	// Unaccounted lists workers of the partition that could not be fenced yet
+	// and may still run any task.
 	Unaccounted []worker.ID `cbor:"2,keyasint,omitempty"`
 }
 
@@ -185,27 +187,28 @@
 	Attempt int              `cbor:"2,keyasint"`
 	Worker  worker.ID        `cbor:"3,keyasint"`
 	State   worker.TaskState `cbor:"4,keyasint"`
-	// Lost is set when the worker is known gone and its task lease has run
-	// out: the task certainly does not run, its result is unknown.
+	// Lost is set when the worker has failed and its task lease has expired: the
+	// task certainly does not run, and its result is unknown.
 	Lost bool `cbor:"5,keyasint,omitempty"`
-	// NotStarted is set when the start was refused: the task did not run.
+	// NotStarted is set when the start was refused, so the task did not run.
 	NotStarted bool           `cbor:"6,keyasint,omitempty"`
 	Usage      spec.Resources `cbor:"7,keyasint,omitempty"`
 	Address    string         `cbor:"8,keyasint,omitempty"`
 	Message    string         `cbor:"9,keyasint,omitempty"`
 	Work       float64        `cbor:"10,keyasint,omitempty"`
-	// Checkpointed is set on Stopped when the progress was saved.
+	// Checkpointed is set on Stopped when the task's state was saved.
 	Checkpointed bool `cbor:"11,keyasint,omitempty"`
-	// Preempted is set on Stopped when a higher class took the place.
+	// Preempted is set on Stopped when a task of a higher class took the capacity.
 	Preempted bool `cbor:"12,keyasint,omitempty"`
-	// Suspect is set on Lost when the worker's life ended shortly after the task's start,
-	// and Sole when no task of another job had begun there as recently.
+	// Suspect is set on Lost when the worker's incarnation ended shortly after the
+	// start of the task, which may therefore have crashed it. Sole is set when no
+	// task of another job had started there as recently.
 	Suspect bool `cbor:"13,keyasint,omitempty"`
 	Sole    bool `cbor:"14,keyasint,omitempty"`
 }
 
-// Events carries changes from a partition to a shard. They are sent again
-// until received; a receiver takes each at most once by (task, attempt, state).
+// Events carries changes from a partition to a shard. They are repeated until the
+// shard has accepted them; it applies each at most once by (task, attempt, state).
 type Events struct {
 	Partition string  `cbor:"1,keyasint"`
 	Epoch     uint64  `cbor:"2,keyasint"`
@@ -213,8 +216,8 @@
 	Events    []Event `cbor:"4,keyasint"`
 }
 
-// StateRequest asks a partition for what changed after Since (0: everything);
-// the call waits up to WaitMillis for a change.
+// StateRequest asks a partition for the changes after Since (0: everything). The
+// call waits up to WaitMillis for a change.
 type StateRequest struct {
 	Partition  string `cbor:"1,keyasint"`
 	Epoch      uint64 `cbor:"2,keyasint"`
@@ -222,23 +225,26 @@
 	WaitMillis int64  `cbor:"4,keyasint"`
 }
 
-// WorkerState is what a snapshot holds of a worker.
+// WorkerState is the state of a worker in a snapshot.
 type WorkerState struct {
 	ID       worker.ID      `cbor:"1,keyasint"`
 	Zone     string         `cbor:"2,keyasint"`
 	Rack     string         `cbor:"3,keyasint"`
 	Capacity spec.Resources `cbor:"4,keyasint"`
-	// Reserved is what running, starting and reserved tasks hold.
+	// Reserved is the capacity used by running and starting tasks and by
+	// reservations.
 	Reserved spec.Resources `cbor:"5,keyasint"`
-	// Unusable is a readable reason why the worker takes no new tasks now.
+	// Unusable is a readable reason why the worker currently accepts no new
+	// tasks.
 	Unusable string `cbor:"6,keyasint,omitempty"`
-	// Tasks that run or start here; in a delta only for changed workers.
+	// Tasks lists the tasks that run or start here; in a delta only for changed
+	// workers.
 	Tasks []RunningTask `cbor:"7,keyasint,omitempty"`
 	Gone  bool          `cbor:"8,keyasint,omitempty"`
-	// Partial is set on the wire when Tasks lists only the tasks that changed
-	// and Ended those that left. Package cellview completes such a state before
-	// a sink sees it: at the peak a worker changes with every report, and its
-	// whole list each time would be most of the control traffic.
+	// Partial is set on the wire when Tasks lists only the changed tasks and
+	// Ended the removed ones. Package cellview completes such a state before it
+	// reaches a sink. At peak load a worker changes with every report, and
+	// sending its whole list each time would be most of the control traffic.
 	Partial bool         `cbor:"9,keyasint,omitempty"`
 	Ended   []worker.Ref `cbor:"10,keyasint,omitempty"`
 }
@@ -255,7 +261,7 @@
 	StartedMillis int64          `cbor:"8,keyasint,omitempty"` // age in ms when sent
 }
 
-// Endpoint is a service instance that callers' requests may be sent to.
+// Endpoint is a service instance that requests of callers may be sent to.
 type Endpoint struct {
 	Service string      `cbor:"1,keyasint"`
 	Task    spec.TaskID `cbor:"2,keyasint"`
@@ -265,11 +271,12 @@
 	Address string      `cbor:"6,keyasint"`
 	Slots   int         `cbor:"7,keyasint"`
 	Conns   int         `cbor:"8,keyasint"`
-	// Leaving endpoints finish what they have and get nothing new.
+	// Leaving is set while the endpoint finishes its requests and gets no new
+	// ones.
 	Leaving bool `cbor:"9,keyasint,omitempty"`
 }
 
-// State is a partition's state or the change since a position.
+// State is a partition's full state, or its changes since a position.
 type State struct {
 	Partition string        `cbor:"1,keyasint"`
 	Epoch     uint64        `cbor:"2,keyasint"`
