--- a/process/fair/fair_test.go
+++ b/process/fair/fair_test.go
@@ -19,18 +19,18 @@
 	b := New(Due, Entitlement{Window: 5 * time.Second, Slack: 20})
 	b.SetWeight("north", 10)
 	for i := range 70 { // ten a second over five seconds, and twenty more
-		require.True(t, b.HandedIn("north", 0), "hand-in %d", i)
+		require.True(t, b.HandedIn("north", 0), "submission %d", i)
 	}
 	require.False(t, b.HandedIn("north", 0))
 	require.Equal(t, uint64(1), b.Beyond("north"))
-	require.True(t, b.HandedIn("south", 0), "another account has its own")
+	require.True(t, b.HandedIn("south", 0), "another account has its own entitlement")
 	require.Zero(t, b.Beyond("south"))
 	require.Zero(t, b.Beyond("nobody"))
 	for i := range 10 {
-		require.True(t, b.HandedIn("north", time.Second), "hand-in %d a second later", i)
+		require.True(t, b.HandedIn("north", time.Second), "submission %d a second later", i)
 	}
 	require.False(t, b.HandedIn("north", time.Second))
-	require.False(t, b.HandedIn("north", 500*time.Millisecond), "one seen out of order brings nothing back")
+	require.False(t, b.HandedIn("north", 500*time.Millisecond), "a submission with an earlier time adds no tokens")
 }
 
 func TestWithoutWindowEverythingIsWithin(t *testing.T) {
@@ -41,9 +41,10 @@
 	}
 }
 
+// TestEntitlementHoldsOverAnySpan checks that over any span, no more submissions are
+// within the entitlement than the rate over the span and the window plus the slack, and
+// that an account that keeps to its rate is always within it.
 func TestEntitlementHoldsOverAnySpan(t *testing.T) {
-	// Over any span, no more hand-ins are within than the rate over the span and the window,
-	// and the slack; and an account that keeps to its rate is always within.
 	rapid.Check(t, func(t *rapid.T) {
 		e := Entitlement{Window: time.Duration(rapid.IntRange(1, 10).Draw(t, "window")) * time.Second,
 			Slack: float64(rapid.IntRange(1, 30).Draw(t, "slack")), Share: rapid.SampledFrom([]float64{1, 0.5, 0.1}).Draw(t, "share")}
@@ -71,10 +72,11 @@
 	})
 }
 
+// TestAccountThatWouldLoseMostGoesFirst guards against treating a small and a large
+// account alike. A gang of either waits for the same capacity with the same due time;
+// if it is late, half of the small account's work is late and a tenth of the large
+// one's.
 func TestAccountThatWouldLoseMostGoesFirst(t *testing.T) {
-	// Symptom: of an account with few jobs half of the work is late, of a large one a tenth.
-	// Sequence: a gang of either waits for the same room; both are due at the same time.
-	// Cause: by the time they are due they are equal.
 	const now, due, objective = 10 * time.Second, 20 * time.Second, 10 * time.Second
 	b := New(Risk, Entitlement{})
 	b.Ended("large", now, 900, true)
@@ -83,7 +85,7 @@
 	require.InDelta(t, 17.5, small.Seconds(), 0.001, "half of its work: a quarter of the objective ahead")
 	require.InDelta(t, 19.5, large.Seconds(), 0.001, "a tenth of its work")
 	b.Ended("large", now, 900, false)
-	require.Less(t, b.Turn("large", now, due, objective, 100), small, "of which more than half would be late by now")
+	require.Less(t, b.Turn("large", now, due, objective, 100), small, "more than half of its recent work would be late by now")
 }
 
 func TestAccountThatUsesLessThanItsShareGoesFirst(t *testing.T) {
@@ -93,16 +95,17 @@
 	b.SetWeight("south", 1)
 	b.Used("north", now, 100)
 	b.Used("south", now, 100)
-	require.Less(t, b.Turn("north", now, due, objective, 1), due, "a third of what its weight is worth")
+	require.Less(t, b.Turn("north", now, due, objective, 1), due, "a third of the other account's usage relative to its weight")
 	require.Greater(t, b.Turn("south", now, due, objective, 1), due)
 	later := now + 20*useDecay
 	b.Used("north", later, 100)
-	require.Less(t, b.Turn("south", later, due, objective, 1), b.Turn("north", later, due, objective, 1), "what was used long ago is forgotten")
+	require.Less(t, b.Turn("south", later, due, objective, 1), b.Turn("north", later, due, objective, 1), "old usage has decayed")
 }
 
+// TestTurnStaysNearTheTimeAJobIsDue checks that, however accounts behave, a job is
+// ordered at most maxShift of its objective after its due time, so that no job waits
+// for ever.
 func TestTurnStaysNearTheTimeAJobIsDue(t *testing.T) {
-	// However accounts behave, a job waits at most reach of its objective longer than by
-	// its time alone: none waits for ever.
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(rapid.SampledFrom([]Way{Due, Dominant, Risk}).Draw(t, "way"), Entitlement{})
 		names := []string{"a", "b", "c"}
--- a/process/jobs/bench_test.go
+++ b/process/jobs/bench_test.go
@@ -24,15 +24,16 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// benchPartitions answers at once: it accepts every plan and ends each task
-// immediately, or never when hold is set. It counts the bytes of messages.
+// benchPartitions stands for all partition owners. It accepts every plan and ends
+// each task immediately, or never when keepRunning is set. It counts the bytes of
+// messages.
 type benchPartitions struct {
-	mu      sync.Mutex
-	hold    bool
-	bytes   int64
-	events  func(plan.Events)
-	started chan int
-	stopped chan int
+	mu          sync.Mutex
+	keepRunning bool
+	bytes       int64
+	events      func(plan.Events)
+	started     chan int
+	stopped     chan int
 }
 
 func (p *benchPartitions) Call(_ context.Context, _ peer.Ref, method peer.Method, req, resp any) error {
@@ -60,7 +61,7 @@
 		resp.Steps[i].Outcome = plan.Accepted
 		refs[i] = worker.Ref{Task: req.Steps[i].Start.Task, Attempt: req.Steps[i].Start.Attempt}
 	}
-	if !p.hold {
+	if !p.keepRunning {
 		p.end(req.Partition, refs, worker.Succeeded)
 	}
 	p.started <- len(req.Steps)
@@ -121,8 +122,8 @@
 var _ ownership.Directory = (*ownershiptest.Directory)(nil)
 var _ progress.Store = (*store.Handle)(nil)
 
-// BenchmarkStart measures the cost of a task from the queue over the plan and
-// its end to the durable result, in the shard's daemon.
+// BenchmarkStart measures the cost of a task in the shard's daemon, from the queue
+// through the plan and the completion to the durable result.
 func BenchmarkStart(b *testing.B) {
 	for _, workers := range []int{48, 504, 2504} {
 		b.Run(fmt.Sprintf("workers=%d", workers), func(b *testing.B) {
@@ -146,14 +147,15 @@
 }
 
 // BenchmarkCancelWave measures the cancellation of 50,000 tasks of which 5,000
-// run, until each stop was sent, beside the naive way that visits every task.
+// run, until each stop was sent, and for comparison a naive implementation that
+// visits every task.
 func BenchmarkCancelWave(b *testing.B) {
 	const tasks, live = 50_000, 5_000
 	b.Run("shard", func(b *testing.B) {
 		for b.Loop() {
 			b.StopTimer()
 			c, m, p, _ := benchCell(b, 104)
-			p.hold = true
+			p.keepRunning = true
 			teams := []spec.Team{{Name: "a", Quota: core.Times(live)}}
 			c.apply(teams, batch("wave", "a", tasks, time.Hour))
 			for n := 0; n < live; {
@@ -194,14 +196,14 @@
 	})
 }
 
-// BenchmarkMemory measures the heap per task with 210,000 tasks in 100 jobs of
+// BenchmarkMemory measures the heap per task with 210,000 tasks in 100 jobs, of
 // which 3,000 run.
 func BenchmarkMemory(b *testing.B) {
 	const jobs, each, live = 100, 2_100, 3_000
 	for b.Loop() {
 		before := heapInUse()
 		c, m, p, _ := benchCell(b, 48)
-		p.hold = true
+		p.keepRunning = true
 		var all []spec.Job
 		for i := range jobs {
 			all = append(all, batch(fmt.Sprintf("j%d", i), "a", each, time.Hour))
@@ -224,7 +226,7 @@
 }
 
 // BenchmarkPacedStarts runs 1,600 starts a second for some seconds and reports
-// processor time, writes and bytes a second.
+// CPU time, writes and bytes a second.
 func BenchmarkPacedStarts(b *testing.B) {
 	const perSecond, seconds = 1600, 5
 	for b.Loop() {
--- a/process/jobs/cell_test.go
+++ b/process/jobs/cell_test.go
@@ -24,8 +24,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// cell is a set of fake partitions, daemons with real shards, and the
-// bookkeeping of what really ran. Its workers are the truth.
+// cell is a set of fake partitions, daemons with real shards, and a record of the
+// tasks that ran. The state of its fake workers is authoritative.
 type cell struct {
 	t       testing.TB
 	net     *peertest.Network
@@ -50,10 +50,10 @@
 	runTime      func(worker.Start) (time.Duration, worker.TaskState)
 	incarnations uint64
 	loseEvents   float64
-	committed    func(p *fakePartition, result *plan.Result) // before the answer leaves
+	committed    func(p *fakePartition, result *plan.Result) // before the response is sent
 }
 
-// runRecord is what truly happened to a task.
+// runRecord is what happened to a task according to the fake workers.
 type runRecord struct {
 	starts, running, succeeded int
 	acked                      bool
@@ -114,19 +114,19 @@
 	c.config.changed = make(chan struct{})
 }
 
-// daemon is one life of a daemon that may own shards.
+// daemon is one incarnation of a daemon that may own shards.
 type daemon struct {
-	c       *cell
-	ref     peer.Ref
-	manager *Manager
-	cache   *sched.Cache
-	cancel  context.CancelFunc
-	dir     *ownershiptest.Directory
-	looks   atomic.Int64 // for a snapshot of the workers
+	c             *cell
+	ref           peer.Ref
+	manager       *Manager
+	cache         *sched.Cache
+	cancel        context.CancelFunc
+	dir           *ownershiptest.Directory
+	snapshotReads atomic.Int64 // calls of snapshot
 }
 
 func (d *daemon) snapshot() *sched.Snapshot {
-	d.looks.Add(1)
+	d.snapshotReads.Add(1)
 	return d.cache.Snapshot()
 }
 
@@ -159,7 +159,7 @@
 	d.manager.Acquired(context.Background(), d.c.claims.Set(Resource(plan.Shard(shard)), d.ref))
 }
 
-// kill ends a life without a word.
+// kill stops the daemon without a planned stop.
 func (d *daemon) kill() {
 	d.c.net.Stop(d.ref)
 	d.cancel()
@@ -191,7 +191,7 @@
 	return names
 }
 
-// addRack adds a partition with workers and an owner of its own.
+// addRack adds a partition with workers and its own owner.
 func (c *cell) addRack(ctx context.Context, name, zone string, workers int, size spec.Resources) {
 	c.mu.Lock()
 	for i := range workers {
@@ -217,7 +217,7 @@
 	ctx, cancel := context.WithCancel(ctx)
 	p := &fakePartition{
 		c: c, name: name, epoch: grant.Epoch, caller: caller, cancel: cancel,
-		shards: map[plan.Shard]shardSeen{}, reservations: map[string]*fakeReservation{}, wake: make(chan struct{}, 1),
+		shards: map[plan.Shard]fenceState{}, reservations: map[string]*fakeReservation{}, wake: make(chan struct{}, 1),
 	}
 	p.register(mux)
 	c.mu.Lock()
@@ -228,7 +228,7 @@
 	go p.sendEvents(ctx)
 }
 
-// publishLocked brings the snapshots of all daemons up to date.
+// publishLocked updates the snapshots of all daemons.
 func (c *cell) publishLocked(all bool) {
 	for _, p := range c.partitions {
 		if !p.changed && !all {
@@ -259,8 +259,8 @@
 	}
 }
 
-// check fails the test on anything that went wrong so far, and on a violated
-// invariant inside a shard.
+// check fails the test on any recorded problem and on a violated invariant of a
+// shard.
 func (c *cell) check() {
 	c.t.Helper()
 	c.checkShards()
@@ -295,7 +295,7 @@
 	}
 }
 
-// succeeded counts the tasks of a job that truly succeeded.
+// succeeded counts the tasks of a job that succeeded on the fake workers.
 func (c *cell) succeeded(job string) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -308,14 +308,14 @@
 	return n
 }
 
-// startedTasks counts the tasks that truly started at least once.
+// startedTasks counts the tasks that started at least once on the fake workers.
 func (c *cell) startedTasks() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.runs)
 }
 
-// startedOf reports whether any task of a generation truly started.
+// startedOf reports whether any task of a generation started on the fake workers.
 func (c *cell) startedOf(generation uint64) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -339,7 +339,7 @@
 	return n
 }
 
-// await polls until the condition holds, at most for the limit.
+// await polls until the condition holds, and records a problem after the limit.
 func (c *cell) await(limit time.Duration, what string, condition func() bool) {
 	c.t.Helper()
 	for end := time.Now().Add(limit); time.Now().Before(end); time.Sleep(50 * time.Millisecond) {
--- a/process/jobs/config_takeover_test.go
+++ b/process/jobs/config_takeover_test.go
@@ -13,9 +13,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// fallBehind gives the daemons that start from now on a configuration that
-// stays as it is until the returned function is called.
-func (c *cell) fallBehind() (catchUp func()) {
+// delayConfig gives the daemons that start from now on a configuration that does
+// not change until the returned function is called.
+func (c *cell) delayConfig() (catchUp func()) {
 	ahead := c.config
 	behind := &fakeConfig{current: ahead.Current(), changed: make(chan struct{})}
 	c.config = behind
@@ -28,16 +28,17 @@
 	}
 }
 
-// startUnrecorded has the owner of a shard start a new job while it can write
-// nothing, and kills it; the next daemon does not know the job yet.
-func (c *cell) startUnrecorded(ctx context.Context, shard int, old, added spec.Job) (catchUp func()) {
+// startWithoutWrite makes the owner of a shard start a new job while it cannot
+// write, and kills it. The next daemon does not have the job's configuration until
+// catchUp is called.
+func (c *cell) startWithoutWrite(ctx context.Context, shard int, old, added spec.Job) (catchUp func()) {
 	c.apply(nil, old)
 	d := c.startDaemon(ctx, "d1")
 	d.own(shard)
 	c.await(10*time.Second, "the old job runs", func() bool { return c.runningTasks(old.Name) == old.Count })
 	time.Sleep(5 * time.Second) // until its progress is written
 	ahead := c.config
-	catchUp = c.fallBehind()
+	catchUp = c.delayConfig()
 	behind := c.config
 	c.config = ahead
 	c.store.SetFaults(kv.Faults{Down: true})
@@ -49,9 +50,9 @@
 	return catchUp
 }
 
-// retag makes the owners of the workers take the tasks of a job for those of
-// another shard, as one does that was made before it knew the job.
-func (c *cell) retag(job string, shard plan.Shard) {
+// reassignTasks makes the partition owners assign the tasks of a job to another
+// shard, like an owner that does not have the job's configuration yet.
+func (c *cell) reassignTasks(job string, shard plan.Shard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for _, w := range c.workers {
@@ -63,15 +64,14 @@
 	}
 }
 
+// TestListOfLaterTasksIsNotComplete guards against running the first tasks of a new job
+// twice. An owner starts tasks of a job that was just applied, which needs no write,
+// and crashes before its next write. The configuration of its successor is one version
+// behind when the partitions list their tasks, so a list with tasks of a later version
+// must not count as complete.
 func TestListOfLaterTasksIsNotComplete(t *testing.T) {
-	// Symptom: the first tasks of a new job run in two places.
-	// Sequence: an owner of a shard starts the first tasks of a job that has
-	// just been applied, which needs no write, and dies before its next write;
-	// its successor's configuration is one version behind when the partitions
-	// list what they hold.
-	// Cause: a list with tasks of a later version was taken as complete.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
-		catchUp := c.startUnrecorded(ctx, 0, batch("old", "a", 10, time.Hour), batch("new", "a", 54, time.Hour))
+		catchUp := c.startWithoutWrite(ctx, 0, batch("old", "a", 10, time.Hour), batch("new", "a", 54, time.Hour))
 		c.startDaemon(ctx, "d2").own(0)
 		time.Sleep(5*time.Second + 700*time.Millisecond)
 		catchUp()
@@ -80,18 +80,17 @@
 	})
 }
 
+// TestTakeoverWaitsForTheLatestConfiguration guards against running the first tasks of
+// a new job twice. The daemon that owns a shard and a rack crashes right after it has
+// started a job that was just applied. Neither the new owner of the rack, which assigns
+// the tasks to shard 0, nor the new owner of the shard has the job. No partition then
+// lists the tasks to their shard, so waiting only for the configuration version in the
+// last written progress is not enough.
 func TestTakeoverWaitsForTheLatestConfiguration(t *testing.T) {
-	// Symptom: the first tasks of a new job run in two places.
-	// Sequence: the daemon that owns a shard and a rack dies right after it has
-	// started a job that has just been applied; the new owner of the rack does
-	// not know the job and takes its tasks for those of shard 0, the new owner
-	// of the shard does not know it either.
-	// Cause: nobody lists the tasks to the shard that they belong to, and the
-	// takeover waited only for the version in the last written progress.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.shards = 2
 		team := teamsOfShards(2)[1]
-		catchUp := c.startUnrecorded(ctx, 1, batch("old", team, 10, time.Hour), batch("new", team, 20, time.Hour))
+		catchUp := c.startWithoutWrite(ctx, 1, batch("old", team, 10, time.Hour), batch("new", team, 20, time.Hour))
 		asked := 0
 		c.latest = func(context.Context) (uint64, error) {
 			if asked++; asked <= 3 {
@@ -99,13 +98,13 @@
 			}
 			return 2, nil
 		}
-		c.retag("new", 0)
+		c.reassignTasks("new", 0)
 		d := c.startDaemon(ctx, "d2")
 		d.own(1)
 		time.Sleep(5*time.Second + 333*time.Millisecond)
 		callCtx, cancel := context.WithTimeout(ctx, time.Second)
 		defer cancel()
-		require.Error(t, d.manager.shard(1).call(callCtx, func(*state) {}), "the shard is at work")
+		require.Error(t, d.manager.shard(1).call(callCtx, func(*state) {}), "the shard runs with an outdated configuration")
 		catchUp()
 		time.Sleep(10 * time.Second)
 		require.Equal(t, 20, c.runningTasks("new"))
--- a/process/jobs/cputime_test.go
+++ b/process/jobs/cputime_test.go
@@ -2,7 +2,7 @@
 
 import "syscall"
 
-// cpuTime returns the processor time of this process in nanoseconds.
+// cpuTime returns the CPU time of this process in nanoseconds.
 func cpuTime() int64 {
 	var usage syscall.Rusage
 	_ = syscall.Getrusage(syscall.RUSAGE_SELF, &usage)
--- a/process/jobs/crash_test.go
+++ b/process/jobs/crash_test.go
@@ -12,8 +12,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// crashLocked ends a worker by the fault of a task that has just started there; it is
-// back at once, empty.
+// crashLocked crashes a worker because of a task that has just started there. The worker
+// restarts at once without tasks.
 func (c *cell) crashLocked(by *fakeTask) {
 	sole := true
 	for _, t := range by.worker.tasks {
@@ -27,7 +27,7 @@
 }
 
 // TestDeclaredTasksThatCrashTheirWorkersAreGivenUp guards against a declared task that
-// takes down one worker after another, also when the shard's owner changes.
+// crashes one worker after another, also when the shard's owner changes.
 func TestDeclaredTasksThatCrashTheirWorkersAreGivenUp(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.runTime = func(s worker.Start) (time.Duration, worker.TaskState) { return s.RunTime.Std(), worker.Succeeded }
@@ -36,12 +36,12 @@
 		c.apply(nil, bomb, batch("good", "a", 200, time.Second))
 		d := c.startDaemon(ctx, "d1")
 		d.own(0)
-		c.await(time.Minute, "it has crashed workers", func() bool { return c.startsOf("bomb", 1) >= 2 })
+		c.await(time.Minute, "the task has started twice", func() bool { return c.startsOf("bomb", 1) >= 2 })
 		d.kill()
 		next := c.startDaemon(ctx, "d2")
 		next.own(0)
-		c.await(10*time.Minute, "it is given up", func() bool { return next.tasks(ctx, "bomb")[TaskFailed] == 1 })
-		c.await(10*time.Minute, "all sound tasks are done", func() bool { return c.succeeded("good") == 200 && c.succeeded("bomb") == 2 })
+		c.await(10*time.Minute, "the task has failed", func() bool { return next.tasks(ctx, "bomb")[TaskFailed] == 1 })
+		c.await(10*time.Minute, "all healthy tasks are done", func() bool { return c.succeeded("good") == 200 && c.succeeded("bomb") == 2 })
 		require.LessOrEqual(t, c.startsOf("bomb", 1), 5)
 	})
 }
--- a/process/jobs/faults_test.go
+++ b/process/jobs/faults_test.go
@@ -19,112 +19,113 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// fault is one thing that goes wrong, or goes well again.
+// fault is one injected fault or the end of one.
 type fault struct {
 	Kind string
 	Arg  int
 	Wait time.Duration // before the next one
 }
 
-// world is a cell with the daemon that owns the shard and the one before it.
-type world struct {
+// faultCell is a cell with the daemon that owns the shard and a previous owner that
+// has not noticed the takeover.
+type faultCell struct {
 	*cell
-	ctx         context.Context
-	owner, late *daemon
-	jobs        []spec.Job
-	teams       []spec.Team
-	serial      int
-	dead        int
+	ctx          context.Context
+	owner, stale *daemon
+	jobs         []spec.Job
+	teams        []spec.Team
+	serial       int
+	dead         int
 }
 
-var faultKinds = map[string]func(w *world, arg int){
-	"owner dies": func(w *world, _ int) {
+var faultKinds = map[string]func(w *faultCell, arg int){
+	"owner dies": func(w *faultCell, _ int) {
 		w.owner.kill()
 		w.newOwner()
 	},
-	"owner is paused, taken over and resumes": func(w *world, _ int) {
-		w.endLate()
+	"owner is paused, taken over and resumes": func(w *faultCell, _ int) {
+		w.killStale()
 		old := w.owner
 		w.net.Pause(old.ref)
 		old.dir.Freeze()
 		w.newOwner()
-		w.late = old
+		w.stale = old
 	},
-	"owner is taken over and does not notice": func(w *world, _ int) {
-		w.endLate()
+	"owner is taken over and does not notice": func(w *faultCell, _ int) {
+		w.killStale()
 		old := w.owner
 		old.dir.Freeze()
 		w.newOwner()
-		w.late = old
+		w.stale = old
 	},
-	"paused owner resumes": func(w *world, _ int) {
-		if w.late != nil {
-			w.net.Resume(w.late.ref)
+	"paused owner resumes": func(w *faultCell, _ int) {
+		if w.stale != nil {
+			w.net.Resume(w.stale.ref)
 		}
 	},
-	"late owner sees new claims": func(w *world, _ int) {
-		if w.late != nil {
-			w.net.Resume(w.late.ref)
-			w.late.dir.Thaw()
+	"late owner sees new claims": func(w *faultCell, _ int) {
+		if w.stale != nil {
+			w.net.Resume(w.stale.ref)
+			w.stale.dir.Thaw()
 		}
 	},
-	"hand over": func(w *world, _ int) {
+	"hand over": func(w *faultCell, _ int) {
 		ctx, cancel := context.WithTimeout(w.ctx, 5*time.Second)
 		defer cancel()
 		_ = w.owner.manager.Releasing(ctx, Resource(0))
 		w.owner.kill()
 		w.newOwner()
 	},
-	"shard panics": func(w *world, _ int) {
+	"shard panics": func(w *faultCell, _ int) {
 		if s := w.owner.manager.shard(0); s != nil {
 			s.post(w.ctx, 0, func(*state) { panic("injected by the test") })
 		}
 	},
-	"partition owner dies": func(w *world, arg int) {
+	"partition owner dies": func(w *faultCell, arg int) {
 		names := w.partitionNames()
 		w.startPartition(w.ctx, names[arg%len(names)])
 	},
-	"worker dies": func(w *world, arg int) {
+	"worker dies": func(w *faultCell, arg int) {
 		if w.dead < 4 {
 			w.dead++
 			w.killWorker(w.workerAt(arg))
 		}
 	},
-	"worker can not be reached": func(w *world, arg int) { w.setUnreachable(w.workerAt(arg), true) },
-	"workers reached again":     func(w *world, _ int) { w.reachAll() },
-	"messages are lost":         func(w *world, arg int) { w.net.SetLoss(float64(arg%30) / 100) },
-	"messages are slow":         func(w *world, arg int) { w.net.SetDelay(time.Duration(arg%2500) * time.Millisecond) },
-	"network heals":             func(w *world, _ int) { w.net.SetLoss(0); w.net.SetDelay(time.Millisecond) },
-	"events are lost": func(w *world, arg int) {
+	"worker can not be reached": func(w *faultCell, arg int) { w.setUnreachable(w.workerAt(arg), true) },
+	"workers reached again":     func(w *faultCell, _ int) { w.makeAllReachable() },
+	"messages are lost":         func(w *faultCell, arg int) { w.net.SetLoss(float64(arg%30) / 100) },
+	"messages are slow":         func(w *faultCell, arg int) { w.net.SetDelay(time.Duration(arg%2500) * time.Millisecond) },
+	"network heals":             func(w *faultCell, _ int) { w.net.SetLoss(0); w.net.SetDelay(time.Millisecond) },
+	"events are lost": func(w *faultCell, arg int) {
 		w.mu.Lock()
 		defer w.mu.Unlock()
 		w.loseEvents = float64(arg%80) / 100
 	},
-	"store is down":       func(w *world, _ int) { w.store.SetFaults(kv.Faults{Down: true}) },
-	"store loses answers": func(w *world, arg int) { w.store.SetFaults(kv.Faults{LoseAnswers: float64(arg%60) / 100}) },
-	"store is slow": func(w *world, arg int) {
+	"store is down":       func(w *faultCell, _ int) { w.store.SetFaults(kv.Faults{Down: true}) },
+	"store loses answers": func(w *faultCell, arg int) { w.store.SetFaults(kv.Faults{LoseAnswers: float64(arg%60) / 100}) },
+	"store is slow": func(w *faultCell, arg int) {
 		w.store.SetFaults(kv.Faults{Delay: time.Duration(arg%3000) * time.Millisecond, DelayChance: 0.5})
 	},
-	"store heals":   func(w *world, _ int) { w.store.SetFaults(kv.Faults{}) },
-	"job cancelled": func(w *world, arg int) { w.cancelJob(arg) },
-	"job added":     func(w *world, arg int) { w.addJob(arg) },
-	"job changed":   func(w *world, arg int) { w.changeJob(arg) },
+	"store heals":   func(w *faultCell, _ int) { w.store.SetFaults(kv.Faults{}) },
+	"job cancelled": func(w *faultCell, arg int) { w.cancelJob(arg) },
+	"job added":     func(w *faultCell, arg int) { w.addJob(arg) },
+	"job changed":   func(w *faultCell, arg int) { w.changeJob(arg) },
 }
 
-func (w *world) newOwner() {
+func (w *faultCell) newOwner() {
 	w.serial++
 	w.owner = w.startDaemon(w.ctx, peer.MemberID(fmt.Sprintf("d%d", w.serial)))
 	w.owner.own(0)
 }
 
-func (w *world) endLate() {
-	if w.late != nil {
-		w.late.kill()
-		w.late = nil
+func (w *faultCell) killStale() {
+	if w.stale != nil {
+		w.stale.kill()
+		w.stale = nil
 	}
 }
 
-func (w *world) workerAt(arg int) worker.ID {
+func (w *faultCell) workerAt(arg int) worker.ID {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	var ids []worker.ID
@@ -142,10 +143,10 @@
 	defer c.mu.Unlock()
 	w := c.workers[id]
 	w.unreachable = on
-	c.partitions[w.partition].note()
+	c.partitions[w.partition].markChanged()
 }
 
-func (c *cell) reachAll() {
+func (c *cell) makeAllReachable() {
 	for _, id := range c.workerIDs() {
 		c.setUnreachable(id, false)
 	}
@@ -162,7 +163,7 @@
 	return ids
 }
 
-func (w *world) cancelJob(arg int) {
+func (w *faultCell) cancelJob(arg int) {
 	if len(w.jobs) > 2 {
 		at := arg % len(w.jobs)
 		w.jobs = slices.Delete(w.jobs, at, at+1)
@@ -170,7 +171,7 @@
 	}
 }
 
-func (w *world) addJob(arg int) {
+func (w *faultCell) addJob(arg int) {
 	w.serial++
 	j := batch(fmt.Sprintf("j%d", w.serial), []string{"a", "b", "q"}[arg%3], 10+arg%90, time.Duration(200+arg%2000)*time.Millisecond)
 	switch arg % 5 {
@@ -187,7 +188,7 @@
 	w.apply(w.teams, w.jobs...)
 }
 
-func (w *world) changeJob(arg int) {
+func (w *faultCell) changeJob(arg int) {
 	if len(w.jobs) > 0 {
 		at := arg % len(w.jobs)
 		w.jobs[at].Parameters = map[string]string{"v": fmt.Sprint(arg)}
@@ -196,12 +197,12 @@
 }
 
 // heal ends every fault and waits until all declared work is done.
-func (w *world) heal() {
-	w.endLate()
+func (w *faultCell) heal() {
+	w.killStale()
 	faultKinds["network heals"](w, 0)
 	faultKinds["store heals"](w, 0)
 	faultKinds["events are lost"](w, 0)
-	w.reachAll()
+	w.makeAllReachable()
 	w.await(10*time.Minute, "all work done after the faults", func() bool {
 		for _, j := range w.jobs {
 			if !w.jobDone(j) {
@@ -216,7 +217,7 @@
 	}
 }
 
-func (w *world) jobDone(j spec.Job) bool {
+func (w *faultCell) jobDone(j spec.Job) bool {
 	if j.Kind == spec.Service {
 		return w.runningTasks(j.Name) == j.Count
 	}
@@ -232,8 +233,7 @@
 	return false
 }
 
-// runFaults runs a sequence of faults in virtual time and returns what went
-// wrong.
+// runFaults runs a sequence of faults in virtual time and returns the problems.
 func runFaults(t *testing.T, seed uint64, faults []fault) (problems []string) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -244,7 +244,7 @@
 			c.addRack(ctx, rack, "z-"+rack, 4, core.Times(8))
 		}
 		go c.publish(ctx, 20*time.Millisecond)
-		w := &world{cell: c, ctx: ctx, teams: []spec.Team{{Name: "q", Quota: core.Times(12)}, {Name: "b", Weight: 2}}}
+		w := &faultCell{cell: c, ctx: ctx, teams: []spec.Team{{Name: "q", Quota: core.Times(12)}, {Name: "b", Weight: 2}}}
 		defer func() { problems = c.problems }()
 		w.newOwner()
 		for i := range 6 {
@@ -263,8 +263,8 @@
 	return problems
 }
 
-// TestFaultsAloneTogetherAndTwice hunts for double runs, reruns of finished
-// tasks, exceeded quotas and lost work under random sequences of faults.
+// TestFaultsAloneTogetherAndTwice searches for double runs, reruns of finished tasks,
+// exceeded quotas and lost work under random sequences of faults.
 func TestFaultsAloneTogetherAndTwice(t *testing.T) {
 	if os.Getenv("FENNEL_LONG") != "" {
 		_ = flag.Set("rapid.checks", "3000")
--- a/process/jobs/gang_takeover_test.go
+++ b/process/jobs/gang_takeover_test.go
@@ -11,11 +11,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-func TestHalfStartedGangOfADeadOwnerIsMadeWhole(t *testing.T) {
-	// Symptom: some tasks of a gang run and wait for the others for ever.
-	// Sequence: the owner of a shard has all reservations of a gang, starts it
-	// and dies; the start in one rack was lost.
-	// Cause: a gang with live tasks was left alone until they end.
+// TestPartiallyStartedGangOfACrashedOwnerIsRestarted guards against a gang of which
+// some tasks run and wait for the others for ever. The shard's owner has all
+// reservations of the gang, starts it and crashes, and the plan to one rack is lost. A
+// new owner must not leave the running part alone until it ends.
+func TestPartiallyStartedGangOfACrashedOwnerIsRestarted(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		gang := batch("gang", "a", 60, time.Hour)
 		gang.Kind = spec.Gang
--- a/process/jobs/handover_test.go
+++ b/process/jobs/handover_test.go
@@ -10,11 +10,11 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-func TestRefusedHandoverKeepsTheShardAtWork(t *testing.T) {
-	// Symptom: a daemon holds the claim of a shard that nobody runs; nothing of
-	// its teams starts and no result is taken until the store is back.
-	// Sequence: a shard is to be handed over while the store is down.
-	// Cause: the shard was ended although its release had failed.
+// TestFailedReleaseKeepsTheShardRunning guards against a claimed shard that does no
+// work. If the release of a shard fails because the store is down, the claim is kept,
+// so the shard must keep running. Otherwise nothing of its teams starts and no result
+// is processed until the store is reachable again.
+func TestFailedReleaseKeepsTheShardRunning(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.apply(nil, batch("b", "a", 2000, time.Second))
 		d := c.startDaemon(ctx, "d1")
@@ -26,7 +26,7 @@
 		defer cancel()
 		require.ErrorIs(t, d.manager.Releasing(releaseCtx, Resource(0)), context.DeadlineExceeded)
 		before := c.succeeded("b")
-		c.await(20*time.Second, "the shard goes on", func() bool { return c.succeeded("b") > before+100 })
+		c.await(20*time.Second, "the shard keeps running", func() bool { return c.succeeded("b") > before+100 })
 		c.store.SetFaults(kv.Faults{})
 		require.NoError(t, d.manager.Releasing(ctx, Resource(0)))
 		require.Nil(t, d.manager.shard(0))
--- a/process/jobs/idle_test.go
+++ b/process/jobs/idle_test.go
@@ -14,11 +14,10 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
+// TestShardWithoutWorkersSeldomWakes guards against an idle daemon of a cell without
+// workers using CPU time. While a job waits and no worker exists, a round ends with its
+// decisions still due, and the next one must not begin after the minimum gap.
 func TestShardWithoutWorkersSeldomWakes(t *testing.T) {
-	// Symptom: an idle daemon of a cell without workers uses processor time.
-	// Sequence: a job waits, and no worker is known yet.
-	// Cause: a round without workers ended with its answers still due, and the
-	// next one began after the least gap.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer func() { cancel(); synctest.Wait() }()
@@ -27,9 +26,9 @@
 		d := c.startDaemon(ctx, "d1")
 		d.own(0)
 		time.Sleep(5 * time.Second)
-		before := d.looks.Load()
+		before := d.snapshotReads.Load()
 		time.Sleep(10 * time.Second)
-		require.LessOrEqual(t, d.looks.Load()-before, int64(40))
+		require.LessOrEqual(t, d.snapshotReads.Load()-before, int64(40))
 		go c.publish(ctx, 20*time.Millisecond)
 		c.addRack(ctx, "r1", "z", 1, core.Times(8))
 		c.await(2*time.Second, "the job starts with the first workers", func() bool { return c.runningTasks("b") == 4 })
@@ -37,12 +36,11 @@
 	})
 }
 
-func TestNothingIsKeptOfTeamsAndStraysThatAreGone(t *testing.T) {
-	// Symptom: a daemon's memory grows with the jobs and teams of the past.
-	// Sequence: teams and their jobs come and go; attempts run beside a result
-	// that came back from a worker given up for lost.
-	// Cause: accounts were never forgotten, and the reports of attempts that
-	// are stopped beside a finished task were kept.
+// TestStateOfRemovedTeamsAndSurplusAttemptsIsFreed guards against memory use that grows
+// with removed jobs and teams. Accounts of removed teams must be freed, and so must the
+// usage reports of attempts that are stopped because their task has succeeded on a
+// worker that was declared lost.
+func TestStateOfRemovedTeamsAndSurplusAttemptsIsFreed(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		d := c.startDaemon(ctx, "d1")
 		d.own(0)
--- a/process/jobs/jobs_test.go
+++ b/process/jobs/jobs_test.go
@@ -11,8 +11,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// TestMain fixes the seed, so that each run gives the same verdict, unless one
-// is given on the command line.
+// TestMain fixes the seed, so that each run gives the same result, unless a seed is
+// given on the command line.
 func TestMain(m *testing.M) {
 	flag.Parse()
 	given := false
@@ -58,7 +58,7 @@
 		c.await(time.Minute, "all done", func() bool {
 			return c.succeeded("b1") == 200 && c.succeeded("b2") == 100 && c.succeeded("gang") == 20
 		})
-		c.await(time.Second, "service up", func() bool { return c.runningTasks("desk") == 6 })
+		c.await(time.Second, "all instances run", func() bool { return c.runningTasks("desk") == 6 })
 		t.Logf("writes %v", c.store.Counts().Put)
 	})
 }
--- a/process/jobs/load_test.go
+++ b/process/jobs/load_test.go
@@ -22,10 +22,11 @@
 	times []time.Duration // real run time of each task
 }
 
-// sizeError is how far declared run times are off, either way.
-const sizeError = 3.0
+// runTimeError is the maximum factor by which declared run times are too long or too
+// short.
+const runTimeError = 3.0
 
-// makeLoad draws jobs whose real work is the given part of the capacity.
+// makeLoad generates jobs whose real work is the given share of the capacity.
 func makeLoad(seed uint64, load float64, cores int, length time.Duration) []arrival {
 	rng := rand.New(rand.NewPCG(seed, 7))
 	var all []arrival
@@ -34,7 +35,7 @@
 		a := drawJob(rng, i)
 		a.at = time.Duration(rng.Float64() * float64(length))
 		for range a.job.Count {
-			off := math.Exp((2*rng.Float64() - 1) * math.Log(sizeError))
+			off := math.Exp((2*rng.Float64() - 1) * math.Log(runTimeError))
 			run := time.Duration(off * float64(a.job.RunTime))
 			a.times = append(a.times, run)
 			work += run.Seconds() * float64(a.job.Size.MilliCPU) / 1000
@@ -65,19 +66,19 @@
 	return string(j.Kind)
 }
 
-// naiveFIFO starts tasks strictly in order of arrival on the first worker with
-// room, without preemption or backfill, and returns the waiting times by kind.
+// naiveFIFO starts tasks strictly in order of arrival on the first worker with enough
+// capacity, without preemption or backfill, and returns the waiting times by kind.
 func naiveFIFO(load []arrival, workers, cores int) map[string][]time.Duration {
 	n := naive{free: slices.Repeat([]int{cores}, workers), waits: map[string][]time.Duration{}}
 	for i := range load {
 		a := &load[i]
 		n.advance(a.at)
 		size := int(a.job.Size.MilliCPU / 1000)
-		for a.job.Kind == spec.Gang && n.room(size) < a.job.Count {
+		for a.job.Kind == spec.Gang && n.freeSlots(size) < a.job.Count {
 			n.nextEnd()
 		}
 		for _, run := range a.times {
-			for n.room(size) < 1 {
+			for n.freeSlots(size) < 1 {
 				n.nextEnd()
 			}
 			n.start(a, size, run)
@@ -112,11 +113,11 @@
 	}
 }
 
-func (n *naive) room(size int) (places int) {
+func (n *naive) freeSlots(size int) (slots int) {
 	for _, free := range n.free {
-		places += free / size
+		slots += free / size
 	}
-	return places
+	return slots
 }
 
 func (n *naive) start(a *arrival, size int, run time.Duration) {
@@ -135,8 +136,8 @@
 	return waits[int(q*float64(len(waits)-1))]
 }
 
-// runLoad runs the load in virtual time and returns the waiting times from
-// apply to the true first start.
+// runLoad runs the load in virtual time and returns the waiting times from the apply
+// to the first start on a worker.
 func runLoad(t *testing.T, load []arrival, length time.Duration) map[string][]time.Duration {
 	waits := map[string][]time.Duration{}
 	synctest.Test(t, func(t *testing.T) {
@@ -186,8 +187,8 @@
 	return waits
 }
 
-// TestWaitingTimes compares waiting times by class with a naive FIFO scheduler
-// on the same load. Run with -v for the table.
+// TestWaitingTimes compares waiting times by class with those of a naive FIFO scheduler
+// under the same load. Run it with -v for the table.
 func TestWaitingTimes(t *testing.T) {
 	length := 90 * time.Second
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/process/jobs/local_test.go
+++ b/process/jobs/local_test.go
@@ -25,7 +25,7 @@
 		}
 		require.Positive(t, distance("r2"))
 		c.claims.Set(ownership.Resource(ownership.PartitionPrefix+"r2"), d.ref)
-		c.await(5*time.Second, "r2 is home", func() bool { return distance("r2") == 0 })
+		c.await(5*time.Second, "r2 is local", func() bool { return distance("r2") == 0 })
 		require.Positive(t, distance("r3"))
 		c.startPartition(ctx, "r2")
 		c.await(5*time.Second, "r2 is another daemon's again", func() bool { return distance("r2") > 0 })
--- a/process/jobs/old_failure_test.go
+++ b/process/jobs/old_failure_test.go
@@ -37,12 +37,12 @@
 	}
 }
 
-func TestOldFailureDoesNotFreeATaskOfATakeover(t *testing.T) {
-	// Symptom: a task runs in two places.
-	// Sequence: a task fails in one rack while the store is down and is started
-	// again in another; the owner of the shard dies; its successor hears of the
-	// failure, which was not acknowledged, before the other rack answers.
-	// Cause: the end of an older attempt was taken as the end of the task.
+// TestOldFailureDoesNotUnblockATask guards against running a task twice. A task fails
+// in one rack while the store is down and is started again in another, then the shard's
+// owner crashes. Its successor receives the unacknowledged failure before the other
+// rack has answered, and must not treat the end of the older attempt as the end of the
+// task.
+func TestOldFailureDoesNotUnblockATask(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		failed := false
 		c.runTime = func(s worker.Start) (time.Duration, worker.TaskState) {
@@ -74,19 +74,19 @@
 		next.own(0)
 		time.Sleep(20 * time.Second)
 		require.Equal(t, 1, next.tasks(ctx, "b")[TaskBlocked])
-		c.reachAll()
+		c.makeAllReachable()
 		c.await(5*time.Second, "the attempt is found", func() bool { return next.tasks(ctx, "b")[TaskRunning] == 1 })
 		require.Equal(t, 1, next.explain(ctx, "b", 0).Failures)
 		c.await(15*time.Minute, "done", func() bool { return c.succeeded("b") == 1 })
 	})
 }
 
+// TestBlockedTaskWithoutRetriesEndsWithTheTakeover guards against running a task more
+// often than its retries allow. A task without retries fails while its shard has no
+// owner, and a worker of another rack is unreachable when the new owner takes over. The
+// end of the takeover must not make the blocked task ready regardless of its failure
+// count.
 func TestBlockedTaskWithoutRetriesEndsWithTheTakeover(t *testing.T) {
-	// Symptom: a task runs more often than its retries allow.
-	// Sequence: a task without retries fails while its shard has no owner; a
-	// worker of another rack can not be reached when the new owner asks.
-	// Cause: the failure of a blocked task is counted, and the task would be
-	// freed with the takeover whatever the count.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.runTime = func(s worker.Start) (time.Duration, worker.TaskState) {
 			if s.Task.Job == "b" {
@@ -115,8 +115,8 @@
 		next.own(0)
 		time.Sleep(20 * time.Second)
 		require.Equal(t, 1, next.tasks(ctx, "b")[TaskBlocked])
-		c.reachAll()
-		c.await(5*time.Second, "the task is given up", func() bool { return next.tasks(ctx, "b")[TaskFailed] == 1 })
+		c.makeAllReachable()
+		c.await(5*time.Second, "the task has failed", func() bool { return next.tasks(ctx, "b")[TaskFailed] == 1 })
 		time.Sleep(time.Minute)
 		c.mu.Lock()
 		defer c.mu.Unlock()
--- a/process/jobs/other_shards_test.go
+++ b/process/jobs/other_shards_test.go
@@ -8,12 +8,12 @@
 	"github.com/stretchr/testify/require"
 )
 
+// TestShardLeavesTasksOfOtherShardsAlone guards against stopping tasks or losing their
+// results after the owner of their partition was replaced. The new owner does not have
+// the jobs' configuration yet and assigns their tasks to shard 0, which fences first.
+// Shard 0 must not stop or acknowledge tasks that it does not have; one of them ends in
+// the meantime.
 func TestShardLeavesTasksOfOtherShardsAlone(t *testing.T) {
-	// Symptom: tasks are stopped, or their results dropped, after the owner of
-	// their workers was replaced.
-	// Sequence: the new owner of a rack does not know the jobs yet and takes
-	// their tasks for those of shard 0, which asks first; one of them ends.
-	// Cause: a shard that stops and acknowledges whatever it does not know.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.shards = 2
 		names := teamsOfShards(2)
@@ -26,8 +26,8 @@
 			return c.runningTasks("mine") == 4 && c.runningTasks("other") == 4 && c.runningTasks("short") == 4
 		})
 		c.net.Pause(second.ref)
-		c.retag("other", 0)
-		c.retag("short", 0)
+		c.reassignTasks("other", 0)
+		c.reassignTasks("short", 0)
 		for _, rack := range []string{"r1", "r2", "r3"} {
 			c.startPartition(ctx, rack)
 		}
@@ -36,7 +36,7 @@
 		require.Equal(t, 4, c.succeeded("short"))
 		c.mu.Lock()
 		for id, r := range c.runs {
-			require.False(t, id.Job == "short" && r.acked, "a result was acknowledged that its shard has not seen")
+			require.False(t, id.Job == "short" && r.acked, "a result was acknowledged before its shard received it")
 		}
 		c.mu.Unlock()
 		c.net.Resume(second.ref)
--- a/process/jobs/partition_test.go
+++ b/process/jobs/partition_test.go
@@ -13,14 +13,14 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// fakeWorker is a VM; its tasks outlive the owners of its partition.
+// fakeWorker is a VM. Its tasks keep running when the owner of its partition changes.
 type fakeWorker struct {
 	id              worker.ID
 	partition, zone string
 	capacity        spec.Resources
 	tasks           map[worker.Ref]*fakeTask
 	dead            bool
-	unreachable     bool // for new owners: neither fenced nor listed
+	unreachable     bool // by partition owners: neither fenced nor listed
 }
 
 // fakeTask is a task that runs or whose result is not acknowledged.
@@ -28,14 +28,14 @@
 	step   plan.Step
 	shard  plan.Shard
 	event  plan.Event
-	sent   bool // the present state was delivered
+	sent   bool // the current state was delivered
 	timer  *time.Timer
 	worker *fakeWorker
 }
 
 func (t *fakeTask) ended() bool { return ended(&t.event) }
 
-type shardSeen struct{ epoch, minSeq uint64 }
+type fenceState struct{ epoch, minSeq uint64 }
 
 type fakeReservation struct {
 	shard   plan.Shard
@@ -43,7 +43,7 @@
 	expires time.Time
 }
 
-// fakePartition is an owner of a rack.
+// fakePartition is an owner of a partition, which is a rack here.
 type fakePartition struct {
 	c            *cell
 	name         string
@@ -51,7 +51,7 @@
 	caller       peer.Caller
 	cancel       context.CancelFunc
 	changed      bool
-	shards       map[plan.Shard]shardSeen
+	shards       map[plan.Shard]fenceState
 	reservations map[string]*fakeReservation
 	wake         chan struct{}
 }
@@ -80,9 +80,9 @@
 	handle(p, mux, plan.MethodFence, func(r *plan.Fence) any { return p.fence(r) })
 }
 
-// owner reports whether this is still the partition's owner. An old owner that
-// answers all the same stands for one that has not noticed yet; what it starts
-// is refused by the workers.
+// owner reports whether this is still the partition's owner. An old owner still
+// responds, like one that has not noticed its replacement, but refuses all plans, as
+// the workers would refuse its starts.
 func (p *fakePartition) owner() bool { return p.c.partitions[p.name] == p }
 
 func (p *fakePartition) admit(author plan.Authorship, seq uint64) plan.Outcome {
@@ -93,7 +93,7 @@
 	case author.Epoch < seen.epoch, author.Epoch == seen.epoch && seq < seen.minSeq:
 		return plan.Stale
 	case author.Epoch > seen.epoch:
-		p.shards[author.Shard] = shardSeen{epoch: author.Epoch}
+		p.shards[author.Shard] = fenceState{epoch: author.Epoch}
 	}
 	return plan.Accepted
 }
@@ -113,7 +113,7 @@
 	delete(p.reservations, r.Reservation)
 	result := p.all(len(r.Steps), plan.Accepted)
 	for i := range r.Steps {
-		result.Steps[i] = p.place(r, r.Steps[i])
+		result.Steps[i] = p.startOrRebind(r, r.Steps[i])
 	}
 	if p.c.committed != nil {
 		p.c.committed(p, result)
@@ -170,7 +170,7 @@
 			defer p.c.mu.Unlock()
 			p.c.crashLocked(t)
 		})
-		p.note()
+		p.markChanged()
 		return plan.Accepted
 	}
 	duration, state := p.c.runTime(s.Start)
@@ -181,7 +181,7 @@
 			p.c.endLocked(t, plan.Event{State: state})
 		})
 	}
-	p.note()
+	p.markChanged()
 	return plan.Accepted
 }
 
@@ -210,7 +210,7 @@
 	}
 }
 
-// endLocked ends a task; the event carries how.
+// endLocked ends a task with the outcome given by the event.
 func (c *cell) endLocked(t *fakeTask, how plan.Event) {
 	if t.ended() || t.worker.tasks[worker.Ref{Task: t.event.Task, Attempt: t.event.Attempt}] != t {
 		return
@@ -226,10 +226,10 @@
 	c.held[t.step.Team] = c.held[t.step.Team].Sub(t.step.Start.Size)
 	how.Task, how.Attempt, how.Worker = t.event.Task, t.event.Attempt, t.event.Worker
 	t.event, t.sent = how, false
-	c.partitions[t.worker.partition].note()
+	c.partitions[t.worker.partition].markChanged()
 }
 
-func (p *fakePartition) note() {
+func (p *fakePartition) markChanged() {
 	p.changed = true
 	select {
 	case p.wake <- struct{}{}:
@@ -291,7 +291,7 @@
 	if p.admit(r.Author, ^uint64(0)) != plan.Accepted {
 		panic("stale fence in a test")
 	}
-	p.shards[r.Author.Shard] = shardSeen{epoch: r.Author.Epoch, minSeq: r.MinSeq}
+	p.shards[r.Author.Shard] = fenceState{epoch: r.Author.Epoch, minSeq: r.MinSeq}
 	for _, w := range p.c.workers {
 		if w.partition == p.name && w.unreachable {
 			reply.Unaccounted = append(reply.Unaccounted, w.id)
@@ -317,7 +317,7 @@
 	}
 }
 
-// takeOverLocked learns what the workers hold, as a new owner does.
+// takeOverLocked makes the owner report the state of all tasks, like a new owner.
 func (p *fakePartition) takeOverLocked() {
 	p.eachTask(func(t *fakeTask) { t.sent = false })
 }
@@ -344,7 +344,7 @@
 	return s
 }
 
-// killWorker ends a VM with all that it runs and holds.
+// killWorker removes a VM with its running tasks and unacknowledged results.
 func (c *cell) killWorker(id worker.ID) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -357,10 +357,10 @@
 			c.endLocked(t, plan.Event{State: worker.Running, Lost: true})
 		}
 	}
-	c.partitions[w.partition].note()
+	c.partitions[w.partition].markChanged()
 }
 
-// sendEvents sends every state that was not received yet, until it is.
+// sendEvents sends every state that was not delivered yet, and repeats it until it is.
 func (p *fakePartition) sendEvents(ctx context.Context) {
 	for ctx.Err() == nil {
 		if p.sendOnce(ctx) {
--- a/process/jobs/progress/progress_test.go
+++ b/process/jobs/progress/progress_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// mapStore is a store whose answers get lost at random.
+// mapStore is a store in memory that fails writes and loses their responses at random.
 type mapStore struct {
 	items map[string]store.Item
 	rev   store.Revision
@@ -70,7 +70,7 @@
 	return data
 }
 
-// TestJobKeepsEverything compares the bitmaps with plain maps.
+// TestJobKeepsEverything compares encoded and decoded bitmaps with plain maps.
 func TestJobKeepsEverything(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		j, failures := NewJob("j", 3), map[uint32]int{}
@@ -97,13 +97,12 @@
 	})
 }
 
-// TestTakeoverStopsTheOldWriter lets owners write and be superseded at random
-// over a store that loses answers; what a Flush reported durable is never lost
-// and an old owner never writes after the takeover.
+// TestTakeoverStopsTheOldWriter lets owners write and be superseded at random over a
+// store that loses responses. Progress that a Flush reported durable is never lost, and
+// an old owner never writes after the takeover. It guards against rerunning tasks that
+// were done and acknowledged: pages that the takeover reads but does not rewrite could
+// be changed by the old owner afterwards.
 func TestTakeoverStopsTheOldWriter(t *testing.T) {
-	// Symptom: tasks reported done and acknowledged run again after a takeover.
-	// Sequence: the old owner writes a page after the new one has read it.
-	// Cause: pages that the takeover reads and does not rewrite.
 	rapid.Check(t, func(rt *rapid.T) {
 		ctx := context.Background()
 		handle := newMapStore(rapid.Uint64().Draw(rt, "seed"))
--- a/process/jobs/queue/queue_test.go
+++ b/process/jobs/queue/queue_test.go
@@ -14,7 +14,7 @@
 
 var classList = []spec.Class{spec.Low, spec.Normal, spec.High, spec.Urgent}
 
-// naiveNext scans all entries for the one that Round.Next must return.
+// naiveNext finds the entry that Round.Next must return by scanning all entries.
 func naiveNext(entries []*Entry[int], share map[string]float64, skipped func(*Entry[int]) bool) *Entry[int] {
 	var best *Entry[int]
 	better := func(a, b *Entry[int]) bool {
@@ -37,8 +37,8 @@
 	return best
 }
 
-// TestRoundAgainstFullScan compares the queue with a scan of all entries while
-// tasks are served, refused and removed at random.
+// TestRoundAgainstFullScan compares the queue with a scan of all entries while entries
+// are served, skipped and removed at random.
 func TestRoundAgainstFullScan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := New[int]()
--- a/process/jobs/rebind_test.go
+++ b/process/jobs/rebind_test.go
@@ -14,9 +14,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// place starts a step, and where it may on another worker: when its own does
-// not take it, and now and then for no reason.
-func (p *fakePartition) place(r *plan.Plan, s plan.Step) plan.StepResult {
+// startOrRebind starts a step, if allowed on another worker: when the planned one has
+// no capacity, and at random.
+func (p *fakePartition) startOrRebind(r *plan.Plan, s plan.Step) plan.StepResult {
 	moves := r.MayRebind && len(s.Victims) == 0
 	result := plan.StepResult{Outcome: plan.NoRoom}
 	if !moves || p.c.rng.IntN(5) > 0 {
@@ -51,9 +51,9 @@
 	return ids
 }
 
-// rebindReserved finds another worker for a step of a gang whose own has no
-// room, and returns it. Moving a step that fits would take the place that was
-// planned for another one of a gang that just fits.
+// rebindReserved returns another worker for a step of a gang if the planned one has no
+// capacity. Moving a step that fits could take the capacity that is planned for
+// another step of a gang that just fits.
 func (p *fakePartition) rebindReserved(r *plan.Reserve, s *plan.Step) worker.ID {
 	takes := func(id worker.ID) bool {
 		w := p.c.workers[id]
@@ -77,12 +77,11 @@
 	return j
 }
 
+// TestLostAnswerOfAReboundStart guards against running a task twice. The owner of a
+// rack starts a task on another worker than planned and crashes before its response
+// arrives, and its successor cannot reach that worker. Not only the planned worker
+// counts as one on which the task may run.
 func TestLostAnswerOfAReboundStart(t *testing.T) {
-	// Symptom: a task runs twice.
-	// Sequence: the owner of a rack starts a task on another worker than the
-	// plan names and dies before its answer arrives; its successor can not
-	// reach that worker.
-	// Cause: only the worker named in the plan counted as where it may run.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		moved := 0
 		c.committed = func(_ *fakePartition, result *plan.Result) {
@@ -104,17 +103,16 @@
 		c.setUnreachable("r1-w0", true)
 		c.startPartition(ctx, "r1")
 		c.net.Heal("p-r1", "d1")
-		time.Sleep(15 * time.Second) // a start beside a running task is a problem of the cell
+		time.Sleep(15 * time.Second) // a second start of a running task would be recorded as a problem
 		c.setUnreachable("r1-w0", false)
 		c.await(2*time.Minute, "all done", func() bool { return d.tasks(ctx, "b")[TaskDone] == 30 })
 	})
 }
 
-func TestReboundTaskIsKnownWhereItRuns(t *testing.T) {
-	// Symptom: explain names a worker that does not run the task; the planner
-	// counts it where it is not.
-	// Sequence: a start is rebound.
-	// Cause: the answer's worker was not taken.
+// TestReboundTaskIsRecordedWhereItRuns guards against ignoring the worker named in the
+// response to a rebound start: explain would name a worker that does not run the task,
+// and the planner would charge the wrong worker.
+func TestReboundTaskIsRecordedWhereItRuns(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.apply(nil, inRack(batch("b", "a", 24, time.Hour), "r1"))
 		d := c.startDaemon(ctx, "d1")
@@ -142,11 +140,10 @@
 	})
 }
 
-func TestExplainTellsWhyAWorkerIsLeftAlone(t *testing.T) {
-	// Symptom: explain says that there is no room on workers that are idle.
-	// Sequence: the owner of a rack takes no plans, because its claim is newer
-	// than what it has listed.
-	// Cause: such workers were counted as full.
+// TestExplainGivesTheReasonForAvoidingAWorker guards against explain reporting idle
+// workers as full. The owner of a rack accepts no plans yet because its claim is newer
+// than its last fence reply, and explain must give that reason.
+func TestExplainGivesTheReasonForAvoidingAWorker(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		d := c.startDaemon(ctx, "d1")
 		d.own(0)
@@ -165,8 +162,8 @@
 	})
 }
 
-// TestPlansNameTheWorkersKeptForAGang: an owner that rebinds does not know of
-// the gang.
+// TestPlansNameTheWorkersKeptForAGang checks that plans list the workers kept for a
+// gang, since a partition owner that rebinds does not have the gang.
 func TestPlansNameTheWorkersKeptForAGang(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		d := c.startDaemon(ctx, "d1")
@@ -191,12 +188,12 @@
 			}
 		}
 		c.await(2*time.Minute, "gang done", func() bool { return c.succeeded("g") == 60 })
-		require.Empty(t, d.shardState(ctx))
+		require.Empty(t, d.keptWorkersOf(ctx))
 	})
 }
 
-// shardState returns the workers that shard 0 still keeps for a gang.
-func (d *daemon) shardState(ctx context.Context) (kept map[string][]worker.ID) {
+// keptWorkersOf returns the workers that shard 0 still keeps for a gang.
+func (d *daemon) keptWorkersOf(ctx context.Context) (kept map[string][]worker.ID) {
 	_ = d.manager.shard(0).call(ctx, func(st *state) { kept = st.round.kept })
 	return kept
 }
--- a/process/jobs/scenario_test.go
+++ b/process/jobs/scenario_test.go
@@ -30,12 +30,11 @@
 	return nil
 }
 
+// TestUnreachableWorkerHoldsBackOnlyWhatMayRunThere guards against two faults after the
+// crash of the owner of a shard and a rack while one worker of the rack is unreachable:
+// starting nothing until that worker answers, and running a task twice. A new owner
+// must distinguish the tasks that were never started.
 func TestUnreachableWorkerHoldsBackOnlyWhatMayRunThere(t *testing.T) {
-	// Symptom: after the death of a daemon nothing starts until the last
-	// worker answers, or a task runs twice.
-	// Sequence: the owner of the shard and of a rack dies while one worker of
-	// the rack can not be reached.
-	// Cause: a new owner that can not tell which tasks were never started.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.tuning.StartAhead = 128
 		c.apply(nil, batch("b", "a", 2000, 4*time.Second))
@@ -53,15 +52,16 @@
 		t.Logf("first new start %v after the claim", time.Since(at))
 		require.Positive(t, next.tasks(ctx, "b")[TaskBlocked])
 		c.setUnreachable("r2-w1", false)
-		c.await(time.Minute, "nothing is held back", func() bool { return next.tasks(ctx, "b")[TaskBlocked] == 0 })
+		c.await(time.Minute, "no task is blocked", func() bool { return next.tasks(ctx, "b")[TaskBlocked] == 0 })
 		c.await(5*time.Minute, "all done", func() bool { return c.succeeded("b") == 2000 })
 	})
 }
 
+// TestNonIdempotentTaskWithLostWorkerIsNotStartedAgain guards against running a
+// non-idempotent task twice, for example issuing a certificate twice. A worker fails
+// with such a task and then the shard's owner crashes; a task of unknown outcome must
+// not be treated as one that never ran.
 func TestNonIdempotentTaskWithLostWorkerIsNotStartedAgain(t *testing.T) {
-	// Symptom: a certificate is issued twice.
-	// Sequence: a worker dies with a non-idempotent task; its owner dies, too.
-	// Cause: a task of unknown outcome that is taken for one that never ran.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		j := batch("cert", "a", 96, 20*time.Second)
 		j.NonIdempotent = true
@@ -70,7 +70,7 @@
 		d.own(0)
 		c.await(10*time.Second, "tasks run", func() bool { return c.runningTasks("cert") == 96 })
 		c.killWorker("r1-w0")
-		c.await(5*time.Second, "loss seen", func() bool { return d.tasks(ctx, "cert")[TaskUnknown] == 8 })
+		c.await(5*time.Second, "the loss is recorded", func() bool { return d.tasks(ctx, "cert")[TaskUnknown] == 8 })
 		d.kill()
 		next := c.startDaemon(ctx, "d2")
 		next.own(0)
@@ -79,11 +79,10 @@
 	})
 }
 
+// TestCancelWaveDoesNotDelayUrgentStarts guards against urgent work waiting behind many
+// cancellations. A version cancels 50,000 tasks and adds an urgent job; a cancellation
+// must not visit each waiting task.
 func TestCancelWaveDoesNotDelayUrgentStarts(t *testing.T) {
-	// Symptom: urgent work waits behind a wave of cancellations.
-	// Sequence: 50,000 tasks are cancelled in the version that brings an
-	// urgent job.
-	// Cause: a cancellation that visits each waiting task.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.apply(nil, batch("wave", "a", 50_000, time.Hour))
 		d := c.startDaemon(ctx, "d1")
@@ -99,11 +98,10 @@
 	})
 }
 
+// TestLossOfARackBringsServicesBackFirst guards against flooding the partition owners
+// after the loss of a rack of a full cell, which delays the restart of services. The
+// lost tasks must not all start again at once in arbitrary order.
 func TestLossOfARackBringsServicesBackFirst(t *testing.T) {
-	// Symptom: after the loss of a rack the workers' owners are flooded and
-	// services come back late.
-	// Sequence: a rack of a full cell dies.
-	// Cause: all lost tasks start again at once, in any order.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		desk := spec.Job{Name: "desk", Team: "a", Kind: spec.Service, Count: 12, Size: core,
 			Service: &spec.ServiceSettings{Slots: 8, Connections: 64}}
@@ -123,10 +121,10 @@
 	})
 }
 
+// TestJobThatFailsEverywhereStopsAtItsOwnCap guards against a job that takes starts
+// from all others because all its tasks fail at once on every worker. Retries need a
+// limit and a delay.
 func TestJobThatFailsEverywhereStopsAtItsOwnCap(t *testing.T) {
-	// Symptom: a job whose tasks always fail takes starts from all others.
-	// Sequence: every task of it fails at once, on every worker.
-	// Cause: retries without a cap or a pause.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.runTime = func(s worker.Start) (time.Duration, worker.TaskState) {
 			if s.Task.Job == "bad" {
@@ -148,11 +146,10 @@
 	})
 }
 
+// TestInfeasibleJobIsToldAtOnce guards against an infeasible job that waits without a
+// reason and blocks the jobs behind it. The first job of a team asks for more than any
+// VM has; the queue must not wait for its head.
 func TestInfeasibleJobIsToldAtOnce(t *testing.T) {
-	// Symptom: a job that can never run waits without a word and holds up the
-	// jobs behind it.
-	// Sequence: the first job of a team asks for more than any VM has.
-	// Cause: a queue that waits for its head.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		huge := batch("huge", "a", 3, time.Second)
 		huge.Size = core.Times(9)
@@ -174,7 +171,7 @@
 	})
 }
 
-// teamsOfShards returns a team of each shard.
+// teamsOfShards returns the name of one team for each shard.
 func teamsOfShards(n int) []string {
 	teams := make([]string, n)
 	for i := 0; ; i++ {
@@ -192,10 +189,10 @@
 	}
 }
 
+// TestTeamsOfDifferentShardsShareByWeight guards against a team that holds the whole
+// cell because its shard was first. Two teams of shards on two daemons have more work
+// than fits; shards must take the teams of other shards into account.
 func TestTeamsOfDifferentShardsShareByWeight(t *testing.T) {
-	// Symptom: the team whose shard came first holds the whole cell.
-	// Sequence: two teams on two daemons have more work than fits.
-	// Cause: shards that know only their own teams.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.shards = 2
 		names := teamsOfShards(2)
@@ -218,11 +215,10 @@
 	})
 }
 
+// TestGangStartsBesideEndlessSmallWork guards against a gang that waits for ever
+// because small tasks take all capacity as it is freed. Capacity must be kept for the
+// gang, without stopping all small tasks while it waits.
 func TestGangStartsBesideEndlessSmallWork(t *testing.T) {
-	// Symptom: a gang waits for ever.
-	// Sequence: small tasks take each piece of room as it comes free.
-	// Cause: nothing keeps room for the gang; or, the other way, all of the
-	// small work stops while it waits.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		gang := batch("gang", "b", 60, 5*time.Second)
 		gang.Kind = spec.Gang
@@ -235,14 +231,14 @@
 		waited := time.Since(at)
 		t.Logf("the gang waited %v, %d small tasks ended meanwhile", waited, c.succeeded("small")-done)
 		require.Less(t, waited, 30*time.Second)
-		c.await(time.Minute, "small work goes on", func() bool { return c.succeeded("small") > done+200 })
+		c.await(time.Minute, "small tasks continue", func() bool { return c.succeeded("small") > done+200 })
 	})
 }
 
+// TestTwoGangsOfTwoShardsBothFinish guards against a deadlock of two gangs on two
+// daemons, each larger than half of the cell, that both hold some reservations and wait
+// for the rest.
 func TestTwoGangsOfTwoShardsBothFinish(t *testing.T) {
-	// Symptom: two gangs hold a part each and wait for the rest for ever.
-	// Sequence: two gangs on two daemons, each larger than half of the cell.
-	// Cause: reservations that are held while others are waited for.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.shards = 2
 		names := teamsOfShards(2)
@@ -257,10 +253,10 @@
 	})
 }
 
+// TestRollingReplacementKeepsInstancesUp guards against a changed service with too few
+// or too many instances, also when its owner crashes during the replacement. Old
+// instances must not be stopped before new ones run.
 func TestRollingReplacementKeepsInstancesUp(t *testing.T) {
-	// Symptom: a changed service has no instances for a while, or too many.
-	// Sequence: the service is changed, and its owner dies on the way.
-	// Cause: old instances that are stopped before new ones run.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		desk := spec.Job{Name: "desk", Team: "a", Kind: spec.Service, Count: 10, Size: core,
 			Service: &spec.ServiceSettings{Slots: 8, Connections: 64, MaxUnavailable: 2}}
@@ -298,11 +294,10 @@
 	})
 }
 
-func TestDelayedReportDoesNotBringATaskBack(t *testing.T) {
-	// Symptom: a task counts as running for ever though it has ended.
-	// Sequence: the report of its start is delayed and comes after the report
-	// of its end, over a takeover.
-	// Cause: any report of a running task makes it live.
+// TestDelayedReportDoesNotMakeATaskLive guards against a task that counts as running
+// for ever after its end. The report of its start is delayed over a takeover and
+// arrives after that of its end; it must not make the task live.
+func TestDelayedReportDoesNotMakeATaskLive(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.apply(nil, batch("b", "a", 1, time.Second))
 		d := c.startDaemon(ctx, "d1")
--- a/process/jobs/shardcount_test.go
+++ b/process/jobs/shardcount_test.go
@@ -11,10 +11,10 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
+// TestAnotherNumberOfShardsStartsNothing guards against starting finished tasks again,
+// including those that must start only once. Progress is stored by shard number, so
+// daemons that restart with another setting for shards must not serve any.
 func TestAnotherNumberOfShardsStartsNothing(t *testing.T) {
-	// Symptom: finished tasks start again, also of jobs that must start once.
-	// Sequence: the setting shards is changed and the daemons restart.
-	// Cause: the progress is kept by the number of the shard.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		j := batch("cert", teamsOfShards(2)[1], 20, time.Second)
 		j.NonIdempotent = true
@@ -35,16 +35,16 @@
 		c.shards = 1
 		d = c.startDaemon(ctx, "d3")
 		d.own(0)
-		c.await(5*time.Second, "the progress is found", func() bool { return d.tasks(ctx, "cert")[TaskDone] == 20 })
+		c.await(5*time.Second, "the stored progress is used", func() bool { return d.tasks(ctx, "cert")[TaskDone] == 20 })
 		require.Len(t, d.manager.Resources(), 1)
 		require.Zero(t, c.metrics.ShardsDiffer.Value())
 	})
 }
 
+// TestDaemonsThatStartTogetherAgreeOnTheShards guards against two daemons serving
+// shards with different settings. They start at the same time in a new cell whose store
+// was down, so the number of shards must be written with compare-and-swap.
 func TestDaemonsThatStartTogetherAgreeOnTheShards(t *testing.T) {
-	// Symptom: two daemons with different settings both serve shards.
-	// Sequence: they start at once in a new cell whose store was down.
-	// Cause: a number that is read and then written without compare-and-swap.
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.store.SetFaults(kv.Faults{Down: true})
 		var daemons []*daemon
