--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -87,7 +87,7 @@
 	tokens    float64
 	tokensAt  time.Duration
 	submitted bool
-	beyond    uint64 // submissions that exceeded the entitlement
+	over      uint64 // submissions that exceeded the entitlement
 	// late and all are the work of recently ended jobs, of the late ones and of all,
 	// decaying since workAt.
 	late, all float64
@@ -142,7 +142,7 @@
 	a.tokens = min(most, a.tokens+rate*max(at-a.tokensAt, 0).Seconds())
 	a.tokensAt = max(a.tokensAt, at)
 	if a.tokens < 1 {
-		a.beyond++
+		a.over++
 		return false
 	}
 	a.tokens--
@@ -152,7 +152,7 @@
 // Beyond returns how many submissions of the account exceeded its entitlement.
 func (b *Book) Beyond(name string) uint64 {
 	if a := b.accounts[name]; a != nil {
-		return a.beyond
+		return a.over
 	}
 	return 0
 }
@@ -215,9 +215,9 @@
 // relative to its weight as all accounts together, and less for one that uses more.
 func (b *Book) dominantAdvance(name string, now time.Duration) float64 {
 	a := b.account(name)
-	usual := b.used * decay(now-b.usedAt, useDecay) / b.weights
-	if usual <= 0 {
+	average := b.used * decay(now-b.usedAt, useDecay) / b.weights
+	if average <= 0 {
 		return 0
 	}
-	return max(-1, 1-a.use*decay(now-a.useAt, useDecay)/a.weight/usual)
+	return max(-1, 1-a.use*decay(now-a.useAt, useDecay)/a.weight/average)
 }
--- a/process/jobs/cell_test.go
+++ b/process/jobs/cell_test.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// apply puts a configuration in force; jobs that did not change keep their
+// apply applies a configuration; jobs that did not change keep their
 // generation.
 func (c *cell) apply(teams []spec.Team, jobs ...spec.Job) {
 	c.config.mu.Lock()
--- a/process/jobs/commit.go
+++ b/process/jobs/commit.go
@@ -19,8 +19,7 @@
 	limiter *rate.Limiter
 	gather  time.Duration
 	writing bool
-	// err is the final error of a write, ErrSuperseded or that of a context; it
-	// ends the loop.
+	// err is set when the shard was superseded, which ends the loop.
 	err error
 
 	dirty map[*job]struct{}
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -24,7 +24,7 @@
 	unready, unanswered int
 	failed              bool
 	reason              string
-	// asked are the partitions that may hold a reservation.
+	// asked holds the partitions that may have reserved capacity.
 	asked []*partition
 }
 
--- a/process/jobs/local.go
+++ b/process/jobs/local.go
@@ -9,22 +9,23 @@
 // prefers them, so that shards of different daemons that decide at the same time
 // seldom choose the same worker.
 func (st *state) updateLocalPartitions() {
-	var home []string
+	var local []string
 	for _, p := range st.partitions {
 		if p.known && p.owner.Owner == st.o.Self {
-			home = append(home, p.name)
+			local = append(local, p.name)
 		}
 	}
-	slices.Sort(home)
-	if slices.Equal(home, st.round.localPartitions) {
+	slices.Sort(local)
+	if slices.Equal(local, st.round.localPartitions) {
 		return
 	}
-	st.round.localPartitions = home
+	st.round.localPartitions = local
 	st.preferLocalPartitions()
 }
 
-// preferLocalPartitions passes them to the planner, if it exists yet. The name
-// gives each shard an order of its own for the partitions of other daemons.
+// preferLocalPartitions passes the local partitions to the planner, if there is
+// one yet. The name gives each shard an order of its own for the partitions of
+// other daemons.
 func (st *state) preferLocalPartitions() {
 	if st.round.planner != nil {
 		st.round.planner.Prefer(fmt.Sprint("shard-", st.shard.number), st.round.localPartitions)
--- a/process/jobs/report.go
+++ b/process/jobs/report.go
@@ -31,7 +31,7 @@
 // codeUnknownJob carries ErrUnknownJob over a peer call.
 const codeUnknownJob = "unknown_job"
 
-// TaskState is the state of a task as operators see it.
+// TaskState is the state of a task as reported to operators.
 type TaskState string
 
 // States of tasks.
@@ -48,7 +48,7 @@
 )
 
 // ExplainRequest asks about one task, or about the next waiting task of a job
-// when Index is negative. Generation 0 stands for the one in force.
+// when Index is negative. Generation 0 stands for the current one.
 type ExplainRequest struct {
 	Job        string `cbor:"1,keyasint"`
 	Generation uint64 `cbor:"2,keyasint"`
@@ -135,9 +135,8 @@
 }
 
 // Explain returns the state of a task with its reason, from the owner of its
-// shard.
-// A negative index stands for the next waiting task, generation 0 for the one
-// in force. It fails with ErrUnknownJob or ErrNoOwner.
+// shard. A negative index stands for the next waiting task, generation 0 for the
+// current one. It fails with ErrUnknownJob or ErrNoOwner.
 func (m *Manager) Explain(ctx context.Context, task spec.TaskID) (Explanation, error) {
 	declared := m.options.Config.Current().Jobs[task.Job]
 	if declared == nil {
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -192,7 +192,7 @@
 	ask := st.ask(j, index, st.attemptNumber(j, index))
 	d := st.round.planner.Place(ask)
 	if !d.Placed() && len(ask.Avoid) > 0 {
-		delete(j.avoid, index) // no other worker has room: retry on the avoided ones
+		delete(j.avoid, index) // no other worker has capacity: retry on the avoided ones
 		ask.Avoid = nil
 		d = st.round.planner.Place(ask)
 	}
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -56,8 +56,8 @@
 	return true
 }
 
-// send sends what is in the outboxes, except where a call of the same kind is in
-// flight already.
+// send sends what is in the outboxes of the partitions that have an owner, unless
+// a call of the same kind to the partition is in flight.
 func (st *state) send(now time.Time) {
 	st.fenceAll(now)
 	for _, p := range st.partitions {
--- a/process/plan/plan.go
+++ b/process/plan/plan.go
@@ -86,7 +86,7 @@
 	Duplicate Outcome = "duplicate"  // the task already runs or is starting here
 	Stale     Outcome = "stale"      // the author's epoch is not the newest
 	NotOwner  Outcome = "not_owner"  // this daemon does not own the partition
-	NotFenced Outcome = "not_fenced" // the takeover is still under way
+	NotFenced Outcome = "not_fenced" // the takeover is still in progress
 )
 
 // StepResult is the result of one step of a Plan or Reserve.
