--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -12,23 +12,24 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// gangTry is one try to reserve room for all tasks of a gang. It holds nothing
-// while it waits: a reservation that one partition refuses releases the others.
+// gangTry is one attempt to reserve capacity for all tasks of a gang. It never
+// holds capacity while it waits for more: if one partition refuses its
+// reservation, the others are released.
 type gangTry struct {
 	job         *job
 	reservation string
 	attempts    []*attempt
-	// unready counts attempts whose intent is not durable yet, unanswered the
-	// reservations without an answer.
+	// unready counts the attempts whose intent is not durable yet, unanswered
+	// the reservation calls in flight.
 	unready, unanswered int
 	failed              bool
 	reason              string
-	// asked are the partitions that may hold a reservation.
+	// asked holds the partitions that may have reserved capacity.
 	asked []*partition
 }
 
 // serveGang tries to place all unfinished tasks of a gang at once and reports
-// whether reservations are asked for.
+// whether it has started to reserve capacity for them.
 func (st *state) serveGang(e *queue.Entry[*job], now time.Time) bool {
 	j := e.Value
 	remaining := j.spec.Count - j.record.FinishedCount()
@@ -47,7 +48,7 @@
 	d := st.round.planner.PlaceGang(asks)
 	if !d.Placed {
 		if d.Infeasible == "" {
-			st.wantProtection(j, asks, now)
+			st.offerGang(j, asks, now)
 		}
 		st.refuseJob(e, d.Rejections, d.Infeasible)
 		return false
@@ -80,7 +81,7 @@
 	for i, a := range try.attempts {
 		st.round.planner.Assume(asks[i], d.Decisions[i])
 		if err := st.account(j).Charge(quota.Size(a.size)); err != nil {
-			st.violated("quota checked and then exceeded: %v", err)
+			st.violated("charge exceeds the quota although it was checked: %v", err)
 		}
 		st.makeLive(a)
 	}
@@ -89,8 +90,8 @@
 	}
 }
 
-// gangReady notes that an attempt of a try waits for no write; with the last
-// one the reservations are asked for.
+// gangReady records that an attempt needs no write before it may be sent. After
+// the last attempt of the gang it requests the reservations.
 func (st *state) gangReady(a *attempt) {
 	a.phase = reserving
 	try := a.job.gang
@@ -107,7 +108,7 @@
 	for _, a := range try.attempts {
 		p := st.partition(a.partition)
 		if !st.usable(p) {
-			st.endTry(try, "owner of the workers not reachable")
+			st.abortTry(try, "owner of the workers not reachable")
 			return
 		}
 		groups[p] = append(groups[p], a)
@@ -122,8 +123,8 @@
 func (st *state) askReservation(try *gangTry, p *partition, attempts []*attempt) {
 	request := plan.Reserve{
 		Partition: p.name, Author: st.author(), Reservation: try.reservation, Seq: st.shard.seq.Add(1),
-		TTLMillis: st.o.Tuning.GangHold.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
-		MayRebind: true, Kept: st.keptFrom(try.job, p),
+		TTLMillis: st.o.Tuning.GangReservationTTL.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
+		MayRebind: true, Kept: st.keptWorkers(try.job, p),
 	}
 	for i, a := range attempts {
 		request.Steps[i] = step(a)
@@ -138,11 +139,11 @@
 			if result.Steps[i].Outcome != plan.Accepted {
 				try.fail(reasonOf(&result.Steps[i]))
 			} else if i < len(attempts) && try.job.gang == try {
-				st.placed(attempts[i], result.Steps[i].Worker)
+				st.setWorker(attempts[i], result.Steps[i].Worker)
 			}
 		}
 		if try.unanswered == 0 {
-			st.reservationsAnswered(try)
+			st.handleReservations(try)
 		}
 	})
 }
@@ -153,16 +154,17 @@
 	}
 }
 
-// reservationsAnswered starts the whole gang or gives every reservation back.
-func (st *state) reservationsAnswered(try *gangTry) {
+// handleReservations starts the whole gang, or releases all reservations if one
+// was refused.
+func (st *state) handleReservations(try *gangTry) {
 	if try.job.gang != try {
 		return
 	}
 	if try.failed {
-		st.endTry(try, try.reason)
+		st.abortTry(try, try.reason)
 		return
 	}
-	st.gotRoom(try.job)
+	st.endProtection(try.job)
 	try.job.gang, try.job.tries = nil, 0
 	for _, a := range try.attempts {
 		if try.job.live[a.index] == a {
@@ -171,39 +173,39 @@
 	}
 }
 
-// endTry gives all reservations back and tries again after a random pause. The
-// pause shrinks with the age of the gang, so that of two gangs which keep
-// refusing each other the older one soon comes first.
-func (st *state) endTry(try *gangTry, reason string) {
+// abortTry releases all reservations and schedules the next attempt after a
+// random delay. The delay decreases with the age of the gang, so that of two
+// gangs that repeatedly block each other the older one soon succeeds.
+func (st *state) abortTry(try *gangTry, reason string) {
 	j := try.job
 	try.fail(reason)
 	j.gang = nil
 	for _, p := range try.asked {
 		release := plan.ReleaseReservation{Partition: p.name, Author: st.author(), Reservation: try.reservation}
-		// A release that is lost costs room until the reservation expires.
+		// If the release is lost, the capacity is reserved until its TTL expires.
 		st.callOwner(p.owner, plan.MethodRelease, &release, nil, func(*state, error) {})
 	}
 	j.tries++
 	j.nextTry = time.Now().Add(st.gangPause(j))
 	for _, a := range try.attempts {
 		if j.live[a.index] == a {
-			st.notStarted(a, reason)
+			st.revertStart(a, reason)
 		}
 	}
 	st.o.Metrics.GangRetries.Add(1)
 }
 
-// oldGang is the age at which a gang's pauses are halved.
-const oldGang = 10 * time.Second
+// pauseHalvingAge is the age at which a gang's retry delay is halved.
+const pauseHalvingAge = 10 * time.Second
 
 func (st *state) gangPause(j *job) time.Duration {
-	age := float64(time.Since(j.arrived)) / float64(oldGang)
+	age := float64(time.Since(j.arrived)) / float64(pauseHalvingAge)
 	mean := float64(st.o.Tuning.GangRetry) * float64(min(j.tries, 8)) / (1 + age)
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
 
-// failGang stops the rest of a gang after one of its tasks has ended without
-// success: the others make no progress and only hold room.
+// failGang stops the remaining tasks of a gang after one of them has ended
+// without success: they would hold capacity without making progress.
 func (st *state) failGang(j *job, reason string) {
 	if j.spec.Kind != spec.Gang || j.failing {
 		return
@@ -211,22 +213,23 @@
 	j.failing = true
 	defer func() { j.failing = false }()
 	if j.gang != nil {
-		st.endTry(j.gang, reason)
+		st.abortTry(j.gang, reason)
 	}
 	for _, a := range j.live {
 		st.stop(a)
 	}
 	if !j.record.Failed.IsEmpty() && !j.cancelled {
-		st.failRest(j)
+		st.failRemaining(j)
 	}
 }
 
-// failRest ends a gang of which a task has used up its retries.
-func (st *state) failRest(j *job) {
+// failRemaining fails the waiting tasks of a gang of which a task has used up
+// its retries.
+func (st *state) failRemaining(j *job) {
 	j.record.Failed.Or(j.ready)
 	j.record.Failed.Or(j.delayed)
 	j.ready.Clear()
 	j.delayed.Clear()
 	st.queue.Remove(j.entry)
-	st.touch(j)
+	st.markDirty(j)
 }
--- a/process/jobs/queue/queue.go
+++ b/process/jobs/queue/queue.go
@@ -1,8 +1,8 @@
 // Package queue orders the jobs that have tasks ready to start: by class, then
-// between teams by their share, then within a team by arrival. Jobs whose
-// tasks look alike to the scheduler share a shape: once one task of a shape
-// finds no worker, the others of that shape are skipped for the round, so a
-// round costs what it places plus one decision for each shape.
+// between teams by their share, then within a team by arrival. Jobs whose tasks
+// are equivalent to the scheduler have the same shape. Once a task of a shape
+// cannot be placed, the others of that shape are skipped for the round, so the
+// cost of a round is one decision for each placed task and for each shape.
 package queue
 
 import (
@@ -16,20 +16,20 @@
 // classes is the number of classes, see spec.Class.Rank.
 const classes = 4
 
-// degree of the trees.
+// degree is that of the B-trees.
 const degree = 8
 
-// Shape names tasks that fit on the same workers.
+// Shape identifies tasks that fit on the same workers.
 type Shape struct {
 	Size        spec.Resources
 	Kind        spec.Kind
 	Constraints string
-	// Job is set when tasks of this job do not look like those of any other,
-	// for example because instances are spread.
+	// Job is set when the tasks of a job are not equivalent to those of any
+	// other job, for example because its instances are spread.
 	Job string
 }
 
-// Entry is a job with ready tasks. V identifies the job to the caller.
+// Entry is a job with ready tasks. Value identifies the job to the caller.
 type Entry[V any] struct {
 	Value   V
 	Team    string
@@ -37,33 +37,34 @@
 	Shape   Shape
 	Arrival uint64
 
-	line *line[V]
+	parent *shapeQueue[V]
 }
 
 // Queued reports whether the entry is in a queue.
-func (e *Entry[V]) Queued() bool { return e.line != nil }
+func (e *Entry[V]) Queued() bool { return e.parent != nil }
 
-// line holds the entries of one shape of one team, by arrival.
-type line[V any] struct {
+// shapeQueue holds the entries of one team with the same shape, by arrival.
+type shapeQueue[V any] struct {
 	shape   Shape
 	entries *btree.BTreeG[*Entry[V]]
 	team    *teamQueue[V]
 }
 
-func (l *line[V]) head() *Entry[V] {
+func (l *shapeQueue[V]) head() *Entry[V] {
 	e, _ := l.entries.Min()
 	return e
 }
 
-// teamQueue holds the lines of one team in one class, by their head's arrival.
+// teamQueue holds the shape queues of one team in one class, by the arrival of
+// their first entries.
 type teamQueue[V any] struct {
-	name  string
-	class int
-	lines map[Shape]*line[V]
-	order *btree.BTreeG[*line[V]]
+	name        string
+	class       int
+	shapeQueues map[Shape]*shapeQueue[V]
+	order       *btree.BTreeG[*shapeQueue[V]]
 }
 
-// Queue holds entries. It belongs to one goroutine.
+// Queue holds entries. It must be used by one goroutine.
 type Queue[V any] struct {
 	teams [classes]map[string]*teamQueue[V]
 	size  [classes]int
@@ -84,7 +85,7 @@
 // Empty reports whether no entry is queued.
 func (q *Queue[V]) Empty() bool { return q.size == [classes]int{} }
 
-// Add puts an entry in; an entry already queued stays where it is.
+// Add queues an entry. It has no effect on an entry that is queued already.
 func (q *Queue[V]) Add(e *Entry[V]) {
 	if e.Queued() {
 		return
@@ -99,15 +100,15 @@
 	q.size[rank]++
 }
 
-// Remove takes an entry out.
+// Remove removes an entry if it is queued.
 func (q *Queue[V]) Remove(e *Entry[V]) {
 	if !e.Queued() {
 		return
 	}
-	team := e.line.team
+	team := e.parent.team
 	team.remove(e)
 	q.size[team.class]--
-	if len(team.lines) == 0 {
+	if len(team.shapeQueues) == 0 {
 		delete(q.teams[team.class], team.name)
 	}
 }
@@ -115,31 +116,31 @@
 func newTeamQueue[V any](name string, class int) *teamQueue[V] {
 	return &teamQueue[V]{
 		name: name, class: class,
-		lines: map[Shape]*line[V]{},
-		order: btree.NewG(degree, func(a, b *line[V]) bool { return a.head().Arrival < b.head().Arrival }),
+		shapeQueues: map[Shape]*shapeQueue[V]{},
+		order:       btree.NewG(degree, func(a, b *shapeQueue[V]) bool { return a.head().Arrival < b.head().Arrival }),
 	}
 }
 
 func (t *teamQueue[V]) add(e *Entry[V]) {
-	l := t.lines[e.Shape]
+	l := t.shapeQueues[e.Shape]
 	if l == nil {
-		l = &line[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
-		t.lines[e.Shape] = l
+		l = &shapeQueue[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
+		t.shapeQueues[e.Shape] = l
 	} else {
 		t.order.Delete(l)
 	}
 	l.entries.ReplaceOrInsert(e)
-	e.line = l
+	e.parent = l
 	t.order.ReplaceOrInsert(l)
 }
 
 func (t *teamQueue[V]) remove(e *Entry[V]) {
-	l := e.line
+	l := e.parent
 	t.order.Delete(l)
 	l.entries.Delete(e)
-	e.line = nil
+	e.parent = nil
 	if l.entries.Len() == 0 {
-		delete(t.lines, l.shape)
+		delete(t.shapeQueues, l.shape)
 		return
 	}
 	t.order.ReplaceOrInsert(l)
@@ -147,20 +148,20 @@
 
 func earlier[V any](a, b *Entry[V]) bool { return a.Arrival < b.Arrival }
 
-// Round is one pass over the queue. Entries may be added and removed while it
-// runs.
+// Round is one pass over the queue. Entries may be added and removed during the
+// pass.
 type Round[V any] struct {
 	queue   *Queue[V]
 	share   func(team string) float64
 	class   int
 	lowest  int
 	teams   teamHeap[V]
-	skipped map[*line[V]]bool
+	skipped map[*shapeQueue[V]]bool
 	shapes  map[Shape]bool
 }
 
-// NewRound starts a pass from the highest class down to lowest; share says
-// which team is served first within a class, the lowest share before others.
+// NewRound starts a pass from the highest class down to lowest. Within a class
+// the team with the lowest share is served first.
 func (q *Queue[V]) NewRound(lowest spec.Class, share func(team string) float64) *Round[V] {
 	r := &Round[V]{queue: q, share: share, class: classes, lowest: lowest.Rank()}
 	r.nextClass()
@@ -170,7 +171,7 @@
 func (r *Round[V]) nextClass() {
 	r.class--
 	r.teams = r.teams[:0]
-	r.skipped = map[*line[V]]bool{}
+	r.skipped = map[*shapeQueue[V]]bool{}
 	r.shapes = map[Shape]bool{}
 	if r.class < r.lowest {
 		return
@@ -181,8 +182,8 @@
 	heap.Init(&r.teams)
 }
 
-// Next returns the entry to serve now, or false when the round has ended. The
-// caller then calls Served, SkipShape, SkipEntry or SkipTeam, or removes the
+// Next returns the next entry to serve, or false when the round has ended. The
+// caller then calls Served, SkipShape, SkipTeamShape or SkipTeam, or removes the
 // entry.
 func (r *Round[V]) Next() (*Entry[V], bool) {
 	for r.class >= r.lowest {
@@ -201,7 +202,7 @@
 // first returns the earliest entry of the team that is not skipped.
 func (r *Round[V]) first(t *teamQueue[V]) *Entry[V] {
 	var found *Entry[V]
-	t.order.Ascend(func(l *line[V]) bool {
+	t.order.Ascend(func(l *shapeQueue[V]) bool {
 		if r.skipped[l] || r.shapes[l.shape] {
 			return true
 		}
@@ -211,7 +212,7 @@
 	return found
 }
 
-// Served tells that a task of the team was placed, so that its share changed.
+// Served updates the team's share after one of its tasks was placed.
 func (r *Round[V]) Served(team string) {
 	if len(r.teams) == 0 || r.teams[0].team.name != team {
 		return
@@ -220,25 +221,26 @@
 	heap.Fix(&r.teams, 0)
 }
 
-// SkipShape tells that no worker takes the shape in this round, in this class.
+// SkipShape skips the entry's shape for the rest of the round in this class, for
+// all teams, because no worker has capacity for it.
 func (r *Round[V]) SkipShape(e *Entry[V]) { r.shapes[e.Shape] = true }
 
-// SkipLine tells that entries of this shape of this team are not served in
-// this round, for example because the team's quota is used up.
-func (r *Round[V]) SkipLine(e *Entry[V]) {
-	if e.line != nil {
-		r.skipped[e.line] = true
+// SkipTeamShape skips the entries of this team with this shape for the rest of
+// the round, for example because the team's quota is used up.
+func (r *Round[V]) SkipTeamShape(e *Entry[V]) {
+	if e.parent != nil {
+		r.skipped[e.parent] = true
 	}
 }
 
-// SkipTeam ends the turn of the team for this class.
+// SkipTeam skips the team for the rest of the round in this class.
 func (r *Round[V]) SkipTeam(team string) {
 	if len(r.teams) > 0 && r.teams[0].team.name == team {
 		heap.Pop(&r.teams)
 	}
 }
 
-// rankedTeam is a team with its share at the time it was ranked.
+// rankedTeam is a team with its share when it was last computed.
 type rankedTeam[V any] struct {
 	team  *teamQueue[V]
 	share float64
--- a/process/jobs/queue/queue_test.go
+++ b/process/jobs/queue/queue_test.go
@@ -14,7 +14,7 @@
 
 var classList = []spec.Class{spec.Low, spec.Normal, spec.High, spec.Urgent}
 
-// naiveNext scans all entries for the one that Round.Next must return.
+// naiveNext finds the entry that Round.Next must return by scanning all entries.
 func naiveNext(entries []*Entry[int], share map[string]float64, skipped func(*Entry[int]) bool) *Entry[int] {
 	var best *Entry[int]
 	better := func(a, b *Entry[int]) bool {
@@ -37,8 +37,8 @@
 	return best
 }
 
-// TestRoundAgainstFullScan compares the queue with a scan of all entries while
-// tasks are served, refused and removed at random.
+// TestRoundAgainstFullScan compares the queue with a scan of all entries while entries
+// are served, skipped and removed at random.
 func TestRoundAgainstFullScan(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		q := New[int]()
@@ -58,14 +58,14 @@
 			class spec.Class
 			shape Shape
 		}
-		type lineOf struct {
+		type teamShape struct {
 			shapeOf
 			team string
 		}
-		shapes, lines := map[shapeOf]bool{}, map[lineOf]bool{}
+		shapes, teamShapes := map[shapeOf]bool{}, map[teamShape]bool{}
 		skipped := func(e *Entry[int]) bool {
 			s := shapeOf{e.Class, e.Shape}
-			return shapes[s] || lines[lineOf{s, e.Team}]
+			return shapes[s] || teamShapes[teamShape{s, e.Team}]
 		}
 		round := q.NewRound(spec.Low, func(team string) float64 { return share[team] })
 		for {
@@ -82,8 +82,8 @@
 				shapes[s] = true
 				round.SkipShape(got)
 			case 1:
-				lines[lineOf{s, got.Team}] = true
-				round.SkipLine(got)
+				teamShapes[teamShape{s, got.Team}] = true
+				round.SkipTeamShape(got)
 			case 2:
 				q.Remove(got)
 				require.False(rt, got.Queued())
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -11,30 +11,31 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// roundState is the pass over the queue that is under way, and when to start
-// the next one.
+// roundState is the state of the current pass over the queue, and what decides
+// when the next one starts.
 type roundState struct {
 	planner *sched.Planner
 	snap    *sched.Snapshot
 	active  *queue.Round[*job]
-	// largest is the largest VM in each dimension, used what all tasks hold.
+	// largest is the largest VM in each dimension, used what all tasks reserve.
 	largest, used spec.Resources
-	// protected is the waiting gang that capacity is kept for.
+	// protected is the waiting gang or task that capacity is kept free for.
 	protected *gangShadow
-	// wasted is the time spent in the last round on tasks that found no place.
+	// wasted is the time spent in the last round on tasks that were not placed.
 	wasted time.Duration
-	// noWorkers is set when the last look found no workers.
+	// noWorkers is set when the last snapshot had no workers.
 	noWorkers bool
-	// dirty is set when something may have changed an answer.
+	// dirty is set when something happened that may change a decision.
 	dirty                       bool
 	last, lastTick, lastRecheck time.Time
-	// refused holds workers whose owner refused a step lately, until when.
+	// refused holds the workers whose owner recently refused a step, with the
+	// time until which they are avoided.
 	refused map[worker.ID]time.Time
-	// blocked holds the workers that the planner keeps off, and why.
+	// blocked holds the workers that the planner must not use, with the reason.
 	blocked map[worker.ID]string
-	// home are the partitions that this daemon owns, sorted.
-	home []string
-	// kept lists, by partition, the workers that keep room for protected.
+	// localPartitions lists the partitions that this daemon owns, sorted.
+	localPartitions []string
+	// kept lists, by partition, the workers with capacity kept for protected.
 	kept map[string][]worker.ID
 }
 
@@ -63,7 +64,7 @@
 	}
 }
 
-// mayStart reports whether this daemon may start new work now.
+// mayStart reports whether this daemon may start new tasks now.
 func (st *state) mayStart() bool {
 	if st.releasing {
 		return false
@@ -78,35 +79,36 @@
 		return false
 	}
 	st.round.last, st.round.wasted = now, 0
-	// Without workers nothing can be answered, and the answers stay due:
-	// looking again after the least gap would keep a core busy.
+	// Without workers no decision can be made and the round stays due; starting
+	// it again after RoundGap would keep a core busy.
 	if st.round.noWorkers = snap.Len() == 0; st.round.noWorkers {
 		return false
 	}
 	if st.round.planner == nil {
 		st.round.planner = sched.NewPlanner(snap)
-		st.preferHome()
+		st.preferLocalPartitions()
 	} else {
 		st.round.planner.Rebase(snap)
 	}
 	if snap != st.round.snap {
 		st.round.snap = snap
-		st.countCapacity(snap)
+		st.updateCapacity(snap)
 	}
 	st.blockUnusable(now)
-	st.protectGang(now)
+	st.refreshProtection(now)
 	st.others.rank(now, st.accounts, st.round.used)
 	st.round.dirty = false
 	st.round.active = st.queue.NewRound(spec.Low, func(team string) float64 { return st.accounts.Share(st.accounts.Account(team)) })
 	return true
 }
 
-// wastedShare bounds the part of a core that is spent on decisions that find no
-// place to one in wastedShare: when much waits and nothing comes free, rounds
-// become rarer.
+// wastedShare is the minimum ratio between the time from one round to the next
+// and the time that a round spends on decisions that place nothing: at most one
+// part in wastedShare of a core is spent on them. When many tasks wait and no
+// capacity is freed, rounds become less frequent.
 const wastedShare = 50
 
-// nextRound returns when the next round may begin. Urgent work is not held up.
+// nextRound returns when the next round may begin. Urgent tasks are not delayed.
 func (st *state) nextRound() time.Time {
 	gap := st.o.Tuning.RoundGap
 	if st.round.noWorkers {
@@ -117,18 +119,18 @@
 	return st.round.last.Add(gap)
 }
 
-// restartRound makes the next slice begin again with the highest class.
+// restartRound makes the next slice start over with the highest class.
 func (st *state) restartRound() {
 	st.round.active = nil
 	st.round.dirty = true
 }
 
-func (st *state) countCapacity(snap *sched.Snapshot) {
+func (st *state) updateCapacity(snap *sched.Snapshot) {
 	var total, largest, used spec.Resources
 	snap.All(func(w *snapshot.Worker) bool {
 		if w.Unusable == "" {
 			total = total.Add(w.Capacity)
-			largest = atLeast(largest, w.Capacity)
+			largest = maxResources(largest, w.Capacity)
 			used = used.Add(w.Reserved)
 		}
 		return true
@@ -137,18 +139,18 @@
 	st.round.largest, st.round.used = largest, used
 }
 
-func atLeast(a, b spec.Resources) spec.Resources {
+func maxResources(a, b spec.Resources) spec.Resources {
 	return spec.Resources{
 		MilliCPU: max(a.MilliCPU, b.MilliCPU), MemoryMB: max(a.MemoryMB, b.MemoryMB),
 		Accelerators: max(a.Accelerators, b.Accelerators),
 	}
 }
 
-// resizeInterval is the time between two looks at the learned size of a job.
+// resizeInterval is the minimum time between two updates of a job's learned size.
 const resizeInterval = time.Second
 
-// resized takes a newly learned size and reports whether the job moved to
-// another place in the queue.
+// resized applies a newly learned size and reports whether this moved the job to
+// another position in the queue.
 func (st *state) resized(e *queue.Entry[*job], now time.Time) bool {
 	j := e.Value
 	if now.Sub(j.sizedAt) < resizeInterval {
@@ -179,24 +181,24 @@
 		st.queue.Remove(e)
 		return false
 	}
-	if j.service() && st.rollingHold(j) {
+	if j.service() && st.waitsForOldInstance(j) {
 		j.wait = "rolling replacement: waits for an old instance to end"
 		st.round.active.SkipShape(e)
 		return false
 	}
-	if st.resized(e, now) || !st.fitsQuota(e, j.size) || !st.paced(j, now) {
+	if st.resized(e, now) || !st.fitsQuota(e, j.size) || !st.withinStartRate(j, now) {
 		return false
 	}
 	ask := st.ask(j, index, st.attemptNumber(j, index))
 	d := st.round.planner.Place(ask)
 	if !d.Placed() && len(ask.Avoid) > 0 {
-		delete(j.avoid, index) // better there than nowhere
+		delete(j.avoid, index) // no other worker has capacity: retry on the avoided ones
 		ask.Avoid = nil
 		d = st.round.planner.Place(ask)
 	}
 	if !d.Placed() {
 		if d.Infeasible == "" {
-			st.wantRoom(j, now)
+			st.offerTask(j, now)
 		}
 		delete(st.others.yielding, j.spec.Team)
 		st.refuseJob(e, d.Rejections, d.Infeasible)
@@ -205,14 +207,14 @@
 	if st.yields(e, now) {
 		return false
 	}
-	st.gotRoom(j)
+	st.endProtection(j)
 	st.assign(j, index, &ask, &d, now)
 	st.round.active.Served(j.spec.Team)
 	return true
 }
 
-// fitsQuota reports whether the team may hold size more. A size over the whole
-// quota can never start.
+// fitsQuota reports whether the team's quota has room for size. A size that
+// exceeds the whole quota makes the job infeasible.
 func (st *state) fitsQuota(e *queue.Entry[*job], size spec.Resources) bool {
 	j := e.Value
 	if !st.account(j).CanEverFit(quota.Size(size)) {
@@ -222,16 +224,16 @@
 	if !st.account(j).Fits(quota.Size(size)) {
 		j.wait = "quota of the team is used up"
 		j.rejections = nil
-		st.round.active.SkipLine(e)
+		st.round.active.SkipTeamShape(e)
 		return false
 	}
 	return true
 }
 
-// paced reports whether a start is within the rate of the shard. Urgent work
-// and services are never held back: after the loss of a rack they go first and
-// the rest follows at a rate that the workers' owners can take.
-func (st *state) paced(j *job, now time.Time) bool {
+// withinStartRate reports whether a start is within the start rate of the shard.
+// Urgent work and services are never limited: after the loss of a rack they start
+// first, and the rest follows at a rate that the partition owners can process.
+func (st *state) withinStartRate(j *job, now time.Time) bool {
 	if j.class.Rank() >= spec.High.Rank() || st.limiter.TokensAt(now) >= 1 {
 		return true
 	}
@@ -240,7 +242,8 @@
 	return false
 }
 
-// refuseJob notes why a job's next task finds no place and skips its shape.
+// refuseJob records why a job's next task could not be placed and skips its
+// shape for this round; an infeasible job leaves the queue.
 func (st *state) refuseJob(e *queue.Entry[*job], rejections []sched.Rejection, infeasible string) {
 	j := e.Value
 	j.wait, j.rejections = "", rejections
@@ -250,14 +253,14 @@
 		return
 	}
 	if j.infeasible == "" {
-		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the workers known now")
+		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the current workers or within its quota")
 	}
 	j.infeasible = infeasible
 	st.queue.Remove(e)
 }
 
-// recheckInfeasible queues jobs again that could not run when they were last
-// tried: workers may have come or the quota may have been raised.
+// recheckInfeasible queues infeasible jobs again, since workers may have joined
+// or the quota may have been raised.
 func (st *state) recheckInfeasible(now time.Time) {
 	if now.Sub(st.round.lastRecheck) < recheckInterval {
 		return
@@ -274,10 +277,10 @@
 	}
 }
 
-// recheckInterval is the time between two tries of a job that can never run.
+// recheckInterval is the time between two attempts to place an infeasible job.
 const recheckInterval = 5 * time.Second
 
-// assign makes an attempt of a decision and queues its step.
+// assign creates the attempt for a placement decision and queues its step.
 func (st *state) assign(j *job, index uint32, ask *sched.Ask, d *sched.Decision, now time.Time) *attempt {
 	a := &attempt{
 		job: j, index: index, number: ask.Attempt, partition: d.Partition, worker: d.Worker,
@@ -286,7 +289,7 @@
 	st.limiter.AllowN(now, 1)
 	st.round.planner.Assume(*ask, *d)
 	if err := st.account(j).Charge(quota.Size(a.size)); err != nil {
-		st.violated("quota checked and then exceeded: %v", err)
+		st.violated("charge exceeds the quota although it was checked: %v", err)
 	}
 	st.makeLive(a)
 	j.wait, j.rejections, j.infeasible = "", nil, ""
@@ -294,7 +297,7 @@
 	return a
 }
 
-// makeLive moves a ready task to the live ones.
+// makeLive moves a waiting task to the live ones.
 func (st *state) makeLive(a *attempt) {
 	j := a.job
 	if j.live[a.index] != nil || j.record.Finished(a.index) {
@@ -311,7 +314,7 @@
 	st.raiseLimit(j)
 }
 
-// readySince returns since when a task could have started.
+// readySince returns the time since which a task has been ready.
 func (j *job) readySince(index uint32) time.Time {
 	if at, ok := j.requeued[index]; ok {
 		return at
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -12,24 +12,25 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// unsentLimit is how long an attempt waits for its partition to become usable
-// before its task is decided on again.
-const unsentLimit = time.Second
+// unsentTimeout is how long an attempt waits for its partition to become usable
+// before its task is placed again.
+const unsentTimeout = time.Second
 
-// groupLimit bounds the tasks of one Stop or Ack.
-const groupLimit = 1024
+// maxTasksPerCall bounds the tasks of one Stop or Ack.
+const maxTasksPerCall = 1024
 
 func contextWithTimeout(ctx context.Context, d time.Duration) (context.Context, context.CancelFunc) {
 	return context.WithTimeout(ctx, d)
 }
 
-// queueStart puts an attempt into the outbox of its partition, or has it wait
-// until the intent of its non-idempotent task is durable. Without that, a new
-// owner could not know that the task may have run, and would start it again.
+// queueStart puts an attempt into the outbox of its partition, or defers that
+// until the intent of its non-idempotent task is durable. Without a durable
+// intent, a new owner would not find out that the task may have run, and would
+// start it again.
 func (st *state) queueStart(a *attempt) {
 	if st.needsWrite(a) {
 		a.phase = intending
-		st.mark()
+		st.markPending()
 		st.commit.waiting = append(st.commit.waiting, a)
 		return
 	}
@@ -51,11 +52,12 @@
 		return false
 	}
 	a.job.record.Intent.Add(a.index)
-	st.touch(a.job)
+	st.markDirty(a.job)
 	return true
 }
 
-// send empties the outboxes as far as calls are free.
+// send sends what is in the outboxes of the partitions that have an owner, unless
+// a call of the same kind to the partition is in flight.
 func (st *state) send(now time.Time) {
 	st.fenceAll(now)
 	for _, p := range st.partitions {
@@ -76,12 +78,12 @@
 		return
 	}
 	if !st.usable(p) || !st.mayStart() {
-		if now.Sub(p.starts[0].decided) > unsentLimit || st.releasing {
+		if now.Sub(p.starts[0].decided) > unsentTimeout || st.releasing {
 			st.returnStarts(p)
 		}
 		return
 	}
-	attempts := st.takeStarts(p)
+	attempts := st.nextStarts(p)
 	if len(attempts) == 0 {
 		return
 	}
@@ -101,13 +103,13 @@
 	result := new(plan.Result)
 	st.callOwner(p.owner, plan.MethodCommit, &request, result, func(st *state, err error) {
 		p.planning = false
-		st.planAnswered(p, attempts, result, err)
+		st.handlePlanResult(p, attempts, result, err)
 	})
 }
 
-// takeStarts takes the next group out of the outbox, the highest class first.
-// Steps on a reservation go alone.
-func (st *state) takeStarts(p *partition) []*attempt {
+// nextStarts removes the attempts of the next plan from the outbox, highest class
+// first. A plan on a reservation contains only the attempts of that reservation.
+func (st *state) nextStarts(p *partition) []*attempt {
 	p.starts = slices.DeleteFunc(p.starts, func(a *attempt) bool { return a.job.live[a.index] != a })
 	slices.SortStableFunc(p.starts, func(a, b *attempt) int { return b.job.class.Rank() - a.job.class.Rank() })
 	if len(p.starts) == 0 {
@@ -126,13 +128,13 @@
 	return group
 }
 
-// returnStarts gives up attempts that were never sent.
+// returnStarts reverts the attempts that were never sent.
 func (st *state) returnStarts(p *partition) {
 	starts := p.starts
 	p.starts = nil
 	for _, a := range starts {
 		if a.job.live[a.index] == a {
-			st.notStarted(a, "owner of the workers not reachable")
+			st.revertStart(a, "owner of the workers not reachable")
 		}
 	}
 }
@@ -154,24 +156,25 @@
 	return s
 }
 
-// planAnswered takes the answer of a plan. When the call certainly did not run
-// its tasks are free again. When that is not known they stay live until the
-// partition has listed what it holds under a higher plan number.
-func (st *state) planAnswered(p *partition, attempts []*attempt, result *plan.Result, err error) {
+// handlePlanResult handles the response to a plan. If the call certainly did not
+// run, its tasks become ready again. If that is uncertain, they stay live until
+// the partition has listed its tasks in the reply to a fence with a higher
+// sequence number.
+func (st *state) handlePlanResult(p *partition, attempts []*attempt, result *plan.Result, err error) {
 	switch {
 	case err == nil && len(result.Steps) == len(attempts):
 		for i, a := range attempts {
-			st.stepAnswered(p, a, &result.Steps[i])
+			st.handleStepResult(p, a, &result.Steps[i])
 		}
 	case notRun(err):
 		for _, a := range attempts {
 			if a.job.live[a.index] == a && a.phase == sent {
-				st.notStarted(a, "owner of the workers not reachable")
+				st.revertStart(a, "owner of the workers not reachable")
 			}
 		}
 		p.fencedEpoch = 0
 	default:
-		p.doubt, p.nextFence = true, time.Time{}
+		p.unconfirmed, p.nextFence = true, time.Time{}
 		st.o.Metrics.LostAnswers.Add(1)
 		for _, a := range attempts {
 			if a.phase == sent {
@@ -182,29 +185,29 @@
 	st.round.dirty = true
 }
 
-// notRun reports whether a call certainly did not run at the other side.
+// notRun reports whether a call certainly did not run at the remote peer.
 func notRun(err error) bool {
 	return errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife) || errors.Is(err, peer.ErrNoMethod)
 }
 
-func (st *state) stepAnswered(p *partition, a *attempt, r *plan.StepResult) {
+func (st *state) handleStepResult(p *partition, a *attempt, r *plan.StepResult) {
 	if a.job.live[a.index] != a {
-		return // an event has ended it already
+		return // an event has ended the attempt already
 	}
 	switch r.Outcome {
 	case plan.Accepted:
-		st.placed(a, r.Worker)
-		st.accepted(a)
+		st.setWorker(a, r.Worker)
+		st.markAccepted(a)
 	case plan.Duplicate:
-		// Another attempt of the task is there that this owner does not know.
+		// The partition holds another attempt of the task, unknown to this owner.
 		a.phase = uncertain
-		p.doubt, p.nextFence = true, time.Time{}
+		p.unconfirmed, p.nextFence = true, time.Time{}
 	case plan.NoWorker, plan.NoRoom:
-		st.noteRefusal(a.worker)
-		st.notStarted(a, reasonOf(r))
+		st.recordRefusal(a.worker)
+		st.revertStart(a, reasonOf(r))
 	default: // Stale, NotOwner, NotFenced
 		p.fencedEpoch = 0
-		st.notStarted(a, reasonOf(r))
+		st.revertStart(a, reasonOf(r))
 	}
 }
 
@@ -215,8 +218,9 @@
 	return string(r.Outcome)
 }
 
-// placed notes the worker that a task was started on, when it was rebound.
-func (st *state) placed(a *attempt, id worker.ID) {
+// setWorker records the worker that a task was started on, which differs from
+// the planned one if the step was rebound.
+func (st *state) setWorker(a *attempt, id worker.ID) {
 	a.unplaced = false
 	if id == "" || id == a.worker {
 		return
@@ -228,7 +232,7 @@
 	}
 }
 
-func (st *state) accepted(a *attempt) {
+func (st *state) markAccepted(a *attempt) {
 	if a.phase < starting {
 		a.phase = starting
 	}
@@ -238,34 +242,34 @@
 	}
 }
 
-// notStarted frees a task whose start certainly did not happen.
-func (st *state) notStarted(a *attempt, reason string) {
+// revertStart makes a task ready again whose start certainly did not happen.
+func (st *state) revertStart(a *attempt, reason string) {
 	st.o.Metrics.Refused.Add(1)
 	st.removeLive(a)
 	st.failGang(a.job, reason)
 	if !a.stopping {
 		a.job.wait = reason
 	}
-	st.makeReadyAgain(a)
+	st.requeue(a)
 	st.afterEnd(a.job)
 }
 
-// makeReadyAgain requeues a task under the time since which it waits.
-func (st *state) makeReadyAgain(a *attempt) {
+// requeue makes a task ready again and keeps the time since which it waits.
+func (st *state) requeue(a *attempt) {
 	st.makeReady(a.job, a.index, time.Now())
 	if _, ok := a.job.requeued[a.index]; ok {
 		a.job.requeued[a.index] = a.waitingSince
 	}
 }
 
-// stop asks for the end of an attempt.
+// stop requests the end of an attempt.
 func (st *state) stop(a *attempt) {
 	if a.stopping {
 		return
 	}
 	a.stopping = true
 	if !a.phase.mayRun() {
-		st.notStarted(a, "cancelled")
+		st.revertStart(a, "cancelled")
 		return
 	}
 	st.stopping[a] = struct{}{}
@@ -280,10 +284,10 @@
 	p.stops[mode] = append(p.stops[mode], a.ref())
 }
 
-// repeatStops sends stops again whose effect has not been seen.
+// repeatStops resends stops that have had no visible effect.
 func (st *state) repeatStops(now time.Time) {
 	for a := range st.stopping {
-		if a.phase >= starting && now.Sub(a.stopSent) > st.o.Tuning.StopRepeat+st.o.Tuning.drainOf(a.job) {
+		if a.phase >= starting && now.Sub(a.stopSent) > st.o.Tuning.StopResendInterval+st.o.Tuning.drainOf(a.job) {
 			st.sendStop(a, plan.StopNow)
 		}
 	}
@@ -299,7 +303,7 @@
 
 func (st *state) sendStops(p *partition) {
 	for mode, refs := range p.stops {
-		n := min(len(refs), groupLimit)
+		n := min(len(refs), maxTasksPerCall)
 		request := plan.Stop{
 			Partition: p.name, Author: st.author(), Tasks: refs[:n:n], Mode: mode,
 			DrainMillis: st.o.Tuning.Drain.Milliseconds(),
@@ -308,7 +312,7 @@
 			delete(p.stops, mode)
 		}
 		p.stopping = true
-		// A stop that is lost is repeated until its effect is seen.
+		// An error is ignored: repeatStops resends a lost stop.
 		st.callOwner(p.owner, plan.MethodStop, &request, nil, func(_ *state, _ error) { p.stopping = false })
 		return
 	}
@@ -320,7 +324,7 @@
 }
 
 func (st *state) sendAcks(p *partition) {
-	n := min(len(p.acks), groupLimit)
+	n := min(len(p.acks), maxTasksPerCall)
 	refs := p.acks[:n:n]
 	p.acks = p.acks[n:]
 	p.acking = true
@@ -329,7 +333,7 @@
 		p.acking = false
 		if err != nil && p.known {
 			p.acks = append(p.acks, refs...)
-			p.ackAfter = time.Now().Add(st.o.Tuning.FenceRepeat)
+			p.ackAfter = time.Now().Add(st.o.Tuning.FenceRetryInterval)
 		}
 	})
 }
