--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -1,10 +1,11 @@
-// Package quota counts what each client account (a team, in the declared files) holds of
-// a cell's resources, keeps it within its cap, and tells its share by weight.
+// Package quota tracks the cell resources that each client account (a team, in the declared
+// files) holds, enforces the account's cap, and computes its weighted dominant share.
 //
-// Guarantee: what is charged never takes an account over its limit, which is its cap, or
-// the share of the cap that a part of the cell may use. What runs already is adopted
-// whatever the limit; a limit that is lowered below what is held stops further charges
-// until enough is refunded. What may run unseen counts as held.
+// Guarantee: a charge never takes an account over its limit, which is its cap, or the share
+// of the cap that is assigned to one shard of the cell. Work that already runs is adopted
+// whatever the limit; a limit that is lowered below what is held rejects further charges
+// until enough is refunded. Unconfirmed work, which may run without having been reported,
+// counts as held.
 package quota
 
 import (
@@ -13,8 +14,8 @@
 	"slices"
 )
 
-// ErrOver means that a charge would take the account over its limit.
-var ErrOver = errors.New("quota: the account's quota is used up")
+// ErrExceeded means that a charge would take the account over its limit.
+var ErrExceeded = errors.New("quota: account limit exceeded")
 
 // Size is an amount of each resource.
 type Size struct {
@@ -33,17 +34,17 @@
 	return Size{s.MilliCPU - t.MilliCPU, s.MemoryMB - t.MemoryMB, s.Accelerators - t.Accelerators}
 }
 
-// Times returns n times s.
+// Times returns s multiplied by n.
 func (s Size) Times(n int) Size {
 	return Size{s.MilliCPU * int64(n), s.MemoryMB * int64(n), s.Accelerators * int64(n)}
 }
 
-// Least returns the smaller amount of each resource.
+// Least returns the element-wise minimum of s and t.
 func (s Size) Least(t Size) Size {
 	return Size{min(s.MilliCPU, t.MilliCPU), min(s.MemoryMB, t.MemoryMB), min(s.Accelerators, t.Accelerators)}
 }
 
-// Most returns the larger amount of each resource.
+// Most returns the element-wise maximum of s and t.
 func (s Size) Most(t Size) Size {
 	return Size{max(s.MilliCPU, t.MilliCPU), max(s.MemoryMB, t.MemoryMB), max(s.Accelerators, t.Accelerators)}
 }
@@ -51,38 +52,39 @@
 // Negative reports whether an amount is below zero.
 func (s Size) Negative() bool { return s.MilliCPU < 0 || s.MemoryMB < 0 || s.Accelerators < 0 }
 
-// FullShare is the share of a cap that is all of it. Shares are counted in ten-thousandths.
+// FullShare is the whole of a cap. Shares of a cap are expressed in ten-thousandths.
 const FullShare = 10_000
 
-// Account is the state of one account. It belongs to the goroutine of its Ledger.
+// Account is the state of one account. Like its Ledger, it is not safe for concurrent use.
 type Account struct {
-	Name   string
-	ledger *Ledger
-	weight float64
-	cap    Size // 0 in a dimension bounds nothing there
-	share  int64
-	held   Size
-	unseen Size // what may run without being known
-	// wanted waits for nothing but the limit; largest is the most of it that has to
-	// start together.
-	wanted, largest Size
+	Name        string
+	ledger      *Ledger
+	weight      float64
+	cap         Size // a dimension of 0 is unlimited
+	share       int64
+	held        Size
+	unconfirmed Size // work that may run without having been reported
+	// waiting is work that only the limit keeps from starting; largest is the most of it
+	// that has to start together.
+	waiting, largest Size
 }
 
-// Ledger holds accounts. It belongs to one goroutine.
+// Ledger holds the accounts of a cell. It is not safe for concurrent use.
 type Ledger struct {
 	accounts map[string]*Account
 	capacity Size
-	shareOf  func(account string) int64 // nil: all of each cap
-	wanting  []*Account                 // those for which something waits
+	shareOf  func(account string) int64 // nil: the whole of each cap
+	waiting  []*Account                 // accounts with waiting work
 }
 
 // NewLedger returns a ledger without accounts.
 func NewLedger() *Ledger { return &Ledger{accounts: map[string]*Account{}} }
 
-// SetCapacity sets the usable capacity of the cell, of which shares are taken.
+// SetCapacity sets the usable capacity of the cell, relative to which dominant shares are
+// computed.
 func (l *Ledger) SetCapacity(total Size) { l.capacity = total }
 
-// Account returns an account, which is made without bounds if it is not known.
+// Account returns an account. An unknown one is created without a cap.
 func (l *Ledger) Account(name string) *Account {
 	a := l.accounts[name]
 	if a == nil {
@@ -102,14 +104,14 @@
 	}
 }
 
-// Forget drops an account that holds nothing.
+// Forget removes an account that holds nothing.
 func (l *Ledger) Forget(name string) {
-	if a := l.accounts[name]; a != nil && a.held == (Size{}) && a.unseen == (Size{}) {
+	if a := l.accounts[name]; a != nil && a.held == (Size{}) && a.unconfirmed == (Size{}) {
 		delete(l.accounts, name)
 	}
 }
 
-// Set sets weight and cap; a weight of 0 or less counts as 1.
+// Set sets the weight and the cap; a weight of 0 or less counts as 1.
 func (a *Account) Set(weight float64, limit Size) {
 	if weight <= 0 {
 		weight = 1
@@ -117,7 +119,8 @@
 	a.weight, a.cap = weight, limit
 }
 
-// SetShares sets which share of each account's cap may be used, in units of FullShare.
+// SetShares sets the function that returns the usable share of an account's cap, in units
+// of 1/FullShare.
 func (l *Ledger) SetShares(of func(account string) int64) {
 	l.shareOf = of
 	for name, a := range l.accounts {
@@ -125,37 +128,36 @@
 	}
 }
 
-// ClearWants forgets what waits for limits.
+// ClearWants resets the waiting work of all accounts.
 func (l *Ledger) ClearWants() {
-	for _, a := range l.wanting {
-		a.wanted, a.largest = Size{}, Size{}
+	for _, a := range l.waiting {
+		a.waiting, a.largest = Size{}, Size{}
 	}
-	l.wanting = l.wanting[:0]
+	l.waiting = l.waiting[:0]
 }
 
-// Uses tells what is held and wanted of accounts: of those for which something waits, and
-// of those named.
-func (l *Ledger) Uses(asked []string) []Use {
-	var all []Use
+// Uses returns the usage of all accounts with waiting work and of the accounts asked for.
+func (l *Ledger) Uses(asked []string) []Usage {
+	var all []Usage
 	for _, a := range l.accounts {
-		if a.wanted != (Size{}) || slices.Contains(asked, a.Name) {
-			all = append(all, a.use())
+		if a.waiting != (Size{}) || slices.Contains(asked, a.Name) {
+			all = append(all, a.usage())
 		}
 	}
 	for _, name := range asked {
 		if l.accounts[name] == nil {
-			all = append(all, Use{Account: name})
+			all = append(all, Usage{Account: name})
 		}
 	}
 	return all
 }
 
-func (a *Account) use() Use {
-	return Use{Account: a.Name, Held: portion(a.held.Add(a.unseen), a.cap), Wanted: portion(a.wanted, a.cap), Largest: portion(a.largest, a.cap)}
+func (a *Account) usage() Usage {
+	return Usage{Account: a.Name, Held: portion(a.held.Add(a.unconfirmed), a.cap), Waiting: portion(a.waiting, a.cap), Largest: portion(a.largest, a.cap)}
 }
 
-// portion is how much of a cap a size takes at the most, in units of FullShare, rounded
-// up; at most ten caps.
+// portion returns the largest fraction of a cap that a size takes in any dimension, in
+// units of 1/FullShare, rounded up and limited to ten times the cap.
 func portion(size, limit Size) int64 {
 	most := int64(0)
 	for _, d := range [...][2]int64{{size.MilliCPU, limit.MilliCPU}, {size.MemoryMB, limit.MemoryMB}, {size.Accelerators, limit.Accelerators}} {
@@ -166,40 +168,41 @@
 	return most
 }
 
-// Want notes that so many things of a size wait for the limit, of which some have to
+// Want records that n tasks of a size wait for the limit, of which the given number has to
 // start together.
 func (a *Account) Want(size Size, n, together int) {
-	if a.wanted == (Size{}) && a.largest == (Size{}) {
-		a.ledger.wanting = append(a.ledger.wanting, a)
+	if a.waiting == (Size{}) && a.largest == (Size{}) {
+		a.ledger.waiting = append(a.ledger.waiting, a)
 	}
-	a.wanted = a.wanted.Add(size.Times(n))
+	a.waiting = a.waiting.Add(size.Times(n))
 	a.largest = a.largest.Most(size.Times(together))
 }
 
-// Fits reports whether the account may hold size more.
+// Fits reports whether size can be charged within the limit.
 func (a *Account) Fits(size Size) bool {
-	return a.within(a.held.Add(a.unseen).Add(size), size, a.share)
+	return a.within(a.held.Add(a.unconfirmed).Add(size), size, a.share)
 }
 
-// FitsBeside reports whether the account may hold size more and still have room for spare,
-// as far as its limit ever has.
+// FitsBeside reports whether size can be charged and leaves enough of the limit for spare.
+// If the limit is too small for size and spare together even when nothing is held, spare is
+// ignored.
 func (a *Account) FitsBeside(size, spare Size) bool {
-	total := a.held.Add(a.unseen).Add(size)
+	total := a.held.Add(a.unconfirmed).Add(size)
 	return a.within(total.Add(spare), size, a.share) || (a.within(total, size, a.share) && !a.within(size.Add(spare), size, a.share))
 }
 
-// Unbounded reports whether the account has no cap at all.
+// Unbounded reports whether the account has no cap in any dimension.
 func (a *Account) Unbounded() bool { return a.cap == (Size{}) }
 
-// Over reports whether the account holds more than it may of what size asks for.
-func (a *Account) Over(size Size) bool { return !a.within(a.held.Add(a.unseen), size, a.share) }
+// Over reports whether the account exceeds its limit in a dimension that size uses.
+func (a *Account) Over(size Size) bool { return !a.within(a.held.Add(a.unconfirmed), size, a.share) }
 
 // CanEverFit reports whether size fits into the account's whole cap.
 func (a *Account) CanEverFit(size Size) bool { return a.within(size, size, FullShare) }
 
-// Times returns how many of n things of a size the account may hold more.
+// Times returns how many of n tasks of a size can be charged within the limit.
 func (a *Account) Times(size Size, n int) int {
-	total := a.held.Add(a.unseen)
+	total := a.held.Add(a.unconfirmed)
 	for _, d := range [...][3]int64{{size.MilliCPU, total.MilliCPU, a.cap.MilliCPU}, {size.MemoryMB, total.MemoryMB, a.cap.MemoryMB},
 		{size.Accelerators, total.Accelerators, a.cap.Accelerators}} {
 		if d[0] > 0 && d[2] > 0 {
@@ -209,8 +212,8 @@
 	return n
 }
 
-// within reports whether total stays inside the share of the cap in every dimension that
-// size adds to.
+// within reports whether total is within the share of the cap in every dimension that size
+// uses.
 func (a *Account) within(total, size Size, share int64) bool {
 	return dimensionWithin(total.MilliCPU, size.MilliCPU, a.cap.MilliCPU, share) &&
 		dimensionWithin(total.MemoryMB, size.MemoryMB, a.cap.MemoryMB, share) &&
@@ -221,7 +224,8 @@
 	return limit == 0 || size == 0 || total <= limitOf(limit, share)
 }
 
-// limitOf rounds down, so that the shares of all parts together stay within the cap.
+// limitOf returns a share of a limit. It rounds down, so that the shares of all shards add up
+// to at most the cap.
 func limitOf(limit, share int64) int64 {
 	if share == FullShare {
 		return limit
@@ -229,25 +233,26 @@
 	return limit/FullShare*share + limit%FullShare*share/FullShare
 }
 
-// Charge counts size as held, or fails with ErrOver and changes nothing.
+// Charge counts size as held, or fails with ErrExceeded and changes nothing.
 func (a *Account) Charge(size Size) error {
 	if !a.Fits(size) {
-		return fmt.Errorf("account %q: %w", a.Name, ErrOver)
+		return fmt.Errorf("account %q: %w", a.Name, ErrExceeded)
 	}
 	a.held = a.held.Add(size)
 	return nil
 }
 
-// Adopt counts size as held without a look at the limit: it is there already.
+// Adopt counts size as held regardless of the limit, for work that already runs.
 func (a *Account) Adopt(size Size) { a.held = a.held.Add(size) }
 
-// Refund gives back what was charged or adopted.
+// Refund releases what was charged or adopted.
 func (a *Account) Refund(size Size) { a.held = a.held.Sub(size) }
 
-// SetUnseen replaces what may run for the account without being known.
-func (a *Account) SetUnseen(size Size) { a.unseen = size }
+// SetUnseen replaces the amount of work that may run for the account without having been
+// reported.
+func (a *Account) SetUnseen(size Size) { a.unconfirmed = size }
 
-// Held returns what the account holds.
+// Held returns what the account holds, without unconfirmed work.
 func (a *Account) Held() Size { return a.held }
 
 // Cap returns the account's cap.
@@ -259,8 +264,8 @@
 // Share returns the account's dominant share of the cell divided by its weight.
 func (l *Ledger) Share(a *Account) float64 { return l.ShareOf(a.held, a.weight) }
 
-// ShareOf returns the dominant share of a size divided by a weight, of which 0 and less
-// count as 1.
+// ShareOf returns the dominant share of a size divided by a weight; a weight of 0 or less
+// counts as 1.
 func (l *Ledger) ShareOf(held Size, weight float64) float64 {
 	if weight <= 0 {
 		weight = 1
@@ -268,8 +273,8 @@
 	return Dominant(held, l.capacity) / weight
 }
 
-// Dominant returns the largest fraction that held takes of one dimension of the whole; a
-// dimension of which there is none does not count.
+// Dominant returns the largest fraction that held takes of any dimension of whole. Dimensions
+// in which whole is 0 are ignored.
 func Dominant(held, whole Size) float64 {
 	return max(fraction(held.MilliCPU, whole.MilliCPU), fraction(held.MemoryMB, whole.MemoryMB), fraction(held.Accelerators, whole.Accelerators))
 }
--- a/process/quota/quota_test.go
+++ b/process/quota/quota_test.go
@@ -9,12 +9,13 @@
 	"fennelshunt.example/fennelshunt/internal/rapidtest"
 )
 
-// checks of each property: one that leaves out what a part obeys shows in some 4,000.
+// checks is the number of runs per property. A Plan that ignores which version a shard applies
+// is detected after some 4,000 runs.
 const checks = 6000
 
 func TestMain(m *testing.M) { rapidtest.MainChecks(m, checks) }
 
-// TestChargesAgainstRecount compares the accounts with a sum over all charges.
+// TestChargesAgainstRecount compares an account with the sum of all its charges.
 func TestChargesAgainstRecount(t *testing.T) {
 	amount := rapid.Custom(func(rt *rapid.T) Size {
 		return Size{
@@ -60,7 +61,7 @@
 	})
 }
 
-func TestSharesOfACapStayWithinIt(t *testing.T) {
+func TestSharesOfACapAddUpToTheCap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		whole := rapid.Int64Range(1, 1<<40).Draw(rt, "cap")
 		rest, sum := int64(FullShare), int64(0)
@@ -78,7 +79,7 @@
 			require.NoError(rt, a.Charge(Size{MilliCPU: int64(n)}))
 			require.False(rt, a.Over(Size{MilliCPU: 1}))
 			if n > 0 || share == 0 {
-				require.False(rt, a.Fits(Size{MilliCPU: 1}), "a share of nothing holds nothing")
+				require.False(rt, a.Fits(Size{MilliCPU: 1}), "a share of zero admits nothing")
 			}
 			sum += int64(n)
 		}
@@ -86,7 +87,7 @@
 	})
 }
 
-func TestWhatMayRunUnseenCounts(t *testing.T) {
+func TestUnconfirmedWorkCountsAsHeld(t *testing.T) {
 	a := NewLedger().Account("t")
 	a.Set(1, Size{MilliCPU: 10})
 	a.Adopt(Size{MilliCPU: 4, MemoryMB: 900})
--- a/process/quota/row.go
+++ b/process/quota/row.go
@@ -5,34 +5,34 @@
 	"slices"
 )
 
-// Row is an account as people are shown it.
+// Row is the state of an account as shown to operators.
 type Row struct {
 	Account string  `json:"account"`
 	Weight  float64 `json:"weight"`
-	Cap     Size    `json:"cap"`    // of the configuration; 0 in a dimension bounds nothing there
-	Limit   Size    `json:"limit"`  // the share of the cap that this part of the cell may use
-	Held    Size    `json:"held"`   // what is known to run
-	Unseen  Size    `json:"unseen"` // what an earlier leader may have started besides
-	// Waits is what waits for nothing but the limit.
+	Cap     Size    `json:"cap"`    // configured cap; a dimension of 0 is unlimited
+	Limit   Size    `json:"limit"`  // the share of the cap that this shard of the cell may use
+	Held    Size    `json:"held"`   // work that is known to run
+	Unseen  Size    `json:"unseen"` // work that an earlier leader may have started in addition
+	// Waits is work that only the limit keeps from starting.
 	Waits Size `json:"waits"`
-	// Beyond counts hand-ins beyond what the account is entitled to.
+	// Beyond counts submissions in excess of the account's entitlement.
 	Beyond uint64 `json:"beyond"`
 }
 
 // MetricAccounts is the name of the metric that lists a daemon's rows.
 const MetricAccounts = "accounts"
 
-// MaxRows bounds the accounts shown: more than a cell has, so that a configuration gone
-// wrong does not fill whoever reads them.
+// MaxRows limits the number of accounts shown. It is more than any cell has, and protects
+// readers from an erroneous configuration with a huge number of accounts.
 const MaxRows = 2000
 
-// Rows returns the accounts that have a name, by name; of more than MaxRows those that
-// hold the most processors.
+// Rows returns the accounts that have a name, sorted by name. If there are more than
+// MaxRows, it returns those that hold the most CPU.
 func (l *Ledger) Rows() []Row {
 	rows := make([]Row, 0, len(l.accounts))
 	for _, a := range l.accounts {
 		if a.Name != "" {
-			rows = append(rows, Row{Account: a.Name, Weight: a.weight, Cap: a.cap, Limit: a.limit(), Held: a.held, Unseen: a.unseen, Waits: a.wanted})
+			rows = append(rows, Row{Account: a.Name, Weight: a.weight, Cap: a.cap, Limit: a.limit(), Held: a.held, Unseen: a.unconfirmed, Waits: a.waiting})
 		}
 	}
 	if len(rows) > MaxRows {
@@ -47,7 +47,7 @@
 	return Size{limitOf(a.cap.MilliCPU, a.share), limitOf(a.cap.MemoryMB, a.share), limitOf(a.cap.Accelerators, a.share)}
 }
 
-// Sum adds up the rows of an account from several parts of a cell.
+// Sum adds the row of the same account in another shard. Weight and Cap are those of r.
 func (r Row) Sum(other Row) Row {
 	r.Limit, r.Held, r.Unseen = r.Limit.Add(other.Limit), r.Held.Add(other.Held), r.Unseen.Add(other.Unseen)
 	r.Waits, r.Beyond = r.Waits.Add(other.Waits), r.Beyond+other.Beyond
--- a/process/quota/row_test.go
+++ b/process/quota/row_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestRowsTellWhatAnAccountHoldsAndMay(t *testing.T) {
+func TestRowsShowHoldingsAndLimits(t *testing.T) {
 	l := NewLedger()
 	l.SetShares(func(string) int64 { return FullShare / 4 })
 	a := l.Account("north")
@@ -21,7 +21,7 @@
 		Held: Size{MilliCPU: 1500, MemoryMB: 50}, Unseen: Size{MilliCPU: 100}, Waits: Size{MilliCPU: 3000}}}, rows)
 	sum := rows[0].Sum(rows[0])
 	require.Equal(t, Size{MilliCPU: 4000, MemoryMB: 200}, sum.Limit)
-	require.Equal(t, rows[0].Cap, sum.Cap, "parts share one cap")
+	require.Equal(t, rows[0].Cap, sum.Cap, "all shards share one cap")
 }
 
 func TestRowsAreBounded(t *testing.T) {
@@ -31,5 +31,5 @@
 	}
 	rows := l.Rows()
 	require.Len(t, rows, MaxRows)
-	require.Equal(t, "a00050", rows[0].Account, "those that hold least are left out")
+	require.Equal(t, "a00050", rows[0].Account, "the accounts that hold least are omitted")
 }
--- a/process/quota/shares.go
+++ b/process/quota/shares.go
@@ -5,82 +5,85 @@
 	"slices"
 )
 
-// Shares tells which share of an account's cap each part of a cell may use. Every part
-// obeys the newest version that it has heard of. One owner writes them, to the store, so
-// that they outlast every daemon.
+// Shares defines which share of an account's cap each shard of a cell may use. Every shard
+// applies the newest version that it has received. A single owner writes them to the store,
+// so that they survive the failure of any daemon.
 //
-// Guarantee, as long as versions come from Plan: what all parts together hold of an
-// account never exceeds its cap, whichever versions they obey, unless it did before the
-// cap was lowered. It rests on reports only: an owner that is lost, or takes over, knows
-// nothing and raises no share until every part has told what it obeys and holds.
+// Guarantee, as long as all versions come from Plan: what all shards together hold of an
+// account never exceeds its cap, whichever versions they apply, unless it already did before
+// the cap was lowered. The guarantee depends on reports only: an owner that fails or takes
+// over starts without any, and raises no share until every shard has reported which version
+// it applies and what it holds.
 type Shares struct {
-	// Version rises with each change, from FirstVersion on.
+	// Version increases with each change, starting at FirstVersion.
 	Version uint64 `cbor:"1,keyasint"`
-	// Moved holds, by part, the shares of accounts whose cap is not split evenly.
+	// Moved holds the shares, indexed by shard, of accounts whose cap is not split evenly.
 	Moved map[string][]int64 `cbor:"2,keyasint,omitempty"`
 }
 
-// FirstVersion is that of the shares before any change: every cap is split evenly.
+// FirstVersion is the version before any change, in which every cap is split evenly.
 const FirstVersion = 1
 
-// Of returns a part's share of an account's cap.
-func (s *Shares) Of(account string, part, parts int) int64 {
-	if moved := s.Moved[account]; len(moved) == parts {
-		return moved[part]
+// Of returns a shard's share of an account's cap.
+func (s *Shares) Of(account string, shard, shards int) int64 {
+	if moved := s.Moved[account]; len(moved) == shards {
+		return moved[shard]
 	}
-	return even(part, parts)
+	return evenShare(shard, shards)
 }
 
-// even splits a cap; all parts' shares together are FullShare.
-func even(part, parts int) int64 {
-	share := int64(FullShare / parts)
-	if part < FullShare%parts {
+// evenShare returns a shard's share of an evenly split cap. The shares of all shards add up
+// to FullShare.
+func evenShare(shard, shards int) int64 {
+	share := int64(FullShare / shards)
+	if shard < FullShare%shards {
 		share++
 	}
 	return share
 }
 
-// Use is what a part holds and wants of an account, in units of FullShare of its cap,
-// rounded up.
-type Use struct {
+// Usage is what a shard holds of an account's cap and could use in addition, in units of
+// 1/FullShare, rounded up.
+type Usage struct {
 	Account string `cbor:"1,keyasint"`
 	Held    int64  `cbor:"2,keyasint,omitempty"`
-	// Wanted is what waits for nothing but the share, and Largest the most of it that
-	// has to start together.
-	Wanted  int64 `cbor:"3,keyasint,omitempty"`
+	// Waiting is work that only the share keeps from starting, and Largest the most of it
+	// that has to start together.
+	Waiting int64 `cbor:"3,keyasint,omitempty"`
 	Largest int64 `cbor:"4,keyasint,omitempty"`
 }
 
-// Report is what a part tells the owner of the shares.
+// Report is sent by a shard's leader to the owner of the shares.
 type Report struct {
 	Part  int    `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Obeyed is the version that the part obeys, and no earlier leader of it can act
-	// against any more; 0 while that is not certain.
-	Obeyed uint64 `cbor:"3,keyasint,omitempty"`
-	Uses   []Use  `cbor:"4,keyasint,omitempty"`
+	// Obeyed is the version that the shard applies. It is 0 until it is certain that no
+	// earlier leader of the shard can still act on an older one.
+	Obeyed uint64  `cbor:"3,keyasint,omitempty"`
+	Uses   []Usage `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer tells a part of which accounts the next report must speak.
+// Answer lists the accounts that the shard's next report must include.
 type Answer struct {
 	Asked []string `cbor:"1,keyasint,omitempty"`
 }
 
 const (
-	// minMove is the least change of a share that is worth a new version.
-	minMove = FullShare / 100
-	// maxMoved bounds the accounts in a version. With 23 parts each takes some 80 bytes.
+	// minChange is the smallest change of a share that justifies a new version.
+	minChange = FullShare / 100
+	// maxMoved limits the accounts in a version. With 23 shards each takes some 80 bytes.
 	maxMoved = 2000
 )
 
-// Balancer is the owner's view of the parts.
+// Balancer computes new versions of the shares from the reports of all shards. It is used by
+// the owner of the shares.
 type Balancer struct {
 	Parts   int
 	reports map[int]Report
 }
 
-// Take notes a part's report, and answers which accounts the part must tell of: those
-// that wait for their share in any part.
+// Take records a shard's report. It returns the accounts that the shard must include in its
+// next report: those with work that waits for a share in any shard.
 func (b *Balancer) Take(r Report) Answer {
 	if b.reports == nil {
 		b.reports = map[int]Report{}
@@ -89,15 +92,15 @@
 		return Answer{}
 	}
 	b.reports[r.Part] = r
-	return Answer{Asked: b.pressed()}
+	return Answer{Asked: b.contended()}
 }
 
-// pressed returns the accounts of which something waits for a share.
-func (b *Balancer) pressed() []string {
+// contended returns the accounts with work that waits for a share.
+func (b *Balancer) contended() []string {
 	names := map[string]bool{}
 	for _, r := range b.reports {
 		for _, u := range r.Uses {
-			if u.Wanted > 0 {
+			if u.Waiting > 0 {
 				names[u.Account] = true
 			}
 		}
@@ -105,27 +108,27 @@
 	return slices.Sorted(maps.Keys(names))
 }
 
-// Plan returns the next version after now, and whether there is one: shares move to where
-// work waits for them. What a part loses is given to others only in a later version, once
-// every part has obeyed this one and told what it holds; what a part holds above its new
-// share counts as its own until it has ended.
-func (b *Balancer) Plan(now Shares) (Shares, bool) {
-	for part := range b.Parts {
-		if r, told := b.reports[part]; !told || r.Obeyed != now.Version {
+// Plan returns the version that follows current, and whether there is one. It moves shares
+// to shards with waiting work. What one shard loses is assigned to others only in a later
+// version, after every shard has applied this one and reported what it holds. What a shard
+// holds above its new share is not assigned to others until that work has ended.
+func (b *Balancer) Plan(current Shares) (Shares, bool) {
+	for shard := range b.Parts {
+		if r, reported := b.reports[shard]; !reported || r.Obeyed != current.Version {
 			return Shares{}, false
 		}
 	}
-	next := Shares{Version: now.Version + 1, Moved: maps.Clone(now.Moved)}
+	next := Shares{Version: current.Version + 1, Moved: maps.Clone(current.Moved)}
 	if next.Moved == nil {
 		next.Moved = map[string][]int64{}
 	}
 	changed := false
-	for _, account := range b.pressed() {
-		uses, told := b.uses(account)
-		if !told {
-			continue // the parts have been asked
+	for _, account := range b.contended() {
+		usages, reported := b.usages(account)
+		if !reported {
+			continue // the next reports will include the account
 		}
-		shares := b.move(&now, account, uses)
+		shares := b.rebalance(&current, account, usages)
 		if shares != nil && (len(next.Moved[account]) > 0 || len(next.Moved) < maxMoved) {
 			next.Moved[account] = shares
 			changed = true
@@ -134,73 +137,76 @@
 	return next, changed
 }
 
-// uses returns what each part holds and wants of an account, if all have told.
-func (b *Balancer) uses(account string) ([]Use, bool) {
-	all := make([]Use, b.Parts)
-	for part := range all {
-		i := slices.IndexFunc(b.reports[part].Uses, func(u Use) bool { return u.Account == account })
+// usages returns the usage of an account in each shard, or false if a shard has not reported
+// it.
+func (b *Balancer) usages(account string) ([]Usage, bool) {
+	all := make([]Usage, b.Parts)
+	for shard := range all {
+		i := slices.IndexFunc(b.reports[shard].Uses, func(u Usage) bool { return u.Account == account })
 		if i < 0 {
 			return nil, false
 		}
-		all[part] = b.reports[part].Uses[i]
+		all[shard] = b.reports[shard].Uses[i]
 	}
 	return all, true
 }
 
-// move returns the next shares of one account; nil if they stay.
-func (b *Balancer) move(now *Shares, account string, uses []Use) []int64 {
-	aim := aimOf(uses)
-	// free is what no part may use now, nor holds above its share.
+// rebalance returns the next shares of one account; nil if they do not change.
+func (b *Balancer) rebalance(current *Shares, account string, usages []Usage) []int64 {
+	target := targetShares(usages)
+	// free is what no shard may use under current or holds above its share.
 	free := int64(FullShare)
-	for part, u := range uses {
-		free -= max(now.Of(account, part, b.Parts), u.Held)
+	for shard, u := range usages {
+		free -= max(current.Of(account, shard, b.Parts), u.Held)
 	}
 	shares := make([]int64, b.Parts)
-	most := int64(0)
-	for part := range shares {
-		before := now.Of(account, part, b.Parts)
-		share := aim[part]
+	change := int64(0)
+	for shard := range shares {
+		before := current.Of(account, shard, b.Parts)
+		share := target[shard]
 		if share > before {
-			// A part that holds more than its share gets what it holds without new room.
-			own := max(before, min(share, uses[part].Held))
+			// A shard that already holds more than its share is raised to what it holds without
+			// taking from free, which does not include it.
+			own := max(before, min(share, usages[shard].Held))
 			raised := min(share, own+max(free, 0))
 			free -= raised - own
 			share = raised
 		}
-		shares[part] = share
-		most = max(most, share-before, before-share)
+		shares[shard] = share
+		change = max(change, share-before, before-share)
 	}
-	if most < minMove {
+	if change < minChange {
 		return nil
 	}
 	return shares
 }
 
-// aimOf divides a cap by what the parts hold and want. The part with the most that has to
-// start together is to have room for it, so that a gang is not split off by an even hand.
-func aimOf(uses []Use) []int64 {
-	aim := make([]int64, len(uses))
-	sum, gang := int64(0), 0
-	for part, u := range uses {
-		aim[part] = min(u.Held+u.Wanted, FullShare)
-		sum += aim[part]
-		if u.Largest > uses[gang].Largest {
-			gang = part
+// targetShares divides a cap in proportion to what the shards hold and what waits in them.
+// The shard with the largest work that has to start together gets at least enough for it: a
+// proportional split could leave too little for the gang.
+func targetShares(usages []Usage) []int64 {
+	target := make([]int64, len(usages))
+	sum, largest := int64(0), 0
+	for shard, u := range usages {
+		target[shard] = min(u.Held+u.Waiting, FullShare)
+		sum += target[shard]
+		if u.Largest > usages[largest].Largest {
+			largest = shard
 		}
 	}
 	if sum <= FullShare {
-		for part := range aim {
-			aim[part] += even(part, len(aim)) * (FullShare - sum) / FullShare
+		for shard := range target {
+			target[shard] += evenShare(shard, len(target)) * (FullShare - sum) / FullShare
 		}
-		return aim
+		return target
 	}
-	need := min(uses[gang].Largest, FullShare)
-	aim[gang] = max(aim[gang]*FullShare/sum, need)
-	rest, others := FullShare-aim[gang], sum-min(uses[gang].Held+uses[gang].Wanted, FullShare)
-	for part := range aim {
-		if part != gang && others > 0 {
-			aim[part] = aim[part] * rest / others
+	need := min(usages[largest].Largest, FullShare)
+	target[largest] = max(target[largest]*FullShare/sum, need)
+	rest, others := FullShare-target[largest], sum-min(usages[largest].Held+usages[largest].Waiting, FullShare)
+	for shard := range target {
+		if shard != largest && others > 0 {
+			target[shard] = target[shard] * rest / others
 		}
 	}
-	return aim
+	return target
 }
--- a/process/quota/shares_test.go
+++ b/process/quota/shares_test.go
@@ -7,23 +7,23 @@
 	"pgregory.net/rapid"
 )
 
-func TestEvenSharesAreAllOfACap(t *testing.T) {
-	for parts := 1; parts <= 60; parts++ {
+func TestEvenSharesAddUpToTheCap(t *testing.T) {
+	for shards := 1; shards <= 60; shards++ {
 		sum := int64(0)
-		for part := range parts {
-			sum += (&Shares{}).Of("t", part, parts)
+		for shard := range shards {
+			sum += (&Shares{}).Of("t", shard, shards)
 		}
-		require.EqualValues(t, FullShare, sum, "%d parts", parts)
+		require.EqualValues(t, FullShare, sum, "%d shards", shards)
 	}
 }
 
-// settle lets every part obey and report until the shares move no more.
-func settle(t *testing.T, parts int, shares *Shares, uses func(part int, share int64) Use) {
+// settle lets every shard apply the shares and report until no share changes any more.
+func settle(t *testing.T, shards int, shares *Shares, uses func(shard int, share int64) Usage) {
 	t.Helper()
-	b := Balancer{Parts: parts}
+	b := Balancer{Parts: shards}
 	for range 20 {
-		for part := range parts {
-			b.Take(Report{Part: part, Epoch: 1, Obeyed: shares.Version, Uses: []Use{uses(part, shares.Of("t", part, parts))}})
+		for shard := range shards {
+			b.Take(Report{Part: shard, Epoch: 1, Obeyed: shares.Version, Uses: []Usage{uses(shard, shares.Of("t", shard, shards))}})
 		}
 		next, changed := b.Plan(*shares)
 		if !changed {
@@ -34,106 +34,108 @@
 }
 
 func TestShareMovesToWhereWorkWaits(t *testing.T) {
-	// Symptom: work of an account waits in one part for longer than three seconds, while
-	//   the account has nine tenths of its cap unused.
-	// Cause: an even split, of which each part has its own alone.
+	// Guards against a fixed even split of the cap: all work of the account is in one shard,
+	// and waits there for longer than three seconds although nine tenths of the cap are
+	// unused.
 	shares := Shares{Version: FirstVersion}
-	settle(t, 3, &shares, func(part int, share int64) Use {
-		u := Use{Account: "t"}
-		if part == 1 {
+	settle(t, 3, &shares, func(shard int, share int64) Usage {
+		u := Usage{Account: "t"}
+		if shard == 1 {
 			u.Held = min(share, 9000)
-			u.Wanted = 9000 - u.Held
+			u.Waiting = 9000 - u.Held
 		}
 		return u
 	})
 	require.GreaterOrEqual(t, shares.Of("t", 1, 3), int64(9000))
 }
 
-func TestShareMakesRoomForTheLargestGang(t *testing.T) {
-	// Symptom: a gang that takes most of its account's cap never starts.
-	// Sequence: each of three parts has a third of the cap, and uses it all the time.
+func TestSharesLeaveEnoughForTheLargestGang(t *testing.T) {
+	// Guards against a gang that needs most of its account's cap and never starts, because each
+	// of three shards has a third of the cap and keeps it in use.
 	shares := Shares{Version: FirstVersion}
-	settle(t, 3, &shares, func(part int, share int64) Use {
-		u := Use{Account: "t", Held: share, Wanted: 2000}
-		if part == 2 {
-			u = Use{Account: "t", Wanted: 8000, Largest: 8000}
+	settle(t, 3, &shares, func(shard int, share int64) Usage {
+		u := Usage{Account: "t", Held: share, Waiting: 2000}
+		if shard == 2 {
+			u = Usage{Account: "t", Waiting: 8000, Largest: 8000}
 		}
 		return u
 	})
 	require.GreaterOrEqual(t, shares.Of("t", 2, 3), int64(8000))
 }
 
-func TestNothingMovesBeforeEveryPartHasToldWhatItObeys(t *testing.T) {
+func TestSharesMoveOnlyAfterEveryShardHasReported(t *testing.T) {
 	b := Balancer{Parts: 2}
-	wants := []Use{{Account: "t", Held: 5000, Wanted: 3000}}
+	wants := []Usage{{Account: "t", Held: 5000, Waiting: 3000}}
 	b.Take(Report{Part: 0, Epoch: 1, Obeyed: 4, Uses: wants})
 	_, changed := b.Plan(Shares{Version: 4})
-	require.False(t, changed, "part 1 has not told")
-	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 3, Uses: []Use{{Account: "t"}}})
+	require.False(t, changed, "shard 1 has not reported")
+	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 3, Uses: []Usage{{Account: "t"}}})
 	_, changed = b.Plan(Shares{Version: 4})
-	require.False(t, changed, "part 1 may obey an older version")
+	require.False(t, changed, "shard 1 may apply an older version")
 	answer := b.Take(Report{Part: 1, Epoch: 3, Obeyed: 4})
 	require.Equal(t, []string{"t"}, answer.Asked)
 	_, changed = b.Plan(Shares{Version: 4})
-	require.False(t, changed, "part 1 has not told of the account")
-	b.Take(Report{Part: 1, Epoch: 2, Obeyed: 4, Uses: []Use{{Account: "t"}}})
+	require.False(t, changed, "shard 1 has not reported the account")
+	b.Take(Report{Part: 1, Epoch: 2, Obeyed: 4, Uses: []Usage{{Account: "t"}}})
 	_, changed = b.Plan(Shares{Version: 4})
-	require.False(t, changed, "told by an earlier leader of part 1")
-	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 4, Uses: []Use{{Account: "t", Held: 1000}}})
+	require.False(t, changed, "reported by an earlier leader of shard 1")
+	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 4, Uses: []Usage{{Account: "t", Held: 1000}}})
 	next, changed := b.Plan(Shares{Version: 4})
 	require.True(t, changed)
 	require.EqualValues(t, 5, next.Version)
-	require.EqualValues(t, 5000, next.Of("t", 0, 2), "what part 1 loses is not given away yet")
+	require.EqualValues(t, 5000, next.Of("t", 0, 2), "what shard 1 loses is not assigned to others yet")
 	require.Less(t, next.Of("t", 1, 2), int64(5000))
 }
 
-// leader is one leader of a part in the model: it acts by the version it has heard of.
+// leader is a leader of a shard in the model. It applies the newest version that it has
+// received.
 type leader struct {
-	part, epoch int
-	obeys       int // version
-	fenced      bool
+	shard, epoch int
+	version      int // index of the applied version
+	fenced       bool
 }
 
-// TestPartsStayWithinTheCapTogether plays parts whose leaders hear of versions late, are
-// replaced and go on acting for a while, reports that arrive late or never, owners that
-// are lost, and caps of one account: what all parts hold never exceeds the cap.
-func TestPartsStayWithinTheCapTogether(t *testing.T) {
+// TestShardsTogetherStayWithinTheCap models the cap of one account in a cell whose shard
+// leaders receive versions late, or go on acting for a while after they have been replaced,
+// whose reports arrive late or never, and whose owner of the shares fails. What all shards
+// hold together must never exceed the cap.
+func TestShardsTogetherStayWithinTheCap(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
-		parts := rapid.IntRange(2, 4).Draw(rt, "parts")
+		shards := rapid.IntRange(2, 4).Draw(rt, "parts")
 		versions := []Shares{{Version: FirstVersion}}
-		b := Balancer{Parts: parts}
-		held := make([]int64, parts)
-		newest := make([]*leader, parts)
-		var acting []*leader // those that can start work, earlier ones included
-		var reports []Report // on their way
-		for part := range newest {
-			newest[part] = &leader{part: part, epoch: 1}
-			acting = append(acting, newest[part])
+		b := Balancer{Parts: shards}
+		held := make([]int64, shards)
+		newest := make([]*leader, shards)
+		var acting []*leader // leaders that can start work, earlier ones included
+		var reports []Report // in flight
+		for shard := range newest {
+			newest[shard] = &leader{shard: shard, epoch: 1}
+			acting = append(acting, newest[shard])
 		}
 		moved := 0
 		for range rapid.IntRange(1, 150).Draw(rt, "steps") {
-			part := rapid.IntRange(0, parts-1).Draw(rt, "part")
-			now := newest[part]
+			shard := rapid.IntRange(0, shards-1).Draw(rt, "part")
+			now := newest[shard]
 			switch rapid.IntRange(0, 9).Draw(rt, "what") {
-			case 0, 1, 2: // somebody starts work
+			case 0, 1, 2: // one of the leaders starts work
 				l := acting[rapid.IntRange(0, len(acting)-1).Draw(rt, "who")]
-				share := versions[l.obeys].Of("t", l.part, parts)
-				if n := rapid.Int64Range(1, FullShare).Draw(rt, "n"); !l.fenced && held[l.part]+n <= share {
-					held[l.part] += n
+				share := versions[l.version].Of("t", l.shard, shards)
+				if n := rapid.Int64Range(1, FullShare).Draw(rt, "n"); !l.fenced && held[l.shard]+n <= share {
+					held[l.shard] += n
 				}
 			case 3:
-				held[part] -= rapid.Int64Range(0, held[part]).Draw(rt, "ended")
+				held[shard] -= rapid.Int64Range(0, held[shard]).Draw(rt, "ended")
 			case 4:
-				now.obeys = rapid.IntRange(now.obeys, len(versions)-1).Draw(rt, "hears")
+				now.version = rapid.IntRange(now.version, len(versions)-1).Draw(rt, "hears")
 			case 5, 6:
-				r := Report{Part: part, Epoch: uint64(now.epoch), Uses: []Use{{Account: "t", Held: held[part],
-					Wanted: rapid.Int64Range(0, FullShare).Draw(rt, "wanted"), Largest: rapid.Int64Range(0, FullShare).Draw(rt, "largest")}}}
-				alone := true // every earlier leader of the part is fenced
+				r := Report{Part: shard, Epoch: uint64(now.epoch), Uses: []Usage{{Account: "t", Held: held[shard],
+					Waiting: rapid.Int64Range(0, FullShare).Draw(rt, "wanted"), Largest: rapid.Int64Range(0, FullShare).Draw(rt, "largest")}}}
+				alone := true // every earlier leader of the shard is fenced
 				for _, l := range acting {
-					alone = alone && (l == now || l.part != part || l.fenced)
+					alone = alone && (l == now || l.shard != shard || l.fenced)
 				}
 				if alone {
-					r.Obeyed = versions[now.obeys].Version
+					r.Obeyed = versions[now.version].Version
 				}
 				reports = append(reports, r)
 			case 7: // reports arrive, in any order
@@ -147,27 +149,27 @@
 					versions = append(versions, next)
 					moved++
 				}
-			case 8: // a part gets another leader, which reads the newest version
-				newest[part] = &leader{part: part, epoch: now.epoch + 1, obeys: len(versions) - 1}
-				acting = append(acting, newest[part])
+			case 8: // a shard gets another leader, which reads the newest version
+				newest[shard] = &leader{shard: shard, epoch: now.epoch + 1, version: len(versions) - 1}
+				acting = append(acting, newest[shard])
 			case 9:
 				if rapid.Bool().Draw(rt, "owner") {
-					b = Balancer{Parts: parts}
+					b = Balancer{Parts: shards}
 				}
 				for _, l := range acting {
-					l.fenced = l.fenced || l != newest[l.part]
+					l.fenced = l.fenced || l != newest[l.shard]
 				}
 			}
 			sum, shares := int64(0), int64(0)
 			for p := range held {
 				sum += held[p]
-				shares += versions[len(versions)-1].Of("t", p, parts)
+				shares += versions[len(versions)-1].Of("t", p, shards)
 			}
-			require.LessOrEqual(rt, sum, int64(FullShare), "held by all parts")
+			require.LessOrEqual(rt, sum, int64(FullShare), "held by all shards")
 			require.LessOrEqual(rt, shares, int64(FullShare))
 		}
 		if moved > 0 {
-			rt.Logf("moved %d times", moved)
+			rt.Logf("shares changed %d times", moved)
 		}
 	})
 }
