--- a/process/sched/ledger/check.go
+++ b/process/sched/ledger/check.go
@@ -11,9 +11,9 @@
 // ErrInvariant is wrapped by each error of Check.
 var ErrInvariant = errors.New("ledger: invariant violated")
 
-// Check verifies every account: the sum of the holders is what is held, no
-// holder is negative, and no present worker carries more than its capacity.
-// All violations are joined.
+// Check verifies every account: the holders' sizes add up to what is held, none of
+// them is negative, and no present worker has more held than its capacity. It
+// returns all violations, joined.
 func (l *Ledger) Check() error {
 	var errs []error
 	for id := range l.accounts {
@@ -22,7 +22,7 @@
 	return errors.Join(errs...)
 }
 
-// CheckWorker verifies one account; its cost is that of the worker's holders.
+// CheckWorker verifies one account. Its cost is linear in the worker's holders.
 func (l *Ledger) CheckWorker(id worker.ID) error {
 	a := l.accounts[id]
 	if a == nil {
@@ -39,7 +39,7 @@
 		return fmt.Errorf("%w: worker %s: holders sum to %+v, held is %+v", ErrInvariant, id, sum, a.held)
 	}
 	if a.present && !a.held.Fits(a.capacity) {
-		return fmt.Errorf("%w: worker %s carries %+v of %+v", ErrInvariant, id, a.held, a.capacity)
+		return fmt.Errorf("%w: worker %s: held %+v, capacity %+v", ErrInvariant, id, a.held, a.capacity)
 	}
 	return nil
 }
--- a/process/sched/ledger/ledger.go
+++ b/process/sched/ledger/ledger.go
@@ -1,7 +1,7 @@
-// Package ledger counts what each worker VM carries. Capacity is reserved
-// before a task starts and freed only by an explicit call, which the owner of
-// the worker makes after a confirmed stop. A ledger belongs to one goroutine;
-// it is not safe for concurrent use.
+// Package ledger tracks the reserved capacity of each worker VM. Capacity is
+// reserved before a task starts and freed only by an explicit call, which the owner
+// of the worker makes after the task is confirmed to have stopped. A ledger is not
+// safe for concurrent use.
 package ledger
 
 import (
@@ -15,7 +15,7 @@
 // Errors of Reserve. Test with errors.Is.
 var (
 	ErrNoRoom   = errors.New("ledger: not enough free capacity")
-	ErrNoWorker = errors.New("ledger: worker not known")
+	ErrNoWorker = errors.New("ledger: unknown worker")
 	ErrHeld     = errors.New("ledger: holder already holds a reservation")
 	ErrSize     = errors.New("ledger: size is zero or negative")
 )
@@ -26,8 +26,8 @@
 	held     spec.Resources
 	holders  map[string]spec.Resources
 	// present is false for a worker that was removed while tasks still held
-	// capacity. The account stays until they are freed: if the worker comes
-	// back under the same id, its running tasks must still count.
+	// capacity. The account is kept until they are freed: if the worker is added
+	// again under the same ID, its running tasks must still count.
 	present bool
 }
 
@@ -39,8 +39,8 @@
 // New returns an empty ledger.
 func New() *Ledger { return &Ledger{accounts: map[worker.ID]*account{}} }
 
-// SetWorker adds a worker or changes its capacity. A capacity below what is
-// held is taken as it is: nothing more fits until enough has been freed.
+// SetWorker adds a worker or changes its capacity. The capacity may be lower than
+// what is held; then nothing more fits until enough has been freed.
 func (l *Ledger) SetWorker(id worker.ID, capacity spec.Resources) {
 	a := l.accounts[id]
 	if a == nil {
@@ -50,7 +50,7 @@
 	a.capacity, a.present = capacity, true
 }
 
-// RemoveWorker takes a worker out: Reserve refuses it with ErrNoWorker. What is
+// RemoveWorker removes a worker, so that Reserve fails with ErrNoWorker. What is
 // held there stays counted until it is freed.
 func (l *Ledger) RemoveWorker(id worker.ID) {
 	a := l.accounts[id]
@@ -61,24 +61,24 @@
 	l.dropEmpty(id, a)
 }
 
-// Reserve takes size on a worker for a holder, for example a task's id. The
-// error is ErrNoRoom, ErrNoWorker, ErrHeld or ErrSize, and then nothing changed.
+// Reserve reserves size on a worker for a holder, for example a task ID. On error,
+// which wraps ErrNoRoom, ErrNoWorker, ErrHeld or ErrSize, nothing has changed.
 func (l *Ledger) Reserve(id worker.ID, holder string, size spec.Resources) error {
 	if err := l.reservable(id, holder, size); err != nil {
 		return err
 	}
 	a := l.accounts[id]
 	if !size.Fits(a.capacity.Sub(a.held)) {
-		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoRoom, id, a.capacity.Sub(a.held), size)
+		return fmt.Errorf("%w: worker %s, free %+v, requested %+v", ErrNoRoom, id, a.capacity.Sub(a.held), size)
 	}
 	a.add(holder, size)
 	return nil
 }
 
-// Adopt counts a task that is known to run on a worker already, found in the
-// worker's own inventory after a takeover. It never answers ErrNoRoom: the
-// task runs, so hiding it would let more work start beside it. Check reports
-// a worker that carries more than its capacity.
+// Adopt counts a task that already runs on a worker, as listed in the worker's own
+// inventory after a takeover. It never fails with ErrNoRoom: the task runs, and if
+// it were not counted, more tasks would be started beside it. Check reports workers
+// on which more is held than their capacity.
 func (l *Ledger) Adopt(id worker.ID, holder string, size spec.Resources) error {
 	if err := l.reservable(id, holder, size); err != nil {
 		return err
@@ -106,8 +106,8 @@
 	a.held = a.held.Add(size)
 }
 
-// Free gives back what the holder holds on the worker and reports whether it
-// held anything. Call it only when the task is known not to run.
+// Free releases what the holder holds on the worker and reports whether it held
+// anything. It must only be called when the task is certain not to run.
 func (l *Ledger) Free(id worker.ID, holder string) bool {
 	a := l.accounts[id]
 	if a == nil {
@@ -129,7 +129,7 @@
 	}
 }
 
-// Held returns what all holders hold on a worker together.
+// Held returns the total held on a worker.
 func (l *Ledger) Held(id worker.ID) spec.Resources {
 	if a := l.accounts[id]; a != nil {
 		return a.held
@@ -137,7 +137,7 @@
 	return spec.Resources{}
 }
 
-// Capacity returns a worker's capacity; false when it is not known or removed.
+// Capacity returns a worker's capacity, or false if it is unknown or was removed.
 func (l *Ledger) Capacity(id worker.ID) (spec.Resources, bool) {
 	a := l.accounts[id]
 	if a == nil || !a.present {
@@ -146,7 +146,7 @@
 	return a.capacity, true
 }
 
-// Holds returns what one holder holds on a worker.
+// Holds returns what one holder holds on a worker, and whether it holds anything.
 func (l *Ledger) Holds(id worker.ID, holder string) (spec.Resources, bool) {
 	a := l.accounts[id]
 	if a == nil {
--- a/process/sched/ledger/ledger_test.go
+++ b/process/sched/ledger/ledger_test.go
@@ -31,10 +31,10 @@
 	require.NoError(t, l.Reserve("w", "b", cpu(1000)))
 }
 
-// Symptom: a worker that left the VM list for a moment holds twice its capacity.
-// Sequence: its entry lapses, the account is dropped, the entry returns, new
-// tasks start beside those that never stopped.
-// Cause: removal was taken for a confirmed stop.
+// TestRemovedWorkerKeepsWhatIsHeld guards against a worker with twice its capacity
+// reserved after it was missing from the VM list for a moment: if its account were
+// dropped when its entry expires, as if its tasks had stopped, new tasks would start
+// beside them once the entry is back.
 func TestRemovedWorkerKeepsWhatIsHeld(t *testing.T) {
 	l := New()
 	l.SetWorker("w", cpu(1000))
@@ -48,11 +48,11 @@
 	require.Empty(t, l.accounts)
 }
 
-// Symptom: a takeover hides a task that runs, and more starts beside it.
-// Sequence: tasks sized by an earlier owner fill the VM beyond what is declared
-// now; the new owner refuses to count the last one.
-// Cause: the count of a running task was subject to room.
-func TestAdoptCountsBeyondCapacityAndCheckTells(t *testing.T) {
+// TestAdoptCountsBeyondCapacityAndCheckReportsIt guards against a running task that is
+// not counted after a takeover, so that more tasks start beside it. The tasks sized by
+// an earlier owner exceed the capacity that the VM declares now, and the last of them
+// would not be counted if Adopt required free capacity.
+func TestAdoptCountsBeyondCapacityAndCheckReportsIt(t *testing.T) {
 	l := New()
 	l.SetWorker("w", cpu(1000))
 	require.NoError(t, l.Adopt("w", "a", cpu(1200)))
--- a/process/sched/preempt/choose.go
+++ b/process/sched/preempt/choose.go
@@ -7,33 +7,33 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// choose returns victims whose end frees what is missing, given candidates that
-// together free enough. To cover several dimensions at the least cost is a hard
-// problem; the cheapest of three simple answers is taken: the cheapest tasks,
-// those cheapest for what they free, and one task alone. The result is only
-// good until the next call.
+// choose returns victims that free what is missing, given candidates that together
+// free enough. Covering several dimensions at minimum cost is a hard problem, so it
+// takes the cheapest of three heuristic solutions: the cheapest tasks first, the
+// tasks with the lowest cost per freed amount first, and a single task. The result
+// is valid only until the next call.
 func (s *search) choose(candidates []victim, missing spec.Resources) []victim {
-	slices.SortFunc(candidates, func(a, b victim) int { return cmp.Compare(a.lost, b.lost) })
+	slices.SortFunc(candidates, func(a, b victim) int { return cmp.Compare(a.cost, b.cost) })
 	s.ordered = append(s.ordered[:0], candidates...)
 	best := cover(s.ordered, missing)
 	for i := range candidates {
-		if candidates[i].lost < total(best) && missing.Fits(candidates[i].size) {
+		if candidates[i].cost < totalCost(best) && missing.Fits(candidates[i].size) {
 			best = candidates[i : i+1]
-			break // sorted: the first is the cheapest
+			break // sorted by cost, so the first is the cheapest
 		}
 	}
-	byUse := slices.Clone(candidates)
-	slices.SortStableFunc(byUse, func(a, b victim) int {
-		return cmp.Compare(a.lost/use(a.size, missing), b.lost/use(b.size, missing))
+	byPrice := slices.Clone(candidates)
+	slices.SortStableFunc(byPrice, func(a, b victim) int {
+		return cmp.Compare(a.cost/coverage(a.size, missing), b.cost/coverage(b.size, missing))
 	})
-	if other := cover(byUse, missing); total(other) < total(best) {
+	if other := cover(byPrice, missing); totalCost(other) < totalCost(best) {
 		return other
 	}
 	return best
 }
 
-// cover takes victims in order until what is missing is freed, and then spares
-// the dearest of them that turn out not to be needed. It works in place.
+// cover takes victims in order until what is missing is freed, and then drops those
+// that turn out to be unnecessary, the most expensive first. It works in place.
 func cover(ordered []victim, missing spec.Resources) []victim {
 	var freed spec.Resources
 	n := 0
@@ -42,7 +42,7 @@
 		n++
 	}
 	chosen := ordered[:n]
-	slices.SortFunc(chosen, func(a, b victim) int { return cmp.Compare(b.lost, a.lost) })
+	slices.SortFunc(chosen, func(a, b victim) int { return cmp.Compare(b.cost, a.cost) })
 	return slices.DeleteFunc(chosen, func(v victim) bool {
 		without := freed.Sub(v.size)
 		if !missing.Fits(without) {
@@ -53,36 +53,37 @@
 	})
 }
 
-// use is how much of what is missing a size frees, summed over dimensions.
-func use(size, missing spec.Resources) float64 {
-	const none = 1e-9
-	return none + part(size.MilliCPU, missing.MilliCPU) + part(size.MemoryMB, missing.MemoryMB) +
-		part(size.Accelerators, missing.Accelerators)
+// coverage returns how much of what is missing a size frees, as a fraction summed
+// over dimensions. It is never 0, so that it can be a divisor.
+func coverage(size, missing spec.Resources) float64 {
+	const epsilon = 1e-9
+	return epsilon + fraction(size.MilliCPU, missing.MilliCPU) + fraction(size.MemoryMB, missing.MemoryMB) +
+		fraction(size.Accelerators, missing.Accelerators)
 }
 
-func part(size, missing int64) float64 {
+func fraction(size, missing int64) float64 {
 	if missing <= 0 {
 		return 0
 	}
 	return float64(min(size, missing)) / float64(missing)
 }
 
-// bound returns a lower bound of what any set of victims loses: all of what is
-// missing, in each dimension, at the price of the victim that frees it cheapest.
-func bound(candidates []victim, missing spec.Resources) float64 {
+// lowerBound returns a lower bound of the cost of any set of victims: all of what is
+// missing at the lowest cost per freed amount of any victim.
+func lowerBound(candidates []victim, missing spec.Resources) float64 {
 	least := -1.0
 	for i := range candidates {
-		if price := candidates[i].lost / use(candidates[i].size, missing); least < 0 || price < least {
+		if price := candidates[i].cost / coverage(candidates[i].size, missing); least < 0 || price < least {
 			least = price
 		}
 	}
-	return max(0, least) * use(missing, missing)
+	return max(0, least) * coverage(missing, missing)
 }
 
-func total(victims []victim) float64 {
+func totalCost(victims []victim) float64 {
 	sum := 0.0
 	for i := range victims {
-		sum += victims[i].lost
+		sum += victims[i].cost
 	}
 	return sum
 }
--- a/process/sched/preempt/preempt.go
+++ b/process/sched/preempt/preempt.go
@@ -1,11 +1,11 @@
-// Package preempt makes room for urgent work by ending tasks of lower classes:
-// the lowest class that will do, and of that the tasks with the least work to
-// lose. Never chosen are tasks of the same or a higher class, and tasks that
-// must not start twice, whose end would lose them for good.
+// Package preempt frees capacity for a task by preempting tasks of lower classes:
+// of the lowest classes that suffice, and among those the tasks that lose the
+// least work. Tasks of the same or a higher class are never preempted, nor are
+// non-idempotent tasks, which cannot be started again and would be lost.
 //
-// How a victim ends is up to the owner of its worker, which checkpoints where
-// it can and stops where it can not; throttling frees no reserved capacity and
-// so makes no room.
+// How a victim ends is decided by the owner of its worker, which checkpoints it if
+// possible and otherwise stops it. Throttling is no alternative, as it does not
+// free reserved capacity.
 package preempt
 
 import (
@@ -19,18 +19,19 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// SampleSize bounds how many workers with room to make are compared. Up to this
-// number the choice is the best of the cell; beyond it is the best of as many
-// workers, which start at a place drawn from the ask, so that urgent tasks of
-// several schedulers do not all fall on the same ones.
+// SampleSize limits how many workers on which preemption is possible are compared.
+// If the cell has no more of them, the choice is optimal; otherwise it is the best
+// of a sample, which starts at an index derived from the task, so that urgent tasks
+// of several schedulers do not all choose the same workers.
 const SampleSize = 512
 
-// Place chooses a worker and the victims there; false when nothing can be freed.
+// Place chooses a worker and the victims there. It returns false when no worker can
+// be freed for the ask.
 func Place(v *snapshot.View, a *snapshot.Ask) (snapshot.Decision, bool) {
 	s := search{view: v, ask: a, now: time.Now(), gangs: map[string]int{}}
 	v.AllFrom(xxhash.Sum64String(a.Task.String()), func(w *snapshot.Worker) bool {
 		s.consider(w)
-		return s.seen < SampleSize
+		return s.compared < SampleSize
 	})
 	if s.best.worker == nil {
 		return snapshot.Decision{}, false
@@ -38,56 +39,56 @@
 	return s.best.decision(), true
 }
 
-// plan is a way to make room on one worker.
+// plan is a set of victims that frees enough on one worker.
 type plan struct {
 	worker  *snapshot.Worker
 	victims []victim
-	rank    int // the highest class among the victims
-	lost    float64
+	rank    int // of the highest class among the victims
+	cost    float64
 }
 
-// compare orders plans: the lower class first, then the less work lost.
+// compare orders plans by the rank of the victims and then by the work lost.
 func (p *plan) compare(o *plan) int {
-	return cmp.Or(cmp.Compare(p.rank, o.rank), cmp.Compare(p.lost, o.lost))
+	return cmp.Or(cmp.Compare(p.rank, o.rank), cmp.Compare(p.cost, o.cost))
 }
 
 // search is the state of one decision.
 type search struct {
-	view    *snapshot.View
-	ask     *snapshot.Ask
-	now     time.Time
-	gangs   map[string]int // tasks of each gang met
-	seen    int
-	best    plan
-	buffer  []victim // used for each worker in turn
-	ordered []victim // likewise
+	view     *snapshot.View
+	ask      *snapshot.Ask
+	now      time.Time
+	gangs    map[string]int // cached number of tasks per gang
+	compared int
+	best     plan
+	buffer   []victim // reused for each worker
+	ordered  []victim // reused for each worker
 }
 
-// consider takes a worker's plan if it is better than the best so far.
+// consider computes a worker's plan and records it if it is the best so far.
 func (s *search) consider(w *snapshot.Worker) {
 	missing := s.ask.Size.Sub(w.Free())
 	rank, ok := s.lowestRank(w, missing)
 	if !ok || !eligible(s.view, s.ask, w) {
 		return
 	}
-	s.seen++
+	s.compared++
 	if s.best.worker != nil && rank > s.best.rank {
 		return
 	}
 	candidates := s.victims(w, rank)
-	if s.best.worker != nil && rank == s.best.rank && bound(candidates, missing) >= s.best.lost {
+	if s.best.worker != nil && rank == s.best.rank && lowerBound(candidates, missing) >= s.best.cost {
 		return
 	}
 	chosen := s.choose(candidates, missing)
-	p := plan{worker: w, rank: rank, lost: total(chosen)}
+	p := plan{worker: w, rank: rank, cost: totalCost(chosen)}
 	if s.best.worker == nil || p.compare(&s.best) < 0 {
 		p.victims = slices.Clone(chosen)
 		s.best = p
 	}
 }
 
-// lowestRank returns the lowest class up to which tasks have to end; false when
-// ending all that may be ended is not enough.
+// lowestRank returns the lowest rank such that preempting tasks up to it frees
+// enough, or false if preempting all preemptible tasks does not.
 func (s *search) lowestRank(w *snapshot.Worker, missing spec.Resources) (int, bool) {
 	for _, by := range []spec.Class{spec.Normal, spec.High, spec.Urgent} {
 		if by.Rank() <= s.ask.Class.Rank() && missing.Fits(w.Preemptible(by)) {
--- a/process/sched/preempt/victims.go
+++ b/process/sched/preempt/victims.go
@@ -7,19 +7,20 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Weights of lost work, which is measured in seconds of a whole VM.
+// Costs of a victim in addition to its lost work, in seconds of a whole VM.
 const (
-	// startCost is lost with each victim however young: its start and its wait.
+	// startCost is the cost of any victim however young: its start and its wait.
 	startCost = 1.0
-	// serviceCost is lost with an instance: callers notice at once.
+	// serviceCost is the additional cost of an instance of a service, whose loss
+	// callers notice immediately.
 	serviceCost = 600.0
 )
 
-// victim is a task that may be ended.
+// victim is a task that may be preempted.
 type victim struct {
 	task *snapshot.Task
 	size spec.Resources
-	lost float64
+	cost float64
 }
 
 func (p *plan) decision() snapshot.Decision {
@@ -30,7 +31,7 @@
 	return snapshot.Decision{Worker: p.worker.ID, Partition: p.worker.Partition, Victims: refs}
 }
 
-// eligible applies the filters that the end of victims does not change.
+// eligible applies the filters whose result does not depend on the victims.
 func eligible(v *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) bool {
 	for _, f := range []filter.Filter{filter.Zone, filter.Rack, filter.TooSmall, filter.Usable, filter.Avoid, filter.MaxPerWorker} {
 		if f(v, a, w) != "" {
@@ -40,31 +41,31 @@
 	return true
 }
 
-// victims lists the tasks on a worker up to a class that may be ended. The list
-// is only good until the next call.
+// victims returns the preemptible tasks on a worker up to a rank. The slice is valid
+// only until the next call.
 func (s *search) victims(w *snapshot.Worker, rank int) []victim {
 	s.buffer = s.buffer[:0]
 	for i := range w.Tasks {
 		g := w.Tasks[i].Group()
 		if g.Class.Rank() <= rank && g.Preemptible(s.ask.Class) {
-			s.buffer = append(s.buffer, victim{&w.Tasks[i], g.Size, s.lost(&w.Tasks[i], &g, w)})
+			s.buffer = append(s.buffer, victim{&w.Tasks[i], g.Size, s.cost(&w.Tasks[i], &g, w)})
 		}
 	}
 	return s.buffer
 }
 
-// lost is the work that ends with a task: its share of the VM times its age.
-// A gang makes no progress without any one of its tasks, so that the work of
-// all is taken to be lost.
-func (s *search) lost(t *snapshot.Task, g *snapshot.Group, w *snapshot.Worker) float64 {
-	cost := dominantShare(g.Size, w.Capacity) * t.Age(s.now).Seconds()
+// cost returns the work that is lost with a task: its share of the VM times its
+// age. A gang makes no progress if any one of its tasks is missing, so the work of
+// all its tasks counts as lost.
+func (s *search) cost(t *snapshot.Task, g *snapshot.Group, w *snapshot.Worker) float64 {
+	work := dominantShare(g.Size, w.Capacity) * t.Age(s.now).Seconds()
 	switch g.Kind {
 	case spec.Gang:
-		cost *= float64(s.gangSize(g.Job))
+		work *= float64(s.gangSize(g.Job))
 	case spec.Service:
-		cost += serviceCost
+		work += serviceCost
 	}
-	return startCost + cost
+	return startCost + work
 }
 
 func (s *search) gangSize(job string) int {
@@ -81,9 +82,9 @@
 		share(size.Accelerators, capacity.Accelerators))
 }
 
-func share(part, whole int64) float64 {
+func share(amount, whole int64) float64 {
 	if whole <= 0 {
 		return 0
 	}
-	return float64(part) / float64(whole)
+	return float64(amount) / float64(whole)
 }
--- a/process/sched/service/service.go
+++ b/process/sched/service/service.go
@@ -1,9 +1,9 @@
-// Package service places long-running instances so that the loss of a zone, a
-// rack or a VM takes away as few of them as possible: first the zone with the
-// fewest instances of the job, then the rack, then the worker, then the tightest
-// fit. Only instances of the ask's generation count at first: during a rolling
-// replacement the earlier ones are about to go, and spreading around them would
-// leave the new ones lopsided. They decide between equals.
+// Package service places long-running instances so that the failure of a zone, a
+// rack or a VM affects as few of them as possible. It chooses the zone with the
+// fewest instances of the job, then the rack, then the worker, and then the
+// tightest fit. Instances of other generations only break ties: during a rolling
+// replacement the old instances are about to be stopped, and spreading around them
+// would leave the new ones unevenly distributed.
 package service
 
 import (
@@ -14,12 +14,12 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// SampleSize bounds how many feasible workers are rated among racks that are
-// equally loaded. Beyond it the spread is still exact and only the fit may be
-// worse than the best.
+// SampleSize limits how many feasible workers are scored among equally loaded
+// racks. If there are more, the spread over zones and racks is still optimal, and
+// only the choice of the worker may not be.
 const SampleSize = 512
 
-// Place returns the best worker for the ask; false when none has room.
+// Place returns the best worker for the ask, or false if it fits on none.
 func Place(v *snapshot.View, a *snapshot.Ask) (snapshot.Decision, bool) {
 	s := search{view: v, ask: a, count: countOf(v, a), rater: score.NewRater(v, a)}
 	for _, g := range s.groups() {
@@ -38,7 +38,7 @@
 	rater score.Rater
 }
 
-// candidate is a feasible worker with what decides between them.
+// candidate is a feasible worker with the keys by which candidates are ordered.
 type candidate struct {
 	worker  *snapshot.Worker
 	tasks   int
@@ -50,27 +50,28 @@
 		cmp.Compare(c.worker.ID, o.worker.ID))
 }
 
-// best returns the best feasible worker of racks that are equally loaded.
+// best returns the best feasible worker in a group of equally loaded racks, or nil.
 func (s *search) best(g *group) *snapshot.Worker {
 	var best candidate
-	seen := 0
+	scored := 0
 	s.each(g, func(rack int32) bool {
 		for _, i := range s.view.Racks()[rack].Workers {
 			w := s.view.Worker(i)
 			if !s.fits(w) {
 				continue
 			}
-			seen++
+			scored++
 			if c := s.rate(w); best.worker == nil || c.compare(best) < 0 {
 				best = c
 			}
 		}
-		return seen < SampleSize
+		return scored < SampleSize
 	})
 	return best.worker
 }
 
-// fits checks room before the other filters, as most workers fail by it.
+// fits checks the free capacity before the other filters, as it rules out most
+// workers.
 func (s *search) fits(w *snapshot.Worker) bool {
 	return s.ask.Size.Fits(w.Free()) && filter.Check(s.view, s.ask, w) == ""
 }
--- a/process/sched/usage/ring.go
+++ b/process/sched/usage/ring.go
@@ -19,8 +19,8 @@
 
 func (r *ring) len() int { return len(r.values) }
 
-// percentile returns the least value that p percent of the values do not
-// exceed; 0 when there is none.
+// percentile returns the p-th percentile of the values (nearest rank), or 0 if
+// there are none.
 func (r *ring) percentile(p int) int64 {
 	if len(r.values) == 0 {
 		return 0
--- a/process/sched/usage/size.go
+++ b/process/sched/usage/size.go
@@ -6,12 +6,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Size returns what to reserve for the next task of a job. It is never more
-// than limit, the capacity of the largest VM that may run it: a task that seems
-// to need more than any VM has is still tried, and what it uses beyond is
-// relieved on its worker. A declared size beyond the limit is returned as it
-// is, so that placement tells the operator that the job can never run. An
-// unknown job has the zero size.
+// Size returns what to reserve for the next task of a job. A learned size is at
+// most limit, the capacity of the largest VM that may run the task: a task that
+// seems to need more than any VM has is still tried, and the excess is handled on
+// its worker (see Relieve). A declared size above the limit is returned unchanged,
+// so that placement reports the job as infeasible. The size of an unknown job is
+// zero.
 func (l *Learner) Size(job string, limit spec.Resources) spec.Resources {
 	h := l.jobs[job]
 	if h == nil {
@@ -26,11 +26,11 @@
 	}
 }
 
-// sample is what was seen of one dimension.
+// sample is the observed usage of one dimension.
 type sample struct {
 	peak  int64 // of ended tasks
-	live  int64 // the highest report of running ones
-	ended int
+	live  int64 // the highest recent report, running tasks included
+	ended int   // number of ended tasks
 }
 
 func (s sample) estimate(declared, limit int64) int64 {
@@ -48,6 +48,7 @@
 	return min(max(want, floor), limit)
 }
 
+// withMargin adds the safety margin for a peak observed over n tasks.
 func withMargin(v int64, n int) int64 {
-	return int64(math.Ceil(float64(v) * (baseMargin + doubt/math.Sqrt(float64(n)))))
+	return int64(math.Ceil(float64(v) * (baseMargin + sampleMargin/math.Sqrt(float64(n)))))
 }
--- a/process/sched/usage/usage.go
+++ b/process/sched/usage/usage.go
@@ -1,20 +1,20 @@
-// Package usage learns from what tasks really use, and for how long they really
-// run, what to reserve for the next task of the same job.
+// Package usage estimates what to reserve for the next task of a job, and how long
+// it will run, from the usage and the run times of the job's earlier tasks.
 //
-// Declared sizes and run times are off by a factor of three either way. The
-// learned size only applies to later starts. What a running task has reserved
-// is never taken back: its usage is reported with a lag, and work that was let
-// in on the difference would push the VM over its capacity as soon as the task
-// uses what it was promised. A job's tasks are alike and many, so the room is
-// won with the next starts.
+// Declared sizes and run times are off by up to a factor of three either way. A
+// learned size applies only to later starts. The reservation of a running task is
+// never reduced: its usage is reported with a lag, and if other work were admitted
+// on the difference, the VM would exceed its capacity as soon as the task used
+// what it had reserved. The tasks of a job are many and alike, so the unused
+// capacity is reclaimed with the next starts.
 //
-// Processors can be shared out anew at any moment (a throttled task is late,
-// not dead), memory can not: so processors are sized by a high percentile and
-// memory by the highest value seen, both with a margin that shrinks as more
-// tasks have ended. Accelerators are whole and exclusive; they stay as declared.
+// CPU can be redistributed at any time, as a throttled task only takes longer, but
+// memory cannot. Therefore CPU is sized by a high percentile and memory by the
+// maximum observed, both with a margin that shrinks as more tasks have ended.
+// Accelerators are whole and exclusive; they are reserved as declared.
 //
-// A Learner belongs to one goroutine; it is not safe for concurrent use. It is
-// memory only: after a takeover it starts again from the declared values.
+// A Learner is not safe for concurrent use. Its state is not persistent: after a
+// takeover it starts again from the declared values.
 package usage
 
 import (
@@ -24,52 +24,54 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Limits of what is learned.
+// Parameters of the size estimate.
 const (
-	// Window is how many ended tasks of a job count.
+	// Window is the number of most recently ended tasks of a job that are used.
 	Window = 64
-	// MinEnded is how many tasks have to end before less than the declared
-	// size is reserved. More than declared is reserved at the first report.
+	// MinEnded is the number of tasks that must have ended before less than the
+	// declared size is reserved. More than declared is reserved from the first
+	// report on.
 	MinEnded = 5
-	// Floor is the least share of the declared size that is reserved. Sizes
-	// are off by three; less than a quarter is a report that can not be true.
+	// Floor is the least fraction of the declared size that is reserved. Declared
+	// sizes are off by a factor of three; usage below a quarter of them is
+	// considered a reporting error.
 	Floor = 0.25
-	// cpuPercentile of the peaks is reserved of processors.
+	// cpuPercentile is the percentile of the CPU peaks that is reserved.
 	cpuPercentile = 95
-	// baseMargin and doubt make the factor on what was seen: with n tasks
-	// ended it is baseMargin + doubt/sqrt(n).
-	baseMargin = 1.05
-	doubt      = 0.3
+	// baseMargin and sampleMargin give the factor applied to the observed peak:
+	// baseMargin + sampleMargin/sqrt(n) after n tasks have ended.
+	baseMargin   = 1.05
+	sampleMargin = 0.3
 )
 
-// Learner holds what is known of each job.
+// Learner holds the usage history of each job.
 type Learner struct {
 	jobs map[string]*history
-	// running holds the highest usage reported of tasks that have not ended.
+	// running holds the peak usage reported so far of tasks that have not ended.
 	running map[worker.Ref]spec.Resources
 }
 
-// history is what is known of one job.
+// history is the usage history of one job.
 type history struct {
 	declared spec.Resources
 	runTime  time.Duration
 	cpu      ring
 	memory   ring
 	runs     ring
-	// live is the highest usage reported of any task since the last ended
-	// one left the window; it lets a size grow before a task has ended.
+	// live is the peak usage reported of any task since it was last reset, which
+	// happens every Window ended tasks. It lets a size grow before a task has ended.
 	live      spec.Resources
-	liveUntil int // ended tasks until live is taken down
+	liveEnded int // tasks that have ended since live was reset
 }
 
-// New returns a learner that knows nothing.
+// New returns a learner without any history.
 func New() *Learner {
 	return &Learner{jobs: map[string]*history{}, running: map[worker.Ref]spec.Resources{}}
 }
 
-// Declare tells what the operator declares for a job; runTime may be 0. What
-// was learned stays over new generations of the job, and is dropped when the
-// declared size changes, as the operator then knows better.
+// Declare sets the declared size and run time of a job; runTime may be 0. The
+// history is kept across generations of the job. It is dropped when the declared
+// size changes, since that replaces the estimate by the operator's.
 func (l *Learner) Declare(job string, size spec.Resources, runTime time.Duration) {
 	h := l.jobs[job]
 	if h == nil || h.declared != size {
@@ -79,10 +81,10 @@
 	h.runTime = runTime
 }
 
-// Forget drops a job that is no longer declared.
+// Forget removes a job that is no longer declared.
 func (l *Learner) Forget(job string) { delete(l.jobs, job) }
 
-// Observe takes a report of what a running task used lately.
+// Observe records a report of the recent usage of a running task.
 func (l *Learner) Observe(ref worker.Ref, used spec.Resources) {
 	h := l.jobs[ref.Task.Job]
 	if h == nil || used.IsZero() {
@@ -92,11 +94,11 @@
 	h.live = largest(h.live, used)
 }
 
-// Reported returns the number of tasks with a report whose end was not told.
+// Reported returns the number of tasks with a usage report that have not ended.
 func (l *Learner) Reported() int { return len(l.running) }
 
-// Ended takes the end of a task. Only a task that succeeded tells anything of
-// run times, and one that never had a report nothing of sizes.
+// Ended records the end of a task. The run time is used only if the task
+// succeeded, and its usage only if there was a report.
 func (l *Learner) Ended(ref worker.Ref, ran time.Duration, succeeded bool) {
 	peak, reported := l.running[ref]
 	delete(l.running, ref)
@@ -105,19 +107,19 @@
 		return
 	}
 	if reported {
-		h.ended(peak)
+		h.addPeak(peak)
 	}
 	if succeeded && ran > 0 {
 		h.runs.add(int64(ran))
 	}
 }
 
-func (h *history) ended(peak spec.Resources) {
+func (h *history) addPeak(peak spec.Resources) {
 	h.cpu.add(peak.MilliCPU)
 	h.memory.add(peak.MemoryMB)
-	h.liveUntil++
-	if h.liveUntil >= Window {
-		h.live, h.liveUntil = spec.Resources{}, 0
+	h.liveEnded++
+	if h.liveEnded >= Window {
+		h.live, h.liveEnded = spec.Resources{}, 0
 	}
 }
 
