--- a/process/sched/batch/batch.go
+++ b/process/sched/batch/batch.go
@@ -1,6 +1,6 @@
-// Package batch places independent tasks as tightly as it can: the worker on
-// which the least stays free, with what stays free in balance, so that large
-// tasks still find whole VMs.
+// Package batch places independent tasks by best fit: on the worker that is left
+// with the least free capacity, and with free CPU and memory in balance, so that
+// whole VMs stay free for large tasks.
 package batch
 
 import (
@@ -12,12 +12,13 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// SampleSize bounds how many workers of one cell are rated. Up to this number
-// the choice is the best; in a cell with more it is the best of so many whose
-// free capacity is alike to 1/snapshot.Levels in each dimension.
+// SampleSize limits how many workers of one bucket of the index are scored. Up to
+// this number the choice is optimal. In a larger bucket it is the best of a sample
+// of workers whose free capacity differs by at most 1/snapshot.Levels in each
+// dimension.
 const SampleSize = 512
 
-// Place returns the best worker for the ask; false when none has room.
+// Place returns the best worker for the ask, or false if it fits on none.
 func Place(v *snapshot.View, a *snapshot.Ask) (snapshot.Decision, bool) {
 	best, found := Best(v, a)
 	if !found {
@@ -27,7 +28,7 @@
 	return snapshot.Decision{Worker: w.ID, Partition: w.Partition}, true
 }
 
-// Best returns the position of the best worker.
+// Best returns the index of the best worker, or false if the ask fits on none.
 func Best(v *snapshot.View, a *snapshot.Ask) (snapshot.Index, bool) {
 	s := search{
 		view: v, ask: a, filters: filter.ForRecord(v, a), rater: score.NewRater(v, a),
@@ -53,12 +54,12 @@
 	sampled int
 }
 
-func (s *search) class(c *snapshot.Class) {
+func (s *search) class(c *snapshot.WorkerClass) {
 	s.ref = c.Reference
-	c.Cells(&s.ask.Size, s.visit, s.scan)
+	c.Buckets(&s.ask.Size, s.visit, s.scan)
 }
 
-// visit skips a cell that can not hold a better worker.
+// visit reports whether a bucket may contain a better worker than the best so far.
 func (s *search) visit(b snapshot.Bounds) bool {
 	s.sampled = 0
 	return s.rater.Bound(b, &s.ref) < s.score
@@ -68,10 +69,10 @@
 	if !e.Fits(&s.ask.Size) {
 		return true
 	}
-	rating := s.rater.Packing(e, &s.ref) + score.Away(s.view.Home, e.Lane)
+	rating := s.rater.Packing(e, &s.ref) + score.Locality(s.view.Home, e.Partition)
 	if rating < s.score {
 		if !filter.Pass(s.filters, s.view, s.ask, e.Worker) {
-			return true // not part of the sample: it says nothing of the others
+			return true // ruled out by a filter, so not part of the sample
 		}
 		s.best, s.score = e.Worker, rating
 	}
--- a/process/sched/block.go
+++ b/process/sched/block.go
@@ -7,27 +7,28 @@
 	"fennelshunt.example/fennelshunt/connection/worker"
 )
 
-// Block keeps all decisions off a worker, over Rebase, until Unblock: its owner
-// refuses plans, which no snapshot shows. reason is told in rejections.
+// Block excludes a worker from all decisions until Unblock is called, also across
+// Rebase. It is for workers whose owner refuses plans, which snapshots do not
+// show. Rejections give the reason.
 func (p *Planner) Block(id worker.ID, reason string) {
 	p.blocked[id] = reason
 	p.view.SetUnusable(id, reason)
 }
 
-// Unblock lets a worker take tasks again as far as the snapshot does.
+// Unblock makes a worker available again, unless it is unusable in the snapshot.
 func (p *Planner) Unblock(id worker.ID) {
 	if _, ok := p.blocked[id]; !ok {
 		return
 	}
 	delete(p.blocked, id)
-	clear(p.failed)
+	clear(p.failures)
 	if w := p.base.Lookup(id); w != nil {
 		p.view.SetUnusable(id, w.Unusable)
 	}
 }
 
-// block applies what is blocked to a new view.
-func (p *Planner) block() {
+// applyBlocked marks the blocked workers as unusable in a new view.
+func (p *Planner) applyBlocked() {
 	for _, id := range slices.Sorted(maps.Keys(p.blocked)) {
 		p.view.SetUnusable(id, p.blocked[id])
 	}
--- a/process/sched/cell_test.go
+++ b/process/sched/cell_test.go
@@ -32,15 +32,15 @@
 	accelerators int64
 }
 
-// guild is the Guild's cell: two of its eight racks have accelerators.
+// guild is the Guild's cell, in which two of eight racks have accelerators.
 var guild = shape{48, spec.Resources{MilliCPU: 16000, MemoryMB: 32768}, 6, 4, 4, 4}
 
-// authority is the Authority's cell, or a larger one of the same VMs.
+// authority is the Authority's cell, or a larger one with the same VMs.
 func authority(workers int) shape {
 	return shape{workers, spec.Resources{MilliCPU: 64000, MemoryMB: 131072}, 8, 3, 3, 8}
 }
 
-// states builds the workers; with varied sizes, VMs are up to 4 % smaller.
+// states returns the workers. If varied is set, VMs are up to 4 % smaller.
 func (s shape) states(r *rand.Rand, varied bool) []plan.WorkerState {
 	out := make([]plan.WorkerState, s.workers)
 	for i := range out {
@@ -61,7 +61,7 @@
 	return out
 }
 
-// cacheOf returns a cache that follows one partition per rack.
+// cacheOf returns a cache of the workers, with one partition per rack.
 func cacheOf(workers []plan.WorkerState) *Cache {
 	c := NewCache()
 	partitions := map[string][]plan.WorkerState{}
@@ -78,9 +78,9 @@
 	return c
 }
 
-// mixedTask draws from a mix that is skewed in both dimensions: many small
-// tasks, some heavy on processors, some heavy on memory, some with
-// accelerators. unit is what a sixteenth of a VM has.
+// mixedTask draws a task from a mix that is skewed in both dimensions: many small
+// tasks, some with much CPU, some with much memory, and some with accelerators.
+// Sizes are multiples of a 64th of a VM.
 func mixedTask(r *rand.Rand, index int, capacity spec.Resources) Ask {
 	cpu, mem := capacity.MilliCPU/64, capacity.MemoryMB/64
 	between := func(lo, hi int64) int64 { return lo + r.Int64N(hi-lo+1) }
--- a/process/sched/conflict_test.go
+++ b/process/sched/conflict_test.go
@@ -12,15 +12,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// contest is a cell on which several schedulers decide at the same time, each
-// on the last snapshot and without knowing of the others.
+// contest is a cell in which several schedulers decide at the same time, each on
+// the last snapshot and independently of the others.
 type contest struct {
 	r          *rand.Rand
 	truth      *naive.Scheduler
 	cache      *Cache
 	schedulers int
-	homes      bool
-	rebinds    bool // owners may put a task on another worker of the rack
+	affinity   bool // schedulers prefer different partitions
+	rebinds    bool // owners may place a task on another worker of the rack
 	seq        uint64
 	index      int
 	running    []worker.Ref
@@ -28,26 +28,26 @@
 	used       spec.Resources
 	refused    int
 	placed     int
-	rebound    int // of the placed
-	waiting    int // found no room in the snapshot
+	rebound    int // included in placed
+	waiting    int // did not fit in the snapshot
 }
 
-func newContest(seed uint64, schedulers int, homes, rebinds bool) *contest {
+func newContest(seed uint64, schedulers int, affinity, rebinds bool) *contest {
 	states := guild.states(nil, false)
 	return &contest{
 		r: rand.New(rand.NewPCG(seed, 5)), truth: naive.New(states), cache: cacheOf(states),
-		schedulers: schedulers, homes: homes, rebinds: rebinds, seq: 1, at: map[worker.Ref]worker.ID{},
+		schedulers: schedulers, affinity: affinity, rebinds: rebinds, seq: 1, at: map[worker.Ref]worker.ID{},
 	}
 }
 
-// round lets each scheduler place tasks on one snapshot, ends tasks down to the
-// load, and publishes the outcome.
+// round lets each scheduler place tasks on one snapshot, ends tasks until the load
+// is reached, and publishes the resulting state.
 func (c *contest) round(each int, load float64) {
 	snap := c.cache.Snapshot()
 	for i := range c.schedulers {
 		p := NewPlanner(snap)
-		if c.homes {
-			p.Prefer(fmt.Sprint("scheduler-", i), home(i, c.schedulers))
+		if c.affinity {
+			p.Prefer(fmt.Sprint("scheduler-", i), preferred(i, c.schedulers))
 		}
 		for range each {
 			c.place(p)
@@ -73,15 +73,16 @@
 		c.waiting++
 		return
 	}
-	if id, ok := c.settle(&a, d.Worker); ok {
+	if id, ok := c.commit(&a, d.Worker); ok {
 		c.start(&a, id)
 	} else {
 		c.refused++
 	}
 }
 
-// settle is what the owner of the workers does with a proposal.
-func (c *contest) settle(a *Ask, id worker.ID) (worker.ID, bool) {
+// commit returns the worker on which the owner of the partition commits a proposal,
+// or false if it refuses.
+func (c *contest) commit(a *Ask, id worker.ID) (worker.ID, bool) {
 	first := c.truth.Worker(id)
 	if c.truth.Fits(a, first) {
 		return id, true
@@ -122,8 +123,9 @@
 	c.used = c.used.Sub(before.Sub(w.Reserved))
 }
 
-// home deals the racks out to the schedulers.
-func home(scheduler, schedulers int) []string {
+// preferred returns the racks that a scheduler prefers; each rack is preferred by one
+// scheduler.
+func preferred(scheduler, schedulers int) []string {
 	var racks []string
 	for rack := scheduler; rack < guild.workers/guild.rackSize; rack += schedulers {
 		racks = append(racks, fmt.Sprint("rack-", rack))
@@ -131,27 +133,27 @@
 	return racks
 }
 
-// BenchmarkConflicts reports how many placements the workers' owners refuse,
-// with and without home partitions, and with and without rebinding, in the
-// Guild's cell kept at a load. At 1,600 starts a second and a snapshot every 50
-// ms, 6 schedulers place 13 tasks each on one snapshot.
+// BenchmarkConflicts reports how many placements the owners of the partitions
+// refuse, with and without preferred partitions and with and without rebinding, in
+// the Guild's cell at a constant load. At 1,600 starts a second and a snapshot every
+// 50 ms, 6 schedulers place 13 tasks each on one snapshot.
 func BenchmarkConflicts(b *testing.B) {
 	for _, load := range []float64{0.6, 0.8} {
 		for _, each := range []int{1, 4, 13} {
-			for _, way := range []struct{ homes, rebinds bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
-				b.Run(fmt.Sprintf("load=%v/each=%d/homes=%v/rebinds=%v", load, each, way.homes, way.rebinds), func(b *testing.B) {
-					benchmarkConflicts(b, load, each, way.homes, way.rebinds)
+			for _, mode := range []struct{ affinity, rebinds bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
+				b.Run(fmt.Sprintf("load=%v/each=%d/homes=%v/rebinds=%v", load, each, mode.affinity, mode.rebinds), func(b *testing.B) {
+					benchmarkConflicts(b, load, each, mode.affinity, mode.rebinds)
 				})
 			}
 		}
 	}
 }
 
-func benchmarkConflicts(b *testing.B, load float64, each int, homes, rebinds bool) {
+func benchmarkConflicts(b *testing.B, load float64, each int, affinity, rebinds bool) {
 	const rounds = 100
 	var c *contest
 	for b.Loop() {
-		c = newContest(1, 6, homes, rebinds)
+		c = newContest(1, 6, affinity, rebinds)
 		for guild.share(c.used) < load*0.95 {
 			c.round(1, load)
 		}
--- a/process/sched/decision_test.go
+++ b/process/sched/decision_test.go
@@ -18,12 +18,11 @@
 
 func size(workers int) string { return fmt.Sprint("workers=", workers) }
 
-// target is the share of the processors or memory at which a loaded cell is
-// measured.
+// target is the used share of CPU or memory at which a loaded cell is measured.
 const target = 0.8
 
-// loaded returns the workers of a cell filled to the target with the mix, as
-// partitions would report them.
+// loaded returns the workers of a cell that is filled to the target with mixed
+// tasks, as partitions would report them.
 func loaded(s shape) []plan.WorkerState {
 	r := rand.New(rand.NewPCG(7, 1))
 	p := NewPlanner(cacheOf(s.states(r, true)).Snapshot())
@@ -39,7 +38,7 @@
 	return reported(p, s.states(rand.New(rand.NewPCG(7, 1)), true))
 }
 
-// reported turns what a planner assumes into workers' states.
+// reported converts the assumptions of a planner to worker states.
 func reported(p *Planner, states []plan.WorkerState) []plan.WorkerState {
 	for i := range states {
 		w := p.View().Lookup(states[i].ID)
@@ -55,8 +54,8 @@
 	return states
 }
 
-// churner keeps a cell at its load: each placement is followed by the end of
-// the oldest task that it placed.
+// churner keeps a cell at its load: after each placement it ends the oldest task that
+// it placed.
 type churner struct {
 	r       *rand.Rand
 	s       shape
@@ -65,7 +64,7 @@
 	running []worker.Ref
 }
 
-// churnSize is how many tasks of a churner run at once.
+// churnSize is the number of tasks of a churner that run at the same time.
 const churnSize = 64
 
 func newChurner(s shape) *churner {
@@ -110,8 +109,8 @@
 	b.ReportMetric(float64(len(times))/sum.Seconds(), "placements/s")
 }
 
-// BenchmarkDecision measures placements, each decided and assumed, one after
-// another on one core in a cell at 80 % load, with tasks ending in between.
+// BenchmarkDecision measures sequential placements, each decided and assumed, on one
+// core in a cell at 80 % load, while other tasks end.
 func BenchmarkDecision(b *testing.B) {
 	for _, n := range cellSizes {
 		s := authority(n)
@@ -141,8 +140,8 @@
 	}
 }
 
-// BenchmarkSnapshotMemory reports what a cache holds per worker, and what a
-// snapshot and a planner's fork cost.
+// BenchmarkSnapshotMemory reports the memory of a cache per worker, and the cost of
+// a snapshot and a planner's fork.
 func BenchmarkSnapshotMemory(b *testing.B) {
 	for _, n := range cellSizes {
 		b.Run(size(n), func(b *testing.B) {
--- a/process/sched/differential_test.go
+++ b/process/sched/differential_test.go
@@ -16,7 +16,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// pair drives the planner and the naive scheduler side by side.
+// pair runs the planner and the naive scheduler on the same input.
 type pair struct {
 	t       *rapid.T
 	planner *Planner
@@ -61,14 +61,14 @@
 	return a
 }
 
-// prefer gives both a home; each rack is a partition.
+// prefer sets the preferred partitions of both; each rack is a partition.
 func (p *pair) prefer(scheduler string, partitions []string) {
 	p.planner.Prefer(scheduler, partitions)
-	home := snapshot.NewHome(scheduler, partitions)
-	p.naive.Away = func(w *plan.WorkerState) float64 { return score.Away(home, snapshot.LaneOf(w.Rack)) }
+	affinity := snapshot.NewAffinity(scheduler, partitions)
+	p.naive.Locality = func(w *plan.WorkerState) float64 { return score.Locality(affinity, snapshot.LaneOf(w.Rack)) }
 }
 
-// decide asks both and compares feasibility and rating.
+// decide places an ask with both and compares feasibility and score.
 func (p *pair) decide(a Ask) (Decision, bool) {
 	d := p.planner.Place(a)
 	place := p.naive.PlaceBatch
@@ -92,7 +92,7 @@
 	return d, true
 }
 
-// spread tells which policy the documents promise for an ask.
+// spread reports whether an ask is to be spread according to the documentation.
 func spread(a *Ask) bool {
 	switch a.Constraints.Spread {
 	case spec.SpreadNone:
@@ -103,8 +103,8 @@
 	return true
 }
 
-// compareRejections wants each worker counted once, and "infeasible" only when
-// an empty cell would not take the task either.
+// compareRejections checks that each worker is counted once, and that an ask is
+// infeasible if and only if it does not fit in the empty cell either.
 func (p *pair) compareRejections(a *Ask, d Decision) {
 	n := 0
 	for _, r := range d.Rejections {
--- a/process/sched/failure.go
+++ b/process/sched/failure.go
@@ -6,10 +6,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// failure identifies asks that get the same answer while nothing is freed:
-// the tasks of one generation of a job. Without it, a queue of 50,000 tasks
-// that find no room would cost as many full scans.
-type failure struct {
+// failureKey identifies asks that cannot be placed for the same reason until
+// capacity is freed: the tasks of one generation of a job. Caching the failure per
+// key avoids one full scan of the workers for each of, say, 50,000 queued tasks that
+// do not fit.
+type failureKey struct {
 	job        string
 	generation uint64
 	size       spec.Resources
@@ -18,8 +19,9 @@
 	preempt    bool
 }
 
-// failureOf returns an ask's key; false when the task is unlike its siblings.
-func failureOf(a *Ask) (failure, bool) {
-	key := failure{a.Task.Job, a.Task.Generation, a.Size, a.Class, a.RunTime, a.Preempt}
+// failureKeyOf returns the key of an ask, or false if the ask differs from those of
+// the other tasks of its job.
+func failureKeyOf(a *Ask) (failureKey, bool) {
+	key := failureKey{a.Task.Job, a.Task.Generation, a.Size, a.Class, a.RunTime, a.Preempt}
 	return key, len(a.Avoid) == 0
 }
--- a/process/sched/filter/capacity.go
+++ b/process/sched/filter/capacity.go
@@ -4,7 +4,7 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// TooSmall rejects a VM whose whole capacity is less than the task's size.
+// TooSmall rejects a worker whose total capacity is less than the task's size.
 func TooSmall(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if a.Size.Fits(w.Capacity) {
 		return ""
@@ -17,7 +17,7 @@
 	return snapshot.Reason(w.Unusable)
 }
 
-// Accelerators wants enough of them free.
+// Accelerators rejects a worker without enough free accelerators.
 func Accelerators(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if a.Size.Accelerators > w.Free().Accelerators {
 		return snapshot.ReasonAccelerators
@@ -25,7 +25,7 @@
 	return ""
 }
 
-// Memory wants enough of it free.
+// Memory rejects a worker without enough free memory.
 func Memory(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if a.Size.MemoryMB > w.Free().MemoryMB {
 		return snapshot.ReasonMemory
@@ -33,7 +33,7 @@
 	return ""
 }
 
-// CPU wants enough processors free.
+// CPU rejects a worker without enough free CPU.
 func CPU(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if a.Size.MilliCPU > w.Free().MilliCPU {
 		return snapshot.ReasonCPU
@@ -41,13 +41,13 @@
 	return ""
 }
 
-// Kept keeps off what a waiting gang counts on, unless the task is expected to
-// end before the gang can start.
-func Kept(v *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
-	if v.Kept == nil {
+// Withheld rejects a worker whose free capacity is reserved for a waiting gang,
+// unless the task is expected to end before the gang can start.
+func Withheld(v *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
+	if v.Withheld == nil {
 		return ""
 	}
-	if a.Size.Fits(w.Free().Sub(v.Kept(a, w.ID))) {
+	if a.Size.Fits(w.Free().Sub(v.Withheld(a, w.ID))) {
 		return ""
 	}
 	return snapshot.ReasonReserved
--- a/process/sched/filter/explain.go
+++ b/process/sched/filter/explain.go
@@ -7,9 +7,9 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// Explain counts, over all workers, why each does not take the task. Its cost
-// is linear in workers; policies call it only when they found no worker, and a
-// planner remembers the answer.
+// Explain counts the reasons why workers cannot take the task. Its cost is linear in
+// workers, so policies call it only when they found no worker, and a planner caches
+// the result.
 func Explain(v *snapshot.View, a *snapshot.Ask) (rejections []snapshot.Rejection, infeasible string) {
 	counts := map[snapshot.Reason]int{}
 	possible := v.Len() == 0
@@ -23,12 +23,12 @@
 	})
 	rejections = Sorted(counts)
 	if !possible {
-		infeasible = impossible(a, rejections)
+		infeasible = infeasibility(a, rejections)
 	}
 	return rejections, infeasible
 }
 
-// permanent reports whether nothing that ends can lift a reason.
+// permanent reports whether a reason remains whichever tasks end.
 func permanent(reason snapshot.Reason) bool {
 	switch reason {
 	case snapshot.ReasonZone, snapshot.ReasonRack, snapshot.ReasonTooSmall:
@@ -37,8 +37,8 @@
 	return false
 }
 
-// impossible words why no worker can ever take the task.
-func impossible(a *snapshot.Ask, rejections []snapshot.Rejection) string {
+// infeasibility describes why no worker can ever take the task.
+func infeasibility(a *snapshot.Ask, rejections []snapshot.Rejection) string {
 	for _, r := range rejections {
 		if r.Reason == snapshot.ReasonTooSmall {
 			return "larger than any VM that the constraints allow"
@@ -50,7 +50,7 @@
 	return "no worker in the availability zones of the constraints"
 }
 
-// Sorted returns counted reasons, most frequent first.
+// Sorted returns the counted reasons, most frequent first.
 func Sorted(counts map[snapshot.Reason]int) []snapshot.Rejection {
 	out := make([]snapshot.Rejection, 0, len(counts))
 	for reason, n := range counts {
--- a/process/sched/filter/topology.go
+++ b/process/sched/filter/topology.go
@@ -18,7 +18,7 @@
 	return len(racks) == 0 || slices.Contains(racks, rack)
 }
 
-// Zone keeps to the availability zones of the constraints.
+// Zone rejects a worker outside the availability zones of the constraints.
 func Zone(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if ZoneAllowed(a, w.Zone) {
 		return ""
@@ -26,7 +26,7 @@
 	return snapshot.ReasonZone
 }
 
-// Rack keeps to the racks of the constraints.
+// Rack rejects a worker outside the racks of the constraints.
 func Rack(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if RackAllowed(a, w.Rack) {
 		return ""
@@ -34,7 +34,7 @@
 	return snapshot.ReasonRack
 }
 
-// Avoid keeps off the workers that the ask names.
+// Avoid rejects the workers that the ask lists in Avoid.
 func Avoid(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	if slices.Contains(a.Avoid, w.ID) {
 		return snapshot.ReasonAvoid
@@ -42,9 +42,9 @@
 	return ""
 }
 
-// MaxPerWorker bounds the tasks of a job on one worker, those of earlier
-// generations included: while a service is replaced, old and new instances
-// together may not exceed what the operator allows.
+// MaxPerWorker limits the tasks of a job on one worker, including those of earlier
+// generations: while a service is being replaced, its old and new instances together
+// must not exceed what the operator allows.
 func MaxPerWorker(_ *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) snapshot.Reason {
 	limit := a.Constraints.MaxPerWorker
 	if limit > 0 && w.CountJob(a.Task.Job) >= limit {
--- a/process/sched/gang/capacity.go
+++ b/process/sched/gang/capacity.go
@@ -8,84 +8,85 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// spot is a worker with the number of the gang's tasks that fit there.
-type spot struct {
+// candidate is a worker and the number of the gang's tasks that fit on it.
+type candidate struct {
 	worker *snapshot.Worker
-	places int
+	tasks  int
 }
 
-// rackRoom is what a rack offers to a gang.
-type rackRoom struct {
-	zone   string
-	spots  []spot
-	places int
-	// keep is set when the rack has accelerators that the gang does not want.
-	keep bool
+// rackCapacity is the capacity of a rack for a gang.
+type rackCapacity struct {
+	zone       string
+	candidates []candidate
+	tasks      int // number of the gang's tasks that fit
+	// wastesAccelerators is set when the rack has accelerators and the gang does
+	// not use any.
+	wastesAccelerators bool
 }
 
-// racks lists the racks that have any room.
-type racks []rackRoom
+// racks lists the racks on which at least one task fits.
+type racks []rackCapacity
 
-// room counts how many tasks like the ask fit on each worker now. Its cost is
-// linear in workers, and does not depend on the number of tasks.
-func room(v *snapshot.View, a *snapshot.Ask) racks {
+// feasibleRacks counts how many tasks like the ask fit on each worker now. Its cost
+// is linear in workers and does not depend on the number of tasks.
+func feasibleRacks(v *snapshot.View, a *snapshot.Ask) racks {
 	var out racks
 	for _, rack := range v.Racks() {
 		if !filter.ZoneAllowed(a, rack.Zone) || !filter.RackAllowed(a, rack.Name) {
 			continue
 		}
-		if r := rackRoomOf(v, a, &rack); r.places > 0 {
+		if r := rackCapacityOf(v, a, &rack); r.tasks > 0 {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-func rackRoomOf(v *snapshot.View, a *snapshot.Ask, rack *snapshot.Rack) rackRoom {
-	r := rackRoom{zone: rack.Zone}
+func rackCapacityOf(v *snapshot.View, a *snapshot.Ask, rack *snapshot.Rack) rackCapacity {
+	r := rackCapacity{zone: rack.Zone}
 	for _, i := range rack.Workers {
 		w := v.Worker(i)
 		free := w.Free()
 		if !a.Size.Fits(free) || filter.Check(v, a, w) != "" {
 			continue
 		}
-		if v.Kept != nil {
-			free = free.Sub(v.Kept(a, w.ID))
+		if v.Withheld != nil {
+			free = free.Sub(v.Withheld(a, w.ID))
 		}
-		s := spot{w, limited(a, w, times(a.Size, free))}
-		r.spots = append(r.spots, s)
-		r.places += s.places
-		r.keep = r.keep || (a.Size.Accelerators == 0 && w.Capacity.Accelerators > 0)
+		c := candidate{w, limited(a, w, times(a.Size, free))}
+		r.candidates = append(r.candidates, c)
+		r.tasks += c.tasks
+		r.wastesAccelerators = r.wastesAccelerators || (a.Size.Accelerators == 0 && w.Capacity.Accelerators > 0)
 	}
 	return r
 }
 
-// capacity counts how many tasks like the ask the allowed workers could run if
-// they ran nothing else.
-func capacity(v *snapshot.View, a *snapshot.Ask) int {
+// maxTasks counts how many tasks like the ask the allowed workers could run if they
+// were empty.
+func maxTasks(v *snapshot.View, a *snapshot.Ask) int {
 	n := 0
 	v.All(func(w *snapshot.Worker) bool {
 		if filter.ZoneAllowed(a, w.Zone) && filter.RackAllowed(a, w.Rack) {
-			places := times(a.Size, w.Capacity)
+			fit := times(a.Size, w.Capacity)
 			if limit := a.Constraints.MaxPerWorker; limit > 0 {
-				places = min(places, limit)
+				fit = min(fit, limit)
 			}
-			n += places
+			n += fit
 		}
 		return true
 	})
 	return n
 }
 
-// limited applies max_per_worker.
-func limited(a *snapshot.Ask, w *snapshot.Worker, places int) int {
+// limited applies max_per_worker to the number of tasks that fit on a worker.
+func limited(a *snapshot.Ask, w *snapshot.Worker, fit int) int {
 	if limit := a.Constraints.MaxPerWorker; limit > 0 {
-		return max(0, min(places, limit-w.CountJob(a.Task.Job)))
+		return max(0, min(fit, limit-w.CountJob(a.Task.Job)))
 	}
-	return places
+	return fit
 }
 
-// times returns how often a size fits into what is free.
+// times returns how many tasks of a size fit into the free capacity.
 func times(size, free spec.Resources) int {
 	n := int64(math.MaxInt32)
 	for _, d := range [3][2]int64{
@@ -98,10 +99,11 @@
 	return int(n)
 }
 
-func (r racks) places() int {
+// tasks returns the number of tasks that fit on all racks together.
+func (r racks) tasks() int {
 	n := 0
 	for i := range r {
-		n += r[i].places
+		n += r[i].tasks
 	}
 	return n
 }
--- a/process/sched/gang/choose.go
+++ b/process/sched/gang/choose.go
@@ -6,9 +6,9 @@
 	"strings"
 )
 
-// choose returns spots with room for n tasks, near each other when possible.
-// The racks together must have room for n.
-func (r racks) choose(n int) []spot {
+// choose returns candidates on which n tasks fit, near each other if possible. At
+// least n tasks must fit on the racks together.
+func (r racks) choose(n int) []candidate {
 	if i := r.tightest(n); i >= 0 {
 		return r[i].ordered()
 	}
@@ -18,11 +18,12 @@
 	return r.fewest(n).ordered()
 }
 
-// tightest returns the rack with the least room that has enough, or -1.
+// tightest returns the index of the rack on which the fewest tasks fit, but at
+// least n, or -1.
 func (r racks) tightest(n int) int {
 	best := -1
 	for i := range r {
-		if r[i].places < n {
+		if r[i].tasks < n {
 			continue
 		}
 		if best < 0 || r[i].compare(&r[best]) < 0 {
@@ -32,20 +33,20 @@
 	return best
 }
 
-// compare orders racks with enough room: those without foreign accelerators
-// first, then the tighter one.
-func (r *rackRoom) compare(o *rackRoom) int {
-	if r.keep != o.keep {
-		if o.keep {
+// compare orders racks on which the gang fits: those whose accelerators it would
+// waste last, and else the tighter one first.
+func (r *rackCapacity) compare(o *rackCapacity) int {
+	if r.wastesAccelerators != o.wastesAccelerators {
+		if o.wastesAccelerators {
 			return -1
 		}
 		return 1
 	}
-	return cmp.Compare(r.places, o.places)
+	return cmp.Compare(r.tasks, o.tasks)
 }
 
-// zone returns racks with room for n within the one zone that needs the fewest
-// racks; nil when no zone has room.
+// zone returns racks on which n tasks fit within a single zone, the one that needs
+// the fewest racks. It returns nil when no zone has enough capacity.
 func (r racks) zone(n int) racks {
 	zones := map[string]racks{}
 	for i := range r {
@@ -54,7 +55,7 @@
 	var best racks
 	var bestZone string
 	for name, in := range zones {
-		if in.places() < n {
+		if in.tasks() < n {
 			continue
 		}
 		chosen := in.fewest(n)
@@ -66,37 +67,37 @@
 	return best
 }
 
-// fewest returns as few racks with room for n as there are: the largest, and
-// for the rest the tightest rack that has enough.
+// fewest returns the fewest racks on which n tasks fit: the largest racks, and for
+// the remaining tasks the tightest rack on which they fit.
 func (r racks) fewest(n int) racks {
 	sorted := slices.Clone(r)
-	slices.SortStableFunc(sorted, func(a, b rackRoom) int { return cmp.Compare(b.places, a.places) })
+	slices.SortStableFunc(sorted, func(a, b rackCapacity) int { return cmp.Compare(b.tasks, a.tasks) })
 	for i := range sorted {
-		n -= sorted[i].places
+		n -= sorted[i].tasks
 		if n > 0 {
 			continue
 		}
-		n += sorted[i].places
+		n += sorted[i].tasks
 		last := sorted[i:].tightest(n)
 		return append(sorted[:i:i], sorted[i+last])
 	}
 	return sorted
 }
 
-func (r racks) ordered() []spot {
-	var out []spot
+func (r racks) ordered() []candidate {
+	var out []candidate
 	for i := range r {
 		out = append(out, r[i].ordered()...)
 	}
 	return out
 }
 
-// ordered returns the rack's spots, those with the least room first, so that
-// leftovers are used up and whole VMs stay free.
-func (r *rackRoom) ordered() []spot {
-	spots := slices.Clone(r.spots)
-	slices.SortFunc(spots, func(a, b spot) int {
-		return cmp.Or(cmp.Compare(a.places, b.places), strings.Compare(string(a.worker.ID), string(b.worker.ID)))
+// ordered returns the rack's candidates, those on which the fewest tasks fit first,
+// so that small remainders are used up and whole VMs stay free.
+func (r *rackCapacity) ordered() []candidate {
+	sorted := slices.Clone(r.candidates)
+	slices.SortFunc(sorted, func(a, b candidate) int {
+		return cmp.Or(cmp.Compare(a.tasks, b.tasks), strings.Compare(string(a.worker.ID), string(b.worker.ID)))
 	})
-	return spots
+	return sorted
 }
--- a/process/sched/gang/shadow.go
+++ b/process/sched/gang/shadow.go
@@ -14,26 +14,26 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Remaining returns for how long a running task is expected to go on; false
-// when nothing is known or it runs without end, as an instance does.
+// Remaining returns how much longer a running task is expected to run. It returns
+// false if that is unknown or the task does not end, like an instance of a service.
 type Remaining func(t *snapshot.Task) (time.Duration, bool)
 
-// Shadow is the reservation of a gang that has to wait. The zero value keeps
+// Shadow is the reservation of a gang that has to wait. The zero value reserves
 // nothing.
 type Shadow struct {
-	// Job is the gang's; its own tasks are not kept off.
+	// Job is the gang's job. Nothing is withheld from its own tasks.
 	Job string
 	// Start is the earliest time at which all tasks are expected to fit.
-	Start time.Time
-	kept  map[worker.ID]spec.Resources
+	Start    time.Time
+	withheld map[worker.ID]spec.Resources
 }
 
-// Plan looks for the earliest time at which the gang fits, given when running
-// tasks are expected to end, and keeps capacity for it. It reports false when
-// the tasks whose end is known do not make enough room. The asks must be alike.
+// Plan computes the earliest time at which the gang fits, given when running tasks
+// are expected to end, and the capacity to reserve for it. It returns false when
+// the tasks with a known end do not free enough. The asks must be alike.
 //
-// Only the oldest waiting gang should be kept capacity for: it then starts no
-// later than planned, and small work loses no more than that gang's share.
+// Capacity should be reserved only for the oldest waiting gang: it then starts no
+// later than planned, and other work loses no more than that gang's capacity.
 func Plan(v *snapshot.View, asks []snapshot.Ask, now time.Time, remaining Remaining) (Shadow, bool) {
 	if len(asks) == 0 {
 		return Shadow{}, false
@@ -44,74 +44,76 @@
 	if !ok {
 		return Shadow{}, false
 	}
-	return Shadow{Job: asks[0].Task.Job, Start: now.Add(after), kept: p.keep(len(asks))}, true
+	return Shadow{Job: asks[0].Task.Job, Start: now.Add(after), withheld: p.withhold(len(asks))}, true
 }
 
-// Kept returns what the worker keeps from an ask. A task that is expected to
-// end before the gang starts is kept off nothing. Any other may only use what
-// the gang will not need beyond what ends by then.
-func (s *Shadow) Kept(a *snapshot.Ask, id worker.ID) spec.Resources {
-	kept, ok := s.kept[id]
+// Withheld returns the capacity of a worker that is withheld from an ask. Nothing
+// is withheld from a task that is expected to end before the gang starts. Any
+// other task may use only the capacity that the gang does not need in addition to
+// what is freed by then.
+func (s *Shadow) Withheld(a *snapshot.Ask, id worker.ID) spec.Resources {
+	withheld, ok := s.withheld[id]
 	if !ok || a.Task.Job == s.Job {
 		return spec.Resources{}
 	}
 	if a.RunTime > 0 && !time.Now().Add(a.RunTime).After(s.Start) {
 		return spec.Resources{}
 	}
-	return kept
+	return withheld
 }
 
-// Workers returns how many workers keep capacity.
-func (s *Shadow) Workers() int { return len(s.kept) }
+// Workers returns the number of workers with reserved capacity.
+func (s *Shadow) Workers() int { return len(s.withheld) }
 
-// IDs lists the workers that keep capacity, in order.
-func (s *Shadow) IDs() []worker.ID { return slices.Sorted(maps.Keys(s.kept)) }
+// IDs returns the workers with reserved capacity, sorted.
+func (s *Shadow) IDs() []worker.ID { return slices.Sorted(maps.Keys(s.withheld)) }
 
-// planned is a worker as it is expected to be at the time looked at.
-type planned struct {
+// projection is the expected state of a worker at the time being considered.
+type projection struct {
 	worker *snapshot.Worker
 	free   spec.Resources // now
-	ended  spec.Resources // what has ended since now
-	places int
-	// endings[first:last] are those of the worker's tasks.
+	freed  spec.Resources // by tasks that will have ended
+	tasks  int            // number of the gang's tasks that will fit
+	// completions[first:last] are those of the worker's tasks.
 	first, last int
 }
 
-// ending is the expected end of a task, after now.
-type ending struct {
-	after time.Duration // rounded up to resolution
+// completion is the expected end of a running task.
+type completion struct {
+	after time.Duration // from now, rounded up to resolution
 	size  spec.Resources
 }
 
-// resolution of expected ends; estimates are far coarser.
+// resolution is the granularity of expected completions; the estimates are far
+// coarser.
 const resolution = time.Second
 
 type planner struct {
-	ask     *snapshot.Ask
-	workers []planned
-	endings []ending
+	ask         *snapshot.Ask
+	workers     []projection
+	completions []completion
 }
 
-// collect takes in the allowed workers and the expected ends of their tasks.
+// collect gathers the eligible workers and the expected completions of their tasks.
 func (p *planner) collect(v *snapshot.View, remaining Remaining) {
 	v.All(func(w *snapshot.Worker) bool {
-		if !lasting(v, p.ask, w) {
+		if !eligible(v, p.ask, w) {
 			return true
 		}
-		pw := planned{worker: w, free: w.Free(), first: len(p.endings)}
+		pw := projection{worker: w, free: w.Free(), first: len(p.completions)}
 		for i := range w.Tasks {
 			if left, ok := remaining(&w.Tasks[i]); ok {
-				p.endings = append(p.endings, ending{roundUp(left), w.Tasks[i].Size()})
+				p.completions = append(p.completions, completion{roundUp(left), w.Tasks[i].Size()})
 			}
 		}
-		pw.last = len(p.endings)
+		pw.last = len(p.completions)
 		p.workers = append(p.workers, pw)
 		return true
 	})
 }
 
-// lasting applies the filters that the end of tasks does not change.
-func lasting(v *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) bool {
+// eligible applies the filters whose result does not depend on which tasks run.
+func eligible(v *snapshot.View, a *snapshot.Ask, w *snapshot.Worker) bool {
 	for _, f := range []filter.Filter{filter.Zone, filter.Rack, filter.TooSmall, filter.Usable, filter.Avoid} {
 		if f(v, a, w) != "" {
 			return false
@@ -120,38 +122,38 @@
 	return true
 }
 
-// places returns how many tasks fit after a time. It leaves the workers as they
-// are expected to be then.
-func (p *planner) places(after time.Duration) int {
+// project computes the expected state of the workers after a time and returns how
+// many tasks fit then.
+func (p *planner) project(after time.Duration) int {
 	n := 0
 	for i := range p.workers {
 		w := &p.workers[i]
-		w.ended = spec.Resources{}
+		w.freed = spec.Resources{}
 		for j := w.first; j < w.last; j++ {
-			if p.endings[j].after <= after {
-				w.ended = w.ended.Add(p.endings[j].size)
+			if p.completions[j].after <= after {
+				w.freed = w.freed.Add(p.completions[j].size)
 			}
 		}
-		w.places = limited(p.ask, w.worker, times(p.ask.Size, w.free.Add(w.ended)))
-		n += w.places
+		w.tasks = limited(p.ask, w.worker, times(p.ask.Size, w.free.Add(w.freed)))
+		n += w.tasks
 	}
 	return n
 }
 
-// earliest returns the least time after which n tasks fit. It bisects: the
-// number of places only grows with time, and a dozen passes over the endings
-// cost less than sorting them.
+// earliest returns the earliest time after which n tasks fit. It uses binary
+// search: the number of tasks that fit only grows with time, and a dozen passes
+// over the completions cost less than sorting them.
 func (p *planner) earliest(n int) (time.Duration, bool) {
 	var most time.Duration
-	for i := range p.endings {
-		most = max(most, p.endings[i].after)
+	for i := range p.completions {
+		most = max(most, p.completions[i].after)
 	}
-	if p.places(most) < n {
+	if p.project(most) < n {
 		return 0, false
 	}
-	steps := sort.Search(int(most/resolution), func(t int) bool { return p.places(time.Duration(t)*resolution) >= n })
+	steps := sort.Search(int(most/resolution), func(t int) bool { return p.project(time.Duration(t)*resolution) >= n })
 	after := time.Duration(steps) * resolution
-	p.places(after)
+	p.project(after)
 	return after, true
 }
 
@@ -159,22 +161,23 @@
 	return (max(0, d) + resolution - 1) / resolution * resolution
 }
 
-// keep takes the workers with the most places, so that few keep anything.
-func (p *planner) keep(n int) map[worker.ID]spec.Resources {
-	slices.SortFunc(p.workers, func(a, b planned) int {
-		return cmp.Or(cmp.Compare(b.places, a.places), strings.Compare(string(a.worker.ID), string(b.worker.ID)))
+// withhold returns the capacity to withhold per worker. It chooses the workers on
+// which the most tasks fit, so that few workers are affected.
+func (p *planner) withhold(n int) map[worker.ID]spec.Resources {
+	slices.SortFunc(p.workers, func(a, b projection) int {
+		return cmp.Or(cmp.Compare(b.tasks, a.tasks), strings.Compare(string(a.worker.ID), string(b.worker.ID)))
 	})
-	kept := map[worker.ID]spec.Resources{}
+	withheld := map[worker.ID]spec.Resources{}
 	for i := 0; i < len(p.workers) && n > 0; i++ {
 		w := &p.workers[i]
-		used := min(n, w.places)
+		used := min(n, w.tasks)
 		n -= used
-		kept[w.worker.ID] = positive(p.ask.Size.Times(int64(used)).Sub(w.ended))
+		withheld[w.worker.ID] = positive(p.ask.Size.Times(int64(used)).Sub(w.freed))
 	}
-	return kept
+	return withheld
 }
 
-// positive replaces negative dimensions by zero.
+// positive returns r with negative dimensions set to zero.
 func positive(r spec.Resources) spec.Resources {
 	return spec.Resources{
 		MilliCPU: max(0, r.MilliCPU), MemoryMB: max(0, r.MemoryMB), Accelerators: max(0, r.Accelerators),
--- a/process/sched/gang_test.go
+++ b/process/sched/gang_test.go
@@ -24,7 +24,7 @@
 	return asks
 }
 
-// scatter puts random tasks on random workers and returns when each ends.
+// scatter places random tasks on random workers and returns when each of them ends.
 func scatter(t *rapid.T, p *Planner, n *naive.Scheduler) map[worker.Ref]time.Duration {
 	ends := map[worker.Ref]time.Duration{}
 	r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "scatter"), 1))
@@ -97,10 +97,10 @@
 	require.NotEmpty(t, PlaceGang(snap, gangAsks(1, res(17000, 100))).Infeasible)
 }
 
-// Symptom: a large gang never starts although each task ends in time.
-// Sequence: room appears VM by VM, and small work takes it each time.
-// Cause: nothing was kept for the gang, or work was let in that ends too late.
-// The other way round, small work that ends in time must not wait.
+// TestBackfillNeverDelaysTheGang guards against a large gang that never starts:
+// capacity is freed one VM at a time, and small tasks take it each time, because
+// nothing is reserved for the gang or tasks are backfilled that end too late.
+// Conversely, small tasks that end in time must not wait.
 func TestBackfillNeverDelaysTheGang(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		pair := newPair(t)
@@ -128,18 +128,18 @@
 	})
 }
 
-// backfill offers small work with true run times, and notes what was placed.
+// backfill places small tasks with exact run times and records when they end.
 func backfill(t *rapid.T, pair *pair, ends map[worker.Ref]time.Duration, start time.Duration) {
 	for i := range rapid.IntRange(0, 60).Draw(t, "small") {
 		a := batchAsk("small", i, res(rapid.Int64Range(1, 10).Draw(t, "cpu"), rapid.Int64Range(1, 10).Draw(t, "memory")))
-		// Half minutes, so that no end coincides with the gang's start.
+		// Add half a minute, so that no task ends at the gang's start.
 		if minutes := rapid.Int64Range(-20, 120).Draw(t, "minutes"); minutes >= 0 {
 			a.RunTime = time.Duration(minutes)*time.Minute + time.Minute/2
 		}
 		d := pair.planner.Place(a)
 		_, feasible := pair.naive.PlaceBatch(&a)
 		if a.RunTime > 0 && a.RunTime <= start {
-			require.Equal(t, feasible, d.Placed(), "short work waits beside the reservation")
+			require.Equal(t, feasible, d.Placed(), "a task that ends before the gang starts must not wait")
 		}
 		if !d.Placed() || !pair.planner.Assume(a, d) {
 			continue
@@ -152,7 +152,8 @@
 	}
 }
 
-// earliest tries each end in turn on the naive scheduler.
+// earliest returns when the gang can start at the earliest, by trying the end of each
+// task with the naive scheduler.
 func earliest(n *naive.Scheduler, asks []Ask, ends map[worker.Ref]time.Duration) (time.Duration, bool) {
 	best, found := time.Duration(0), false
 	for _, at := range append([]time.Duration{0}, values(ends)...) {
@@ -190,8 +191,8 @@
 	return out
 }
 
-// BenchmarkGang measures the decision on a gang of 100 tasks at 80 % load, the
-// plan of one that has to wait, and the naive scheduler beside it.
+// BenchmarkGang measures the decision on a gang of 100 tasks at 80 % load, the plan
+// of a gang that has to wait, and for comparison the naive scheduler.
 func BenchmarkGang(b *testing.B) {
 	for _, n := range cellSizes {
 		states := loaded(authority(n))
--- a/process/sched/inflight.go
+++ b/process/sched/inflight.go
@@ -8,15 +8,16 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// assumption is a placement that no snapshot has shown yet.
+// assumption is a placement that is not yet visible in a snapshot.
 type assumption struct {
 	task    snapshot.Task
 	worker  worker.ID
 	victims []worker.Ref
 }
 
-// inFlight holds the assumptions of a planner, per worker in the order made, so
-// that a new snapshot takes one change per worker and always in the same order.
+// inFlight holds the assumptions of a planner, per worker in the order in which
+// they were made, so that they are applied to a new snapshot with one change per
+// worker and always in the same order.
 type inFlight struct {
 	assumed  map[worker.Ref]assumption
 	byWorker map[worker.ID][]worker.Ref
@@ -55,7 +56,8 @@
 	f.byWorker[id] = refs
 }
 
-// apply puts the assumptions into a view and drops those that it shows.
+// apply applies the assumptions to a view. It drops those that the view already
+// shows and those whose worker is not in the view.
 func (f *inFlight) apply(v *snapshot.View) {
 	for _, id := range slices.Sorted(maps.Keys(f.byWorker)) {
 		var change snapshot.Change
--- a/process/sched/learning_test.go
+++ b/process/sched/learning_test.go
@@ -12,8 +12,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// misdeclared is a job whose tasks use up to three times more or less than is
-// declared, in each dimension.
+// misdeclared is a job whose tasks use up to three times more or less than declared,
+// in each dimension.
 type misdeclared struct {
 	name           string
 	declared, used spec.Resources
@@ -33,13 +33,13 @@
 	return jobs
 }
 
-// factor draws from 1/3 to 3, as likely below as above 1.
+// factor returns a random factor from 1/3 to 3, as likely below as above 1.
 func factor(r *rand.Rand) float64 { return math.Pow(3, 2*r.Float64()-1) }
 
 func scaleBy(v int64, f float64, limit int64) int64 { return min(int64(float64(v)*f), limit) }
 
-// vary is the use of one task: up to a quarter around the job's, and for one
-// task in fifty up to half more.
+// vary returns the usage of one task: that of the job up to a quarter more or less,
+// and for one task in fifty up to half more.
 func (j *misdeclared) vary(r *rand.Rand) spec.Resources {
 	f := 0.75 + 0.5*r.Float64()
 	if r.IntN(50) == 0 {
@@ -51,10 +51,10 @@
 	}
 }
 
-// BenchmarkLearnedSizes fills the Guild's cell with misdeclared work, sized as
-// declared and as learned from 20 tasks per job, and reports what is really
-// used of the scarcer resource, and how many of the 48 VMs are pushed over
-// their processors (throttled) or memory (tasks ended).
+// BenchmarkLearnedSizes fills the Guild's cell with misdeclared tasks, sized as
+// declared or as learned from 20 tasks per job. It reports how much of the scarcer
+// resource is actually used, and how many of the 48 VMs exceed their CPU (tasks are
+// throttled) or memory (tasks are ended).
 func BenchmarkLearnedSizes(b *testing.B) {
 	const seeds = 20
 	for _, learned := range []bool{false, true} {
@@ -74,9 +74,9 @@
 	}
 }
 
-// patience is how many tasks may not fit before a cell counts as full: some
-// tasks take a whole VM.
-const patience = 100
+// maxMisfits is the number of tasks that do not fit after which a cell counts as full.
+// Some tasks need a whole VM.
+const maxMisfits = 100
 
 func fillMisdeclared(seed uint64, learned bool) (share, overCPU, overMemory float64) {
 	r := rand.New(rand.NewPCG(seed, 3))
@@ -84,7 +84,7 @@
 	learner := teach(r, jobs, learned)
 	p := NewPlanner(cacheOf(guild.states(nil, false)).Snapshot())
 	used := map[worker.ID]spec.Resources{}
-	for i, misfits := 0, 0; misfits < patience; i++ {
+	for i, misfits := 0, 0; misfits < maxMisfits; i++ {
 		job := &jobs[r.IntN(len(jobs))]
 		a := batchAsk(job.name, i, learner.Size(job.name, guild.capacity))
 		d := p.Place(a)
--- a/process/sched/move.go
+++ b/process/sched/move.go
@@ -5,9 +5,9 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// Move takes an assumption to another worker: the owner of the workers has put
-// the task there. It changes nothing when the attempt is not in flight. Only a
-// decision without victims may be moved.
+// Move moves an assumption to another worker, on which the owner of the partition
+// has placed the task instead. It does nothing when the attempt is not in flight.
+// Only decisions without victims may be moved.
 func (p *Planner) Move(ref worker.Ref, id worker.ID) {
 	as, ok := p.inFlight.assumed[ref]
 	if !ok || as.worker == id {
@@ -16,7 +16,7 @@
 	p.Forget(ref)
 	w := p.view.Lookup(id)
 	if w == nil || w.Find(ref) >= 0 {
-		return // gone, or the snapshot shows the task already
+		return // the worker was removed, or the snapshot already shows the task
 	}
 	as.worker, as.victims = id, nil
 	p.inFlight.add(ref, as)
--- a/process/sched/move_test.go
+++ b/process/sched/move_test.go
@@ -9,12 +9,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Symptom: later decisions find no room where there is some, and take room that
-// is gone.
-// Sequence: the owner of the workers puts a task on another one than decided;
-// its answer comes before or after the snapshot that shows it.
-// Cause: the assumption stayed on the worker that was decided on.
-func TestMovedAssumptionHoldsRoomWhereTheTaskIs(t *testing.T) {
+// TestMovedAssumptionHoldsCapacityOnTheNewWorker guards against an assumption that
+// stays on the originally chosen worker after the owner of the partition has placed
+// the task on another one: later decisions then miss free capacity and use capacity
+// that is taken. The owner's reply arrives before or after the snapshot that shows
+// the task.
+func TestMovedAssumptionHoldsCapacityOnTheNewWorker(t *testing.T) {
 	c := NewCache()
 	a := workerState("a", "z", "r", res(1000, 1000), spec.Resources{})
 	b := workerState("b", "z", "r", res(1000, 1000), spec.Resources{})
@@ -34,7 +34,7 @@
 	b.Tasks = []plan.RunningTask{{Ref: ask.Ref(), Size: ask.Size}, {Ref: late.Ref(), Size: late.Size}}
 	c.Apply(state("p", 1, 2, false, b))
 	p.Rebase(c.Snapshot())
-	require.Equal(t, 1, p.InFlight(), "the answer for the second has not come")
+	require.Equal(t, 1, p.InFlight(), "the reply for the second task has not arrived")
 	p.Move(late.Ref(), "b")
 	require.Zero(t, p.InFlight())
 	require.True(t, p.View().Lookup("a").Reserved.IsZero())
--- a/process/sched/naive/naive.go
+++ b/process/sched/naive/naive.go
@@ -1,7 +1,7 @@
-// Package naive is the plain scheduler that the real one is tested and measured
-// against: it looks at every worker for every decision, recounts everything
-// each time, and keeps no index and no cache. It states the policy in the
-// simplest form; what it calls the best is the best.
+// Package naive is the reference scheduler against which package sched is tested
+// and benchmarked. It scans every worker for every decision, recomputes everything
+// each time, and has neither an index nor a cache. It defines the policies in their
+// simplest form, so its choice is optimal by definition.
 package naive
 
 import (
@@ -16,12 +16,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Scheduler holds the workers as they were last reported.
+// Scheduler decides on the workers as they were last reported.
 type Scheduler struct {
 	Workers []plan.WorkerState
-	// Away, when set, is added to the packing score of a worker. Services
-	// are spread regardless of it.
-	Away func(w *plan.WorkerState) float64
+	// Locality, when set, is added to the packing score of a worker. It does not
+	// affect services.
+	Locality func(w *plan.WorkerState) float64
 }
 
 // New returns a scheduler on a copy of the workers.
@@ -61,13 +61,13 @@
 	return n
 }
 
-// Rater rates workers for an ask as the batch policy does; less is better.
+// Rater returns the score of the batch policy for an ask; lower is better.
 func (s *Scheduler) Rater(a *snapshot.Ask) func(w *plan.WorkerState) float64 {
 	packing := s.packing(a)
 	return func(w *plan.WorkerState) float64 {
 		rating := packing(w)
-		if s.Away != nil {
-			rating += s.Away(w)
+		if s.Locality != nil {
+			rating += s.Locality(w)
 		}
 		return rating
 	}
@@ -85,7 +85,7 @@
 	}
 }
 
-// demand sums up all usable workers.
+// demand returns the demand over all usable workers.
 func (s *Scheduler) demand() score.Demand {
 	var free, reference spec.Resources
 	for i := range s.Workers {
@@ -97,7 +97,7 @@
 	return score.DemandOf(free, reference)
 }
 
-// PlaceBatch returns the feasible worker with the least packing score.
+// PlaceBatch returns the feasible worker with the lowest score.
 func (s *Scheduler) PlaceBatch(a *snapshot.Ask) (worker.ID, bool) {
 	best, rating, rate := -1, math.Inf(1), s.Rater(a)
 	for i := range s.Workers {
@@ -114,9 +114,9 @@
 	return s.Workers[best].ID, true
 }
 
-// Spread rates a worker as the service policy does: instances of the ask's
-// generation and then of others in its zone, the same in its rack, then tasks
-// of the job on the worker. It is compared field by field, less is better.
+// Spread scores a worker like the service policy: instances of the ask's generation
+// and then of other generations in its zone, the same in its rack, and then tasks of
+// the job on the worker. Scores are compared element by element; lower is better.
 func (s *Scheduler) Spread(a *snapshot.Ask, w *plan.WorkerState) [5]int {
 	var counts [5]int
 	for i := range s.Workers {
@@ -145,8 +145,8 @@
 	return counts
 }
 
-// PlaceService returns the feasible worker with the least spread, the least
-// packing score among equals, and the lowest id among those.
+// PlaceService returns the feasible worker with the lowest spread score, then the
+// lowest packing score, then the lowest ID.
 func (s *Scheduler) PlaceService(a *snapshot.Ask) (worker.ID, bool) {
 	best, rate := -1, s.packing(a)
 	for i := range s.Workers {
@@ -172,8 +172,8 @@
 	return strings.Compare(string(w.ID), string(b.ID)) < 0
 }
 
-// PlaceGang puts task after task on the best worker, taking all back when one
-// does not fit.
+// PlaceGang places one task after the other on the best worker, on a copy of the
+// workers. It returns false if one of them does not fit.
 func (s *Scheduler) PlaceGang(asks []snapshot.Ask) ([]worker.ID, bool) {
 	trial := New(s.Workers)
 	var ids []worker.ID
@@ -198,7 +198,7 @@
 	return nil
 }
 
-// Start counts a task as started.
+// Start records that a task has started.
 func (s *Scheduler) Start(a *snapshot.Ask, id worker.ID) {
 	w := s.Worker(id)
 	w.Reserved = w.Reserved.Add(a.Size)
@@ -207,7 +207,7 @@
 	})
 }
 
-// End counts a task as ended.
+// End records that a task has ended.
 func (s *Scheduler) End(ref worker.Ref, id worker.ID) {
 	w := s.Worker(id)
 	w.Tasks = slices.DeleteFunc(w.Tasks, func(t plan.RunningTask) bool {
--- a/process/sched/naive/preempt.go
+++ b/process/sched/naive/preempt.go
@@ -7,20 +7,20 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Loss rates a set of victims: the highest class among them, and then the work
-// lost in seconds of a whole VM.
+// Loss is the cost of a set of victims: the rank of the highest class among them,
+// and the work lost, in seconds of a whole VM.
 type Loss struct {
 	Rank int
 	Work float64
 }
 
-// Less reports whether l is the better one.
+// Less reports whether l is the lower loss.
 func (l Loss) Less(o Loss) bool {
 	return l.Rank < o.Rank || (l.Rank == o.Rank && l.Work < o.Work)
 }
 
-// Preempt returns the least loss with which the ask gets a worker, trying every
-// set of victims on every worker; false when no set will do.
+// Preempt returns the lowest loss with which the ask can be placed, trying every set
+// of victims on every worker, or false if no set suffices.
 func (s *Scheduler) Preempt(a *snapshot.Ask) (Loss, bool) {
 	var best Loss
 	found := false
@@ -36,8 +36,8 @@
 	return best, found
 }
 
-// LossOf rates given victims on a worker; false when they may not be ended or
-// do not make room.
+// LossOf returns the loss of the given victims on a worker, or false if they must not
+// be preempted or do not free enough.
 func (s *Scheduler) LossOf(a *snapshot.Ask, id worker.ID, victims []worker.Ref) (Loss, bool) {
 	w := s.Worker(id)
 	found := 0
@@ -71,9 +71,9 @@
 	return loss, s.Fits(a, &after)
 }
 
-// work is what ends with a task: a second for the start, and its age times its
-// largest share of the VM; for a gang that of each of its tasks, and ten minutes
-// more for an instance.
+// work returns the work that is lost with a task: one second for the start, plus its
+// age times its dominant share of the VM. For a gang the latter is multiplied by the
+// number of its tasks; for an instance of a service ten minutes are added.
 func (s *Scheduler) work(t *plan.RunningTask, w *plan.WorkerState) float64 {
 	share := max(float64(t.Size.MilliCPU)/float64(w.Capacity.MilliCPU), float64(t.Size.MemoryMB)/float64(w.Capacity.MemoryMB))
 	if w.Capacity.Accelerators > 0 {
--- a/process/sched/packing_test.go
+++ b/process/sched/packing_test.go
@@ -16,7 +16,7 @@
 // packer places tasks one by one until one does not fit.
 type packer interface {
 	put(a Ask) bool
-	inUse() int // VMs that hold any task
+	inUse() int // VMs with any task
 }
 
 type plannerPacker struct{ *Planner }
@@ -37,7 +37,7 @@
 	return n
 }
 
-// scanPacker takes the feasible worker with the least rate, the first of equals.
+// scanPacker chooses the first feasible worker with the lowest rate.
 type scanPacker struct {
 	*naive.Scheduler
 	rate func(a *Ask, w *plan.WorkerState) float64
@@ -72,7 +72,7 @@
 	return n
 }
 
-// naivePacker asks the naive scheduler.
+// naivePacker places tasks with the naive scheduler.
 type naivePacker struct{ scanPacker }
 
 func (p naivePacker) put(a Ask) bool {
@@ -85,8 +85,8 @@
 
 func firstFit(*Ask, *plan.WorkerState) float64 { return 0 }
 
-// keeping adds to a rate that work without accelerators avoids VMs with them.
-func keeping(rate func(*Ask, *plan.WorkerState) float64) func(*Ask, *plan.WorkerState) float64 {
+// avoidingAccelerators makes tasks that use no accelerators avoid VMs that have them.
+func avoidingAccelerators(rate func(*Ask, *plan.WorkerState) float64) func(*Ask, *plan.WorkerState) float64 {
 	return func(a *Ask, w *plan.WorkerState) float64 {
 		if a.Size.Accelerators == 0 && w.Capacity.Accelerators > 0 {
 			return 100 + rate(a, w)
@@ -95,20 +95,20 @@
 	}
 }
 
-// bestFit is the customary one: the least left over, summed over dimensions.
+// bestFit is the textbook variant: the least free share left, summed over dimensions.
 func bestFit(a *Ask, w *plan.WorkerState) float64 {
 	left := w.Capacity.Sub(w.Reserved).Sub(a.Size)
 	return float64(left.MilliCPU)/float64(w.Capacity.MilliCPU) + float64(left.MemoryMB)/float64(w.Capacity.MemoryMB)
 }
 
-// filled is the outcome of one run.
+// filled is the result of one run.
 type filled struct {
-	share float64 // used of the binding resource at the first misfit
-	bound int     // the least number of VMs that could hold as much
+	share float64 // used share of the binding resource at the first task that does not fit
+	bound int     // lower bound of the VMs needed for the same tasks
 	half  int     // VMs in use when half of the binding resource was used
 }
 
-// fill places the mix until a task does not fit.
+// fill places mixed tasks until one does not fit.
 func fill(p packer, s shape, m mix, seed uint64) filled {
 	r := rand.New(rand.NewPCG(seed, 1))
 	var used spec.Resources
@@ -130,7 +130,7 @@
 	return out
 }
 
-// share returns the used share of the processors or memory, the larger one.
+// share returns the used share of CPU or memory, whichever is larger.
 func (s shape) share(used spec.Resources) float64 {
 	n := float64(s.workers)
 	return max(float64(used.MilliCPU)/float64(s.capacity.MilliCPU)/n, float64(used.MemoryMB)/float64(s.capacity.MemoryMB)/n)
@@ -144,11 +144,11 @@
 	{"naive", func(w []plan.WorkerState) packer { return naivePacker{scanPacker{naive.New(w), nil}} }},
 	{"first-fit", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), firstFit} }},
 	{"best-fit", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), bestFit} }},
-	{"first-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), keeping(firstFit)} }},
-	{"best-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), keeping(bestFit)} }},
+	{"first-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(firstFit)} }},
+	{"best-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(bestFit)} }},
 }
 
-// mix skews the whole demand, in percent of the mixed tasks.
+// mix scales the sizes of the mixed tasks, in percent.
 type mix struct {
 	name        string
 	cpu, memory int64
@@ -156,9 +156,9 @@
 
 var mixes = []mix{{"balanced", 100, 100}, {"processors", 100, 60}, {"memory", 60, 100}}
 
-// BenchmarkPacking reports how full the Guild's cell is when the first task
-// does not fit, over fixed seeds: the mean and the worst share of the binding
-// resource, and the lower bound of VMs for the same tasks.
+// BenchmarkPacking reports how full the Guild's cell is when the first task does not
+// fit, over fixed seeds: the mean and the worst used share of the binding resource,
+// and the lower bound of the VMs needed for the same tasks.
 func BenchmarkPacking(b *testing.B) {
 	const seeds = 40
 	for _, m := range mixes {
@@ -182,7 +182,8 @@
 	}
 }
 
-// TestPackingFillsTheBindingResource holds the measured floor on a few seeds.
+// TestPackingFillsTheBindingResource checks a lower bound of the used share, based on
+// BenchmarkPacking, on a few seeds.
 func TestPackingFillsTheBindingResource(t *testing.T) {
 	for _, m := range mixes {
 		for seed := range uint64(5) {
--- a/process/sched/planner.go
+++ b/process/sched/planner.go
@@ -12,16 +12,16 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// Planner makes many decisions in a row on one snapshot. What it assumes stays
-// reserved over Rebase until a snapshot shows the task or Forget is called. It
-// is not safe for concurrent use.
+// Planner makes a series of decisions on one snapshot. Assumed placements stay
+// reserved across Rebase until a snapshot shows the task or Forget is called. A
+// Planner is not safe for concurrent use.
 type Planner struct {
 	base     *Snapshot
 	view     *snapshot.View
 	inFlight inFlight
-	failed   map[failure]Decision
+	failures map[failureKey]Decision
 	shadow   *gang.Shadow
-	home     *snapshot.Home
+	affinity *snapshot.Affinity
 	blocked  map[worker.ID]string
 }
 
@@ -32,31 +32,31 @@
 	return p
 }
 
-// Rebase moves the planner to a newer snapshot. Assumptions that the snapshot
-// shows, or whose worker it no longer has, are dropped; the others are applied
-// to it. Its cost is that of what is in flight, and nothing when the snapshot
-// is the same.
+// Rebase switches the planner to a newer snapshot. Assumptions that the snapshot
+// shows, or whose worker it no longer has, are dropped; the others are applied to
+// it. The cost is proportional to the assumptions in flight, and none if the
+// snapshot is unchanged.
 func (p *Planner) Rebase(snap *Snapshot) {
 	if snap == p.base {
 		return
 	}
 	p.base, p.view = snap, snap.View()
-	p.failed = map[failure]Decision{}
-	p.keep()
-	p.view.Home = p.home
-	p.block()
+	p.failures = map[failureKey]Decision{}
+	p.applyShadow()
+	p.view.Home = p.affinity
+	p.applyBlocked()
 	p.inFlight.apply(p.view)
 }
 
-// Place decides on one task. It changes nothing: see Assume.
+// Place decides on one task. It does not reserve anything; see Assume.
 func (p *Planner) Place(ask Ask) Decision {
-	key, keep := failureOf(&ask)
-	if d, ok := p.failed[key]; ok && keep {
+	key, cacheable := failureKeyOf(&ask)
+	if d, ok := p.failures[key]; ok && cacheable {
 		return d
 	}
 	d := p.place(&ask)
-	if keep && !d.Placed() {
-		p.failed[key] = d
+	if cacheable && !d.Placed() {
+		p.failures[key] = d
 	}
 	return d
 }
@@ -74,7 +74,7 @@
 	return Decision{Rejections: rejections, Infeasible: infeasible}
 }
 
-// policy chooses how an ask is placed.
+// policy returns the placement policy for an ask.
 func policy(ask *Ask) func(*snapshot.View, *Ask) (Decision, bool) {
 	if ask.Spreads() {
 		return service.Place
@@ -82,12 +82,13 @@
 	return batch.Place
 }
 
-// PlaceGang decides on all tasks of a gang, or none. It changes nothing.
+// PlaceGang places all tasks of a gang, or none. It does not reserve anything; see
+// Assume.
 func (p *Planner) PlaceGang(asks []Ask) GangDecision { return gang.Place(p.view, asks) }
 
-// Assume takes a decision as made: its task holds capacity, and its victims do
-// not, for all later decisions. It reports false when the decision has no
-// worker, the worker is gone, or the attempt is there already.
+// Assume applies a decision to all later ones: its task holds capacity and its
+// victims no longer do. It reports false when the decision has no worker, the
+// worker has been removed, or the attempt is already placed.
 func (p *Planner) Assume(ask Ask, d Decision) bool {
 	ref := ask.Ref()
 	w := p.view.Lookup(d.Worker)
@@ -98,18 +99,18 @@
 	p.inFlight.add(ref, assumption{task, d.Worker, d.Victims})
 	p.view.Apply(d.Worker, snapshot.Change{Start: []snapshot.Task{task}, End: d.Victims})
 	if len(d.Victims) > 0 {
-		clear(p.failed) // more may have been freed than was asked for
+		clear(p.failures) // the victims may have freed more than the ask needs
 	}
 	return true
 }
 
-// Forget drops an assumption: the start was refused, or the task has ended.
+// Forget drops an assumption, after the start was refused or the task has ended.
 func (p *Planner) Forget(ref worker.Ref) {
 	as, ok := p.inFlight.remove(ref)
 	if !ok {
 		return
 	}
-	clear(p.failed)
+	clear(p.failures)
 	change := snapshot.Change{End: []worker.Ref{ref}}
 	for _, victim := range as.victims {
 		if t, ok := p.task(victim, as.worker); ok {
@@ -119,7 +120,7 @@
 	p.view.Apply(as.worker, change)
 }
 
-// task returns a task that the snapshot shows or that is in flight.
+// task returns a task that is in flight or in the snapshot.
 func (p *Planner) task(ref worker.Ref, id worker.ID) (snapshot.Task, bool) {
 	if as, ok := p.inFlight.assumed[ref]; ok {
 		return as.task, true
@@ -132,43 +133,46 @@
 	return snapshot.Task{}, false
 }
 
-// PlanGang looks for the earliest time at which a gang that has no room now is
-// expected to fit; remaining tells when running tasks end. False when no end is
-// known that would make room. It changes nothing: see Protect.
+// PlanGang computes the earliest time at which a gang that cannot be placed now is
+// expected to fit, given the remaining run times of running tasks. It returns
+// false when the tasks with a known end do not free enough. It does not reserve
+// anything; see Protect.
 func (p *Planner) PlanGang(asks []Ask, remaining gang.Remaining) (gang.Shadow, bool) {
 	return gang.Plan(p.view, asks, time.Now(), remaining)
 }
 
-// Protect keeps a waiting gang's capacity from all other asks but those of
-// preemption, over Rebase, until it is called again. Only one gang is
-// protected; nil protects none.
+// Protect withholds the capacity that is reserved for a waiting gang from all
+// asks except those that preempt. It stays in effect across Rebase until it is
+// called again. Only one gang is protected at a time; nil protects none.
 func (p *Planner) Protect(s *gang.Shadow) {
 	p.shadow = s
-	clear(p.failed)
-	p.keep()
+	clear(p.failures)
+	p.applyShadow()
 }
 
-func (p *Planner) keep() {
-	p.view.Kept = nil
+func (p *Planner) applyShadow() {
+	p.view.Withheld = nil
 	if p.shadow != nil {
-		p.view.Kept = p.shadow.Kept
+		p.view.Withheld = p.shadow.Withheld
 	}
 }
 
-// Prefer names the scheduler and the partitions where its independent tasks go
-// first, over Rebase. Give each scheduler others, best those that its own daemon
-// owns: schedulers that decide at the same time then seldom choose the same
-// worker. An empty name prefers none.
+// Prefer sets the name of the scheduler and the partitions that it prefers for
+// independent tasks, also across Rebase. Schedulers should prefer disjoint
+// partitions, ideally those that their own daemon owns, so that schedulers that
+// decide at the same time seldom choose the same worker. With an empty name no
+// partition is preferred.
 func (p *Planner) Prefer(scheduler string, partitions []string) {
-	p.home = nil
+	p.affinity = nil
 	if scheduler != "" {
-		p.home = snapshot.NewHome(scheduler, partitions)
+		p.affinity = snapshot.NewAffinity(scheduler, partitions)
 	}
-	p.view.Home = p.home
+	p.view.Home = p.affinity
 }
 
-// InFlight returns how many assumptions no snapshot has shown yet.
+// InFlight returns the number of assumptions that no snapshot shows yet.
 func (p *Planner) InFlight() int { return len(p.inFlight.assumed) }
 
-// View returns the state on which the planner decides, for reading.
+// View returns the state on which the planner decides. The caller must not modify
+// it.
 func (p *Planner) View() *snapshot.View { return p.view }
--- a/process/sched/planner_bench_test.go
+++ b/process/sched/planner_bench_test.go
@@ -36,7 +36,7 @@
 			}
 		})
 		if n > 500 {
-			continue // the naive one is quadratic
+			continue // the naive scheduler is quadratic
 		}
 		b.Run("naive/"+size(n), func(b *testing.B) {
 			for b.Loop() {
@@ -47,8 +47,8 @@
 	}
 }
 
-// BenchmarkNoRoom measures the answer to a task that finds no room: the first
-// of its job, and each further one until something ends.
+// BenchmarkNoRoom measures the decision on a task that does not fit: the first of its
+// job, and each further one until a task ends.
 func BenchmarkNoRoom(b *testing.B) {
 	for _, n := range cellSizes {
 		snap := cacheOf(loaded(authority(n))).Snapshot()
@@ -56,7 +56,7 @@
 		b.Run("first/"+size(n), func(b *testing.B) {
 			p := NewPlanner(snap)
 			for b.Loop() {
-				clear(p.failed)
+				clear(p.failures)
 				require.False(b, p.Place(a).Placed())
 			}
 		})
@@ -69,8 +69,8 @@
 	}
 }
 
-// BenchmarkRebase measures the move to a new snapshot with 1,000 placements in
-// flight, as many as the peak of 1,600 starts a second makes in 0.6 s.
+// BenchmarkRebase measures the switch to a new snapshot with 1,000 placements in
+// flight, which is what the peak of 1,600 starts a second yields in 0.6 s.
 func BenchmarkRebase(b *testing.B) {
 	const inFlight = 1000
 	for _, n := range cellSizes {
@@ -90,8 +90,8 @@
 	}
 }
 
-// BenchmarkApply measures a worker's new state, with one of its tasks replaced
-// by another, in a cache that is read in between.
+// BenchmarkApply measures applying a worker's new state, in which one task is
+// replaced by another, to a cache of which a snapshot is taken after each state.
 func BenchmarkApply(b *testing.B) {
 	states := loaded(authority(48))
 	cache := cacheOf(states)
--- a/process/sched/planner_test.go
+++ b/process/sched/planner_test.go
@@ -24,9 +24,9 @@
 	return Ask{Task: spec.TaskID{Job: job, Generation: 1, Index: index}, Kind: spec.Batch, Class: spec.Normal, Size: size}
 }
 
-// Symptom: plans are refused with no room by the new owner of a partition.
-// Sequence: the claim passes on, the old owner's last state arrives late.
-// Cause: a state of a lower epoch was taken in.
+// TestCacheIgnoresLowerEpochAndOldPositions guards against plans that the new owner of
+// a partition refuses with no_room: the last state of the previous owner arrives late
+// and is applied although its epoch is lower.
 func TestCacheIgnoresLowerEpochAndOldPositions(t *testing.T) {
 	c := NewCache()
 	full := workerState("w", "z", "r", res(1000, 1000), res(900, 900))
@@ -99,7 +99,7 @@
 		constraints spec.Constraints
 		infeasible  bool
 	}{
-		{"waits for room", res(900, 900), spec.Constraints{Zones: []string{"z1"}}, false},
+		{"waits for capacity", res(900, 900), spec.Constraints{Zones: []string{"z1"}}, false},
 		{"larger than any VM", res(1, 2000), spec.Constraints{}, true},
 		{"larger than the zone's VMs", res(2000, 10), spec.Constraints{Zones: []string{"z1"}}, true},
 		{"unknown zone", res(1, 1), spec.Constraints{Zones: []string{"z9"}}, true},
--- a/process/sched/preempt_test.go
+++ b/process/sched/preempt_test.go
@@ -14,11 +14,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// victimTolerance is how much more work than the least may be lost. The least
-// is found by trying every set of victims; package preempt tries three.
+// victimTolerance is how much more work than the optimum may be lost. The optimum is
+// found by trying every set of victims; package preempt tries three sets.
 const victimTolerance = 1.1
 
-// busy fills workers with tasks of all kinds and classes and ages.
+// busy fills workers with tasks of all kinds, classes and ages.
 func busy(r *rand.Rand, states []plan.WorkerState) {
 	classes := []spec.Class{spec.Low, spec.Normal, spec.High, spec.Urgent}
 	kinds := []spec.Kind{spec.Batch, spec.Batch, spec.Gang, spec.Service}
@@ -58,7 +58,7 @@
 			return
 		}
 		got, allowed := plain.LossOf(&a, d.Worker, d.Victims)
-		require.True(t, allowed, "victims of a forbidden class, or not enough")
+		require.True(t, allowed, "victims are not preemptible, or do not free enough")
 		require.Equal(t, best.Rank, got.Rank)
 		require.LessOrEqual(t, got.Work, victimTolerance*best.Work+0.1)
 
@@ -72,10 +72,10 @@
 	})
 }
 
-// Symptom: urgent work waits although victims were told to end.
-// Sequence: the plan is sent, the next snapshot still shows the victims, the
-// next urgent task chooses them again.
-// Cause: what is in flight was dropped with the old snapshot.
+// TestVictimsInFlightAreNotChosenAgain guards against urgent tasks that wait although
+// victims are being stopped: the plan has been sent, but the next snapshot still shows
+// the victims, and if assumptions were dropped with the old snapshot, the next urgent
+// task would choose the same victims again.
 func TestVictimsInFlightAreNotChosenAgain(t *testing.T) {
 	c := NewCache()
 	w := workerState("w", "z", "r", res(100, 100), res(100, 100))
@@ -103,15 +103,15 @@
 	require.False(t, p.Place(third).Placed())
 }
 
-// BenchmarkPreemption measures urgent placements where no worker has room: the
-// whole decision, with the search for free room that finds none.
+// BenchmarkPreemption measures placements of urgent tasks that fit on no worker: the
+// whole decision, including the unsuccessful search for free capacity.
 func BenchmarkPreemption(b *testing.B) {
 	large := res(40000, 90000)
 	for _, n := range cellSizes {
 		states := loaded(authority(n))
 		for i := range states {
 			if large.Fits(states[i].Capacity.Sub(states[i].Reserved)) {
-				states[i].Unusable = "kept out of the measurement"
+				states[i].Unusable = "excluded from the measurement"
 			}
 		}
 		b.Run(size(n), func(b *testing.B) {
@@ -119,7 +119,7 @@
 			for i := 0; b.Loop(); i++ {
 				a := batchAsk("urgent", i, large)
 				a.Class, a.Preempt = spec.Urgent, true
-				a.Avoid = []worker.ID{"none"} // keeps the answer from being remembered
+				a.Avoid = []worker.ID{"none"} // prevents caching of the result
 				require.NotEmpty(b, p.Place(a).Victims)
 			}
 		})
--- a/process/sched/rebind/rebind.go
+++ b/process/sched/rebind/rebind.go
@@ -1,11 +1,12 @@
-// Package rebind chooses another worker of the same rack for a task whose
-// worker has no room any more. Schedulers that decide at the same time on the
-// same snapshot want the same best worker; the owner of the workers knows all
-// but the first to be late, and mostly has room for them beside it.
+// Package rebind chooses another worker in the same rack for a task whose chosen
+// worker no longer has enough free capacity. Schedulers that decide at the same time
+// on the same snapshot choose the same best worker. The owner of the partition can
+// only accept the first of them there, but mostly has free capacity for the others
+// on other workers of the rack.
 //
-// It rates by the scores of the other policies. What they know and the owner of
-// a rack does not, it leaves as it was decided: the zone and the rack, and
-// whether work that wants no accelerators goes to a VM that has them.
+// Candidates are scored like in the other policies. Decisions that depend on more
+// than the state of one rack are not changed: the zone and the rack, and whether a
+// task that uses no accelerators is placed on a VM that has them.
 package rebind
 
 import (
@@ -25,19 +26,19 @@
 	Free     spec.Resources
 	// Tasks counts the tasks of the ask's job on the worker.
 	Tasks int
-	// Closed says that the worker does not take the task, although it is
-	// usable. It still counts for how scarce each dimension is.
+	// Closed is set if the worker cannot take the task although it is usable. It
+	// still counts towards the demand in the rack.
 	Closed bool
 }
 
-// None is the position returned when no candidate takes the task.
+// None is returned by Choose if no candidate can take the task.
 const None = -1
 
-// Choose returns the position of the best candidate for the ask: for one that
-// is spread the worker with the fewest tasks of its job, then the tightest fit,
-// then the lowest id. accelerators says whether the worker that was decided on
-// has accelerators; where it has none, an ask without them does not move to a
-// worker that has.
+// Choose returns the index of the best candidate for the ask, or None. If the ask
+// is spread, that is the worker with the fewest tasks of its job, then the tightest
+// fit, then the lowest ID. accelerators is whether the originally chosen worker has
+// accelerators; if it has none, a task that uses none is not moved to a worker with
+// accelerators.
 func Choose(a *snapshot.Ask, accelerators bool, candidates []Candidate) int {
 	rater := score.RaterOf(a, demand(candidates))
 	best, found := None, rating{}
@@ -56,7 +57,7 @@
 	return best
 }
 
-// demand weighs the dimensions by the use of the rack.
+// demand returns the demand in the rack.
 func demand(candidates []Candidate) score.Demand {
 	var free, reference spec.Resources
 	for i := range candidates {
@@ -66,7 +67,7 @@
 	return score.DemandOf(free, reference)
 }
 
-// rating orders candidates, the best first.
+// rating holds the keys by which candidates are ordered.
 type rating struct {
 	tasks   int
 	packing float64
--- a/process/sched/rebind/rebind_test.go
+++ b/process/sched/rebind/rebind_test.go
@@ -15,8 +15,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// rack draws a rack with some work on it; every third has accelerators on some
-// of its VMs.
+// rack returns a random rack with some tasks. One in three has accelerators on some of
+// its VMs.
 func rack(r *rand.Rand) []plan.WorkerState {
 	states := make([]plan.WorkerState, 1+r.IntN(8))
 	accelerated := r.IntN(3) == 0
@@ -28,7 +28,7 @@
 			w.Capacity.Accelerators = 4
 		}
 		if r.IntN(8) == 0 {
-			w.Unusable = "set aside"
+			w.Unusable = "in quarantine"
 		}
 		for j := range r.IntN(6) {
 			size := spec.Resources{MilliCPU: 500 * (1 + r.Int64N(5)), MemoryMB: 1000 * (1 + r.Int64N(5))}
@@ -77,7 +77,7 @@
 	return list
 }
 
-// TestChooseAgainstNaive compares every choice with the plain scheduler on the
+// TestChooseAgainstNaive compares every choice with that of the naive scheduler on the
 // rack without the workers that must not take the task.
 func TestChooseAgainstNaive(t *testing.T) {
 	r := rand.New(rand.NewPCG(1, 1))
--- a/process/sched/score/packing.go
+++ b/process/sched/score/packing.go
@@ -1,5 +1,4 @@
-// Package score rates the workers that the filters left over. A lower score is
-// better.
+// Package score scores the workers that pass the filters. A lower score is better.
 package score
 
 import (
@@ -7,42 +6,42 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Weights of the packing score, chosen by measurement: docs/PLACEMENT.md.
+// Weights of the packing score. docs/PLACEMENT.md has the measurements.
 const (
-	// BalanceWeight rates how unlike the free shares of processors and memory
-	// are after the placement, relative to their sum: a VM with memory and no
-	// processors left is lost to everybody.
+	// BalanceWeight is the weight of the difference between the free shares of CPU
+	// and memory after the placement, relative to their sum: a VM with free memory
+	// but no free CPU cannot be used by any task.
 	BalanceWeight = 4
-	// balanceFloor keeps the relation defined, and calm, on a VM nearly full.
+	// balanceFloor keeps the ratio defined and stable on an almost full VM.
 	balanceFloor = 0.02
-	// IdlePenalty keeps work off an idle VM while another will do, so that at
+	// IdlePenalty avoids idle VMs while there is a similar alternative, so that at
 	// low load whole VMs stay free for large tasks.
 	IdlePenalty = 0.75
-	// AcceleratorPenalty keeps work without accelerators off VMs that have
-	// them while any other VM has room.
+	// AcceleratorPenalty keeps tasks that use no accelerators off VMs that have them,
+	// as long as they fit on any other VM.
 	AcceleratorPenalty = 10
-	// AwayPenalty keeps work in the scheduler's home partitions: schedulers
-	// that decide at the same time on the same snapshot would else all choose
-	// the same best worker, and all but one be refused there. More of it means
-	// fewer refusals and looser packing.
-	AwayPenalty = 3
+	// LocalityPenalty keeps tasks in the scheduler's preferred partitions. Without
+	// it, schedulers that decide at the same time on the same snapshot would all
+	// choose the same best worker, and all but one would be refused there. A higher
+	// penalty means fewer refusals and looser packing.
+	LocalityPenalty = 3
 )
 
-// Away rates a worker by how far its partition is from the scheduler.
-func Away(home *snapshot.Home, lane snapshot.Lane) float64 {
-	if home == nil {
+// Locality scores a worker by the distance of its partition from the scheduler.
+func Locality(affinity *snapshot.Affinity, partition snapshot.PartitionHash) float64 {
+	if affinity == nil {
 		return 0
 	}
-	return AwayPenalty * home[lane]
+	return LocalityPenalty * affinity[partition]
 }
 
-// Rater rates workers for one ask.
+// Rater scores workers for one ask.
 type Rater struct {
 	size   spec.Resources
 	demand Demand
 }
 
-// NewRater returns a rater for an ask in the present state of the cell.
+// NewRater returns a rater for an ask, given the current demand in the cell.
 func NewRater(v *snapshot.View, a *snapshot.Ask) Rater {
 	free, reference := v.Totals()
 	return RaterOf(a, DemandOf(free, reference))
@@ -51,9 +50,9 @@
 // RaterOf returns a rater for an ask and a demand.
 func RaterOf(a *snapshot.Ask, d Demand) Rater { return Rater{a.Size, d} }
 
-// Packing rates a worker by what would stay free on it: the sum of the shares
-// of processors and memory, and their imbalance. ref is the reference capacity
-// of the worker's class.
+// Packing scores a worker by what would stay free on it: the sum of the free shares
+// of CPU, memory and accelerators, and the imbalance of the first two. ref is the
+// reference capacity of the worker's class.
 func (r *Rater) Packing(e *snapshot.Entry, ref *spec.Resources) float64 {
 	cpu := float64(e.CPU-r.size.MilliCPU) / float64(ref.MilliCPU)
 	mem := float64(e.Memory-r.size.MemoryMB) / float64(ref.MemoryMB)
@@ -64,9 +63,9 @@
 	return s
 }
 
-// Bound returns a lower bound of Packing over a cell. The imbalance grows with
-// the larger share and falls with the smaller one, so it is least at a corner,
-// or nothing where the shares can be equal.
+// Bound returns a lower bound of Packing over the workers of a bucket. The imbalance
+// grows with the larger share and falls with the smaller one, so its minimum is at a
+// corner of the bucket, or 0 where the shares can be equal.
 func (r *Rater) Bound(b snapshot.Bounds, ref *spec.Resources) float64 {
 	loCPU := float64(max(0, b.MinCPU-r.size.MilliCPU)) / float64(ref.MilliCPU)
 	hiCPU := float64(b.MaxCPU-r.size.MilliCPU) / float64(ref.MilliCPU)
@@ -82,7 +81,7 @@
 	return s
 }
 
-// accelerators rates what stays free of them, as a share.
+// accelerators scores the accelerators that would stay free, as a share.
 func accelerators(size *spec.Resources, free int64, ref *spec.Resources) float64 {
 	if ref.Accelerators == 0 {
 		return 0
@@ -93,7 +92,7 @@
 	return float64(free-size.Accelerators) / float64(ref.Accelerators)
 }
 
-// Worker rates a worker by its record.
+// Worker returns the packing score of a worker, given its record.
 func (r *Rater) Worker(v *snapshot.View, w *snapshot.Worker) float64 {
 	e := snapshot.EntryOf(w)
 	return r.Packing(&e, v.Reference(w))
--- a/process/sched/service_test.go
+++ b/process/sched/service_test.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// perDomain counts the instances of one generation per zone and rack.
+// perDomain counts the instances of a generation per zone and per rack.
 func perDomain(p *Planner, generation uint64) (zones, racks map[string]int) {
 	zones, racks = map[string]int{}, map[string]int{}
 	for _, rack := range p.View().Racks() {
@@ -48,11 +48,10 @@
 	requireEven(t, racks, 0)
 }
 
-// Symptom: after the nightly replacement most instances of a service share a
-// zone, and its loss takes the service away.
-// Sequence: old instances are replaced a few at a time; new ones are placed
-// where few old ones are left.
-// Cause: old and new instances were counted alike.
+// TestRollingReplacementEndsEven guards against a nightly replacement after which most
+// instances of a service are in the same zone, whose failure then takes the service
+// down. It happens if old and new instances count alike while a few of them are
+// replaced at a time: new ones are placed where few old ones are left.
 func TestRollingReplacementEndsEven(t *testing.T) {
 	s := authority(48)
 	p := NewPlanner(cacheOf(s.states(nil, false)).Snapshot())
--- a/process/sched/snapshot/affinity.go
+++ b/process/sched/snapshot/affinity.go
@@ -2,40 +2,41 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Lane stands for a partition in the index. Partitions of a large cell may
-// share one; a preference for the one is then also one for the other.
-type Lane uint8
+// PartitionHash identifies a partition in the index. In a large cell several
+// partitions may have the same hash; preferring one of them then prefers all.
+type PartitionHash uint8
 
-// Lanes is the number of lanes.
-const Lanes = 256
+// PartitionHashes is the number of partition hashes.
+const PartitionHashes = 256
 
-// LaneOf returns the lane of a partition.
-func LaneOf(partition string) Lane { return Lane(xxhash.Sum64String(partition)) }
+// LaneOf returns the hash of a partition.
+func LaneOf(partition string) PartitionHash { return PartitionHash(xxhash.Sum64String(partition)) }
 
-// Home is how far each lane is from a scheduler: 0 for its home partitions, and
-// for the others from 0.5 to 1 in an order of its own, so that schedulers whose
-// home is full do not all turn to the same partition.
-type Home [Lanes]float64
+// Affinity is the distance of each partition from a scheduler: 0 for the preferred
+// partitions, and from 0.5 to 1 for the others. The order of the others differs
+// between schedulers, so that schedulers whose preferred partitions are full do
+// not all choose the same partition next.
+type Affinity [PartitionHashes]float64
 
-// nearest is the least distance of a lane that is not a home.
-const nearest = 0.5
+// minDistance is the least distance of a partition that is not preferred.
+const minDistance = 0.5
 
-// NewHome returns the distances for a scheduler of a name.
-func NewHome(scheduler string, partitions []string) *Home {
-	h := new(Home)
+// NewAffinity returns the affinity of the named scheduler to the partitions.
+func NewAffinity(scheduler string, partitions []string) *Affinity {
+	a := new(Affinity)
 	name := xxhash.Sum64String(scheduler)
-	for lane := range h {
-		mixed := (name ^ uint64(lane)) * mixFactor
-		h[lane] = nearest + (1-nearest)*fraction(mixed)
+	for hash := range a {
+		mixed := (name ^ uint64(hash)) * mixFactor
+		a[hash] = minDistance + (1-minDistance)*fraction(mixed)
 	}
 	for _, p := range partitions {
-		h[LaneOf(p)] = 0
+		a[LaneOf(p)] = 0
 	}
-	return h
+	return a
 }
 
-// mixFactor spreads neighbouring lanes over the whole range: 2^64 divided by
-// the golden ratio.
+// mixFactor spreads adjacent hashes over the whole range. It is 2^64 divided by the
+// golden ratio.
 const mixFactor = 0x9e3779b97f4a7c15
 
 // fraction maps the upper bits of x, as many as a float32 holds, to [0, 1).
--- a/process/sched/snapshot/cache.go
+++ b/process/sched/snapshot/cache.go
@@ -1,8 +1,8 @@
-// Package snapshot keeps what the schedulers decide on: the workers of all
-// partitions, an index over their free capacity, and cheap immutable snapshots
-// of both. A Cache follows the partitions; a Snapshot is one moment of it; a
-// View is a private fork of a snapshot on which a run of decisions assumes its
-// own placements.
+// Package snapshot holds the state on which the schedulers decide: the workers
+// of all partitions, an index over their free capacity, and cheap immutable
+// snapshots of both. A Cache follows the states of the partitions, a Snapshot is
+// its state at one point in time, and a View is a private fork of a snapshot to
+// which a scheduler applies its own placements.
 package snapshot
 
 import (
@@ -13,7 +13,7 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// position is how far a partition's state has been followed.
+// position is the last state of a partition that was applied.
 type position struct {
 	epoch uint64
 	seq   uint64
@@ -41,9 +41,9 @@
 	return &Table{owner: new(owner), dir: newDirectory(), jobs: newJobIndex()}
 }
 
-// Apply takes a partition's state or a change of it. Ignored are: a lower
-// epoch, a position already reached in the same epoch, and a change (not Full)
-// that belongs to an epoch whose full state has not been seen.
+// Apply applies a partition's full state or a change of it. It ignores a state of
+// a lower epoch, a position already reached in the same epoch, and a change (not
+// Full) in an epoch whose full state has not been received.
 func (c *Cache) Apply(s plan.State) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -55,20 +55,21 @@
 	c.apply(&s, time.Now())
 }
 
-// accept reports whether a state is news.
+// accept reports whether a state is newer than what was applied before.
 //
-// A state that an old owner sent before its claim was taken may arrive late,
-// over another connection than the new owner's. Taken in, it would show room
-// that the new owner has given away; its plans would be refused with no room.
+// A state that the previous owner of the partition sent before it lost its claim
+// may arrive late, over another connection than the new owner's. If it were
+// applied, it would show capacity that the new owner has already assigned, and
+// plans based on it would be refused with no_room.
 func (c *Cache) accept(s *plan.State) bool {
-	at, known := c.partitions[s.Partition]
-	if !known || s.Epoch > at.epoch {
+	last, known := c.partitions[s.Partition]
+	if !known || s.Epoch > last.epoch {
 		return s.Full
 	}
-	if s.Epoch < at.epoch {
+	if s.Epoch < last.epoch {
 		return false
 	}
-	return s.Seq > at.seq
+	return s.Seq > last.seq
 }
 
 func (c *Cache) apply(s *plan.State, now time.Time) {
@@ -104,7 +105,7 @@
 	}
 }
 
-// drop removes a worker unless another partition has it by now.
+// drop removes a worker unless it has moved to another partition.
 func (c *Cache) drop(partition string, members map[worker.ID]struct{}, id worker.ID) {
 	delete(members, id)
 	if w := c.table.Lookup(id); w != nil && w.Partition == partition {
@@ -112,8 +113,8 @@
 	}
 }
 
-// Snapshot returns the present state. It is cheap, and the same snapshot is
-// returned until something changes.
+// Snapshot returns the current state. It is cheap, and returns the same snapshot
+// until something changes.
 func (c *Cache) Snapshot() *Snapshot {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -123,13 +124,13 @@
 	return c.latest
 }
 
-// Partitions returns the epoch up to which each partition has been followed.
+// Partitions returns the current epoch of each partition.
 func (c *Cache) Partitions() map[string]uint64 {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	epochs := make(map[string]uint64, len(c.partitions))
-	for name, at := range c.partitions {
-		epochs[name] = at.epoch
+	for name, last := range c.partitions {
+		epochs[name] = last.epoch
 	}
 	return epochs
 }
@@ -138,7 +139,7 @@
 	record := &Worker{
 		ID: w.ID, Zone: w.Zone, Rack: w.Rack, Partition: partition,
 		Capacity: w.Capacity, Reserved: w.Reserved, Unusable: w.Unusable,
-		lane: LaneOf(partition),
+		partitionHash: LaneOf(partition),
 	}
 	if len(w.Tasks) > 0 {
 		record.Tasks = make([]Task, len(w.Tasks))
@@ -150,13 +151,13 @@
 	return record
 }
 
-// Snapshot is an immutable state of all workers. It is safe for concurrent use.
+// Snapshot is the immutable state of all workers at one point in time. It is safe for concurrent use.
 type Snapshot struct {
-	mu    sync.Mutex // guards forks of table, which mark it as shared
+	mu    sync.Mutex // guards table.fork, which marks the table as shared
 	table *Table
 }
 
-// View forks the snapshot.
+// View returns a private fork of the snapshot.
 func (s *Snapshot) View() *View {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -166,7 +167,7 @@
 // Len returns the number of workers.
 func (s *Snapshot) Len() int { return s.table.Len() }
 
-// Lookup returns the record of a worker; nil when it is not known.
+// Lookup returns the record of a worker, or nil if it is unknown.
 func (s *Snapshot) Lookup(id worker.ID) *Worker { return s.table.Lookup(id) }
 
 // All calls f for each worker until it returns false.
--- a/process/sched/snapshot/check.go
+++ b/process/sched/snapshot/check.go
@@ -10,10 +10,10 @@
 // ErrInvariant is wrapped by each error of Check.
 var ErrInvariant = errors.New("snapshot: invariant violated")
 
-// Check verifies the index against the records: every usable worker is in
-// exactly the cell of its free capacity with its present free amounts, nothing
-// else is in any cell, and the jobs are counted as the workers list them. Its
-// cost is linear; tests and long runs call it.
+// Check verifies the index against the records: every usable worker is only in
+// the bucket of its free capacity, with its current free amounts, no other worker
+// is in any bucket, and the tasks counted per job are those listed by the workers.
+// Its cost is linear in workers and tasks; tests and long runs call it.
 func (t *Table) Check() error {
 	indexed := 0
 	var err error
@@ -27,7 +27,7 @@
 	if err != nil {
 		return err
 	}
-	return errors.Join(t.checkCells(indexed), t.checkJobs())
+	return errors.Join(t.checkBuckets(indexed), t.checkJobs())
 }
 
 func (t *Table) checkWorker(w *Worker) error {
@@ -36,44 +36,44 @@
 		return fmt.Errorf("%w: worker %s: unusable %q, position %d", ErrInvariant, w.ID, w.Unusable, s.position)
 	}
 	fresh := *w
-	if fresh.countPreemptible(); fresh.below != w.below {
-		return fmt.Errorf("%w: worker %s: preemptible %+v, tasks hold %+v", ErrInvariant, w.ID, w.below, fresh.below)
+	if fresh.countPreemptible(); fresh.preemptible != w.preemptible {
+		return fmt.Errorf("%w: worker %s: preemptible %+v, tasks hold %+v", ErrInvariant, w.ID, w.preemptible, fresh.preemptible)
 	}
 	if s.position < 0 {
 		return nil
 	}
 	c := t.classes[w.class]
-	if want := c.cellOf(w.Free()); want != s.cell {
-		return fmt.Errorf("%w: worker %s in cell %d, want %d", ErrInvariant, w.ID, s.cell, want)
+	if want := c.bucketOf(w.Free()); want != s.bucket {
+		return fmt.Errorf("%w: worker %s in bucket %d, want %d", ErrInvariant, w.ID, s.bucket, want)
 	}
-	e := c.cell(s.cell).pages[s.position/pageSize].entries[s.position%pageSize]
+	e := c.bucket(s.bucket).pages[s.position/pageSize].entries[s.position%pageSize]
 	if e != EntryOf(w) {
 		return fmt.Errorf("%w: worker %s: entry %+v, free %+v", ErrInvariant, w.ID, e, w.Free())
 	}
 	return nil
 }
 
-func (t *Table) checkCells(want int) error {
+func (t *Table) checkBuckets(want int) error {
 	n := 0
 	for _, c := range t.classes {
 		var free spec.Resources
 		for at := range int32(Levels * Levels) {
 			size := 0
-			if cell := c.cell(at); cell != nil {
-				for _, p := range cell.pages {
+			if b := c.bucket(at); b != nil {
+				for _, p := range b.pages {
 					size += len(p.entries)
 					for i := range p.entries {
 						free = free.Add(p.entries[i].free())
 					}
 				}
 			}
-			if used := c.rows[at/Levels]&(1<<(at%Levels)) != 0; used != (size > 0) {
-				return fmt.Errorf("%w: cell %d has %d workers, bitmap says %v", ErrInvariant, at, size, used)
+			if occupied := c.occupied[at/Levels]&(1<<(at%Levels)) != 0; occupied != (size > 0) {
+				return fmt.Errorf("%w: bucket %d has %d workers, occupied bit is %v", ErrInvariant, at, size, occupied)
 			}
 			n += size
 		}
 		if free != c.free {
-			return fmt.Errorf("%w: class has %+v free, sum says %+v", ErrInvariant, free, c.free)
+			return fmt.Errorf("%w: entries of class have %+v free, recorded sum is %+v", ErrInvariant, free, c.free)
 		}
 	}
 	if n != want {
@@ -86,7 +86,7 @@
 	fresh := &Table{owner: new(owner), jobs: newJobIndex(), dir: t.dir}
 	t.All(func(w *Worker) bool { fresh.countTasks(w, 1); return true })
 	if fresh.jobs.tree.Len() != t.jobs.tree.Len() {
-		return fmt.Errorf("%w: %d jobs and racks counted, want %d", ErrInvariant, t.jobs.tree.Len(), fresh.jobs.tree.Len())
+		return fmt.Errorf("%w: %d counts per job and rack, want %d", ErrInvariant, t.jobs.tree.Len(), fresh.jobs.tree.Len())
 	}
 	var err error
 	fresh.jobs.tree.Ascend(func(want jobCount) bool {
--- a/process/sched/snapshot/jobs.go
+++ b/process/sched/snapshot/jobs.go
@@ -6,7 +6,7 @@
 	"github.com/google/btree"
 )
 
-// jobCount is how many tasks of one generation of a job a rack has.
+// jobCount is the number of tasks of one generation of a job in a rack.
 type jobCount struct {
 	job        string
 	generation uint64
@@ -24,14 +24,14 @@
 	return a.rack < b.rack
 }
 
-// jobIndex counts tasks per job and rack. It is one tree over all, in place of
-// a map per job: a fork that touches a job copies a path of the tree and not
-// the job's whole map, which has an entry per rack of the cell.
+// jobIndex counts tasks per job and rack. It is one tree for all jobs rather than
+// a map per job: a fork that changes a job copies one path of the tree instead of
+// the job's whole map, which has up to one entry per rack of the cell.
 type jobIndex struct {
 	tree *btree.BTreeG[jobCount]
 }
 
-// jobTreeDegree is the fan-out of the tree of jobs.
+// jobTreeDegree is the degree of the B-tree.
 const jobTreeDegree = 16
 
 func newJobIndex() *jobIndex { return &jobIndex{btree.NewG(jobTreeDegree, jobLess)} }
@@ -51,8 +51,8 @@
 	x.tree.ReplaceOrInsert(key)
 }
 
-// JobRacks calls f with the number of tasks in each rack, for each generation
-// of a job that has any there.
+// JobRacks calls f with the number of tasks in each rack for each generation of
+// a job, where there are any.
 func (t *Table) JobRacks(job string, f func(generation uint64, rack, tasks int32)) {
 	t.jobs.tree.AscendGreaterOrEqual(jobCount{job: job}, func(c jobCount) bool {
 		if c.job != job {
@@ -63,7 +63,7 @@
 	})
 }
 
-// JobTasks returns how many tasks of any generation of a job are known.
+// JobTasks returns the number of tasks of a job over all generations.
 func (t *Table) JobTasks(job string) int {
 	n := 0
 	t.JobRacks(job, func(_ uint64, _, tasks int32) { n += int(tasks) })
--- a/process/sched/snapshot/members.go
+++ b/process/sched/snapshot/members.go
@@ -17,8 +17,8 @@
 	}
 }
 
-// clone copies the directory for one change. Workers come and go seldom beside
-// tasks, so a whole copy is fine.
+// clone copies the whole directory. Workers are added and removed rarely compared
+// to tasks, so this is cheap enough.
 func (d *directory) clone() *directory {
 	racks := slices.Clone(d.racks)
 	for i := range racks {
@@ -46,12 +46,12 @@
 // put adds a worker or replaces its record.
 func (t *Table) put(w *Worker) {
 	old := t.Lookup(w.ID)
-	if old != nil && !samePlace(old, w) {
+	if old != nil && !samePosition(old, w) {
 		t.remove(old)
 		old = nil
 	}
 	if old == nil {
-		t.join(w)
+		t.register(w)
 	} else {
 		w.index, w.class, w.rack = old.index, old.class, old.rack
 	}
@@ -59,9 +59,9 @@
 	t.countDifference(old, w)
 }
 
-// countDifference counts the tasks of a worker's new record in place of those
-// of the old one, which may be nil. Most tasks are in both, and to count them
-// out and in again would be most of the cost of a new state.
+// countDifference replaces the counted tasks of a worker's old record, which may
+// be nil, by those of the new one. Most tasks are in both; subtracting and adding
+// them again would be most of the cost of applying a state.
 func (t *Table) countDifference(old, w *Worker) {
 	delta := map[unique.Handle[Group]]int32{}
 	if old != nil {
@@ -80,22 +80,23 @@
 	}
 }
 
-func samePlace(a, b *Worker) bool {
+// samePosition reports whether two records belong to the same rack and class.
+func samePosition(a, b *Worker) bool {
 	return a.Zone == b.Zone && a.Rack == b.Rack &&
 		classOf(a.Zone, a.Capacity) == classOf(b.Zone, b.Capacity)
 }
 
-// join gives a new worker its position, rack and class.
-func (t *Table) join(w *Worker) {
+// register assigns a new worker its index, rack and class.
+func (t *Table) register(w *Worker) {
 	d := t.writableDirectory()
-	w.index = t.takeIndex(d)
-	w.rack = takeRack(d, rackKey{w.Zone, w.Rack})
-	w.class = t.takeClass(d, classOf(w.Zone, w.Capacity))
+	w.index = t.allocateIndex(d)
+	w.rack = rackIndex(d, rackKey{w.Zone, w.Rack})
+	w.class = t.classIndex(d, classOf(w.Zone, w.Capacity))
 	d.byID[w.ID] = w.index
 	d.racks[w.rack].Workers = append(d.racks[w.rack].Workers, w.index)
 }
 
-func (t *Table) takeIndex(d *directory) Index {
+func (t *Table) allocateIndex(d *directory) Index {
 	if n := len(d.free); n > 0 {
 		i := d.free[n-1]
 		d.free = d.free[:n-1]
@@ -109,7 +110,7 @@
 	return i
 }
 
-func takeRack(d *directory, key rackKey) int32 {
+func rackIndex(d *directory, key rackKey) int32 {
 	if i, ok := d.rackOf[key]; ok {
 		return i
 	}
@@ -120,7 +121,7 @@
 	return i
 }
 
-func (t *Table) takeClass(d *directory, key classKey) int32 {
+func (t *Table) classIndex(d *directory, key classKey) int32 {
 	if i, ok := d.classOf[key]; ok {
 		return i
 	}
@@ -130,7 +131,7 @@
 	return i
 }
 
-// remove takes a worker out.
+// remove removes a worker.
 func (t *Table) remove(w *Worker) {
 	s := t.writableSlot(w.index)
 	t.unindex(s)
--- a/process/sched/snapshot/snapshot_test.go
+++ b/process/sched/snapshot/snapshot_test.go
@@ -24,7 +24,7 @@
 	rapidtest.MainChecks(m, checks)
 }
 
-// dump is what a table says of each worker.
+// dump returns the records of all workers of a table.
 func dump(t *Table) map[worker.ID]Worker {
 	out := map[worker.ID]Worker{}
 	t.All(func(w *Worker) bool {
@@ -34,13 +34,13 @@
 	return out
 }
 
-// frozen is a snapshot with what it said when it was taken.
+// frozen is a snapshot with its contents at the time it was taken.
 type frozen struct {
 	snapshot *Snapshot
 	dump     map[worker.ID]Worker
 }
 
-// drawState makes a random state; few sizes, so that cells hold several pages.
+// drawState returns a random state with few sizes, so that buckets have several pages.
 func drawState(r *rand.Rand, partition int, seq uint64) plan.State {
 	s := plan.State{Partition: fmt.Sprint("p", partition), Epoch: 1, Seq: seq, Full: seq == 1 || r.IntN(10) == 0}
 	for i := range 100 {
@@ -64,10 +64,9 @@
 	return s
 }
 
-// Symptom: a decision sees half of a change, or a planner's assumption shows in
-// another planner's workers.
-// Sequence: a snapshot is taken, the cache or a view goes on changing.
-// Cause: a part that is shared was written in place.
+// TestSnapshotsAndViewsAreIndependent guards against writing to a shared structure in
+// place while the cache or a view changes after a snapshot was taken: a decision then
+// sees half of a change, or a planner sees another planner's assumption.
 func TestSnapshotsAndViewsAreIndependent(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
--- a/process/sched/snapshot/view.go
+++ b/process/sched/snapshot/view.go
@@ -8,26 +8,27 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// View is a private fork of a snapshot. What it assumes is seen by its own
-// later decisions and by nobody else. It is not safe for concurrent use.
+// View is a private fork of a snapshot. Changes assumed on it are visible only to
+// later decisions on the same view. It is not safe for concurrent use.
 type View struct {
 	*Table
-	// Kept, when set, returns what a worker keeps from an ask for a waiting
-	// gang; see package gang.
-	Kept func(a *Ask, id worker.ID) spec.Resources
-	// Home, when set, is where independent tasks go first.
-	Home *Home
+	// Withheld, when set, returns the capacity of a worker that is withheld from
+	// an ask on behalf of a waiting gang; see package gang.
+	Withheld func(a *Ask, id worker.ID) spec.Resources
+	// Home, when set, gives the partitions in which independent tasks are placed
+	// first.
+	Home *Affinity
 }
 
-// Change is what a view assumes of one worker: tasks that start, and then
-// attempts that end.
+// Change is an assumed change of one worker: tasks that start, and then attempts
+// that end.
 type Change struct {
 	Start []Task
 	End   []worker.Ref
 }
 
-// Apply assumes a change. Ends that are not on the worker are passed over. It
-// reports false when the worker is not known.
+// Apply applies an assumed change. Ended attempts that are not on the worker are
+// ignored. It reports false when the worker is unknown.
 func (v *View) Apply(id worker.ID, c Change) bool {
 	old := v.Lookup(id)
 	if old == nil {
@@ -49,8 +50,8 @@
 	return true
 }
 
-// SetUnusable changes why a worker takes no new tasks; "" lets it take them. It
-// reports false when the worker is not known.
+// SetUnusable sets the reason why a worker takes no new tasks; "" makes it usable.
+// It reports false when the worker is unknown.
 func (v *View) SetUnusable(id worker.ID, reason string) bool {
 	old := v.Lookup(id)
 	if old == nil {
@@ -62,15 +63,16 @@
 	return true
 }
 
-// count adds a task to the sums of its worker and job, or takes it out.
+// count adds a task to the sums of its worker and job (times 1), or subtracts it
+// (times -1).
 func (v *View) count(w *Worker, t *Task, times int32) {
 	w.Reserved = w.Reserved.Add(t.Size().Times(int64(times)))
 	w.addPreemptible(t, int64(times))
 	v.countTask(w, t, times)
 }
 
-// Start assumes that the ask's task starts on the worker. It reports false
-// when the worker is not known or already holds the attempt.
+// Start assumes that the ask's task starts on the worker. It reports false when
+// the worker is unknown or already has the attempt.
 func (v *View) Start(a *Ask, id worker.ID) bool {
 	w := v.Lookup(id)
 	if w == nil || w.Find(a.Ref()) >= 0 {
@@ -79,8 +81,8 @@
 	return v.Apply(id, Change{Start: []Task{TaskFor(a, time.Now())}})
 }
 
-// End assumes that an attempt on the worker has ended. It reports false when
-// the attempt is not there.
+// End assumes that an attempt on the worker has ended. It reports false when the
+// worker does not have the attempt.
 func (v *View) End(ref worker.Ref, id worker.ID) bool {
 	w := v.Lookup(id)
 	if w == nil || w.Find(ref) < 0 {
--- a/process/sched/usage/relief.go
+++ b/process/sched/usage/relief.go
@@ -8,7 +8,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Load is a task on a worker with what it holds and what it uses.
+// Load is a task on a worker with its reservation and its usage.
 type Load struct {
 	Ref           worker.Ref
 	Kind          spec.Kind
@@ -18,17 +18,17 @@
 	Used          spec.Resources
 }
 
-// Step is how hard an Action hits, the mildest first.
+// Step is the kind of an Action, the least disruptive first.
 type Step int
 
 // Steps.
 const (
-	Throttle   Step = iota // limit processors to what is reserved
-	Checkpoint             // save progress and stop
-	Stop                   // stop; the work done is lost
+	Throttle   Step = iota // limit the CPU to what is reserved
+	Checkpoint             // save the progress and stop the task
+	Stop                   // stop the task; its work is lost
 )
 
-// Action relieves a worker of what a task uses beyond its reservation.
+// Action reduces the usage of a task that exceeds its reservation.
 type Action struct {
 	Ref  worker.Ref
 	Step Step
@@ -36,13 +36,13 @@
 	MilliCPU int64
 }
 
-// Relieve returns what to do on a worker whose tasks together use more than it
-// has, and nothing when they do not. Only tasks that use more than they have
-// reserved are touched, the lowest class first and the largest excess first:
-// what is reserved on a worker never exceeds its capacity, so that is enough.
-// Processors are throttled. Memory can only be freed by ending a task: batch
-// and gang tasks are checkpointed, instances are stopped after all of those,
-// and work that must not start twice last of all.
+// Relieve returns the actions for a worker whose tasks together use more than its
+// capacity, and none when they do not. Only tasks that use more than they have
+// reserved are affected, the lowest class first and the largest excess first. That
+// suffices, because reservations on a worker never exceed its capacity. CPU usage
+// is throttled. Memory can only be freed by ending a task: batch and gang tasks
+// are checkpointed first, then instances of services are stopped, and
+// non-idempotent tasks, which must not start twice, come last.
 func Relieve(capacity spec.Resources, loads []Load) []Action {
 	var used spec.Resources
 	for i := range loads {
@@ -70,7 +70,8 @@
 	return actions, freedCPU
 }
 
-// severity is how much the end of a task costs beyond its class.
+// severity ranks tasks by how disruptive ending them is. It takes precedence over
+// the class.
 func severity(l *Load) int {
 	switch {
 	case l.NonIdempotent:
--- a/process/sched/usage/runtime.go
+++ b/process/sched/usage/runtime.go
@@ -7,30 +7,30 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Expectations of run times.
+// Parameters of the run time estimate.
 const (
-	// minRuns is how many runs are needed to trust them more than the
-	// declared time.
+	// minRuns is the number of runs from which on they are used instead of the
+	// declared run time.
 	minRuns = 3
-	// runPercentile of the runs, with runMargin, is the expected run time:
-	// work that is let in before a waiting gang must end in time.
+	// runPercentile of the run times, multiplied by runMargin, is the expected run
+	// time. It is a cautious estimate because work that is backfilled before a
+	// waiting gang must end in time.
 	runPercentile = 90
 	runMargin     = 1.1
-	// declaredFactor makes a cautious expectation of a declared time.
+	// declaredFactor makes a declared run time a cautious estimate.
 	declaredFactor = 3
-	// minWork is the reported fraction from which progress is extrapolated.
-	minWork = 0.05
-	// overdueShare of its age is what a task that outlived every expectation
-	// is still given.
+	// minProgress is the least reported progress that is extrapolated.
+	minProgress = 0.05
+	// overdueShare is the fraction of its age that a task is expected to go on
+	// running after it has exceeded the expected run time.
 	overdueShare = 0.5
-	// minRemaining is the least that a running task is given.
+	// minRemaining is the least remaining time that is assumed for a running task.
 	minRemaining = time.Second
-	// unknownRunTime is assumed when nothing is declared or learned.
+	// unknownRunTime is assumed when no run time is declared or learned.
 	unknownRunTime = time.Minute
 )
 
-// RunTime returns a cautious expectation of a job's run time; 0 when nothing is
-// known.
+// RunTime returns a cautious estimate of a job's run time; 0 if it is unknown.
 func (l *Learner) RunTime(job string) time.Duration {
 	h := l.jobs[job]
 	switch {
@@ -43,17 +43,17 @@
 	}
 }
 
-// Remaining returns for how long a running task is expected to go on; false for
-// an instance of a service, which runs without end. It has the signature of
-// gang.Remaining once now is bound.
+// Remaining returns how much longer a running task is expected to run, or false
+// for an instance of a service, which does not end. With now bound it can serve as
+// a gang.Remaining.
 func (l *Learner) Remaining(t *snapshot.Task, now time.Time) (time.Duration, bool) {
 	g := t.Group()
 	if g.Kind == spec.Service {
 		return 0, false
 	}
 	age := t.Age(now)
-	if work := t.Work(); work >= minWork && work < 1 && age > 0 {
-		return max(minRemaining, scaled(age, runMargin*(1-work)/work)), true
+	if progress := t.Progress(); progress >= minProgress && progress < 1 && age > 0 {
+		return max(minRemaining, scaled(age, runMargin*(1-progress)/progress)), true
 	}
 	expected := l.RunTime(g.Job)
 	if expected == 0 {
--- a/process/sched/usage/usage_test.go
+++ b/process/sched/usage/usage_test.go
@@ -32,7 +32,7 @@
 	l := New()
 	l.Declare("j", declared, 0)
 	run(l, 0, MinEnded-1, third, time.Second)
-	require.Equal(t, declared, l.Size("j", vm), "too few ended to reserve less")
+	require.Equal(t, declared, l.Size("j", vm), "too few tasks have ended to reserve less")
 	run(l, 10, 60, third, time.Second)
 	got := l.Size("j", vm)
 	require.Equal(t, int64(2), got.Accelerators)
@@ -98,20 +98,20 @@
 		loads []Load
 		want  []Action
 	}{
-		{"room left", []Load{load(0, spec.Low, spec.Batch, size(10, 10), size(90, 90))}, nil},
-		{"lowest class throttled first", []Load{
+		{"within capacity", []Load{load(0, spec.Low, spec.Batch, size(10, 10), size(90, 90))}, nil},
+		{"lowest class is throttled first", []Load{
 			load(0, spec.High, spec.Service, size(40, 10), size(60, 10)),
 			load(1, spec.Low, spec.Batch, size(40, 10), size(60, 10)),
 		}, []Action{{Ref: ref(1), Step: Throttle, MilliCPU: 40}}},
-		{"within its reservation is left alone", []Load{
+		{"tasks within their reservation are not affected", []Load{
 			load(0, spec.Low, spec.Batch, size(80, 10), size(80, 10)),
 			load(1, spec.High, spec.Batch, size(20, 10), size(60, 10)),
 		}, []Action{{Ref: ref(1), Step: Throttle, MilliCPU: 20}}},
-		{"memory: checkpoint, and its processors count as freed", []Load{
+		{"memory: a checkpoint also counts as freed CPU", []Load{
 			load(0, spec.Normal, spec.Batch, size(50, 40), size(60, 70)),
 			load(1, spec.Normal, spec.Batch, size(50, 40), size(60, 40)),
 		}, []Action{{Ref: ref(0), Step: Checkpoint}}},
-		{"memory: instances after batch, work that starts once last", []Load{
+		{"memory: instances after batch tasks, non-idempotent tasks last", []Load{
 			once,
 			load(1, spec.High, spec.Service, size(10, 10), size(10, 50)),
 			load(2, spec.High, spec.Batch, size(10, 10), size(10, 20)),
