--- a/process/sched/gang/gang.go
+++ b/process/sched/gang/gang.go
@@ -26,7 +26,7 @@
 	if len(asks) == 0 {
 		return snapshot.GangDecision{Placed: true}
 	}
-	if !alike(asks) {
+	if !uniform(asks) {
 		return placeMixed(v, asks)
 	}
 	all := feasibleRacks(v, &asks[0])
@@ -36,9 +36,9 @@
 	return assign(asks, all.choose(len(asks)))
 }
 
-// alike reports whether all asks are interchangeable: one job, one size, and no
+// uniform reports whether all asks are interchangeable: one job, one size, and no
 // workers to avoid.
-func alike(asks []snapshot.Ask) bool {
+func uniform(asks []snapshot.Ask) bool {
 	for i := range asks {
 		if asks[i].Size != asks[0].Size || len(asks[i].Avoid) > 0 || asks[i].Task.Job != asks[0].Task.Job {
 			return false
--- a/process/sched/gang/shadow.go
+++ b/process/sched/gang/shadow.go
@@ -30,7 +30,7 @@
 
 // Plan computes the earliest time at which the gang fits, given when running tasks
 // are expected to end, and the capacity to reserve for it. It returns false when
-// the tasks with a known end do not free enough. The asks must be alike.
+// the tasks with a known end do not free enough. All asks must be interchangeable.
 //
 // Capacity should be reserved only for the oldest waiting gang: it then starts no
 // later than planned, and other work loses no more than that gang's capacity.
@@ -48,9 +48,9 @@
 }
 
 // Withheld returns the capacity of a worker that is withheld from an ask. Nothing
-// is withheld from a task that is expected to end before the gang starts. Any
-// other task may use only the capacity that the gang does not need in addition to
-// what is freed by then.
+// is withheld from a task that is expected to end before the gang starts. From any
+// other task it withholds what the gang needs on the worker beyond the capacity
+// that running tasks are expected to free by then.
 func (s *Shadow) Withheld(a *snapshot.Ask, id worker.ID) spec.Resources {
 	withheld, ok := s.withheld[id]
 	if !ok || a.Task.Job == s.Job {
--- a/process/sched/learning_test.go
+++ b/process/sched/learning_test.go
@@ -81,7 +81,7 @@
 func fillMisdeclared(seed uint64, learned bool) (share, overCPU, overMemory float64) {
 	r := rand.New(rand.NewPCG(seed, 3))
 	jobs := misdeclaredJobs(r, 50)
-	learner := teach(r, jobs, learned)
+	learner := learnerFor(r, jobs, learned)
 	p := NewPlanner(cacheOf(guild.states(nil, false)).Snapshot())
 	used := map[worker.ID]spec.Resources{}
 	for i, misfits := 0, 0; misfits < maxMisfits; i++ {
@@ -109,7 +109,9 @@
 	return guild.share(sum), overCPU, overMemory
 }
 
-func teach(r *rand.Rand, jobs []misdeclared, learned bool) *usage.Learner {
+// learnerFor returns a learner of the declared jobs and, if learned is set, of 20 tasks
+// of each.
+func learnerFor(r *rand.Rand, jobs []misdeclared, learned bool) *usage.Learner {
 	l := usage.New()
 	for i := range jobs {
 		l.Declare(jobs[i].name, jobs[i].declared, 0)
--- a/process/sched/usage/usage.go
+++ b/process/sched/usage/usage.go
@@ -58,8 +58,8 @@
 	cpu      ring
 	memory   ring
 	runs     ring
-	// live is the peak usage reported of any task since it was last reset, which
-	// happens every Window ended tasks. It lets a size grow before a task has ended.
+	// live is the peak usage reported of any task since the last reset, which is
+	// done every Window ended tasks. It lets a size grow before a task has ended.
 	live      spec.Resources
 	liveEnded int // tasks that have ended since live was reset
 }
@@ -71,7 +71,7 @@
 
 // Declare sets the declared size and run time of a job; runTime may be 0. The
 // history is kept across generations of the job. It is dropped when the declared
-// size changes, since that replaces the estimate by the operator's.
+// size changes, because the new declaration is then the better information.
 func (l *Learner) Declare(job string, size spec.Resources, runTime time.Duration) {
 	h := l.jobs[job]
 	if h == nil || h.declared != size {
