--- a/process/sched/ledger/ledger.go
+++ b/process/sched/ledger/ledger.go
@@ -15,7 +15,7 @@
 // Errors of Reserve. Test with errors.Is.
 var (
 	ErrNoRoom   = errors.New("ledger: not enough free capacity")
-	ErrNoWorker = errors.New("ledger: unknown worker")
+	ErrNoWorker = errors.New("ledger: worker not known")
 	ErrHeld     = errors.New("ledger: holder already holds a reservation")
 	ErrSize     = errors.New("ledger: size is zero or negative")
 )
@@ -69,7 +69,7 @@
 	}
 	a := l.accounts[id]
 	if !size.Fits(a.capacity.Sub(a.held)) {
-		return fmt.Errorf("%w: worker %s, free %+v, requested %+v", ErrNoRoom, id, a.capacity.Sub(a.held), size)
+		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoRoom, id, a.capacity.Sub(a.held), size)
 	}
 	a.add(holder, size)
 	return nil
