--- a/request/submit/admit.go
+++ b/request/submit/admit.go
@@ -9,40 +9,39 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Codes of requests that are refused for their key.
+// Error codes of requests that are refused because of their key.
 const (
-	// CodeKey: the request has no key in force.
+	// CodeKey: the request has no key that is in force.
 	CodeKey = "unknown_key"
-	// CodeUnconfirmed: nobody could tell here whether its key is in force.
+	// CodeUnconfirmed: this daemon cannot tell whether the key is in force.
 	CodeUnconfirmed = "keys_unconfirmed"
 )
 
-// The errors never tell which key came: it may be another system's.
+// The error texts never contain the key: it may be a credential of another system.
 var (
 	errKey         = errors.New("submit: the request needs a key in force of a client account; none came, or one that no account has now")
 	errUnconfirmed = errors.New("submit: this daemon can not tell whether the key is in force, since its version of the configuration is old; ask again, another daemon may know")
 )
 
-// unconfirmedAgain is when to ask again: longer than it takes to learn the
+// unconfirmedRetryAfter is the delay returned to the caller: longer than it takes to fetch the
 // configuration from another daemon.
-const unconfirmedAgain = time.Second
+const unconfirmedRetryAfter = time.Second
 
-// Standing tells how far a daemon's version of the configuration may be relied on. The
-// zero value is that of a daemon in touch.
+// Standing is how current a daemon's version of the configuration is. The zero value means that
+// it is up to date.
 type Standing struct {
-	// Age is how long ago the version was last known to be the newest.
+	// Age is the time since the version was last confirmed to be the newest.
 	Age time.Duration
-	// Doubtful: the version has not been confirmed for longer than usual, so a key or a
-	// queue that is not known may have been added since.
+	// Doubtful: the version has not been confirmed for longer than usual, so an unknown key or
+	// queue may have been added since.
 	Doubtful bool
-	// Expired: it has not been confirmed for longer than a key that was taken away may
-	// work, and the deployment wants no key to work then.
+	// Expired: the version has not been confirmed for longer than a revoked key may remain
+	// usable, and the deployment is configured to accept no key in that case.
 	Expired bool
 }
 
-// Admit returns the account of a request for a queue by the key that came with it, ""
-// for an open queue without a known key. The error is a *verdict.Error that says that
-// the request has not run.
+// Admit returns the account of a request for a queue by the key sent with it; "" for an open
+// queue without a known key. The error is a *verdict.Error with verdict NotRun.
 func Admit(c *work.Catalog, q *work.Queue, key string, s Standing) (string, error) {
 	account, found := c.Accounts.Keyed(key)
 	switch {
@@ -51,7 +50,7 @@
 	case q.Open:
 		return account.Name, nil
 	case s.Expired, !found && key != "" && s.Doubtful:
-		return "", &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: CodeUnconfirmed, RetryAfterMillis: unconfirmedAgain.Milliseconds(), Err: errUnconfirmed}
+		return "", &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: CodeUnconfirmed, RetryAfterMillis: unconfirmedRetryAfter.Milliseconds(), Err: errUnconfirmed}
 	case !found:
 		return "", &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusUnauthorized, Code: CodeKey, Err: errKey}
 	}
--- a/request/submit/admit_test.go
+++ b/request/submit/admit_test.go
@@ -39,15 +39,15 @@
 		require.Equal(t, verdict.NotRun, e.Verdict, x.what)
 		require.Equal(t, http.StatusUnauthorized, e.Status, x.what)
 		if x.key != "" {
-			require.NotContains(t, err.Error(), x.key, "keys stand in no error text")
+			require.NotContains(t, err.Error(), x.key, "error texts never contain keys")
 		}
 	}
 }
 
 func TestKeysOfADaemonThatHearsNothing(t *testing.T) {
-	// Symptom: while the store turns a daemon away, callers whose key is new are told that
-	//   it is none, and give up; or a key that was taken away works there for as long.
-	// Cause: the daemon did not know how old its configuration is.
+	// While the store refuses a daemon's calls, callers with a new key must not be told that
+	// their key is invalid, and a revoked key must not work there indefinitely: the daemon has
+	// to take the age of its configuration into account.
 	accounts, err := work.NewAccounts([]work.Account{{Name: "north", Keys: []work.KeyDigest{work.DigestKey("n1")}}})
 	require.NoError(t, err)
 	c := &work.Catalog{Accounts: accounts}
@@ -58,12 +58,12 @@
 		standing  Standing
 		status    int // 0: admitted
 	}{
-		{"a known key, in doubt", "n1", false, doubtful, 0},
-		{"an unknown key, in doubt", "n2", false, doubtful, http.StatusServiceUnavailable},
-		{"no key, in doubt", "", false, doubtful, http.StatusUnauthorized},
-		{"a known key, too old", "n1", false, expired, http.StatusServiceUnavailable},
-		{"an unknown key, too old", "n2", false, expired, http.StatusServiceUnavailable},
-		{"an open queue, too old", "n2", true, expired, 0},
+		{"a known key, unconfirmed configuration", "n1", false, doubtful, 0},
+		{"an unknown key, unconfirmed configuration", "n2", false, doubtful, http.StatusServiceUnavailable},
+		{"no key, unconfirmed configuration", "", false, doubtful, http.StatusUnauthorized},
+		{"a known key, expired configuration", "n1", false, expired, http.StatusServiceUnavailable},
+		{"an unknown key, expired configuration", "n2", false, expired, http.StatusServiceUnavailable},
+		{"an open queue, expired configuration", "n2", true, expired, 0},
 	} {
 		_, err := Admit(c, &work.Queue{Open: x.open}, x.key, x.standing)
 		if x.status == 0 {
@@ -77,6 +77,7 @@
 	}
 }
 
+// forbidden checks that err refuses a request for another account's job.
 func forbidden(t *testing.T, err error) {
 	t.Helper()
 	e := verdict.As(err)
@@ -85,12 +86,12 @@
 }
 
 func TestJobsBelongToTheirAccount(t *testing.T) {
-	// Symptom: a caller reads and cancels another account's job by guessing its id.
-	// Cause: nothing told whose a job is.
+	// A caller must not read or cancel another account's job by guessing its id, which was
+	// possible when jobs did not record their account.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		j := aJob()
+		j := testJob()
 		j.Account = "north"
 		require.NoError(t, s.Submit(t.Context(), id, j))
 		_, err := s.State(t.Context(), id, "north")
@@ -99,15 +100,15 @@
 			_, err = s.State(t.Context(), id, other)
 			forbidden(t, err)
 			forbidden(t, s.Cancel(t.Context(), id, other))
-			again := aJob()
+			again := testJob()
 			again.Account = other
 			forbidden(t, s.Submit(t.Context(), id, again))
 		}
 		require.False(t, stored(t, m, dispatch.KeyCancel(id)))
-		require.NoError(t, s.Submit(t.Context(), id, j), "the same again")
+		require.NoError(t, s.Submit(t.Context(), id, j), "submitted again")
 		require.NoError(t, s.Cancel(t.Context(), id, "north"))
 
-		// Once it has ended, its progress tells whose it was.
+		// After the job has ended, its progress records its account.
 		ended, err := work.EncodeProgress(&work.Progress{State: work.Cancelled, Account: "north"})
 		require.NoError(t, err)
 		_, err = m.Commit(t.Context(), store.Txn{Writes: []store.Write{{Key: dispatch.KeyState(id), Value: ended}}, Deletes: []string{dispatch.KeyIn(id)}})
@@ -118,14 +119,14 @@
 		_, err = s.State(t.Context(), id, "south")
 		forbidden(t, err)
 		forbidden(t, s.Cancel(t.Context(), id, "south"))
-		require.NoError(t, s.Cancel(t.Context(), id, "north"), "again")
+		require.NoError(t, s.Cancel(t.Context(), id, "north"), "cancelled again")
 	})
 }
 
-func TestJobsOfNoAccountAreAnybodys(t *testing.T) {
+func TestJobsOfNoAccountAreOpenToAll(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newService(kv.New())
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		_, err := s.State(t.Context(), id, "north")
 		require.NoError(t, err, "accepted while its queue was open")
 		require.NoError(t, s.Cancel(t.Context(), id, "north"))
--- a/request/submit/cancel.go
+++ b/request/submit/cancel.go
@@ -11,11 +11,11 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// cancelPause is how long a cancellation leaves a store alone that fails calls.
-const cancelPause = 300 * time.Millisecond
+// cancelRetryDelay is how long a cancellation waits before it calls a failing store again.
+const cancelRetryDelay = 300 * time.Millisecond
 
-// Cancel ends a job for callers of its account. The error is ErrNoJob, when no such job
-// exists and none will, or a *verdict.Error.
+// Cancel cancels a job for callers of its account. The error is ErrNoJob, when no such job
+// exists or can still come into existence, or a *verdict.Error.
 func (s *Service) Cancel(ctx context.Context, id work.JobID, account string) error {
 	ctx, cancel := context.WithTimeout(ctx, submitBudget)
 	defer cancel()
@@ -27,20 +27,20 @@
 		}
 		last = err
 		if !errors.Is(err, store.ErrUnknownOutcome) && !errors.Is(err, store.ErrConflict) {
-			if s.handOverCancel(ctx, id, account) {
+			if s.forwardCancel(ctx, id, account) {
 				return nil
 			}
 		}
-		_ = sleep.For(ctx, retryPause) // ends with the context, which the loop sees
-		s.o.Patience.Await(ctx, cancelPause)
+		_ = sleep.For(ctx, retryDelay) // the loop condition checks ctx
+		s.o.Patience.Await(ctx, cancelRetryDelay)
 	}
 	return unavailable(CodeStore, last)
 }
 
-// cancelMark is the value of a cancellation; the key alone says it all.
+// cancelMark is the value stored for a cancellation; only its key matters.
 var cancelMark = []byte{1}
 
-// cancelOnce makes one try; done tells that err is the outcome.
+// cancelOnce makes one attempt; done reports that err is the final result.
 func (s *Service) cancelOnce(ctx context.Context, id work.JobID, account string) (done bool, err error) {
 	accepted, found, err := s.get(ctx, dispatch.KeyIn(id))
 	if err != nil {
@@ -54,7 +54,7 @@
 	case err != nil:
 		return true, unavailable(CodeStore, err)
 	case !work.Owns(job.Account, account):
-		return true, foreign()
+		return true, refuseOtherAccount()
 	}
 	key := dispatch.KeyCancel(id)
 	err = s.commit(ctx, store.Txn{
@@ -69,9 +69,9 @@
 	return true, nil
 }
 
-// cancelAbsent answers for a job that has ended, or marks an id so that a
-// hand-in still on its way can not take effect after the caller was told that
-// no such job exists.
+// cancelAbsent handles a job that is not queued: it has ended, or its id is marked, so that a
+// submission still in flight cannot take effect after the caller was told that no such job
+// exists.
 func (s *Service) cancelAbsent(ctx context.Context, id work.JobID, account string) (done bool, err error) {
 	entry, found, err := s.get(ctx, dispatch.KeyState(id))
 	if err != nil {
@@ -85,7 +85,7 @@
 		case p.State == work.Refused:
 			return true, ErrNoJob
 		case !work.Owns(p.Account, account):
-			return true, foreign()
+			return true, refuseOtherAccount()
 		}
 		return true, nil
 	}
@@ -103,8 +103,8 @@
 	return true, ErrNoJob
 }
 
-func (s *Service) handOverCancel(ctx context.Context, id work.JobID, account string) bool {
-	return s.askHelpers(ctx, s.method(MethodCancel), cancelRequest{ID: id, Account: account}, func(_ handedOver, err error) {
-		s.o.Log.Debug().Err(err).Str("job", string(id)).Msg("cancellation not taken over")
+func (s *Service) forwardCancel(ctx context.Context, id work.JobID, account string) bool {
+	return s.tryTargets(ctx, s.method(MethodCancel), cancelRequest{ID: id, Account: account}, func(_ forwardReply, err error) {
+		s.o.Log.Debug().Err(err).Str("job", string(id)).Msg("cancellation was not forwarded")
 	})
 }
--- a/request/submit/hedge.go
+++ b/request/submit/hedge.go
@@ -9,82 +9,83 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Hedging a hand-in: what is tried beside a write that the store does not answer.
+// Parameters of a hedged submission: what is tried in parallel to a write that the store has not
+// answered.
 //
-// All tries write the same job under the condition that it is not there, so at most one
-// takes effect, and the first that succeeds is the answer.
+// All attempts write the same job on the condition that it does not exist, so at most one takes
+// effect, and the first success is the result.
 const (
-	// othersFactor times the store's usual answer, and othersMin at least, may a write go
-	// unanswered until another daemon is asked to write the job as well.
-	//
-	// Load pattern: some daemons are cut off from the store, silently. What goes wrong
-	// without it: each hand-in there waits for the timeouts of two writes first, 0.8 s;
-	// a job of 0.6 s is then late. Through another daemon it takes some 10 ms.
-	othersFactor = 4
-	othersMin    = 40 * time.Millisecond
-	// hedgedTries is how many tries may be under way: two of this daemon's own, and one
-	// through others.
-	hedgedTries = 3
+	// forwardFactor times the usual response time of the store, but at least minForwardDelay, is
+	// how long a write may stay unanswered before another daemon is asked to write the job as
+	// well. When some daemons lose their connection to the store without an error, each
+	// submission there would otherwise wait for the timeouts of two writes, 0.8 s, which makes a
+	// job of 0.6 s late. Through another daemon it takes some 10 ms.
+	forwardFactor   = 4
+	minForwardDelay = 40 * time.Millisecond
+	// maxAttempts is the maximum number of concurrent attempts: two of this daemon, and one
+	// through other daemons.
+	maxAttempts = 3
 )
 
-// behindFor is how long other daemons are asked first after one has written what the store
-// had not answered here: until the timeout of that write tells more.
-const behindFor = writeTimeout
+// forwardFirstFor is how long other daemons are tried first after one has written a job when the
+// store had not answered here: until the timeout of that write gives newer information.
+const forwardFirstFor = writeTimeout
 
-// othersFirst reports whether other daemons are likely to write a job sooner than this one.
-func (s *Service) othersFirst() bool {
-	return s.o.Patience.Suspect() || time.Now().UnixNano() < s.behindUntil.Load()
+// forwardFirst reports whether another daemon is likely to write a job sooner than this one.
+func (s *Service) forwardFirst() bool {
+	return s.o.Patience.Suspect() || time.Now().UnixNano() < s.forwardUntil.Load()
 }
 
-// tried is the outcome of one try.
-type tried struct {
+// attempt is the outcome of one attempt.
+type attempt struct {
 	err     error
 	byOther bool
 }
 
-// errNotTaken: no other daemon has written the job, and none may.
-var errNotTaken = errors.New("submit: no other daemon took the job over")
+// errNotForwarded: no other daemon has written the job or may still write it.
+var errNotForwarded = errors.New("submit: no other daemon wrote the job")
 
-// createHedged tries to write the job; through other daemons as well when there is no
-// answer for a while, and once more itself when there is none in the usual time. byOther
-// tells that another daemon has written it.
+// createHedged tries to write the job. It also tries through other daemons when the store has
+// not answered for a while, and makes a second attempt of its own after the usual timeout.
+// byOther reports that another daemon has written the job.
 //
-// What goes wrong without the second try: when a store becomes slow, the first writes of
-// each daemon are given up just before their answers, and their callers wait for two
-// more answers.
-func (s *Service) createHedged(ctx context.Context, h *handIn) (byOther bool, err error) {
-	results := make(chan tried, hedgedTries)
+// The second attempt serves a store that becomes slow: otherwise the first writes of each daemon
+// would be abandoned just before their answers, and their callers would wait for two more
+// answers.
+func (s *Service) createHedged(ctx context.Context, h *submission) (byOther bool, err error) {
+	results := make(chan attempt, maxAttempts)
 	own := func() {
-		// Not taken back when another try has succeeded: how it goes tells of the store.
+		// Not cancelled when another attempt has succeeded: its result shows the state of the
+		// store.
 		free := context.WithoutCancel(ctx)
-		results <- tried{err: s.o.Patience.CallWithin(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, h) })}
+		results <- attempt{err: s.o.Patience.CallWithin(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, h) })}
 	}
 	others := func() {
-		took, maybe := s.handOver(ctx, h)
-		r := tried{byOther: true}
+		accepted, uncertain := s.forward(ctx, h)
+		r := attempt{byOther: true}
 		switch {
-		case took:
-		case maybe:
+		case accepted:
+		case uncertain:
 			r.err = store.ErrUnknownOutcome
 		default:
-			r.err = errNotTaken
+			r.err = errNotForwarded
 		}
 		results <- r
 	}
 	sent, answered := 1, 0
 	go own()
 	timeout := s.o.Patience.Timeout()
-	askOthers := time.NewTimer(min(max(othersMin, othersFactor*s.o.Patience.Usual()), timeout))
-	defer askOthers.Stop()
-	tryAgain := time.NewTimer(timeout)
-	defer tryAgain.Stop()
-	var open, last error
+	forwardTimer := time.NewTimer(min(max(minForwardDelay, forwardFactor*s.o.Patience.Usual()), timeout))
+	defer forwardTimer.Stop()
+	retryTimer := time.NewTimer(timeout)
+	defer retryTimer.Stop()
+	var unconfirmed, last error
 	for {
 		select {
-		case <-askOthers.C:
+		case <-forwardTimer.C:
 			sent++
 			go others()
-		case <-tryAgain.C:
+		case <-retryTimer.C:
 			sent++
 			go own()
 		case <-ctx.Done():
@@ -92,13 +93,13 @@
 		case r := <-results:
 			answered++
 			switch {
-			case r.err == nil, errors.Is(r.err, errGivenUp), errors.Is(r.err, errForeign):
+			case r.err == nil, errors.Is(r.err, errGivenUp), errors.Is(r.err, errOtherAccount):
 				if r.byOther {
-					s.behindUntil.Store(time.Now().Add(behindFor).UnixNano())
+					s.forwardUntil.Store(time.Now().Add(forwardFirstFor).UnixNano())
 				}
 				return r.byOther, r.err
 			case errors.Is(r.err, store.ErrUnknownOutcome):
-				open = r.err
+				unconfirmed = r.err
 			}
 			if !r.byOther {
 				last = r.err
@@ -106,8 +107,8 @@
 			if answered < sent {
 				continue
 			}
-			if open != nil {
-				return false, open
+			if unconfirmed != nil {
+				return false, unconfirmed
 			}
 			return false, last
 		}
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -11,20 +11,20 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Methods between daemons.
+// Peer methods.
 const (
-	// MethodOffer tells the leader of an entry that is in the store.
+	// MethodOffer notifies the leader of an entry that is in the store.
 	MethodOffer peer.Method = "jobs.offer"
-	// MethodHandOver asks a daemon to write a job to the store.
-	MethodHandOver peer.Method = "jobs.hand_over"
-	MethodCancel   peer.Method = "jobs.cancel"
-	MethodState    peer.Method = "jobs.state"
-	MethodPending  peer.Method = "jobs.pending"
-	MethodExplain  peer.Method = "jobs.explain"
+	// MethodForward has another daemon write a job to the store.
+	MethodForward peer.Method = "jobs.hand_over"
+	MethodCancel  peer.Method = "jobs.cancel"
+	MethodState   peer.Method = "jobs.state"
+	MethodPending peer.Method = "jobs.pending"
+	MethodExplain peer.Method = "jobs.explain"
 )
 
-// PathExplain is where a daemon explains the job of the query's field job, on its metrics
-// address.
+// PathExplain is the path, on a daemon's metrics address, that explains the job named by the
+// query parameter job.
 const PathExplain = "/explain"
 
 type offer struct {
@@ -32,14 +32,14 @@
 	Value []byte `cbor:"2,keyasint"`
 }
 
-type offered struct {
-	// Short: the leader has no use for the specs of jobs.
-	Short bool `cbor:"1,keyasint"`
+type offerReply struct {
+	// OmitSpecs is set when the leader has no use for the specs of jobs.
+	OmitSpecs bool `cbor:"1,keyasint"`
 }
 
-type handedOver struct {
-	Accepted bool `cbor:"1,keyasint"`
-	Maybe    bool `cbor:"2,keyasint"` // a write without an answer may take effect
+type forwardReply struct {
+	Accepted  bool `cbor:"1,keyasint"`
+	Uncertain bool `cbor:"2,keyasint"` // an unanswered write may still take effect
 }
 
 type stateRequest struct {
@@ -49,7 +49,7 @@
 type stateReply struct {
 	State   work.State `cbor:"1,keyasint"`
 	Known   bool       `cbor:"2,keyasint"`
-	Account string     `cbor:"3,keyasint,omitempty"` // of the job
+	Account string     `cbor:"3,keyasint,omitempty"` // the job's account
 }
 
 type explainReply struct {
@@ -59,7 +59,7 @@
 
 type cancelRequest struct {
 	ID work.JobID `cbor:"1,keyasint"`
-	// Account is that of the caller.
+	// Account is the caller's account.
 	Account string `cbor:"2,keyasint,omitempty"`
 }
 
@@ -79,13 +79,13 @@
 // Stats returns the live counters.
 func (s *Service) Stats() *Stats { return s.stats }
 
-// method returns the part's own name of a method.
+// method returns the name of a peer method of this shard.
 func (s *Service) method(m peer.Method) peer.Method { return m + peer.Method(s.o.Suffix) }
 
-// Register serves the methods for other daemons.
+// Register installs the handlers of the peer methods.
 func (s *Service) Register(r peer.Registrar) {
 	r.Handle(s.method(MethodOffer), peer.Typed(s.serveOffer))
-	r.Handle(s.method(MethodHandOver), peer.Typed(s.serveHandOver))
+	r.Handle(s.method(MethodForward), peer.Typed(s.serveForward))
 	r.Handle(s.method(MethodCancel), peer.Typed(s.serveCancel))
 	r.Handle(s.method(MethodState), peer.Typed(s.serveState))
 	r.Handle(s.method(MethodPending), peer.Typed(s.servePending))
@@ -96,35 +96,35 @@
 	if h := s.o.Leading(); h != nil {
 		h.Offer(store.Entry{Key: o.Key, Value: o.Value})
 	}
-	return offered{Short: s.o.Texts != nil && s.o.Texts.Carries()}, nil
+	return offerReply{OmitSpecs: s.o.Texts != nil && s.o.Texts.Carries()}, nil
 }
 
-// serveHandOver makes one try only: the daemon that asks has others to ask.
-func (s *Service) serveHandOver(ctx context.Context, o offer) (any, error) {
+// serveForward makes a single attempt, since the calling daemon can try others.
+func (s *Service) serveForward(ctx context.Context, o offer) (any, error) {
 	id := work.JobID(o.Key)
 	if s.o.Patience.Suspect() {
-		return handedOver{}, nil // no better off than the daemon that asks
+		return forwardReply{}, nil // the store fails this daemon as well
 	}
-	h, err := decodeHandIn(id, o.Value)
+	h, err := decodeSubmission(id, o.Value)
 	if err != nil {
-		s.o.Log.Warn().Err(err).Str("job", o.Key).Msg("job handed over can not be read")
-		return handedOver{}, nil
+		s.o.Log.Warn().Err(err).Str("job", o.Key).Msg("cannot decode a forwarded job")
+		return forwardReply{}, nil
 	}
 	err = s.o.Patience.Call(ctx, func(ctx context.Context) error { return s.create(ctx, h) })
 	if err != nil {
-		return handedOver{Maybe: errors.Is(err, store.ErrUnknownOutcome)}, nil
+		return forwardReply{Uncertain: errors.Is(err, store.ErrUnknownOutcome)}, nil
 	}
 	s.push(store.Entry{Key: dispatch.KeyIn(id), Value: o.Value})
-	return handedOver{Accepted: true}, nil
+	return forwardReply{Accepted: true}, nil
 }
 
 func (s *Service) serveCancel(ctx context.Context, r cancelRequest) (any, error) {
 	done, err := s.cancelOnce(ctx, r.ID, r.Account)
-	return handedOver{Accepted: done && err == nil}, nil
+	return forwardReply{Accepted: done && err == nil}, nil
 }
 
-// serveState answers for the leader only. A daemon that does not lead knows
-// nothing, and says so by an error.
+// serveState answers only on the leader. Another daemon does not have the state of jobs and
+// returns an error.
 func (s *Service) serveState(ctx context.Context, r stateRequest) (any, error) {
 	h := s.o.Leading()
 	if h == nil {
@@ -143,8 +143,8 @@
 	return explainReply{Known: known, Explanation: x}, err
 }
 
-// Explain tells what holds a job up, as the leader knows. It is for operators: it shows
-// jobs of every account. The error is ErrNoJob for a job that the leader does not know.
+// Explain returns what delays a job, from the leader's state. It is for operators: it shows jobs
+// of every account. The error is ErrNoJob for a job that the leader does not have.
 func (s *Service) Explain(ctx context.Context, id work.JobID) (dispatch.Explanation, error) {
 	var r explainReply
 	err := s.askLeader(ctx, func(ctx context.Context, h *dispatch.Host) (err error) {
--- a/request/submit/parts.go
+++ b/request/submit/shards.go
@@ -9,70 +9,71 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Parts is the jobs' interface of a cell that may be divided: a job is in the part
-// that its id names, or, if it was handed in before the cell was divided, in part 0.
+// Parts serves the job requests of a cell that may be divided into shards. A job is in the shard
+// that its id maps to or, if it was submitted before the division, in shard 0.
 type Parts struct {
-	// Of returns the services of all parts, and the part of a job; an error while the
-	// cell's layout is not known.
-	Of func(id work.JobID) (all []*Service, part int, err error)
+	// Of returns the services of all shards and the shard of a job; an error while the shard
+	// layout is unknown.
+	Of func(id work.JobID) (all []*Service, shard int, err error)
 }
 
 // Submit accepts a job. The error is a *verdict.Error.
 func (p Parts) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
-	all, part, err := p.Of(id)
+	all, shard, err := p.Of(id)
 	if err != nil {
 		return unavailable(CodeStore, err)
 	}
-	return all[part].Submit(ctx, id, j)
+	return all[shard].Submit(ctx, id, j)
 }
 
-// State returns what callers of an account are shown of a job, as Service.State does.
+// State returns the state of a job as it is shown to callers of the account, as Service.State
+// does.
 func (p Parts) State(ctx context.Context, id work.JobID, account string) (work.State, error) {
-	all, part, err := p.Of(id)
+	all, shard, err := p.Of(id)
 	if err != nil {
 		return 0, unavailable(CodeStore, err)
 	}
-	state, err := all[part].State(ctx, id, account)
-	if part != 0 && errors.Is(err, ErrNoJob) {
+	state, err := all[shard].State(ctx, id, account)
+	if shard != 0 && errors.Is(err, ErrNoJob) {
 		return all[0].State(ctx, id, account)
 	}
 	return state, err
 }
 
-// Cancel ends a job, as Service.Cancel does.
+// Cancel cancels a job, as Service.Cancel does.
 func (p Parts) Cancel(ctx context.Context, id work.JobID, account string) error {
-	all, part, err := p.Of(id)
+	all, shard, err := p.Of(id)
 	if err != nil {
 		return unavailable(CodeStore, err)
 	}
-	if part != 0 {
-		// Its absence in its part must not be marked before it is known not to be in
-		// part 0.
-		_, early, err := all[0].get(ctx, dispatch.KeyIn(id))
+	if shard != 0 {
+		// Cancelling a job that is absent marks its id in its shard, so the job must first be
+		// looked for in shard 0.
+		_, inShard0, err := all[0].get(ctx, dispatch.KeyIn(id))
 		if err != nil {
 			return unavailable(CodeStore, err)
 		}
-		if early {
-			part = 0
+		if inShard0 {
+			shard = 0
 		}
 	}
-	return all[part].Cancel(ctx, id, account)
+	return all[shard].Cancel(ctx, id, account)
 }
 
-// Explain tells what holds a job up, as Service.Explain does.
+// Explain returns what delays a job, as Service.Explain does.
 func (p Parts) Explain(ctx context.Context, id work.JobID) (dispatch.Explanation, error) {
-	all, part, err := p.Of(id)
+	all, shard, err := p.Of(id)
 	if err != nil {
 		return dispatch.Explanation{}, err
 	}
-	x, err := all[part].Explain(ctx, id)
-	if part != 0 && errors.Is(err, ErrNoJob) {
+	x, err := all[shard].Explain(ctx, id)
+	if shard != 0 && errors.Is(err, ErrNoJob) {
 		return all[0].Explain(ctx, id)
 	}
 	return x, err
 }
 
-// Pending returns the number of a queue's jobs that have not begun, in all parts.
+// Pending returns the number of a queue's jobs that have not begun, over all shards.
 func (p Parts) Pending(ctx context.Context, queue string) (int, error) {
 	all, _, err := p.Of("")
 	if err != nil {
@@ -89,10 +90,10 @@
 	return sum, nil
 }
 
-// ElsewhereThan returns the keys under which a job of a part other than 0 may stand
-// in part 0, for the Guards of that part.
-func ElsewhereThan(part int, id work.JobID) []string {
-	if part == 0 {
+// ElsewhereThan returns the keys under which a job of a shard other than 0 may exist in shard 0,
+// for the Guards of that shard.
+func ElsewhereThan(shard int, id work.JobID) []string {
+	if shard == 0 {
 		return nil
 	}
 	return []string{store.Outside(dispatch.KeyIn(id)), store.Outside(dispatch.KeyState(id))}
--- a/request/submit/parts_test.go
+++ b/request/submit/shards_test.go
@@ -16,21 +16,21 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// divided returns a daemon's interface to a cell of two parts, of which all jobs but
-// those handed in early belong to the second, as far as the daemon knows by the layout
-// of that revision.
-func divided(m *kv.Memory, revision store.Revision) Parts {
-	service := func(part int) *Service {
+// shardedCell returns one daemon's job service for a cell of two shards. The daemon has read the
+// layout of the given revision; by it, all jobs but those submitted before the division belong
+// to the second shard.
+func shardedCell(m *kv.Memory, revision store.Revision) Parts {
+	service := func(shard int) *Service {
 		s := store.Transactor(m)
 		key := lead.KeyLayout
-		if part > 0 {
-			s, key = store.Prefixed{Transactor: m, Prefix: lead.PartPrefix(part)}, store.Outside(key)
+		if shard > 0 {
+			s, key = store.Prefixed{Transactor: m, Prefix: lead.PartPrefix(shard)}, store.Outside(key)
 		}
 		patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 		return New(Options{Self: "a", Store: s, Patience: patience, View: lead.New(lead.Options{Store: s, Patience: patience}).View(),
-			Peers: nobody{}, Log: zerolog.Nop(), Leading: func() *dispatch.Host { return nil },
+			Peers: noPeers{}, Log: zerolog.Nop(), Leading: func() *dispatch.Host { return nil },
 			Guards: func(id work.JobID) Guards {
-				return Guards{Layout: store.Check{Key: key, Revision: revision}, Elsewhere: ElsewhereThan(part, id)}
+				return Guards{Layout: store.Check{Key: key, Revision: revision}, Elsewhere: ElsewhereThan(shard, id)}
 			}})
 	}
 	all := []*Service{service(0), service(1)}
@@ -42,57 +42,55 @@
 	}}
 }
 
-func divide(t *testing.T, m *kv.Memory) store.Revision {
+func writeLayout(t *testing.T, m *kv.Memory) store.Revision {
 	rev, err := m.Put(t.Context(), lead.KeyLayout, lead.Layout{Parts: 2}.Encode(), 0, 0)
 	require.NoError(t, err)
 	return rev
 }
 
 func TestJobOfBeforeTheDivisionStaysOneJob(t *testing.T) {
-	// Symptom looked for: a job runs twice, once in each part.
-	// Sequence: it is handed in, the cell is divided, and the caller, whose answer was
-	//   lost, hands it in again.
+	// A job must not run once in each shard when it is submitted, the cell is divided, and the
+	// caller, whose answer was lost, submits it again.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		require.NoError(t, divided(m, 0).Submit(t.Context(), id, aJob()))
-		after := divided(m, divide(t, m))
-		require.NoError(t, after.Submit(t.Context(), id, aJob()))
+		require.NoError(t, shardedCell(m, 0).Submit(t.Context(), id, testJob()))
+		sharded := shardedCell(m, writeLayout(t, m))
+		require.NoError(t, sharded.Submit(t.Context(), id, testJob()))
 		require.True(t, stored(t, m, "job/in/"+string(id)))
 		require.False(t, stored(t, m, lead.PartPrefix(1)+"job/in/"+string(id)))
-		state, err := after.State(t.Context(), id, "")
+		state, err := sharded.State(t.Context(), id, "")
 		require.NoError(t, err)
 		require.Equal(t, work.Queued, state)
-		require.NoError(t, after.Cancel(t.Context(), id, ""))
+		require.NoError(t, sharded.Cancel(t.Context(), id, ""))
 		require.True(t, stored(t, m, "job/cancel/"+string(id)))
 	})
 }
 
 func TestDaemonThatHasNotHeardOfTheDivisionAcceptsNothing(t *testing.T) {
-	// Symptom looked for: a job stands in a part where nobody looks for it, and its
-	//   caller is told that it does not exist; or its refusal is not true.
+	// A daemon with the old layout must not write a job into a shard where no daemon looks for
+	// it, so that its caller is told that it does not exist, and its refusal must be reliable.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		now := divide(t, m)
-		err := divided(m, 0).Submit(t.Context(), id, aJob())
+		revision := writeLayout(t, m)
+		err := shardedCell(m, 0).Submit(t.Context(), id, testJob())
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		require.Positive(t, verdict.As(err).RetryAfterMillis)
 		time.Sleep(time.Minute)
 		require.False(t, stored(t, m, "job/in/"+string(id)))
-		after := divided(m, now)
-		require.NoError(t, after.Submit(t.Context(), id, aJob()))
+		sharded := shardedCell(m, revision)
+		require.NoError(t, sharded.Submit(t.Context(), id, testJob()))
 		require.True(t, stored(t, m, lead.PartPrefix(1)+"job/in/"+string(id)))
-		require.NoError(t, after.Cancel(t.Context(), id, ""))
-		_, err = after.State(t.Context(), "00000000000000bb", "")
+		require.NoError(t, sharded.Cancel(t.Context(), id, ""))
+		_, err = sharded.State(t.Context(), "00000000000000bb", "")
 		require.ErrorIs(t, err, ErrNoJob)
 	})
 }
 
 func TestUnknownLayoutIsNoAnswer(t *testing.T) {
-	// Symptom looked for: a daemon that has just started tells a caller that its job
-	//   does not exist.
-	p := Parts{Of: func(work.JobID) ([]*Service, int, error) { return nil, 0, errLayout }}
+	// A daemon that has just started must not tell a caller that its job does not exist.
+	p := Parts{Of: func(work.JobID) ([]*Service, int, error) { return nil, 0, errLayoutChanged }}
 	_, err := p.State(t.Context(), id, "")
 	require.NotErrorIs(t, err, ErrNoJob)
-	require.Equal(t, verdict.NotRun, verdict.Of(p.Submit(t.Context(), id, aJob())))
+	require.Equal(t, verdict.NotRun, verdict.Of(p.Submit(t.Context(), id, testJob())))
 	require.NotErrorIs(t, p.Cancel(t.Context(), id, ""), ErrNoJob)
 }
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -1,11 +1,10 @@
-// Package submit serves callers who hand in jobs, ask for their state and
-// cancel them, on any daemon of the cell.
+// Package submit lets callers submit jobs, query their state and cancel them, through any daemon
+// of the cell.
 //
-// Guarantees: a job is acknowledged only once it is in the store, and is one
-// job however often it is handed in; an error whose verdict is NotRun is
-// returned only when the job is not in the store and no write of this daemon
-// can still put it there; a cancellation is acknowledged only once it is in the
-// store.
+// Guarantees: a job is acknowledged only once it is in the store, and submitting it again under
+// the same id yields the same job; an error whose verdict is NotRun is returned only when the
+// job is not in the store and no outstanding write of this daemon can still put it there; a
+// cancellation is acknowledged only once it is in the store.
 package submit
 
 import (
@@ -31,52 +30,53 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Times of a request.
+// Time limits and delays.
 const (
-	// submitBudget bounds how long a hand-in is tried: a caller whose hand-in
-	// is not answered asks again with the same id, at another daemon.
+	// submitBudget bounds the time spent on one submission. A caller that gets no answer repeats
+	// the submission with the same id at another daemon.
 	submitBudget = 1200 * time.Millisecond
-	// handOverTimeout bounds a hand-in through another daemon.
-	handOverTimeout = 400 * time.Millisecond
-	maxHandOvers    = 2
-	// leaderTimeout bounds a call to the leader; the store is asked after it.
+	// forwardTimeout bounds one attempt to submit through another daemon.
+	forwardTimeout = 400 * time.Millisecond
+	maxForwards    = 2
+	// leaderTimeout bounds a call to the leader; after it the store is read instead.
 	leaderTimeout = 400 * time.Millisecond
-	// pushTimeout bounds telling the leader of a new entry.
+	// pushTimeout bounds the notification of the leader about a new entry.
 	pushTimeout = 500 * time.Millisecond
-	// pendingAge is how old a count of waiting jobs may be.
+	// pendingAge is the maximum age of a cached count of waiting jobs.
 	pendingAge = 1500 * time.Millisecond
-	// probeTimeout bounds a read that only tells whether the store is there.
+	// probeTimeout bounds the read that tests whether the store answers.
 	probeTimeout = 300 * time.Millisecond
-	// refusalAge is how long a call that was turned away speaks for the next one:
-	// the daemon's lease is renewed as often, and shows when the store is back.
+	// refusalAge is how long after a refused call further calls are refused without trying the
+	// store. The daemon's lease is renewed as often, and a successful renewal shows that the
+	// store is back.
 	refusalAge = 150 * time.Millisecond
-	// writeTimeout bounds one try of a write.
+	// writeTimeout bounds one attempt of a write.
 	writeTimeout = 600 * time.Millisecond
-	// probeKey does not exist.
+	// probeKey is a key that never exists.
 	probeKey   = "probe"
-	retryPause = 25 * time.Millisecond
-	// retryAfter is told to callers whose job was not accepted.
+	retryDelay = 25 * time.Millisecond
+	// retryAfter is the delay returned to callers whose job was not accepted.
 	retryAfter = 400 * time.Millisecond
 )
 
-// Codes of errors.
+// Error codes.
 const (
-	CodeStore   = "store_unavailable"
-	CodeUnknown = "outcome_unknown"
-	CodeGivenUp = "given_up"
-	CodeLeader  = "no_leader"
-	CodeForeign = "other_account"
+	CodeStore        = "store_unavailable"
+	CodeUnknown      = "outcome_unknown"
+	CodeGivenUp      = "given_up"
+	CodeLeader       = "no_leader"
+	CodeOtherAccount = "other_account"
 )
 
 // ErrNoJob is returned for an id under which no job exists.
 var ErrNoJob = errors.New("submit: no such job")
 
-// errForeign: the job under the id is another account's.
-var errForeign = errors.New("submit: the job under this id belongs to another client account; use a key of that one, or another id")
+// errOtherAccount: the job under this id belongs to another account.
+var errOtherAccount = errors.New("submit: the job under this id belongs to another client account; use a key of that one, or another id")
 
-// foreign refuses a request for a job of another account.
-func foreign() error {
-	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusForbidden, Code: CodeForeign, Err: errForeign}
+// refuseOtherAccount refuses a request for a job of another account.
+func refuseOtherAccount() error {
+	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusForbidden, Code: CodeOtherAccount, Err: errOtherAccount}
 }
 
 // Caller calls other daemons.
@@ -86,51 +86,52 @@
 
 // Options of a Service.
 type Options struct {
-	Self     string // the daemon's member name
-	Peer     string // its address for calls of other daemons
+	Self     string // member name of this daemon
+	Peer     string // address at which other daemons call it
 	Store    store.Transactor
 	Patience *store.Patience
 	View     *lead.View
 	Peers    Caller
 	// Leading returns the host of this daemon's term, nil when it does not lead.
 	Leading func() *dispatch.Host
-	// Guards are checked with each hand-in, beside the job's own keys: nil for none.
+	// Guards returns the checks of a submission beyond the job's own keys; nil for none.
 	Guards func(id work.JobID) Guards
-	// Suffix tells the methods of a part of the cell from those of others.
+	// Suffix is appended to the peer methods, to tell the shards of a cell apart.
 	Suffix string
-	// Stats are counted on; nil for counters of its own.
+	// Stats are the counters to use; nil creates separate ones.
 	Stats *Stats
-	// Texts keeps the specs of accepted jobs for the daemons that start their tasks;
-	// may be nil.
+	// Texts caches the specs of accepted jobs for the daemons that start their tasks; may be
+	// nil.
 	Texts Texts
 	Log   zerolog.Logger
 }
 
-// Guards are what a hand-in demands beside its own keys.
+// Guards are the preconditions of a submission beyond the job's own keys.
 type Guards struct {
-	// Layout must not have changed since it was read.
+	// Layout fails the submission if the shard layout has changed since it was read.
 	Layout store.Check
-	// Elsewhere are keys under which the job may have been handed in to another part.
+	// Elsewhere lists the keys under which the job may have been submitted to another shard.
 	Elsewhere []string
 }
 
-// Texts keeps specs in memory.
+// Texts caches specs in memory.
 type Texts interface {
 	Keep(id work.JobID, spec string)
-	// Carries reports whether this daemon, as the leader, lets others bring specs to
+	// Carries reports whether this daemon, as the leader, has other daemons deliver the specs to
 	// the workers.
 	Carries() bool
 }
 
-// Service is one daemon's end of the jobs' interface.
+// Service handles the job requests of one daemon.
 type Service struct {
 	o      Options
 	stats  *Stats
 	probes singleflight.Group
-	// behindUntil: other daemons reach the store, and this one may not; in unix nanoseconds.
-	behindUntil atomic.Int64
-	// short: the leader wants to hear of jobs without their specs.
-	short atomic.Bool
+	// forwardUntil is the time, in Unix nanoseconds, until which submissions are forwarded
+	// first, since another daemon reached the store when this one had no answer.
+	forwardUntil atomic.Int64
+	// omitSpecs is set when the leader wants to be notified of jobs without their specs.
+	omitSpecs atomic.Bool
 
 	mu      sync.Mutex
 	pending map[string]count
@@ -149,13 +150,13 @@
 	return &Service{o: o, stats: o.Stats, pending: map[string]count{}}
 }
 
-// unavailable is a refusal that is certain: nothing was accepted.
+// unavailable returns an error that guarantees that nothing was accepted.
 func unavailable(code string, err error) error {
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: code,
 		RetryAfterMillis: retryAfter.Milliseconds(), Err: err}
 }
 
-// unknown is an error after which the job may have been accepted.
+// unknown returns an error after which the job may have been accepted.
 func unknown(err error) error {
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusGatewayTimeout, Code: CodeUnknown, Err: err}
 }
@@ -163,7 +164,7 @@
 // Submit accepts a job. The error is a *verdict.Error.
 func (s *Service) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
 	j.Epoch, j.Home, j.Apart = s.o.View.Epoch(), s.o.Peer, j.Spec != ""
-	h, err := newHandIn(id, j)
+	h, err := newSubmission(id, j)
 	if err != nil {
 		return unavailable(CodeStore, err)
 	}
@@ -172,7 +173,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitBudget)
 	defer cancel()
-	err = s.put(ctx, h, func() { s.push(s.offered(h)) })
+	err = s.write(ctx, h, func() { s.push(s.offerEntry(h)) })
 	if err == nil {
 		s.stats.Accepted.Add(1)
 		return nil
@@ -181,21 +182,21 @@
 	return err
 }
 
-// put writes the job here or, when the store turns this daemon away, through
-// another daemon. After a failed call others are asked first: they answer in
-// milliseconds, while a read of a store that is silent takes probeTimeout.
-// written is called once this daemon has written it.
-func (s *Service) put(ctx context.Context, h *handIn, written func()) error {
-	open := false // a write without an answer may still take effect
+// write writes the job to the store or, when the store refuses calls of this daemon, through
+// another daemon. After a failed call the other daemons are tried first: they answer within
+// milliseconds, while a read of an unresponsive store takes probeTimeout. written is called once
+// this daemon has written the job.
+func (s *Service) write(ctx context.Context, h *submission, written func()) error {
+	unconfirmed := false // whether an unanswered write may still take effect
 	var last error
-	othersTook := func() bool {
-		took, maybe := s.handOver(ctx, h)
-		open = open || maybe
-		return took
+	forwarded := func() bool {
+		accepted, uncertain := s.forward(ctx, h)
+		unconfirmed = unconfirmed || uncertain
+		return accepted
 	}
 	for ctx.Err() == nil {
-		asked := s.othersFirst()
-		if asked && othersTook() {
+		first := s.forwardFirst()
+		if first && forwarded() {
 			return nil
 		}
 		if last = s.reachable(ctx); last == nil {
@@ -208,30 +209,29 @@
 				return nil
 			case errors.Is(last, errGivenUp):
 				return unavailable(CodeGivenUp, last)
-			case errors.Is(last, errForeign):
-				return foreign()
+			case errors.Is(last, errOtherAccount):
+				return refuseOtherAccount()
 			case errors.Is(last, store.ErrUnknownOutcome):
-				open = true
+				unconfirmed = true
 			}
 		}
-		if !asked && othersTook() {
+		if !first && forwarded() {
 			return nil
 		}
-		if !open {
+		if !unconfirmed {
 			return unavailable(CodeStore, last)
 		}
-		_ = sleep.For(ctx, retryPause) // ends with the context, which the loop sees
+		_ = sleep.For(ctx, retryDelay) // the loop condition checks ctx
 	}
-	if !open {
+	if !unconfirmed {
 		return unavailable(CodeStore, last)
 	}
 	return unknown(last)
 }
 
-// reachable reads from the store before a write that would otherwise go out
-// right after a failure. A read that fails leaves nothing open, so that the
-// caller can be told at once, and truly, that its job was not accepted. Those
-// that wait share one read.
+// reachable reads from the store before a write that would directly follow a failure. A failed
+// read cannot change the store, so the caller can be told at once, and reliably, that its job
+// was not accepted. Concurrent callers share one read.
 func (s *Service) reachable(ctx context.Context) error {
 	switch {
 	case !s.o.Patience.Suspect():
@@ -253,15 +253,15 @@
 	}
 }
 
-// errJustRefused: the store has turned another call of this daemon away.
+// errJustRefused: the store has just refused another call of this daemon.
 var errJustRefused = errors.New("submit: the store has just turned a call away")
 
-// errGivenUp: a cancellation marked the id as one that will never be.
+// errGivenUp: a cancellation has marked the id so that it can no longer be submitted.
 var errGivenUp = errors.New("submit: the id was given up before it was handed in")
 
-// create makes one try to write the job. All tries are alike, and at most one
-// takes effect.
-func (s *Service) create(ctx context.Context, h *handIn) error {
+// create makes one attempt to write the job. All attempts write the same, and at most one of
+// them takes effect.
+func (s *Service) create(ctx context.Context, h *submission) error {
 	id := h.id
 	txn := store.Txn{
 		Checks: []store.Check{{Key: dispatch.KeyIn(id)}, {Key: dispatch.KeyState(id)}},
@@ -282,27 +282,28 @@
 	}
 	if guards.Layout.Key != "" {
 		if layout, _ := conflict.Find(guards.Layout.Key); layout.Revision != guards.Layout.Revision {
-			return errLayout
+			return errLayoutChanged
 		}
 	}
-	// Handed in before, be it before the cell was divided: the first stands.
+	// The job was submitted before, possibly before the cell was divided into shards: the first
+	// submission stands.
 	for _, key := range slices.Concat(guards.Elsewhere, []string{dispatch.KeyIn(id), dispatch.KeyState(id)}) {
 		if entry, exists := conflict.Find(key); exists {
-			return before(entry, h.account)
+			return checkExisting(entry, h.account)
 		}
 	}
 	return fmt.Errorf("%w: neither key exists now", store.ErrUnknownOutcome)
 }
 
-// before returns what a hand-in of an account is answered whose id has been used, by the
-// entry found under it: nil for the same account's job.
-func before(found store.Entry, account string) error {
+// checkExisting returns the result of a submission whose id is in use, given the entry found
+// under it: nil when the job belongs to the same account.
+func checkExisting(found store.Entry, account string) error {
 	owner := ""
 	if dispatch.IsState(found.Key) {
 		p, err := work.DecodeProgress(found.Value)
 		switch {
 		case err != nil:
-			return nil // not readable here, but it stands
+			return nil // this version cannot decode it, but the job exists
 		case p.State == work.Refused:
 			return errGivenUp
 		}
@@ -311,15 +312,15 @@
 		owner = first.Account
 	}
 	if !work.Owns(owner, account) {
-		return errForeign
+		return errOtherAccount
 	}
 	return nil
 }
 
-// errLayout: the cell was divided since this daemon last heard; nothing was written.
-var errLayout = fmt.Errorf("%w: the cell's layout has changed", store.ErrUnavailable)
+// errLayoutChanged: the shard layout has changed since this daemon read it; nothing was written.
+var errLayoutChanged = fmt.Errorf("%w: the cell's layout has changed", store.ErrUnavailable)
 
-// commit makes one bounded transaction.
+// commit runs one transaction with a timeout.
 func (s *Service) commit(ctx context.Context, t store.Txn) error {
 	return s.o.Patience.Call(ctx, func(ctx context.Context) error {
 		_, err := s.o.Store.Commit(ctx, t)
@@ -327,7 +328,7 @@
 	})
 }
 
-// get makes one bounded read; a missing key is no error.
+// get makes one read with a timeout; a missing key is not an error.
 func (s *Service) get(ctx context.Context, key string) (store.Entry, bool, error) {
 	var entry store.Entry
 	err := s.o.Patience.Call(ctx, func(ctx context.Context) (err error) {
@@ -340,16 +341,16 @@
 	return entry, err == nil, err
 }
 
-// offered returns the entry of which the leader is told.
-func (s *Service) offered(h *handIn) store.Entry {
-	value := h.whole
-	if s.short.Load() {
-		value = h.stored
+// offerEntry returns the entry that is sent to the leader.
+func (s *Service) offerEntry(h *submission) store.Entry {
+	value := h.full
+	if s.omitSpecs.Load() {
+		value = h.value
 	}
 	return store.Entry{Key: dispatch.KeyIn(h.id), Value: value}
 }
 
-// push tells the leader of a new entry; a watch brings it otherwise.
+// push notifies the leader of a new entry. If it fails, the leader's watch delivers the entry.
 func (s *Service) push(entry store.Entry) {
 	if h := s.o.Leading(); h != nil {
 		h.Offer(entry)
@@ -362,24 +363,24 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), pushTimeout)
 		defer cancel()
-		var r offered
+		var r offerReply
 		if _, err := s.o.Peers.CallAddr(ctx, leader.Peer, s.method(MethodOffer), offer{Key: entry.Key, Value: entry.Value}, &r); err != nil {
-			s.o.Log.Debug().Err(err).Str("key", entry.Key).Msg("leader not told, its watch will")
+			s.o.Log.Debug().Err(err).Str("key", entry.Key).Msg("leader not notified of a new entry; its watch will deliver it")
 			return
 		}
-		s.short.Store(r.Short)
+		s.omitSpecs.Store(r.OmitSpecs)
 	}()
 }
 
-// otherLeader returns the daemon that leads, unless it is this one.
+// otherLeader returns the leader, unless it is this daemon.
 func (s *Service) otherLeader() (lead.Member, bool) {
 	leader, ok := s.o.View.Leader()
 	return leader.Member, ok && leader.Member.Name != s.o.Self
 }
 
-// helpers returns the members to hand over to: the leader, which has reached
-// the store of late, and others by chance.
-func (s *Service) helpers() []lead.Member {
+// forwardTargets returns the members to forward to: first the leader, which has reached the
+// store recently, then random ones.
+func (s *Service) forwardTargets() []lead.Member {
 	members := slices.DeleteFunc(s.o.View.Members(), func(m lead.Member) bool { return m.Name == s.o.Self })
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
 	if leader, ok := s.otherLeader(); ok {
@@ -387,10 +388,10 @@
 			members[0], members[i] = members[i], members[0]
 		}
 	}
-	return members[:min(len(members), maxHandOvers)]
+	return members[:min(len(members), maxForwards)]
 }
 
-// askLeader asks the leader: this daemon's own host, or another daemon.
+// askLeader sends a request to the leader: to the host on this daemon, or to another daemon.
 func (s *Service) askLeader(ctx context.Context, own func(context.Context, *dispatch.Host) error, method peer.Method, req, resp any) error {
 	ctx, cancel := context.WithTimeout(ctx, leaderTimeout)
 	defer cancel()
@@ -405,28 +406,28 @@
 	return err
 }
 
-// handOver lets other daemons write a job. maybe tells that one may have done
-// so without an answer.
-func (s *Service) handOver(ctx context.Context, h *handIn) (took, maybe bool) {
-	took = s.askHelpers(ctx, s.method(MethodHandOver), offer{Key: string(h.id), Value: h.whole}, func(r handedOver, err error) {
-		maybe = maybe || r.Maybe || (err != nil && !peer.NotRun(err))
+// forward has another daemon write the job. uncertain reports that one may have written it
+// although no answer arrived.
+func (s *Service) forward(ctx context.Context, h *submission) (accepted, uncertain bool) {
+	accepted = s.tryTargets(ctx, s.method(MethodForward), offer{Key: string(h.id), Value: h.full}, func(r forwardReply, err error) {
+		uncertain = uncertain || r.Uncertain || (err != nil && !peer.NotRun(err))
 	})
-	if !took {
-		return false, maybe
+	if !accepted {
+		return false, uncertain
 	}
 	s.stats.HandedOver.Add(1)
 	return true, false
 }
 
-// askHelpers asks other daemons in turn until one has accepted; each that has
-// not is told to the caller.
-func (s *Service) askHelpers(ctx context.Context, method peer.Method, req any, refused func(r handedOver, err error)) bool {
-	for _, m := range s.helpers() {
+// tryTargets calls other daemons one after the other until one has accepted; refused is called
+// for each that has not.
+func (s *Service) tryTargets(ctx context.Context, method peer.Method, req any, refused func(r forwardReply, err error)) bool {
+	for _, m := range s.forwardTargets() {
 		if ctx.Err() != nil {
 			break
 		}
-		bounded, cancel := context.WithTimeout(ctx, handOverTimeout)
-		var r handedOver
+		bounded, cancel := context.WithTimeout(ctx, forwardTimeout)
+		var r forwardReply
 		_, err := s.o.Peers.CallAddr(bounded, m.Peer, method, req, &r)
 		cancel()
 		if err == nil && r.Accepted {
@@ -437,8 +438,8 @@
 	return false
 }
 
-// State returns what callers of an account are shown of a job. The error is ErrNoJob,
-// when the store has nothing under the id, or a *verdict.Error.
+// State returns the state of a job as it is shown to callers of the account. The error is
+// ErrNoJob, when the store has nothing under the id, or a *verdict.Error.
 func (s *Service) State(ctx context.Context, id work.JobID, account string) (work.State, error) {
 	var r stateReply
 	err := s.askLeader(ctx, func(ctx context.Context, h *dispatch.Host) error {
@@ -448,22 +449,21 @@
 	}, s.method(MethodState), stateRequest{ID: id}, &r)
 	shown := dispatch.Shown{State: r.State, Account: r.Account}
 	if err != nil || !r.Known {
-		if shown, err = s.stored(ctx, id); err != nil {
+		if shown, err = s.storedState(ctx, id); err != nil {
 			return 0, err
 		}
 	}
 	if !work.Owns(shown.Account, account) {
-		return 0, foreign()
+		return 0, refuseOtherAccount()
 	}
 	return shown.State, nil
 }
 
 var errNoLeader = errors.New("submit: no leader is known")
 
-// stored reads a job's state from the store. The hand-in is read first: it is
-// removed in the same transaction that writes the final state under the job's
-// own key.
-func (s *Service) stored(ctx context.Context, id work.JobID) (dispatch.Shown, error) {
+// storedState reads a job's state from the store. The submission is read first: the transaction
+// that writes the final state under the job's own key also removes the submission.
+func (s *Service) storedState(ctx context.Context, id work.JobID) (dispatch.Shown, error) {
 	in, accepted, err := s.get(ctx, dispatch.KeyIn(id))
 	if err != nil {
 		return dispatch.Shown{}, unavailable(CodeStore, err)
@@ -473,7 +473,7 @@
 		return dispatch.Shown{}, unavailable(CodeStore, err)
 	}
 	if accepted && (p == nil || !p.State.Final()) {
-		if p, err = s.bundled(ctx, id, p); err != nil {
+		if p, err = s.batched(ctx, id, p); err != nil {
 			return dispatch.Shown{}, unavailable(CodeStore, err)
 		}
 	}
@@ -497,7 +497,7 @@
 	return shown, nil
 }
 
-// progress reads what is under a job's own key, nil for nothing.
+// progress reads the value under a job's own key; nil if there is none.
 func (s *Service) progress(ctx context.Context, id work.JobID) (*work.Progress, error) {
 	entry, found, err := s.get(ctx, dispatch.KeyState(id))
 	if err != nil || !found {
@@ -506,12 +506,13 @@
 	return work.DecodeProgress(entry.Value)
 }
 
-// bundled looks for a job's end in bundles; without one, own stands.
+// batched looks for a job's final state in the batches of job states, and returns own if there
+// is none.
 //
-// What goes wrong without it: a job that ended while the store was slow is shown
-// as completed, and, when its leader is lost before it is moved to its own key,
-// as running again.
-func (s *Service) bundled(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
+// Without it, a job that ended while the store was slow would be shown as running again when its
+// leader fails after the job was shown as completed and before its state is moved to its own
+// key.
+func (s *Service) batched(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
 	var entries []store.Entry
 	err := s.o.Patience.Call(ctx, func(ctx context.Context) (err error) {
 		entries, _, err = s.o.Store.List(ctx, dispatch.PrefixBundle)
@@ -526,7 +527,7 @@
 	return own, nil
 }
 
-// Pending returns the number of a queue's jobs that have not begun; it may be
+// Pending returns the number of a queue's jobs that have not begun; the number may be up to
 // pendingAge old.
 func (s *Service) Pending(ctx context.Context, queue string) (int, error) {
 	var r pendingReply
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -23,21 +23,21 @@
 
 const id = work.JobID("00000000000000aa")
 
-// nobody is a cell without other daemons.
-type nobody struct{}
+// noPeers is a cell without other daemons.
+type noPeers struct{}
 
-func (nobody) CallAddr(context.Context, string, peer.Method, any, any) (peer.Ref, error) {
+func (noPeers) CallAddr(context.Context, string, peer.Method, any, any) (peer.Ref, error) {
 	return peer.Ref{}, peer.ErrNotSent
 }
 
 func newService(s store.Transactor) *Service {
 	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	view := lead.New(lead.Options{Store: s, Patience: patience}).View()
-	return New(Options{Self: "a", Store: s, Patience: patience, View: view, Peers: nobody{}, Log: zerolog.Nop(),
+	return New(Options{Self: "a", Store: s, Patience: patience, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
 
-func aJob() *work.Job {
+func testJob() *work.Job {
 	return &work.Job{Queue: work.Queue{Name: "q"}, Spec: "x", Steps: []work.Step{{Count: 1}}}
 }
 
@@ -51,14 +51,13 @@
 }
 
 func TestSpecsAreStoredApart(t *testing.T) {
-	// Symptom: a leader with a small link answers nobody; a takeover reads for seconds.
-	// Sequence: dozens of jobs a second are handed in, with specs of some KB.
-	// Cause: the leader's watch of hand-ins, and each takeover, brought their specs, which
-	//   it has no use for.
+	// With dozens of submissions a second and specs of some KB, the leader's watch of
+	// submissions and each takeover would carry specs that the leader does not use: a leader
+	// with a slow link would stop answering, and a takeover would read for seconds.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		const id = work.JobID("00000000000000aa")
-		j := aJob()
+		j := testJob()
 		j.Spec = strings.Repeat("spec", 1000)
 		require.NoError(t, newService(m).Submit(t.Context(), id, j))
 		in, err := m.Get(t.Context(), dispatch.KeyIn(id))
@@ -67,22 +66,22 @@
 		spec, err := m.Get(t.Context(), dispatch.KeySpec(id))
 		require.NoError(t, err)
 		require.Equal(t, j.Spec, string(spec.Value))
-		require.NoError(t, newService(m).Submit(t.Context(), id, j), "handed in again, it is the same job")
+		require.NoError(t, newService(m).Submit(t.Context(), id, j), "submitted again, it is the same job")
 
 		const bare = work.JobID("00000000000000bb")
-		j = aJob()
+		j = testJob()
 		j.Spec = ""
 		require.NoError(t, newService(m).Submit(t.Context(), bare, j))
 		require.False(t, stored(t, m, dispatch.KeySpec(bare)))
 	})
 }
 
-func TestHandInIsOneJob(t *testing.T) {
+func TestRepeatedSubmissionIsOneJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
-		require.NoError(t, s.Submit(t.Context(), id, aJob()), "the same again")
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()), "submitted again")
 		state, err := s.State(t.Context(), id, "")
 		require.NoError(t, err)
 		require.Equal(t, work.Queued, state)
@@ -92,15 +91,14 @@
 }
 
 func TestRefusalIsTrueAndQuick(t *testing.T) {
-	// Symptom looked for: a caller is told that its job was not accepted, and it
-	//   is, now or later; or the refusal comes late.
-	// Sequence: the store refuses every call.
+	// While the store refuses every call, a caller must be told quickly that its job was not
+	// accepted, and the job must not appear in the store later.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
 		m.SetFaults(kv.Faults{Down: true})
 		start := time.Now()
-		err := s.Submit(t.Context(), id, aJob())
+		err := s.Submit(t.Context(), id, testJob())
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		require.Positive(t, verdict.As(err).RetryAfterMillis)
 		require.Less(t, time.Since(start), 100*time.Millisecond)
@@ -111,32 +109,30 @@
 }
 
 func TestSilentStoreIsNotWrittenToTwice(t *testing.T) {
-	// Symptom: with the store gone, callers wait for more than a second each and
-	//   are told that their job may have been accepted.
-	// Sequence: one hand-in finds that the store does not answer; others follow.
-	// Cause: each sent a write of its own, whose outcome then was open. A read
-	//   tells as much and leaves nothing open.
+	// When the store does not answer, only the first submission may send a write. If each sent
+	// one, its outcome would be uncertain, and callers would wait for more than a second each to
+	// be told that their job may have been accepted. A read detects the outage as well and
+	// leaves no outcome uncertain.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
 		m.SetFaults(kv.Faults{Hang: true})
-		err := s.Submit(t.Context(), id, aJob())
+		err := s.Submit(t.Context(), id, testJob())
 		require.Equal(t, verdict.MayHaveRun, verdict.Of(err), "the first has sent a write")
 		for i := range 3 {
 			start := time.Now()
-			err = s.Submit(t.Context(), work.JobID(fmt.Sprintf("%016x", i)), aJob())
+			err = s.Submit(t.Context(), work.JobID(fmt.Sprintf("%016x", i)), testJob())
 			require.Equal(t, verdict.NotRun, verdict.Of(err))
 			require.LessOrEqual(t, time.Since(start), probeTimeout)
 		}
 		m.SetFaults(kv.Faults{})
-		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", aJob()))
+		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", testJob()))
 	})
 }
 
 func TestLostAnswersNeverMakeAFalseRefusal(t *testing.T) {
-	// Symptom looked for: "not accepted" for a job that is in the store.
-	// Sequence: the store loses answers, requests and delays writes past their
-	//   timeout, so that they take effect later.
+	// A caller must not be told "not accepted" for a job that is in the store. The store loses
+	// answers and requests and delays writes past their timeout, so that they take effect later.
 	for seed := range uint64(60) {
 		synctest.Test(t, func(t *testing.T) {
 			m := kv.NewSeeded(seed)
@@ -145,7 +141,7 @@
 			verdicts := map[work.JobID]error{}
 			for i := range 20 {
 				key := work.JobID(fmt.Sprintf("%016x", i))
-				verdicts[key] = s.Submit(t.Context(), key, aJob())
+				verdicts[key] = s.Submit(t.Context(), key, testJob())
 			}
 			m.SetFaults(kv.Faults{})
 			time.Sleep(time.Minute)
@@ -162,20 +158,19 @@
 }
 
 func TestCancelBeforeALateHandIn(t *testing.T) {
-	// Symptom: a job runs whose caller was told that it does not exist.
-	// Sequence: the write of a hand-in is delayed on its way; the caller cancels
-	//   and is told that there is no such job; the write arrives.
-	// Cause: without a mark under the id the write finds it free.
+	// A job must not run whose caller was told that it does not exist: the write of a submission
+	// is delayed, the caller cancels and gets ErrNoJob, then the write arrives. Without a mark
+	// under the id the write would succeed.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
 		m.SetFaults(kv.Faults{Delay: 5 * time.Second})
-		require.Equal(t, verdict.MayHaveRun, verdict.Of(s.Submit(t.Context(), id, aJob())))
+		require.Equal(t, verdict.MayHaveRun, verdict.Of(s.Submit(t.Context(), id, testJob())))
 		m.SetFaults(kv.Faults{})
 		require.ErrorIs(t, s.Cancel(t.Context(), id, ""), ErrNoJob)
 		time.Sleep(time.Minute)
 		require.False(t, stored(t, m, dispatch.KeyIn(id)))
-		require.Equal(t, verdict.NotRun, verdict.Of(s.Submit(t.Context(), id, aJob())), "the id stays given up")
+		require.Equal(t, verdict.NotRun, verdict.Of(s.Submit(t.Context(), id, testJob())), "the id stays marked")
 		_, err := s.State(t.Context(), id, "")
 		require.ErrorIs(t, err, ErrNoJob)
 	})
@@ -185,24 +180,24 @@
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		require.NoError(t, s.Cancel(t.Context(), id, ""))
-		require.NoError(t, s.Cancel(t.Context(), id, ""), "again")
+		require.NoError(t, s.Cancel(t.Context(), id, ""), "cancelled again")
 		require.True(t, stored(t, m, dispatch.KeyCancel(id)))
 	})
 }
 
-// helpful is a cell in which every other daemon writes what it is handed.
-type helpful struct{}
+// acceptingPeers is a cell in which every other daemon accepts what is forwarded to it.
+type acceptingPeers struct{}
 
-func (helpful) CallAddr(_ context.Context, _ string, _ peer.Method, _, resp any) (peer.Ref, error) {
-	if r, ok := resp.(*handedOver); ok {
+func (acceptingPeers) CallAddr(_ context.Context, _ string, _ peer.Method, _, resp any) (peer.Ref, error) {
+	if r, ok := resp.(*forwardReply); ok {
 		r.Accepted = true
 	}
 	return peer.Ref{}, nil
 }
 
-// cellOf returns a service of daemon "a" whose view shows another daemon.
+// cellOf returns a service of daemon "a" whose view contains one other daemon.
 func cellOf(t *testing.T, m *kv.Memory, peers Caller) *Service {
 	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
@@ -223,71 +218,68 @@
 }
 
 func TestOthersAreAskedFirstWhenTheStoreDoesNotAnswer(t *testing.T) {
-	// Symptom: hand-ins through a daemon that is cut off from the store take 0.3 s
-	//   more than others, for as long as that lasts.
-	// Cause: each waited for a read of the store before another daemon was asked.
+	// Submissions through a daemon that has lost its connection to the store must not take 0.3 s
+	// longer than others for as long as the outage lasts: each waited for a read of the store
+	// before another daemon was tried.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		s := cellOf(t, m, helpful{})
+		s := cellOf(t, m, acceptingPeers{})
 		m.SetFaults(kv.Faults{Hang: true})
-		require.NoError(t, s.Submit(t.Context(), id, aJob()), "the first finds out")
+		require.NoError(t, s.Submit(t.Context(), id, testJob()), "the first one detects the outage")
 		start := time.Now()
-		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", aJob()))
+		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", testJob()))
 		require.Less(t, time.Since(start), 10*time.Millisecond)
 		m.SetFaults(kv.Faults{})
 		time.Sleep(time.Second)
 	})
 }
 
-func TestFirstHandInsAtADaemonThatIsCutOffGoThroughOthers(t *testing.T) {
-	// Symptom: for the first 0.8 s after a daemon is cut off from the store, each hand-in
-	//   there takes 0.8 s, and quick jobs are late.
-	// Sequence: the store answers nothing; the hand-ins come before any call has failed.
-	// Cause: others were asked only once two writes had gone unanswered.
+func TestFirstSubmissionsAtADisconnectedDaemonAreForwarded(t *testing.T) {
+	// In the first 0.8 s after a daemon loses its connection to the store, before any call has
+	// failed, each submission there must not take 0.8 s, which makes short jobs late: other
+	// daemons were tried only after two writes had timed out.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		s := cellOf(t, m, helpful{})
-		require.NoError(t, s.Submit(t.Context(), "00000000000000ab", aJob()), "the usual answer is known")
+		s := cellOf(t, m, acceptingPeers{})
+		require.NoError(t, s.Submit(t.Context(), "00000000000000ab", testJob()), "measures the usual response time")
 		m.SetFaults(kv.Faults{Hang: true})
-		for i := range 15 { // while the members' leases have not run out
+		for i := range 15 { // before the members' leases expire
 			start := time.Now()
-			require.NoError(t, s.Submit(t.Context(), work.JobID(fmt.Sprintf("%016x", i)), aJob()))
-			require.LessOrEqual(t, time.Since(start), othersMin)
+			require.NoError(t, s.Submit(t.Context(), work.JobID(fmt.Sprintf("%016x", i)), testJob()))
+			require.LessOrEqual(t, time.Since(start), minForwardDelay)
 			time.Sleep(50 * time.Millisecond)
 		}
 		m.SetFaults(kv.Faults{})
 		time.Sleep(2 * time.Second)
-		_, _, err := s.get(t.Context(), probeKey) // as each renewal of the daemon's lease
+		_, _, err := s.get(t.Context(), probeKey) // stands for a renewal of the daemon's lease
 		require.NoError(t, err)
-		require.False(t, s.othersFirst(), "it writes itself again")
+		require.False(t, s.forwardFirst(), "it writes to the store again")
 	})
 }
 
 func TestStoreThatBecomesSlowIsNotGivenUp(t *testing.T) {
-	// Symptom: the first hand-ins take two or three answers of a store that has just
-	//   become slow.
-	// Sequence: it answers in 300 ms; the usual time for an answer is 200 ms.
-	// Cause: the first write was given up, the store read, and the write repeated.
+	// The first submissions to a store that has just become slow, with 300 ms instead of the
+	// usual 200 ms, must not take two or three of its response times: the first write was
+	// abandoned, the store read, and the write repeated.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		m.SetFaults(kv.Faults{Delay: 300 * time.Millisecond})
 		start := time.Now()
-		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", aJob()))
+		require.NoError(t, s.Submit(t.Context(), "00000000000000bb", testJob()))
 		require.LessOrEqual(t, time.Since(start), 310*time.Millisecond)
 		time.Sleep(time.Second)
 	})
 }
 
 func TestJobInABundleIsShownAsEnded(t *testing.T) {
-	// Symptom looked for: a job is shown as completed, and after the loss of its
-	//   leader as queued again.
-	// Sequence: its end is in the store in a bundle, its hand-in still there.
+	// A job whose final state is in the store in a batch, with its submission still there, must
+	// not be shown as completed and, after the loss of its leader, as queued again.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		value, err := work.EncodeBundle([]work.JobProgress{{Job: id, Progress: work.Progress{State: work.Completed}}})
 		require.NoError(t, err)
 		_, err = m.Put(t.Context(), dispatch.PrefixBundle+"x", value, 0, 0)
@@ -299,12 +291,12 @@
 }
 
 func TestCancellationsDoNotPressAStoreThatIsAway(t *testing.T) {
-	// Symptom: in an outage cancellations alone read from the store 180 times a
-	//   second, and every call is paid for.
+	// During an outage of the store cancellations alone read from it 180 times a second, and
+	// every call costs money.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
-		require.NoError(t, s.Submit(t.Context(), id, aJob()))
+		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		m.SetFaults(kv.Faults{Down: true})
 		before := m.Counts().Total()
 		require.Error(t, s.Cancel(t.Context(), id, ""))
