--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -1,12 +1,11 @@
-// Package admission decides which requests may wait for an instance, in which
-// order, and for how long. It limits the rate per caller and per team, shares
-// a service's starts fairly between teams, orders a team's requests by
-// deadline, and refuses a request at once when it would wait past its
-// deadline.
+// Package admission decides which requests may wait for an instance, in which order, and for how
+// long. It limits the rate per caller and per team, shares a service's starts fairly between
+// teams, orders a team's requests by deadline, and refuses a request at once when it would wait
+// past its deadline.
 //
-// Guarantees: every refusal has verdict NotRun and tells when to come back; a
-// request that is given up on is answered at once; waiting requests per service
-// are bounded; a team's flood lengthens only its own queue.
+// Guarantees: every refusal has verdict NotRun and tells the caller when to retry; a waiting
+// request that can no longer start in time is refused at once; the number of waiting requests
+// per service is bounded; a flood of one team's requests delays only that team.
 package admission
 
 import (
@@ -19,13 +18,13 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// Codes of refusals; all have verdict NotRun.
+// Error codes of refusals; all have verdict NotRun.
 const (
 	CodeCallerRate = "caller_rate"   // the caller's limit
 	CodeTeamRate   = "team_rate"     // the team's limit
-	CodeWait       = "wait_too_long" // it would wait past its deadline
+	CodeWait       = "wait_too_long" // the request would wait past its deadline
 	CodeQueueFull  = "queue_full"
-	CodeDeadline   = "deadline_exceeded" // the deadline passed while it waited
+	CodeDeadline   = "deadline_exceeded" // the deadline passed while the request waited
 	CodeCallerGone = "caller_gone"
 )
 
@@ -35,39 +34,40 @@
 	DefaultMaxQueue   = 1024
 	DefaultMaxCallers = 4096
 
-	// review is how often waiting requests are looked at for hopeless ones.
-	review = 25 * time.Millisecond
-	// minRetryAfter is the least that a refused caller is told to wait.
+	// reviewInterval is how often the queue is searched for requests that cannot start in time
+	// any more.
+	reviewInterval = 25 * time.Millisecond
+	// minRetryAfter is the shortest delay after which a refused caller is told to retry.
 	minRetryAfter = 50 * time.Millisecond
-	// retryJitter spreads the return of refused callers.
+	// retryJitter spreads the retries of refused callers.
 	retryJitter = 0.25
 )
 
 var (
-	errRate     = errors.New("more requests than the limit allows")
-	errWait     = errors.New("the request would wait for an instance past its deadline")
-	errFull     = errors.New("too many requests wait for the service")
-	errDeadline = errors.New("the deadline passed before an instance was free")
-	errGone     = errors.New("the caller went away before the request was sent")
+	errRate         = errors.New("more requests than the limit allows")
+	errWait         = errors.New("the request would wait for an instance past its deadline")
+	errFull         = errors.New("too many requests wait for the service")
+	errDeadline     = errors.New("the deadline passed before an instance was free")
+	errDisconnected = errors.New("the caller went away before the request was sent")
 )
 
 // Options configure a Controller; zero values take the defaults.
 type Options struct {
-	// CallerRate bounds the requests per second of one caller at this daemon;
-	// 0 means no limit. CallerBurst is how many may come at once.
+	// CallerRate limits the requests per second of one caller at this daemon; 0 means no limit.
+	// CallerBurst is the size of the token bucket.
 	CallerRate  float64
 	CallerBurst int
-	// MaxCallers bounds the callers whose rate is followed.
+	// MaxCallers limits the number of callers whose rate is tracked.
 	MaxCallers int
 	// Members returns how many daemons share a team's rate; nil means one.
 	Members func() int
-	// Short reports whether all slots of a service are taken. Where it does not, nothing is
-	// held back to keep the fair order: whoever is admitted gets a slot as soon as the
-	// grant has come. nil means that slots are always short.
+	// Short reports whether all slots of a service are in use. While it returns false, the
+	// window is not reduced to keep the fair order: every admitted request gets a slot as soon
+	// as its grant has arrived. nil means that slots are always short.
 	Short func(service string) bool
-	// Window is how many requests of a service wait in the slots' own order.
+	// Window is the maximum number of requests of a service that wait in the slots' own order.
 	Window int
-	// MaxQueue bounds the requests of a service that wait before the window.
+	// MaxQueue limits the requests of a service that wait before the window.
 	MaxQueue int
 }
 
@@ -94,7 +94,7 @@
 	Service  string
 	Team     string
 	Deadline time.Time
-	// Weight is the team's share relative to others; below 1 means 1.
+	// Weight is the team's share relative to other teams; values below 1 count as 1.
 	Weight int
 }
 
@@ -115,8 +115,8 @@
 	return c
 }
 
-// Enter waits until the request may take a slot, or refuses it. The error is a
-// *verdict.Error. ctx ends at the deadline or when the caller goes away.
+// Enter waits until the request may take a slot, or refuses it. The error is a *verdict.Error.
+// ctx must end at the deadline or when the caller disconnects.
 func (c *Controller) Enter(ctx context.Context, r Request) (*Pass, error) {
 	q := c.queue(r.Service)
 	w, err := q.enter(r, time.Now())
@@ -134,25 +134,24 @@
 		}
 		return pass, nil
 	case <-ctx.Done():
-		return q.leave(ctx, w, pass)
+		return q.abandon(ctx, w, pass)
 	}
 }
 
-// Check returns the refusal that Enter would give now, and nil otherwise. It is
-// asked before a step that must come before Enter and costs something. The
-// error is a *verdict.Error.
+// Check returns the refusal that Enter would return now, or nil. Use it before an expensive step
+// that has to precede Enter. The error is a *verdict.Error.
 func (c *Controller) Check(r Request) error {
 	return c.queue(r.Service).check(r, time.Now())
 }
 
-// ComeBack returns when a caller should be back whose request was refused, as not run, for
-// another reason than those of Enter: because no slot came, or the daemon is full.
+// ComeBack returns the delay after which a caller should retry whose request was refused, as not
+// run, for a reason outside Enter: because no slot was granted, or the daemon is overloaded.
 func (c *Controller) ComeBack(service string) time.Duration {
 	q := c.queue(service)
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	return q.returns.next(q.pace.wait(q.inside+q.waiting, now), now)
+	return q.retrySchedule.delay(q.serviceRate.wait(q.admitted+q.waiting, now), now)
 }
 
 func (c *Controller) queue(service string) *queue {
@@ -179,8 +178,7 @@
 	return q.waiting
 }
 
-// TotalWaiting returns how many requests of all services wait before their
-// windows.
+// TotalWaiting returns how many requests of all services wait before their windows.
 func (c *Controller) TotalWaiting() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
@@ -193,7 +191,7 @@
 	return n
 }
 
-// Pass is an admitted request; not for concurrent use.
+// Pass is an admitted request. It is not safe for concurrent use.
 type Pass struct {
 	queue   *queue
 	state   passState
@@ -209,7 +207,7 @@
 	passDone
 )
 
-// Started tells that the request has its slot.
+// Started records that the request has its slot.
 func (p *Pass) Started() {
 	if p.state == passWaiting {
 		p.state = passStarted
@@ -217,11 +215,11 @@
 	}
 }
 
-// End tells how a request ended.
+// End is the outcome of a request.
 type End int
 
-// Ends. Late means that its deadline passed while it ran, Unbegun that it had a slot and was
-// not sent, because of InTime.
+// Outcomes of a request. Late means that its deadline passed while it ran, Unbegun that it had a
+// slot and was not sent, because InTime returned false.
 const (
 	Other End = iota
 	Whole
@@ -229,19 +227,19 @@
 	Unbegun
 )
 
-// InTime reports whether a request that came at came, and has its slot, is likely to be
-// answered by deadline if it is sent now.
+// InTime reports whether a request that arrived at the given time, and has its slot, is likely
+// to be answered by deadline if it is sent now.
 //
-// What goes wrong without the question: a request that has waited for most of its time is
-// sent all the same, runs, and is answered as "may have run", which a caller whose request
-// must not run twice can not mend.
-func (p *Pass) InTime(came, deadline time.Time) bool {
+// Without this check a request that has spent most of its time waiting would be sent, run, and
+// be answered with "may have run", from which a caller cannot recover when its request must not
+// run twice.
+func (p *Pass) InTime(arrived, deadline time.Time) bool {
 	p.queue.mu.Lock()
 	defer p.queue.mu.Unlock()
-	return p.queue.times.enough(came, time.Now(), deadline)
+	return p.queue.serviceTimes.sufficient(arrived, time.Now(), deadline)
 }
 
-// Done tells that the request has ended.
+// Done records the outcome of the request.
 func (p *Pass) Done(end End) {
 	switch p.state {
 	case passWaiting:
@@ -252,7 +250,7 @@
 	p.state = passDone
 }
 
-// refuse returns a refusal that tells the caller to come back after about d.
+// refuse returns a refusal that tells the caller to retry after about d.
 func refuse(status int, code string, err error, d time.Duration) *verdict.Error {
 	d = max(d, minRetryAfter)
 	d += time.Duration(retryJitter * rand.Float64() * float64(d))
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -17,28 +17,28 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// station is a service with a fixed number of slots and time per request, in
-// virtual time.
-type station struct {
+// testService is a service with a fixed number of slots and a fixed time per request, in virtual
+// time.
+type testService struct {
 	c     *Controller
 	slots chan struct{}
 	work  time.Duration
-	// grant is how long it takes to be given a slot that is free.
+	// grant is the time until the grant of a free slot arrives.
 	grant time.Duration
 
 	mu     sync.Mutex
 	served map[string]int
-	late   map[string]int // refused after they had waited
+	late   map[string]int // refused after waiting
 	early  map[string]int // refused on arrival
 }
 
-func newStation(slots int, work time.Duration, o Options) *station {
-	return &station{c: New(o), slots: make(chan struct{}, slots), work: work,
+func newTestService(slots int, work time.Duration, o Options) *testService {
+	return &testService{c: New(o), slots: make(chan struct{}, slots), work: work,
 		served: map[string]int{}, late: map[string]int{}, early: map[string]int{}}
 }
 
 // request takes one request through admission, slot and work.
-func (s *station) request(team string, timeout time.Duration) error {
+func (s *testService) request(team string, timeout time.Duration) error {
 	start := time.Now()
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
@@ -77,7 +77,7 @@
 }
 
 // load sends n requests of a team at a fixed interval.
-func (s *station) load(wg *sync.WaitGroup, team string, n int, every, timeout time.Duration) {
+func (s *testService) load(wg *sync.WaitGroup, team string, n int, every, timeout time.Duration) {
 	wg.Go(func() {
 		for range n {
 			wg.Go(func() { _ = s.request(team, timeout) })
@@ -87,33 +87,31 @@
 }
 
 func TestFloodOfOneTeamDoesNotStarveAnother(t *testing.T) {
-	// Symptom: bank officers' lookups time out while one firm floods renders.
-	// Sequence: one team offers ten times what the service carries; another
-	//   offers a tenth of it.
-	// Cause: one queue in order of arrival.
+	// One team offers ten times what the service can serve, another a tenth of it. With a single
+	// queue in order of arrival the second team's requests would time out.
 	synctest.Test(t, func(t *testing.T) {
-		s := newStation(8, 40*time.Millisecond, Options{}) // 200 requests/s
+		s := newTestService(8, 40*time.Millisecond, Options{}) // 200 requests/s
 		var wg sync.WaitGroup
 		s.load(&wg, "flood", 20000, 500*time.Microsecond, time.Second)
 		s.load(&wg, "quiet", 200, 50*time.Millisecond, time.Second)
 		wg.Wait()
 		require.GreaterOrEqual(t, s.served["quiet"], 198, "late %v, early %v", s.late, s.early)
 		total := s.served["flood"] + s.served["quiet"]
-		require.GreaterOrEqual(t, total, 1900, "of 2000 that the service carries in 10 s")
+		require.GreaterOrEqual(t, total, 1900, "of 2000 that the service can serve in 10 s")
 		require.Less(t, s.late["flood"], s.early["flood"]/20, "refusals come late")
 	})
 }
 
 func TestGoodputUnderOverload(t *testing.T) {
-	// Symptom: at twice the load a service answered half of what it could.
-	// Sequence: more requests arrive than the slots carry, for five seconds.
-	// Cause: requests waited so long that they were answered too late.
+	// At twice its capacity a service must not answer half of what it could, because requests
+	// wait so long that they are answered too late. More requests arrive than the slots can
+	// serve, for five seconds.
 	const slots, work = 32, 50 * time.Millisecond
 	for _, timeout := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second} {
 		for _, times := range []int{2, 5} {
 			t.Run(fmt.Sprint(timeout, times), func(t *testing.T) {
 				synctest.Test(t, func(t *testing.T) {
-					s := newStation(slots, work, Options{})
+					s := newTestService(slots, work, Options{})
 					every := work / time.Duration(slots*times)
 					n := int(5 * time.Second / every)
 					var wg sync.WaitGroup
@@ -131,16 +129,15 @@
 	}
 }
 
-func TestHopelessRequestsAreToldAtOnce(t *testing.T) {
-	// Symptom: callers wait their whole deadline to learn that nothing ran.
-	// Sequence: requests wait; then every instance hangs.
-	// Cause: the wait was estimated on arrival only.
+func TestInfeasibleRequestsAreRefusedBeforeTheirDeadline(t *testing.T) {
+	// Requests wait, then every instance hangs. If the wait were estimated on arrival only,
+	// callers would wait for their whole deadline to learn that nothing ran.
 	synctest.Test(t, func(t *testing.T) {
-		s := newStation(1, 10*time.Millisecond, Options{Window: 1})
+		s := newTestService(1, 10*time.Millisecond, Options{Window: 1})
 		var wg sync.WaitGroup
 		s.load(&wg, "a", 50, 8*time.Millisecond, 500*time.Millisecond)
 		wg.Wait()
-		s.slots <- struct{}{} // nothing is free again
+		s.slots <- struct{}{} // no slot is released any more
 		for range 40 {
 			wg.Go(func() { _ = s.request("a", 2*time.Second) })
 		}
@@ -155,11 +152,11 @@
 }
 
 // TestSlowGrantsHoldNothingBackWhileSlotsAreFree guards against callers that are refused while
-// slots stand idle: fewer wait for a slot where starts are slow, and starts are slow where few wait.
+// slots are idle: slow starts reduce the window, and a small window makes starts slow.
 func TestSlowGrantsHoldNothingBackWhileSlotsAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newStation(48, 5*time.Millisecond, Options{Short: func(string) bool { return false }})
-		s.grant = 200 * time.Millisecond // 48 slots carry 234 requests/s so
+		s := newTestService(48, 5*time.Millisecond, Options{Short: func(string) bool { return false }})
+		s.grant = 200 * time.Millisecond // 48 slots serve 234 requests/s at this delay
 		var wg sync.WaitGroup
 		s.load(&wg, "a", 2000, 5*time.Millisecond, time.Second)
 		wg.Wait()
@@ -167,7 +164,7 @@
 	})
 }
 
-func TestRefusalsTellWhenToComeBack(t *testing.T) {
+func TestRefusalsTellWhenToRetry(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Options{CallerRate: 10, CallerBurst: 2, Members: func() int { return 4 }})
 		require.NoError(t, c.Limit("t", "a", 0))
@@ -192,8 +189,8 @@
 }
 
 func TestQueueInvariants(t *testing.T) {
-	// Random teams, deadlines, cancellations and ends: every request gets one
-	// answer, the bounds hold, and nothing stays behind.
+	// Random teams, deadlines, cancellations and outcomes: every request gets one answer, the
+	// limits hold, and nothing remains in the queue.
 	rapid.Check(t, func(rt *rapid.T) {
 		steps := rapid.SliceOfN(rapid.Custom(drawStep), 1, 60).Draw(rt, "steps")
 		window := rapid.IntRange(1, 5).Draw(rt, "window")
@@ -205,7 +202,7 @@
 			var mu sync.Mutex
 			for _, s := range steps {
 				wg.Go(func() {
-					ctx, cancel := context.WithTimeout(context.Background(), s.patience)
+					ctx, cancel := context.WithTimeout(context.Background(), s.timeout)
 					defer cancel()
 					pass, err := c.Enter(ctx, Request{Service: "s", Team: s.team, Deadline: time.Now().Add(s.deadline)})
 					mu.Lock()
@@ -229,7 +226,7 @@
 			wg.Wait()
 			require.Equal(t, len(steps), answers)
 			q := c.queue("s")
-			require.Zero(t, q.inside)
+			require.Zero(t, q.admitted)
 			require.Zero(t, q.waiting)
 			require.Empty(t, q.teams)
 		})
@@ -237,10 +234,10 @@
 }
 
 type step struct {
-	team                          string
-	deadline, patience, work, gap time.Duration
-	starts                        bool
-	end                           End
+	team                         string
+	deadline, timeout, work, gap time.Duration
+	starts                       bool
+	end                          End
 }
 
 func drawStep(t *rapid.T) step {
@@ -249,7 +246,7 @@
 	}
 	return step{
 		team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), deadline: ms("deadline", 300),
-		patience: ms("patience", 300), work: ms("work", 60), gap: ms("gap", 5),
+		timeout: ms("patience", 300), work: ms("work", 60), gap: ms("gap", 5),
 		starts: rapid.Bool().Draw(t, "starts"), end: End(rapid.IntRange(0, 2).Draw(t, "end")),
 	}
 }
@@ -257,8 +254,8 @@
 func checkQueue(t *testing.T, q *queue, window, limit int) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	require.GreaterOrEqual(t, q.inside, 0)
-	require.LessOrEqual(t, q.inside, window)
+	require.GreaterOrEqual(t, q.admitted, 0)
+	require.LessOrEqual(t, q.admitted, window)
 	require.LessOrEqual(t, q.waiting, limit)
 	sum := 0
 	for name, team := range q.teams {
--- a/request/admission/limits.go
+++ b/request/admission/limits.go
@@ -27,9 +27,9 @@
 	l.teams = map[string]*rate.Limiter{}
 }
 
-// Limit takes a token of the caller and of the team, whose limit is teamRate
-// requests per second over all daemons (0: none). The error is a
-// *verdict.Error with status 429.
+// Limit takes a token from the caller's bucket and from the bucket of the team, whose limit is
+// teamRate requests per second over all daemons (0: no limit). The error is a *verdict.Error
+// with status 429.
 func (c *Controller) Limit(team, caller string, teamRate float64) error {
 	if c.opts.CallerRate <= 0 && teamRate <= 0 {
 		return nil
@@ -46,7 +46,7 @@
 	return nil
 }
 
-// take takes a token or tells when there will be one.
+// take takes a token, or returns a refusal with the time until the next one.
 func take(l *rate.Limiter, now time.Time, code string) error {
 	r := l.ReserveN(now, 1)
 	delay := r.DelayFrom(now)
@@ -76,24 +76,24 @@
 	return lim
 }
 
-// evictLocked forgets one caller, of a few the one whose bucket is fullest: a
-// caller at its limit stays limited while others come and go.
+// evictLocked drops one of a few callers, the one whose bucket is fullest: a caller at its limit
+// stays limited while other callers come and go.
 func (l *limits) evictLocked() {
-	const looked = 8
+	const sampleSize = 8
 	var victim callerKey
 	best, n := -1.0, 0
 	for k, lim := range l.callers {
 		if t := lim.Tokens(); t > best {
 			victim, best = k, t
 		}
-		if n++; n == looked {
+		if n++; n == sampleSize {
 			break
 		}
 	}
 	delete(l.callers, victim)
 }
 
-// team returns the team's bucket with this daemon's share of the rate.
+// team returns the team's bucket, filled at this daemon's share of the rate.
 func (l *limits) team(team string, total float64) *rate.Limiter {
 	if total <= 0 {
 		return nil
@@ -113,5 +113,5 @@
 	return lim
 }
 
-// burst allows a second's worth at once.
+// burst allows the tokens of one second at once.
 func burst(r rate.Limit) int { return max(1, int(r)) }
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -17,24 +17,24 @@
 	opts    *Options
 	service string
 
-	mu      sync.Mutex
-	inside  int // admitted, slot not taken yet
-	waiting int
-	teams   map[string]*team // with waiting requests
-	// clock is the virtual time of the team served last.
-	clock   float64
-	serial  uint64
-	pace    pace
-	times   times
-	returns returns
-	pending bool // a review is scheduled
+	mu       sync.Mutex
+	admitted int // admitted, but without a slot yet
+	waiting  int
+	teams    map[string]*team // teams with waiting requests
+	// virtualTime is the virtual time of the team served last.
+	virtualTime     float64
+	serial          uint64
+	serviceRate     serviceRate
+	serviceTimes    serviceTimes
+	retrySchedule   retrySchedule
+	reviewScheduled bool // whether a review is scheduled
 }
 
 // team holds one team's waiting requests by deadline.
 type team struct {
 	name   string
 	weight float64
-	// finish is the virtual time at which the team has had its share.
+	// finish is the virtual time up to which the team has used its share.
 	finish float64
 	tree   *btree.BTreeG[*waiter]
 }
@@ -44,8 +44,8 @@
 	team     *team
 	deadline time.Time
 	serial   uint64
-	granted  chan error // gets nil or a refusal, once
-	gone     bool       // no longer in the queue
+	granted  chan error // receives nil or a refusal, once
+	removed  bool       // no longer in the queue
 }
 
 const treeDegree = 16
@@ -58,49 +58,49 @@
 }
 
 func newQueue(o *Options, service string) *queue {
-	return &queue{opts: o, service: service, teams: map[string]*team{}, pace: pace{share: firstShare}}
+	return &queue{opts: o, service: service, teams: map[string]*team{}, serviceRate: serviceRate{waitShare: initialWaitShare}}
 }
 
 // enter admits the request at once (nil, nil), queues it, or refuses it.
 func (q *queue) enter(r Request, now time.Time) (*waiter, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if q.roomInside(now) {
-		if err := q.tooLate(q.pace.wait(q.inside, now), r, now); err != nil {
+	if q.windowOpen(now) {
+		if err := q.tooLate(q.serviceRate.wait(q.admitted, now), r, now); err != nil {
 			return nil, err
 		}
-		q.inside++
-		q.pace.backlog(q.inside, now)
+		q.admitted++
+		q.serviceRate.waitBegan(q.admitted, now)
 		return nil, nil
 	}
 	t := q.team(r)
 	if err := q.refusal(t, r, now); err != nil {
-		q.forget(t)
+		q.removeIfEmpty(t)
 		return nil, err
 	}
-	if q.waiting >= q.opts.MaxQueue && !q.pushOut(t, now) {
-		q.forget(t)
-		return nil, q.overloaded(CodeQueueFull, errFull, q.pace.wait(q.waiting, now), now)
+	if q.waiting >= q.opts.MaxQueue && !q.evictFor(t, now) {
+		q.removeIfEmpty(t)
+		return nil, q.overloaded(CodeQueueFull, errFull, q.serviceRate.wait(q.waiting, now), now)
 	}
 	q.serial++
 	w := &waiter{team: t, deadline: r.Deadline, serial: q.serial, granted: make(chan error, 1)}
 	q.teams[t.name] = t
 	t.tree.ReplaceOrInsert(w)
 	q.waiting++
-	q.schedule()
+	q.scheduleReview()
 	return w, nil
 }
 
-// check returns why the request would be refused now, without entering.
+// check returns the refusal that the request would get now, without entering.
 func (q *queue) check(r Request, now time.Time) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	var refusal *verdict.Error
-	if q.roomInside(now) {
-		refusal = q.tooLate(q.pace.wait(q.inside, now), r, now)
+	if q.windowOpen(now) {
+		refusal = q.tooLate(q.serviceRate.wait(q.admitted, now), r, now)
 	} else {
 		t := q.team(r)
-		defer q.forget(t)
+		defer q.removeIfEmpty(t)
 		refusal = q.refusal(t, r, now)
 	}
 	if refusal != nil {
@@ -109,67 +109,68 @@
 	return nil
 }
 
-// window returns how many requests may be inside.
+// window returns the maximum number of admitted requests without a slot.
 //
-// What goes wrong if it always follows the pace of starts: where the grant of a slot takes
-// long, as on a daemon short of processor time, few inside make slow starts, and slow
-// starts a small window. Callers are refused by the estimate while slots stand idle.
+// It does not always follow the rate of starts. Where the grant of a slot takes long, as on a
+// daemon short of CPU time, few admitted requests mean slow starts, and slow starts a small
+// window: callers would be refused by the estimate while slots are idle.
 func (q *queue) window(now time.Time) int {
 	if q.opts.Short != nil && !q.opts.Short(q.service) {
 		return q.opts.Window
 	}
-	return q.pace.window(q.opts.Window, now)
+	return q.serviceRate.window(q.opts.Window, now)
 }
 
-// roomInside reports whether a request is admitted at once. Requests inside
-// wait too, in the slots' own order.
-func (q *queue) roomInside(now time.Time) bool {
-	return q.waiting == 0 && q.inside < q.window(now)
+// windowOpen reports whether a request is admitted at once. Admitted requests wait too, in the
+// slots' own order.
+func (q *queue) windowOpen(now time.Time) bool {
+	return q.waiting == 0 && q.admitted < q.window(now)
 }
 
-// overloaded returns the refusal of a request that would wait that long, with the time at
-// which its caller should be back.
+// overloaded returns the refusal of a request that would wait for the given time, with the delay
+// after which its caller should retry.
 func (q *queue) overloaded(code string, err error, wait time.Duration, now time.Time) *verdict.Error {
-	return refuse(http.StatusServiceUnavailable, code, err, q.returns.next(wait, now))
+	return refuse(http.StatusServiceUnavailable, code, err, q.retrySchedule.delay(wait, now))
 }
 
-// refusal returns why a request that has to queue would not start in time, or
+// refusal returns the refusal of a request that would have to queue and not start in time, or
 // nil.
 func (q *queue) refusal(t *team, r Request, now time.Time) *verdict.Error {
-	return q.tooLate(q.expected(t, t.before(r.Deadline), now), r, now)
+	return q.tooLate(q.expected(t, t.countAhead(r.Deadline), now), r, now)
 }
 
-// tooLate returns the refusal of a request that would wait that long, or nil.
+// tooLate returns the refusal of a request that would wait for the given time and not end by its
+// deadline, or nil.
 func (q *queue) tooLate(wait time.Duration, r Request, now time.Time) *verdict.Error {
 	if !now.Before(r.Deadline) {
 		return q.overloaded(CodeDeadline, errDeadline, 0, now)
 	}
-	if !q.pace.fits(wait, now, r.Deadline) {
+	if !q.serviceRate.fits(wait, now, r.Deadline) {
 		return q.overloaded(CodeWait, errWait, wait, now)
 	}
 	return nil
 }
 
-// team returns the request's team; a team that had nothing waiting starts at
-// the present virtual time, so that it can not save up its share.
+// team returns the request's team. A team that had no waiting request starts at the present
+// virtual time, so that it cannot accumulate its share.
 func (q *queue) team(r Request) *team {
 	t := q.teams[r.Team]
 	if t == nil {
-		t = &team{name: r.Team, tree: btree.NewG(treeDegree, earlier), finish: q.clock}
+		t = &team{name: r.Team, tree: btree.NewG(treeDegree, earlier), finish: q.virtualTime}
 		q.teams[r.Team] = t
 	}
 	t.weight = float64(max(1, r.Weight))
 	return t
 }
 
-func (q *queue) forget(t *team) {
+func (q *queue) removeIfEmpty(t *team) {
 	if t.tree.Len() == 0 {
 		delete(q.teams, t.name)
 	}
 }
 
-// before counts the team's requests that go first.
-func (t *team) before(deadline time.Time) int {
+// countAhead counts the team's requests that are served earlier.
+func (t *team) countAhead(deadline time.Time) int {
 	n := 0
 	t.tree.Ascend(func(w *waiter) bool {
 		if w.deadline.After(deadline) {
@@ -181,9 +182,9 @@
 	return n
 }
 
-// expected estimates the wait of a request with that many of its team's ahead:
-// the team's own queue at the team's share of the starts, and never more than
-// the whole queue at the full rate.
+// expected estimates the waiting time of a request with the given number of its team's requests
+// ahead: the team's own queue at the team's share of the starts, but at most the whole queue at
+// the full rate.
 func (q *queue) expected(t *team, ahead int, now time.Time) time.Duration {
 	total := 0.0
 	for _, other := range q.teams {
@@ -193,12 +194,12 @@
 		total += t.weight
 	}
 	own := int(float64(ahead+1) * total / t.weight)
-	return q.pace.wait(q.inside+min(own, q.waiting+1), now)
+	return q.serviceRate.wait(q.admitted+min(own, q.waiting+1), now)
 }
 
-// pushOut makes room for a team with less than its share of the full queue, at
-// the cost of the request with the latest deadline of the team that has most.
-func (q *queue) pushOut(t *team, now time.Time) bool {
+// evictFor makes room for a team that has less than its share of the full queue: it evicts the
+// request with the latest deadline of the team that has most.
+func (q *queue) evictFor(t *team, now time.Time) bool {
 	most := t
 	for _, other := range q.teams {
 		if float64(other.tree.Len())/other.weight > float64(most.tree.Len())/most.weight {
@@ -209,46 +210,46 @@
 		return false
 	}
 	w, _ := most.tree.Max()
-	q.give(w, q.overloaded(CodeQueueFull, errFull, q.pace.wait(q.waiting, now), now))
+	q.resolve(w, q.overloaded(CodeQueueFull, errFull, q.serviceRate.wait(q.waiting, now), now))
 	return true
 }
 
-// give takes the waiter out of the queue and answers it.
-func (q *queue) give(w *waiter, err error) {
-	w.gone = true
+// resolve removes the waiter from the queue and sends it the result.
+func (q *queue) resolve(w *waiter, err error) {
+	w.removed = true
 	w.team.tree.Delete(w)
-	q.forget(w.team)
+	q.removeIfEmpty(w.team)
 	q.waiting--
 	w.granted <- err
 }
 
-// next admits waiting requests while the window has room: of the team that is
-// furthest behind its share the one with the earliest deadline.
-func (q *queue) next(now time.Time) {
-	for q.inside < q.window(now) && q.waiting > 0 {
+// admitNext admits waiting requests while the window has room. It takes the team that is
+// furthest behind its share, and from it the request with the earliest deadline.
+func (q *queue) admitNext(now time.Time) {
+	for q.admitted < q.window(now) && q.waiting > 0 {
 		var t *team
 		for _, other := range q.teams {
 			if t == nil || other.finish < t.finish || other.finish == t.finish && other.name < t.name {
 				t = other
 			}
 		}
-		q.clock = max(q.clock, t.finish)
-		t.finish = q.clock + 1/t.weight
+		q.virtualTime = max(q.virtualTime, t.finish)
+		t.finish = q.virtualTime + 1/t.weight
 		w, _ := t.tree.Min()
-		q.inside++
-		q.give(w, nil)
+		q.admitted++
+		q.resolve(w, nil)
 	}
 }
 
-// started is called when an admitted request has its slot.
+// started is called when an admitted request gets its slot.
 func (q *queue) started() time.Time {
 	now := time.Now()
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.inside--
-	q.pace.start(q.inside+q.waiting, now)
-	q.returns.started(now)
-	q.next(now)
+	q.admitted--
+	q.serviceRate.started(q.admitted+q.waiting, now)
+	q.retrySchedule.started(now)
+	q.admitNext(now)
 	return now
 }
 
@@ -256,8 +257,8 @@
 func (q *queue) dropped() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.inside--
-	q.next(time.Now())
+	q.admitted--
+	q.admitNext(time.Now())
 }
 
 func (q *queue) served(p *Pass, end End) {
@@ -265,73 +266,73 @@
 	defer q.mu.Unlock()
 	now := time.Now()
 	if end == Whole || end == Late {
-		q.times.note(now.Sub(p.started), now)
+		q.serviceTimes.observe(now.Sub(p.started), now)
 	}
 	if end == Whole {
-		q.pace.served(now.Sub(p.started))
+		q.serviceRate.served(now.Sub(p.started))
 	}
 	switch {
 	case !p.waited:
 	case end == Whole:
-		q.pace.met()
+		q.serviceRate.endedInTime()
 	case end == Late || end == Unbegun:
-		q.pace.missed()
+		q.serviceRate.endedLate()
 	}
 }
 
-// leave takes a waiter out whose caller or deadline has gone; when it was
-// admitted in the same moment its place goes to the next.
-func (q *queue) leave(ctx context.Context, w *waiter, pass *Pass) (*Pass, error) {
+// abandon removes a waiter whose caller has disconnected or whose deadline has passed. If it was
+// admitted at the same moment, its place in the window goes to the next one.
+func (q *queue) abandon(ctx context.Context, w *waiter, pass *Pass) (*Pass, error) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	if w.gone {
+	if w.removed {
 		if err := <-w.granted; err != nil {
 			return nil, err
 		}
-		q.inside--
-		q.next(time.Now())
+		q.admitted--
+		q.admitNext(time.Now())
 		pass.state = passDone
 	} else {
-		q.give(w, nil)
+		q.resolve(w, nil)
 	}
 	if errors.Is(ctx.Err(), context.DeadlineExceeded) {
 		now := time.Now()
-		return nil, q.overloaded(CodeDeadline, errDeadline, q.pace.wait(q.waiting, now), now)
+		return nil, q.overloaded(CodeDeadline, errDeadline, q.serviceRate.wait(q.waiting, now), now)
 	}
-	return nil, refuse(http.StatusServiceUnavailable, CodeCallerGone, errGone, 0)
+	return nil, refuse(http.StatusServiceUnavailable, CodeCallerGone, errDisconnected, 0)
 }
 
-// schedule arranges the next review while requests wait.
-func (q *queue) schedule() {
-	if !q.pending && q.waiting > 0 {
-		q.pending = true
-		time.AfterFunc(review, q.review)
+// scheduleReview schedules the next review while requests wait.
+func (q *queue) scheduleReview() {
+	if !q.reviewScheduled && q.waiting > 0 {
+		q.reviewScheduled = true
+		time.AfterFunc(reviewInterval, q.review)
 	}
 }
 
-// review gives up on the requests that would no longer start in time, for
-// example because instances were lost. Without it they would be told so only
-// at their deadlines, and the callers' own retries would come too late.
+// review refuses the requests that can no longer start in time, for example because instances
+// were lost. Otherwise they would be refused only at their deadlines, too late for their
+// callers' own retries.
 func (q *queue) review() {
 	q.mu.Lock()
 	defer q.mu.Unlock()
-	q.pending = false
+	q.reviewScheduled = false
 	now := time.Now()
-	var hopeless []*waiter
+	var infeasible []*waiter
 	for _, t := range q.teams {
 		ahead := 0
 		t.tree.Ascend(func(w *waiter) bool {
-			if q.pace.possible(q.expected(t, ahead, now), now, w.deadline) {
+			if q.serviceRate.feasible(q.expected(t, ahead, now), now, w.deadline) {
 				ahead++
 			} else {
-				hopeless = append(hopeless, w)
+				infeasible = append(infeasible, w)
 			}
 			return true
 		})
 	}
-	for _, w := range hopeless {
-		q.give(w, q.overloaded(CodeWait, errWait, q.pace.wait(q.waiting, now), now))
-		q.pace.missed()
+	for _, w := range infeasible {
+		q.resolve(w, q.overloaded(CodeWait, errWait, q.serviceRate.wait(q.waiting, now), now))
+		q.serviceRate.endedLate()
 	}
-	q.schedule()
+	q.scheduleReview()
 }
--- a/request/admission/return_test.go
+++ b/request/admission/retryschedule_test.go
@@ -12,35 +12,35 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// processor is one that everything takes in turn.
-type processor struct{ turn chan struct{} }
+// cpuModel is a single CPU that executes one thing at a time.
+type cpuModel struct{ turn chan struct{} }
 
-func (p processor) use(d time.Duration) {
+func (p cpuModel) use(d time.Duration) {
 	p.turn <- struct{}{}
 	time.Sleep(d)
 	<-p.turn
 }
 
-// TestRefusedCallersDoNotKeepAServiceDown guards against a service that stays down after a
-// short stall or burst since its processor time goes into refusing callers who come back too soon.
+// TestRefusedCallersDoNotKeepAServiceDown guards against a service that stays down after a short
+// stall or burst because its CPU time is spent on refusing callers that retry too soon.
 func TestRefusedCallersDoNotKeepAServiceDown(t *testing.T) {
-	t.Run("stall", func(t *testing.T) { testReturn(t, true) })
-	t.Run("burst", func(t *testing.T) { testReturn(t, false) })
+	t.Run("stall", func(t *testing.T) { testRetries(t, true) })
+	t.Run("burst", func(t *testing.T) { testRetries(t, false) })
 }
 
-// testReturn plays a minute of a service whose processor also carries the refusals.
-func testReturn(t *testing.T, stalls bool) {
+// testRetries simulates a minute of a service whose processor also handles the refusals.
+func testRetries(t *testing.T, stalls bool) {
 	const (
-		arrivals = 160 // a second, of 200 that the processor carries
-		tryCost  = time.Millisecond
-		workCost = 4 * time.Millisecond
-		timeout  = 2 * time.Second
-		load     = 60 * time.Second
-		trouble  = 5 * time.Second // as long as it takes to get its load again
+		arrivals    = 160 // per second, of 200 that the processor can handle
+		tryCost     = time.Millisecond
+		workCost    = 4 * time.Millisecond
+		timeout     = 2 * time.Second
+		load        = 60 * time.Second
+		disturbance = 5 * time.Second // duration of the stall, or of the additional burst
 	)
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Options{})
-		cpu := processor{make(chan struct{}, 1)}
+		cpu := cpuModel{make(chan struct{}, 1)}
 		slots := make(chan struct{}, 16)
 		var mu sync.Mutex
 		tries, served, longest := 0, 0, time.Duration(0)
@@ -69,14 +69,14 @@
 			return ctx.Err()
 		}
 		call := func() {
-			came := time.Now()
+			arrived := time.Now()
 			for {
 				err := try()
 				mu.Lock()
 				tries++
 				if err == nil {
 					served++
-					longest = max(longest, time.Since(came))
+					longest = max(longest, time.Since(arrived))
 				}
 				mu.Unlock()
 				if err == nil {
@@ -88,10 +88,10 @@
 		var wg sync.WaitGroup
 		time.AfterFunc(10*time.Second, func() {
 			if stalls {
-				cpu.use(trouble)
+				cpu.use(disturbance)
 				return
 			}
-			for range int(arrivals * trouble.Seconds()) {
+			for range int(arrivals * disturbance.Seconds()) {
 				wg.Go(call)
 				time.Sleep(time.Millisecond)
 			}
@@ -105,6 +105,6 @@
 		mu.Unlock()
 		wg.Wait()
 		t.Logf("at the end of the load %d of %d served; %.1f tries each, longest %v", good, served, float64(tries)/float64(served), longest)
-		require.GreaterOrEqual(t, good, int(arrivals*(load-trouble).Seconds()), "those who wait have not become more")
+		require.GreaterOrEqual(t, good, int(arrivals*(load-disturbance).Seconds()), "the backlog has not grown")
 	})
 }
--- a/request/submit/admit_test.go
+++ b/request/submit/admit_test.go
@@ -119,7 +119,7 @@
 		_, err = s.State(t.Context(), id, "south")
 		forbidden(t, err)
 		forbidden(t, s.Cancel(t.Context(), id, "south"))
-		require.NoError(t, s.Cancel(t.Context(), id, "north"), "cancelled again")
+		require.NoError(t, s.Cancel(t.Context(), id, "north"), "again")
 	})
 }
 
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -182,7 +182,7 @@
 		s := newService(m)
 		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		require.NoError(t, s.Cancel(t.Context(), id, ""))
-		require.NoError(t, s.Cancel(t.Context(), id, ""), "cancelled again")
+		require.NoError(t, s.Cancel(t.Context(), id, ""), "again")
 		require.True(t, stored(t, m, dispatch.KeyCancel(id)))
 	})
 }
