--- a/request/outlier/compare.go
+++ b/request/outlier/compare.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// stands reports whether the instance stands out from its service.
-func (t *Tracker) stands(i *instance) bool {
+// isOutlier reports whether the instance is slower than the others of its service, or has more
+// errors.
+func (t *Tracker) isOutlier(i *instance) bool {
 	var errors, seconds []float64
 	for _, other := range t.instances {
 		if other.service == i.service && other != i && other.samples >= t.opts.MinSamples {
@@ -15,8 +16,8 @@
 			seconds = append(seconds, other.seconds)
 		}
 	}
-	const fewest = 2 // others, for a comparison
-	if len(errors) < fewest {
+	const minOthers = 2 // other instances needed for a comparison
+	if len(errors) < minOthers {
 		return false
 	}
 	usual := median(seconds)
@@ -29,25 +30,25 @@
 	return v[len(v)/2]
 }
 
-// eject keeps requests away from the instance, if the floor allows it. Its
-// record starts anew, so that it is judged by what it does afterwards.
+// eject keeps requests away from the instance, unless more than MaxEjected would be ejected. Its
+// statistics start anew, so that later decisions use only what it does afterwards.
 func (t *Tracker) eject(i *instance) {
 	now := time.Now()
 	if now.Before(i.until) {
 		return
 	}
-	known, out := 0, 0
+	total, ejected := 0, 0
 	for _, other := range t.instances {
 		if other.service != i.service {
 			continue
 		}
-		known++
+		total++
 		if now.Before(other.until) {
-			out++
+			ejected++
 		}
 	}
-	allowed := int(t.opts.MaxEjected * float64(known))
-	if out >= min(allowed, known-1) {
+	allowed := int(t.opts.MaxEjected * float64(total))
+	if ejected >= min(allowed, total-1) {
 		return
 	}
 	if now.Sub(i.until) > t.opts.MaxEjection {
@@ -60,17 +61,17 @@
 	t.publish()
 }
 
-// publish gives readers the ejections in force.
+// publish makes the current ejections visible to readers.
 func (t *Tracker) publish() {
 	now := time.Now()
-	out := map[string]time.Time{}
+	ejected := map[string]time.Time{}
 	for address, i := range t.instances {
 		if now.Before(i.until) {
-			out[address] = i.until
+			ejected[address] = i.until
 		}
 	}
-	t.ejected.Store(&out)
+	t.ejected.Store(&ejected)
 	maps.DeleteFunc(t.instances, func(_ string, i *instance) bool {
-		return now.Sub(i.seen) > DefaultForgetAfter && !now.Before(i.until)
+		return now.Sub(i.lastSeen) > DefaultIdleExpiry && !now.Before(i.until)
 	})
 }
--- a/request/outlier/outlier.go
+++ b/request/outlier/outlier.go
@@ -1,9 +1,9 @@
-// Package outlier keeps requests away from instances that fail or are slow
-// beside the others of their service.
+// Package outlier ejects instances that fail, or that are slow compared with the other instances
+// of their service: they get no new requests for a while.
 //
-// Guarantee: at most Options.MaxEjected of a service's known instances are
-// ejected at once, and never the last one, so that a bad signal can not empty
-// the set.
+// Guarantee: at most the share Options.MaxEjected of a service's known instances is ejected at
+// the same time, and never the last one, so that a faulty signal cannot take a whole service out
+// of use.
 package outlier
 
 import (
@@ -25,7 +25,7 @@
 	DefaultErrorMargin = 0.3
 	DefaultSlowFactor  = 4
 	DefaultSlowMinimum = 100 * time.Millisecond
-	DefaultForgetAfter = 10 * time.Minute
+	DefaultIdleExpiry  = 10 * time.Minute
 	smoothing          = 0.1
 	maxDoublings       = 6
 	reviewEverySamples = 16
@@ -33,21 +33,21 @@
 
 // Options configure a Tracker; zero values take the defaults.
 type Options struct {
-	// Failures in a row that eject an instance.
+	// Failures is how many consecutive failures eject an instance.
 	Failures int
-	// MaxEjected is the largest share of a service's instances to eject.
+	// MaxEjected is the largest share of a service's instances that may be ejected.
 	MaxEjected float64
-	// Ejection is how long the first ejection lasts; it doubles up to
-	// MaxEjection with each that follows soon.
+	// Ejection is the duration of the first ejection; it doubles, up to MaxEjection, with each
+	// further ejection that follows soon.
 	Ejection, MaxEjection time.Duration
-	// MinSamples is how many answers an instance must have given before it is
-	// compared with others.
+	// MinSamples is how many answers an instance must have returned before it is compared with
+	// others.
 	MinSamples int
-	// ErrorMargin ejects an instance whose share of error answers exceeds the
-	// median of its service by this much.
+	// ErrorMargin is by how much an instance's share of error answers must exceed the median of
+	// its service to eject it.
 	ErrorMargin float64
-	// SlowFactor ejects an instance whose mean time exceeds the median of its
-	// service that many times, and by at least SlowMinimum.
+	// SlowFactor is the multiple of its service's median time to the answer's header that an
+	// instance's mean must exceed to be ejected; the difference must also exceed SlowMinimum.
 	SlowFactor  float64
 	SlowMinimum time.Duration
 }
@@ -63,36 +63,35 @@
 	o.SlowMinimum = cmp.Or(o.SlowMinimum, DefaultSlowMinimum)
 }
 
-// Outcome of an attempt, as it speaks of the instance.
+// Outcome is the result of an attempt with regard to the instance.
 type Outcome int
 
-// Outcomes. Failed means that the instance could not be reached, broke the
-// connection, sent no whole answer, or refused. Errored means that it answered
-// with an error status: that may be the request's own fault, so it counts only
-// in comparison with the other instances.
+// Outcomes. Failed means that the instance could not be reached, broke the connection, sent no
+// complete answer, or refused. Errored means that it answered with an error status: the request
+// itself may be at fault, so it counts only in comparison with the other instances.
 const (
 	OK Outcome = iota
 	Failed
 	Errored
 )
 
-// instance is what is known of one instance.
+// instance is the record of one instance.
 type instance struct {
 	service   string
-	failures  int // in a row
+	failures  int // consecutive
 	samples   int
 	errors    float64 // smoothed share of error answers
 	seconds   float64 // smoothed time to the answer's header
 	until     time.Time
 	ejections int
-	seen      time.Time
+	lastSeen  time.Time
 }
 
-// Tracker follows instances. It is safe for concurrent use; it implements the
-// Health of package slots and the sink of the cell's view.
+// Tracker records the outcomes of instances. It is safe for concurrent use. It implements
+// slots.Health and receives the state of the partitions from the cell's view.
 type Tracker struct {
 	opts Options
-	// ejected holds the end of each ejection by address, for readers.
+	// ejected maps addresses to the end of their ejection, for readers without the lock.
 	ejected atomic.Pointer[map[string]time.Time]
 
 	mu         sync.Mutex
@@ -100,7 +99,7 @@
 	partitions map[string][]plan.Endpoint
 }
 
-// New returns a tracker that knows no instance.
+// New returns a tracker without instances.
 func New(o Options) *Tracker {
 	o.setDefaults()
 	t := &Tracker{opts: o, instances: map[string]*instance{}, partitions: map[string][]plan.Endpoint{}}
@@ -125,8 +124,7 @@
 	return n
 }
 
-// Apply takes a partition's state: instances that are no longer listed are
-// forgotten.
+// Apply takes a partition's state and drops instances that are no longer listed.
 func (t *Tracker) Apply(s plan.State) {
 	if !s.EndpointsChanged {
 		return
@@ -153,33 +151,33 @@
 		i = &instance{service: service}
 		t.instances[address] = i
 	}
-	i.seen = time.Now()
+	i.lastSeen = time.Now()
 	return i
 }
 
-// Report notes the outcome of an attempt; d is the time to the answer's
-// header, or to the failure.
+// Report records the outcome of an attempt; d is the time until the answer's header, or until
+// the failure.
 func (t *Tracker) Report(service, address string, o Outcome, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	i := t.instance(service, address)
 	if o == Failed {
 		i.failures++
-		if i.failures >= t.limit(i) {
+		if i.failures >= t.failureLimit(i) {
 			t.eject(i)
 		}
 		return
 	}
 	i.failures = 0
 	i.sample(o == Errored, d.Seconds())
-	if i.samples >= t.opts.MinSamples && i.samples%reviewEverySamples == 0 && t.stands(i) {
+	if i.samples >= t.opts.MinSamples && i.samples%reviewEverySamples == 0 && t.isOutlier(i) {
 		t.eject(i)
 	}
 }
 
-// limit returns the failures in a row that eject; an instance back from an
-// ejection is ejected again at its first failure.
-func (t *Tracker) limit(i *instance) int {
+// failureLimit returns the number of consecutive failures that eject the instance. After an
+// ejection the first failure ejects it again.
+func (t *Tracker) failureLimit(i *instance) int {
 	if i.ejections > 0 && i.samples == 0 {
 		return 1
 	}
--- a/request/outlier/outlier_test.go
+++ b/request/outlier/outlier_test.go
@@ -17,7 +17,7 @@
 
 func address(i int) string { return fmt.Sprintf("10.0.0.%d:80", i) }
 
-func tracked(n int) *Tracker {
+func newTracker(n int) *Tracker {
 	t := New(Options{})
 	var s plan.State
 	s.EndpointsChanged = true
@@ -28,9 +28,9 @@
 	return t
 }
 
-func TestFailingInstanceIsEjectedAndComesBackOnTrial(t *testing.T) {
+func TestEjectedInstanceIsEjectedAgainAtItsFirstFailure(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		tr := tracked(6)
+		tr := newTracker(6)
 		for range DefaultFailures - 1 {
 			tr.Report("s", address(0), Failed, 0)
 		}
@@ -40,7 +40,7 @@
 		time.Sleep(DefaultEjection)
 		require.True(t, tr.Usable(address(0)))
 		tr.Report("s", address(0), Failed, 0)
-		require.False(t, tr.Usable(address(0)), "one failure on trial")
+		require.False(t, tr.Usable(address(0)), "the first failure after the ejection")
 		time.Sleep(2*DefaultEjection - 1)
 		require.False(t, tr.Usable(address(0)), "the second ejection is longer")
 	})
@@ -48,10 +48,10 @@
 
 func TestInstanceIsComparedWithItsService(t *testing.T) {
 	cases := []struct {
-		name  string
-		odd   func(tr *Tracker)
-		usual Outcome
-		want  bool
+		name    string
+		deviate func(tr *Tracker)
+		usual   Outcome
+		want    bool
 	}{
 		{"slow", func(tr *Tracker) { tr.Report("s", address(0), OK, time.Second) }, OK, false},
 		{"errors", func(tr *Tracker) { tr.Report("s", address(0), Errored, 10*time.Millisecond) }, OK, false},
@@ -59,12 +59,12 @@
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
-			tr := tracked(6)
+			tr := newTracker(6)
 			for range 5 * DefaultMinSamples {
 				for i := 1; i < 6; i++ {
 					tr.Report("s", address(i), tc.usual, 10*time.Millisecond)
 				}
-				tc.odd(tr)
+				tc.deviate(tr)
 			}
 			require.Equal(t, tc.want, tr.Usable(address(0)))
 			for i := 1; i < 6; i++ {
@@ -75,14 +75,13 @@
 }
 
 func TestBadSignalNeverEmptiesTheSet(t *testing.T) {
-	// Symptom: every instance of a healthy service was out of use at once.
-	// Sequence: a fault on the daemon's own side makes all attempts fail.
-	// Cause: each instance was judged alone.
+	// A fault on the daemon's own side makes all attempts fail. When each instance was judged on
+	// its own, every instance of a healthy service was ejected at once.
 	rapid.Check(t, func(rt *rapid.T) {
 		n := rapid.IntRange(1, 12).Draw(rt, "instances")
 		reports := rapid.SliceOfN(rapid.IntRange(0, 4*n-1), 1, 400).Draw(rt, "reports")
 		synctest.Test(t, func(t *testing.T) {
-			tr := tracked(n)
+			tr := newTracker(n)
 			for _, r := range reports {
 				outcome := Failed
 				if r%4 == 3 {
--- a/request/retry/retry.go
+++ b/request/retry/retry.go
@@ -27,9 +27,9 @@
 type Options struct {
 	// Ratio is how many retries each request earns.
 	Ratio float64
-	// Burst bounds the retries that are saved up.
+	// Burst limits the retries that may accumulate.
 	Burst float64
-	// MaxAttempts bounds the attempts of one request, the first included.
+	// MaxAttempts limits the attempts of one request, the first included.
 	MaxAttempts int
 	// FirstDelay and MaxDelay bound the backoff between two attempts.
 	FirstDelay, MaxDelay time.Duration
@@ -67,10 +67,9 @@
 
 // Budget limits the retries of one service to a share of its requests.
 //
-// Without it, an overload or a failing set of endpoints multiplies the load by
-// the number of attempts just when there is least room for it. One would see
-// the endpoints' request rate exceed the callers'. With it the extra load stays
-// within Ratio. It is safe for concurrent use.
+// Without it, an overload or a failing set of endpoints multiplies the load by the number of
+// attempts when there is least capacity for it: the endpoints' request rate exceeds the
+// callers'. With it the additional load stays within Ratio. It is safe for concurrent use.
 type Budget struct {
 	opts Options
 
@@ -101,13 +100,13 @@
 	return true
 }
 
-// Request counts a new request and returns its attempts.
+// Request counts a new request and returns the Attempts that limit its retries.
 func (b *Budget) Request(idempotent bool) Attempts {
 	b.earn()
 	return Attempts{budget: b, idempotent: idempotent, made: 1}
 }
 
-// Attempts follows the attempts of one request; not for concurrent use.
+// Attempts tracks the attempts of one request. It is not safe for concurrent use.
 type Attempts struct {
 	budget     *Budget
 	idempotent bool
@@ -115,13 +114,12 @@
 	backoff    *backoff.ExponentialBackOff
 }
 
-// Next reports whether a request whose attempt failed with this verdict may be
-// tried again, after delay. left is the time until its deadline: a retry that
-// could not begin before it is refused, so that the caller is told at once.
-// reached tells whether the attempt came as far as an endpoint: one that did
-// not has cost no endpoint anything, and is not charged to the budget; else the
-// loss of a zone, where a third of the first attempts find no connection, would
-// use up the budget and fail requests that other instances could serve.
+// Next reports whether a request whose attempt failed with this verdict may be tried again,
+// after delay. left is the time until its deadline: a retry that could not begin before it is
+// refused, so that the caller gets the error at once. reached reports whether the attempt
+// reached an endpoint. One that did not has put no load on an endpoint and is not charged to the
+// budget; otherwise the loss of a zone, where a third of the first attempts find no connection,
+// would use up the budget and fail requests that other instances could serve.
 func (a *Attempts) Next(v verdict.Verdict, reached bool, left time.Duration) (delay time.Duration, ok bool) {
 	if a.made >= a.budget.opts.MaxAttempts || !Permitted(v, a.idempotent) {
 		return 0, false
--- a/request/retry/retry_test.go
+++ b/request/retry/retry_test.go
@@ -27,9 +27,8 @@
 }
 
 func TestBudgetBoundsRetriesWhenEverythingFails(t *testing.T) {
-	// Symptom: an overload grew threefold by the daemons' own retries.
-	// Sequence: every attempt of every request fails.
-	// Cause: retries bounded per request only.
+	// Every attempt of every request fails. With retries limited per request only, the daemons'
+	// own retries made an overload three times as large.
 	b := NewBudget(Options{})
 	const requests = 10000
 	retries := 0
--- a/request/verdict/body.go
+++ b/request/verdict/body.go
@@ -28,7 +28,7 @@
 	RetryAfterMillis int64   `json:"retry_after_ms,omitempty"`
 }
 
-// Parse returns the verdict that String writes.
+// Parse is the inverse of String.
 func Parse(s string) (Verdict, error) {
 	for _, v := range []Verdict{MayHaveRun, NotRun, Ran} {
 		if s == v.String() {
@@ -73,9 +73,8 @@
 	return &Error{Verdict: MayHaveRun, Status: http.StatusInternalServerError, Code: "internal", Err: err}
 }
 
-// WriteHTTP answers a caller with the error: status, verdict header, JSON body
-// and, when the error tells when to come back, Retry-After in whole seconds,
-// rounded up.
+// WriteHTTP sends the error to the caller: status, verdict header, JSON body and, if the error
+// has a delay for the retry, Retry-After in whole seconds, rounded up.
 func (e *Error) WriteHTTP(w http.ResponseWriter, requestID string) {
 	message := e.Err.Error()
 	if len(message) > maxMessage {
--- a/request/verdict/verdict.go
+++ b/request/verdict/verdict.go
@@ -1,22 +1,22 @@
-// Package verdict says of a request whether it may have run. Every error on
-// the request path carries a verdict, and only NotRun permits sending a
-// non-idempotent request again.
+// Package verdict classifies failed requests by whether they may have run. Every error on the
+// request path carries a verdict, and only NotRun permits sending a non-idempotent request
+// again.
 package verdict
 
 import "errors"
 
-// Verdict is what is known about a request's execution.
+// Verdict is what is certain about a request's execution.
 type Verdict int
 
-// Verdicts. The zero value is MayHaveRun, so that an error that nobody
-// classified never claims too much.
+// Verdicts. The zero value is MayHaveRun, so that an unclassified error never claims that the
+// request has not run.
 const (
 	MayHaveRun Verdict = iota // bytes may have reached an endpoint
-	NotRun                    // no byte reached an endpoint, or it refused before work
+	NotRun                    // no byte reached an endpoint, or it refused the request before working on it
 	Ran                       // the endpoint answered
 )
 
-// Header is the response header that tells callers the verdict.
+// Header is the response header that contains the verdict.
 const Header = "Fennel-Verdict"
 
 // String returns the value used in the header and in JSON bodies.
@@ -37,7 +37,7 @@
 	Verdict Verdict
 	Status  int
 	Code    string
-	// RetryAfterMillis tells the caller when to come back; 0 means unknown.
+	// RetryAfterMillis is the delay after which the caller should retry; 0 means unknown.
 	RetryAfterMillis int64
 	Err              error
 }
