--- a/request/slots/api.go
+++ b/request/slots/api.go
@@ -1,6 +1,6 @@
-// Package slots shares the slots of a service's instances among all daemons:
-// over all of them together an instance never serves more requests at once
-// than it has slots.
+// Package slots distributes the slots of a service's instances among all daemons. It guarantees
+// that, over all daemons together, an instance never serves more requests at once than it has
+// slots.
 package slots
 
 import (
@@ -9,25 +9,25 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// End tells how a request's use of a slot ended.
+// End is the outcome of a request's use of a slot.
 type End int
 
-// Ends of a request. Ended frees the slot at once; Unknown keeps it taken until
-// the request's own time limit and a margin have passed, because the endpoint
-// may still be working.
+// Outcomes of a request. Ended frees the slot at once. Unknown keeps it in use until the
+// request's own time limit and a margin have passed, because the endpoint may still be working
+// on it.
 const (
 	Ended End = iota
 	Unknown
 )
 
-// Slot is the right to have one request at one instance.
+// Slot is the right to run one request at one instance.
 type Slot interface {
 	Endpoint() plan.Endpoint
-	// Release gives the slot back; only the first call counts.
+	// Release returns the slot; only the first call has an effect.
 	Release(end End)
 }
 
-// Acquirer hands out slots.
+// Acquirer provides slots.
 type Acquirer interface {
 	// Acquire waits for a slot of the service until ctx ends. The error is a
 	// *verdict.Error with verdict NotRun.
--- a/request/slots/cell_test.go
+++ b/request/slots/cell_test.go
@@ -29,35 +29,35 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// daemon is one life of a daemon under test.
+// daemon is one incarnation of a daemon under test.
 type daemon struct {
 	*Manager
 	ref       peer.Ref
 	view      *fleettest.View
 	directory *ownershiptest.Directory
 	stop      context.CancelFunc
-	dead      atomic.Bool
+	crashed   atomic.Bool
 	paused    atomic.Bool
 
-	mu    sync.Mutex
-	cutAt time.Time // when it lost the store; zero while it has it
+	mu          sync.Mutex
+	storeLostAt time.Time // when it was disconnected from the store; zero while it is connected
 }
 
-func (d *daemon) setCut(at time.Time) {
+func (d *daemon) setDisconnected(at time.Time) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.cutAt = at
+	d.storeLostAt = at
 }
 
-func (d *daemon) cut() time.Time {
+func (d *daemon) disconnectedAt() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	return d.cutAt
+	return d.storeLostAt
 }
 
-// renewed is the daemon's last renewal of its store lease.
+// renewed returns the time of the daemon's last renewal of its store lease.
 func (d *daemon) renewed() time.Time {
-	if at := d.cut(); !at.IsZero() {
+	if at := d.disconnectedAt(); !at.IsZero() {
 		return at
 	}
 	return time.Now()
@@ -71,14 +71,14 @@
 	daemons   map[peer.MemberID]*daemon
 	endpoints []plan.Endpoint
 	seq       uint64
-	users     *instances
+	instances *instances
 	change    func(*Options)
 }
 
 func newCell(t *testing.T, seed uint64, daemons int) *cell {
 	c := &cell{
 		t: t, net: peertest.NewNetwork(seed), claims: ownershiptest.NewCell(),
-		daemons: map[peer.MemberID]*daemon{}, users: newInstances(t),
+		daemons: map[peer.MemberID]*daemon{}, instances: newInstances(t),
 	}
 	c.net.SetDelay(time.Millisecond)
 	for i := range daemons {
@@ -92,7 +92,7 @@
 
 func memberOf(ref peer.Ref) fleet.Member { return fleet.Member{Ref: ref, State: fleet.Alive} }
 
-// start begins a life of a daemon and tells all others.
+// start starts an incarnation of a daemon and makes it known to all others.
 func (c *cell) start(ref peer.Ref) *daemon {
 	caller, mux := c.net.Node(ref)
 	d := &daemon{ref: ref, view: fleettest.NewView(memberOf(ref)), directory: c.claims.Directory(ref)}
@@ -132,7 +132,7 @@
 func (c *cell) own(d *daemon) {
 	previous := c.claims.Claim(serviceResource(testService))
 	g := c.claims.Set(serviceResource(testService), d.ref)
-	if o := c.daemons[previous.Owner.ID]; o != nil && o.ref == previous.Owner && o.cut().IsZero() {
+	if o := c.daemons[previous.Owner.ID]; o != nil && o.ref == previous.Owner && o.disconnectedAt().IsZero() {
 		o.Lost(g.Resource, previous.Epoch)
 	}
 	d.Acquired(c.t.Context(), g)
@@ -142,7 +142,7 @@
 	return plan.State{Partition: "rack", Epoch: 1, Seq: c.seq, Endpoints: c.endpoints, EndpointsChanged: true}
 }
 
-// setEndpoints tells every daemon of n instances with the slots each.
+// setEndpoints gives every daemon a list of n instances with the same number of slots.
 func (c *cell) setEndpoints(n, slots int) {
 	c.endpoints = nil
 	for i := range n {
@@ -165,8 +165,8 @@
 	}
 }
 
-// instances counts what runs at each instance and asserts the bound, over all
-// daemons together.
+// instances counts the requests that run at each instance and asserts that they do not exceed
+// its slots, over all daemons together.
 type instances struct {
 	t       *testing.T
 	mu      sync.Mutex
@@ -207,14 +207,14 @@
 		return time.Since(arrived), err
 	}
 	waited := time.Since(arrived)
-	c.users.begin(s.Endpoint())
+	c.instances.begin(s.Endpoint())
 	time.Sleep(service)
-	c.users.end(s.Endpoint())
-	s.Release(Ended) // by then the daemon may be dead, and this reaches nobody
+	c.instances.end(s.Endpoint())
+	s.Release(Ended) // the daemon may have failed by then, and nothing receives this
 	return waited, nil
 }
 
-// arrivals is a fixed Poisson process with exponential service times.
+// arrival is one request of a fixed Poisson process with exponential service times.
 type arrival struct {
 	at, service time.Duration
 	daemon      int
@@ -234,7 +234,7 @@
 	return out
 }
 
-// requireIdle asserts that every slot of the cell can be taken at once.
+// requireAllSlots asserts that every slot of the cell can be in use at the same time.
 func (c *cell) requireAllSlots(d *daemon, total int) {
 	c.t.Helper()
 	var held []Slot
--- a/request/slots/churn_test.go
+++ b/request/slots/churn_test.go
@@ -23,23 +23,22 @@
 	churnWait      = 4 * time.Second
 )
 
-// churn drives faults and load in one cell.
+// churn generates faults and load in one cell.
 type churn struct {
 	*cell
-	r        *rand.Rand
-	lives    uint64
-	attempts map[int]int
-	pending  int // requests under way
-	done     chan error
+	r            *rand.Rand
+	incarnations uint64
+	attempts     map[int]int
+	pending      int // requests in progress
+	done         chan error
 }
 
-// TestChurnNeverExceedsSlots runs load through kills, pauses, cuts, loss,
-// outages of the store and endpoint churn.
+// TestChurnNeverExceedsSlots runs load during crashes, pauses, disconnections, message loss,
+// outages of the store and changes of endpoints, in random sequences; see churn.fault.
 //
-// Symptom: an instance gets more requests at once than it has slots, a waiter
-// is never answered, or slots are lost for good.
-// Sequence: random; see churn.fault.
-// Cause: a slot counted as free while someone may still use it, or the reverse.
+// It guards against an instance that gets more requests at once than it has slots, a waiter that
+// is never answered, and slots that are lost for good: a slot is counted as free while a holder
+// may still use it, or the reverse.
 func TestChurnNeverExceedsSlots(t *testing.T) {
 	seeds := 6
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -55,14 +54,14 @@
 
 func runChurn(t *testing.T, seed uint64) {
 	c := &churn{
-		cell: newCell(t, seed, churnDaemons), r: rand.New(rand.NewPCG(seed, 11)), lives: 1,
+		cell: newCell(t, seed, churnDaemons), r: rand.New(rand.NewPCG(seed, 11)), incarnations: 1,
 		attempts: map[int]int{}, done: make(chan error, 100000),
 	}
 	defer c.close()
 	c.setEndpoints(churnInstances, churnSlots)
 	c.own(c.daemons["d0"])
 	end := time.Now().Add(churnTime)
-	next := time.Now().Add(5 * time.Second) // the first owner has granted by then
+	next := time.Now().Add(5 * time.Second) // by then the first owner has granted credits
 	for time.Now().Before(end) {
 		if !time.Now().Before(next) {
 			c.fault()
@@ -74,16 +73,16 @@
 	}
 	c.heal()
 	c.drain()
-	// Longer than a credit, a request and the margins take to run out, twice.
+	// Longer than twice the time until a credit, a request and the margins expire.
 	time.Sleep(90 * time.Second)
 	c.requireAllSlots(c.daemons["d1"], churnInstances*churnSlots)
-	require.Positive(t, c.users.started, "seed %d", seed)
+	require.Positive(t, c.instances.started, "seed %d", seed)
 }
 
-// load starts one request at a random daemon that runs.
+// load starts one request at a random daemon, if it is running.
 func (c *churn) load() {
 	d := c.daemons[memberID(c.r.IntN(churnDaemons))]
-	if d.dead.Load() || d.paused.Load() {
+	if d.crashed.Load() || d.paused.Load() {
 		return
 	}
 	service := time.Duration(c.r.ExpFloat64() * float64(600*time.Millisecond))
@@ -96,7 +95,7 @@
 	go func() { c.done <- c.churnRequest(d, service, unknown) }()
 }
 
-// churnRequest may give up on the request while the instance still works.
+// churnRequest may abandon the request while the instance still works on it.
 func (c *churn) churnRequest(d *daemon, service time.Duration, unknown bool) error {
 	if !unknown {
 		_, err := c.request(d, churnWait, service)
@@ -108,8 +107,8 @@
 	if err != nil {
 		return err
 	}
-	c.users.begin(s.Endpoint())
-	time.AfterFunc(service, func() { c.users.end(s.Endpoint()) })
+	c.instances.begin(s.Endpoint())
+	time.AfterFunc(service, func() { c.instances.end(s.Endpoint()) })
 	time.Sleep(service / 2)
 	s.Release(Unknown)
 	return nil
@@ -122,11 +121,11 @@
 	case 0:
 		c.kill(d)
 	case 1:
-		c.revive(d)
+		c.restart(d)
 	case 2:
-		c.cutStore(d)
+		c.disconnectStore(d)
 	case 3:
-		c.healStore(d)
+		c.reconnectStore(d)
 	case 4:
 		c.net.Cut(d.ref.ID, o.ref.ID)
 	case 5:
@@ -143,10 +142,10 @@
 }
 
 func (c *churn) kill(d *daemon) {
-	if d.dead.Load() {
+	if d.crashed.Load() {
 		return
 	}
-	d.dead.Store(true)
+	d.crashed.Store(true)
 	d.stop()
 	c.net.Stop(d.ref)
 	for _, o := range c.daemons {
@@ -154,26 +153,26 @@
 	}
 }
 
-func (c *churn) revive(d *daemon) {
-	if !d.dead.Load() {
+func (c *churn) restart(d *daemon) {
+	if !d.crashed.Load() {
 		return
 	}
-	c.lives++
-	c.start(peer.Ref{ID: d.ref.ID, Incarnation: c.lives})
+	c.incarnations++
+	c.start(peer.Ref{ID: d.ref.ID, Incarnation: c.incarnations})
 }
 
-func (c *churn) cutStore(d *daemon) {
-	if d.cut().IsZero() {
-		d.setCut(time.Now())
+func (c *churn) disconnectStore(d *daemon) {
+	if d.disconnectedAt().IsZero() {
+		d.setDisconnected(time.Now())
 		d.directory.Freeze()
 	}
 }
 
-func (c *churn) healStore(d *daemon) {
-	if d.cut().IsZero() {
+func (c *churn) reconnectStore(d *daemon) {
+	if d.disconnectedAt().IsZero() {
 		return
 	}
-	d.setCut(time.Time{})
+	d.setDisconnected(time.Time{})
 	d.directory.Thaw()
 	claim := c.claims.Claim(serviceResource(testService))
 	if p := d.pool(testService); p != nil && p.epoch < claim.Epoch {
@@ -181,9 +180,9 @@
 	}
 }
 
-// pause holds a daemon for longer than its credits last.
+// pause pauses a daemon for up to longer than its credits are valid.
 func (c *churn) pause(d *daemon) {
-	if d.dead.Load() || d.paused.Load() {
+	if d.crashed.Load() || d.paused.Load() {
 		return
 	}
 	d.paused.Store(true)
@@ -208,49 +207,49 @@
 	c.publish()
 }
 
-// move gives the pool to d as the ownership manager would: by a release, or
-// from an owner that is dead or has been cut off for longer than its lease.
+// move makes d the owner of the pool as the ownership manager would: after a release, or from an
+// owner that has failed or has been disconnected for longer than its lease.
 func (c *churn) move(d *daemon) {
 	claim := c.claims.Claim(serviceResource(testService))
-	if d.dead.Load() || d.paused.Load() || !d.cut().IsZero() || claim.Owner == d.ref {
+	if d.crashed.Load() || d.paused.Load() || !d.disconnectedAt().IsZero() || claim.Owner == d.ref {
 		return
 	}
 	old := c.daemons[claim.Owner.ID]
-	lapsed := old.ref != claim.Owner || old.dead.Load() || !old.cut().IsZero() && time.Since(old.cut()) > 9*time.Second
+	expired := old.ref != claim.Owner || old.crashed.Load() || !old.disconnectedAt().IsZero() && time.Since(old.disconnectedAt()) > 9*time.Second
 	switch {
-	case lapsed:
+	case expired:
 		if old.ref == claim.Owner {
-			c.goneForOthers(old)
+			c.removeForOthers(old)
 		}
 		c.own(d)
-	case !old.paused.Load() && old.cut().IsZero():
+	case !old.paused.Load() && old.disconnectedAt().IsZero():
 		_ = old.Releasing(c.t.Context(), claim.Resource)
 		c.claims.Release(claim.Resource)
 		c.own(d)
 	}
 }
 
-// replaceLostOwner lets one in three chances pass, so that some time goes by.
+// replaceLostOwner skips one in three calls, so that some time passes.
 func (c *churn) replaceLostOwner() {
 	owner := c.claims.Claim(serviceResource(testService)).Owner
 	d := c.daemons[owner.ID]
-	if (d.ref != owner || d.dead.Load()) && c.r.IntN(3) > 0 {
+	if (d.ref != owner || d.crashed.Load()) && c.r.IntN(3) > 0 {
 		c.move(c.daemons[memberID(c.r.IntN(churnDaemons))])
 	}
 }
 
-// goneForOthers cuts an owner whose lease lapsed off from whoever has the
-// store, as the rule that declares it gone requires.
-func (c *churn) goneForOthers(old *daemon) {
+// removeForOthers disconnects an owner whose lease has expired from every daemon that reaches
+// the store, as the rule requires under which it is listed as removed.
+func (c *churn) removeForOthers(old *daemon) {
 	for _, o := range c.daemons {
-		if o != old && o.cut().IsZero() {
+		if o != old && o.disconnectedAt().IsZero() {
 			o.view.SetGone(old.ref)
 			c.net.Cut(old.ref.ID, o.ref.ID)
 		}
 	}
 }
 
-// heal ends every fault; a daemon that was declared gone restarts.
+// heal ends every fault; a daemon that was listed as removed restarts.
 func (c *churn) heal() {
 	c.net.SetLoss(0)
 	for i := range churnDaemons {
@@ -261,17 +260,17 @@
 	time.Sleep(30 * time.Second) // every pause is over
 	for i := range churnDaemons {
 		d := c.daemons[memberID(i)]
-		c.healStore(d)
-		if d.dead.Load() || c.goneSomewhere(d) {
+		c.reconnectStore(d)
+		if d.crashed.Load() || c.removedSomewhere(d) {
 			c.kill(d)
-			c.revive(d)
+			c.restart(d)
 		}
 	}
 	c.own(c.daemons["d1"])
-	c.setFresh()
+	c.replaceInstances()
 }
 
-func (c *churn) goneSomewhere(d *daemon) bool {
+func (c *churn) removedSomewhere(d *daemon) bool {
 	for _, o := range c.daemons {
 		if o.view.Gone(d.ref) {
 			return true
@@ -280,8 +279,8 @@
 	return false
 }
 
-// setFresh replaces every instance, so that no sign of leaving is left.
-func (c *churn) setFresh() {
+// replaceInstances replaces every instance, so that no leaving notice applies any more.
+func (c *churn) replaceInstances() {
 	for i := range c.endpoints {
 		index := c.endpoints[i].Task.Index
 		c.attempts[index]++
@@ -294,11 +293,11 @@
 	c.publish()
 }
 
-// drain asserts that every request got its answer.
+// drain asserts that every request was answered.
 func (c *churn) drain() {
 	for ; c.pending > 0; c.pending-- {
 		if err := <-c.done; err != nil && verdict.Of(err) != verdict.NotRun {
-			c.t.Errorf("a request without a slot was not told not run: %v", err)
+			c.t.Errorf("a request without a slot has another verdict than not run: %v", err)
 		}
 	}
 }
--- a/request/slots/ended_test.go
+++ b/request/slots/ended_test.go
@@ -11,11 +11,10 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// Symptom: callers of a daemon that the others took for gone wait until their
-// deadline for an answer that nobody works on.
-// Sequence: a request waits for a slot, the daemon's life ends.
-// Cause: the waiter listens to its own deadline only.
-func TestWaiterIsToldAtOnceWhenTheLifeEnds(t *testing.T) {
+// TestWaitersAreRefusedWhenTheIncarnationEnds guards against callers of a daemon that the others
+// have removed, who wait until their deadline for a slot that will not be granted: the waiter
+// checked only its own deadline.
+func TestWaitersAreRefusedWhenTheIncarnationEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 2)
 		defer c.close()
@@ -31,7 +30,7 @@
 		defer cancel()
 		began := time.Now()
 		_, err := d.Acquire(wait, testService)
-		require.ErrorIs(t, err, errEnded)
+		require.ErrorIs(t, err, errIncarnationEnded)
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		require.Equal(t, time.Second, time.Since(began))
 		held[0].Release(Ended)
--- a/request/slots/endpoints.go
+++ b/request/slots/endpoints.go
@@ -7,21 +7,21 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// leavingKept is how long the sign of a leaving address is kept after it was
-// last seen; by then the partition's owner lists the endpoint as leaving.
-const leavingKept = 10 * time.Minute
+// leavingNoticeTTL is how long the leaving notice for an instance is kept after it was last
+// received; by then the partition's owner lists the endpoint as leaving.
+const leavingNoticeTTL = 10 * time.Minute
 
-// earlySignKept is how long a sign is kept for an address that no partition
-// lists yet: the sign may overtake the list. It is short, because a later
-// instance may get the same address.
-const earlySignKept = 10 * time.Second
+// earlyNoticeTTL is how long a notice is kept for an address that no partition lists yet,
+// because the notice may arrive before the list. It is short, since a later instance may get the
+// same address.
+const earlyNoticeTTL = 10 * time.Second
 
-// endpoints merges the partitions' lists and the signs of leaving.
+// endpoints merges the endpoint lists of the partitions with the leaving notices.
 type endpoints struct {
-	mu         sync.Mutex
-	partitions map[string]partitionList
-	leaving    map[instanceID]time.Time
-	early      map[string]time.Time // signs for addresses not listed yet
+	mu           sync.Mutex
+	partitions   map[string]partitionList
+	leaving      map[instanceID]time.Time
+	earlyNotices map[string]time.Time // notices for addresses not listed yet
 }
 
 type partitionList struct {
@@ -30,10 +30,10 @@
 }
 
 func newEndpoints() *endpoints {
-	return &endpoints{partitions: map[string]partitionList{}, leaving: map[instanceID]time.Time{}, early: map[string]time.Time{}}
+	return &endpoints{partitions: map[string]partitionList{}, leaving: map[instanceID]time.Time{}, earlyNotices: map[string]time.Time{}}
 }
 
-// apply takes a partition's state and returns the services whose list changed.
+// apply stores a partition's state and returns the services whose list changed.
 func (t *endpoints) apply(s plan.State) map[string]bool {
 	if !s.EndpointsChanged {
 		return nil
@@ -54,15 +54,15 @@
 	t.expire(time.Now())
 	for i := range s.Endpoints {
 		e := &s.Endpoints[i]
-		if _, ok := t.early[e.Address]; ok {
+		if _, ok := t.earlyNotices[e.Address]; ok {
 			t.leaving[instanceOf(e)] = time.Now()
 		}
 	}
 	return changed
 }
 
-// markLeaving notes the sign for every instance at the address and returns the
-// services concerned, and whether the sign is news.
+// markLeaving records the notice for every instance at the address. It returns the services
+// affected, and whether the notice is new.
 func (t *endpoints) markLeaving(address string) (map[string]bool, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -85,25 +85,25 @@
 	if listed {
 		return changed, len(changed) > 0
 	}
-	_, known := t.early[address]
-	t.early[address] = time.Now()
+	_, known := t.earlyNotices[address]
+	t.earlyNotices[address] = time.Now()
 	return nil, !known
 }
 
 func (t *endpoints) expire(now time.Time) {
 	for id, at := range t.leaving {
-		if now.Sub(at) > leavingKept {
+		if now.Sub(at) > leavingNoticeTTL {
 			delete(t.leaving, id)
 		}
 	}
-	for address, at := range t.early {
-		if now.Sub(at) > earlySignKept {
-			delete(t.early, address)
+	for address, at := range t.earlyNotices {
+		if now.Sub(at) > earlyNoticeTTL {
+			delete(t.earlyNotices, address)
 		}
 	}
 }
 
-// of returns the service's instances by id, signs of leaving applied.
+// of returns the service's instances by id, with leaving notices applied.
 func (t *endpoints) of(service string) map[instanceID]plan.Endpoint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/request/slots/fault_test.go
+++ b/request/slots/fault_test.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// hold takes n slots at d and returns them.
+// hold acquires n slots at d and returns them.
 func (c *cell) hold(d *daemon, n int) []Slot {
 	c.t.Helper()
 	ctx, cancel := context.WithTimeout(c.t.Context(), 2*time.Second)
@@ -29,8 +29,8 @@
 	return out
 }
 
-// takeable counts the slots that d can take now, and gives them back.
-func (c *cell) takeable(d *daemon) int {
+// available returns how many slots d can acquire now; it releases them.
+func (c *cell) available(d *daemon) int {
 	var held []Slot
 	for {
 		ctx, cancel := context.WithTimeout(c.t.Context(), 300*time.Millisecond)
@@ -47,11 +47,10 @@
 	return len(held)
 }
 
-func TestDeadOwnersSlotsStayTaken(t *testing.T) {
-	// Symptom: an instance runs more requests than it has slots.
-	// Sequence: the pool's owner has requests under way and dies; they go on at
-	// the instances; a new owner grants their slots.
-	// Cause: a dead daemon's slots counted as free.
+func TestFailedOwnersSlotsStayTaken(t *testing.T) {
+	// An instance must not run more requests than it has slots when the pool's owner fails with
+	// requests in progress, which continue at the instances, and a new owner grants slots: those
+	// of the failed daemon must not count as free.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 3)
 		defer c.close()
@@ -62,13 +61,13 @@
 		c.crash("d0")
 		c.own(c.daemons["d1"])
 		time.Sleep(time.Second)
-		require.LessOrEqual(t, c.takeable(c.daemons["d2"]), 12)
+		require.LessOrEqual(t, c.available(c.daemons["d2"]), 12)
 		time.Sleep(2*DefaultTTL + testLimit + 3*DefaultMargin)
-		require.Equal(t, 32, c.takeable(c.daemons["d2"]))
+		require.Equal(t, 32, c.available(c.daemons["d2"]))
 	})
 }
 
-// crash ends a daemon without a word.
+// crash stops a daemon without any notice to the others.
 func (c *cell) crash(id peer.MemberID) {
 	d := c.daemons[id]
 	d.stop()
@@ -90,43 +89,42 @@
 		c.claims.Release(serviceResource(testService))
 		c.own(c.daemons["d1"])
 		time.Sleep(time.Second)
-		require.Equal(t, 12, c.takeable(c.daemons["d2"]))
+		require.Equal(t, 12, c.available(c.daemons["d2"]))
 		for _, s := range held {
 			s.Release(Ended)
 		}
-		require.Equal(t, 32, c.takeable(c.daemons["d2"]))
+		require.Equal(t, 32, c.available(c.daemons["d2"]))
 	})
 }
 
 func TestOwnerCutOffWithoutMajorityStops(t *testing.T) {
-	// Symptom: two pools grant the same slots.
-	// Sequence: the owner and one holder are cut off from the store and from
-	// the others, who take the pool over; the two go on.
-	// Cause: the old owner renews the holder's credits for ever.
+	// Two pools must not grant the same slots. The owner and one holder are disconnected from
+	// the store and from the other daemons, which take over the pool; the old owner must not
+	// renew the holder's credits indefinitely.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 5)
 		defer c.close()
 		c.setEndpoints(4, 8)
 		c.own(c.daemons["d0"])
 		time.Sleep(time.Second)
-		for _, cut := range []peer.MemberID{"d0", "d1"} {
-			c.daemons[cut].setCut(time.Now())
-			c.daemons[cut].directory.Freeze()
+		for _, disconnected := range []peer.MemberID{"d0", "d1"} {
+			c.daemons[disconnected].setDisconnected(time.Now())
+			c.daemons[disconnected].directory.Freeze()
 			for _, o := range []peer.MemberID{"d2", "d3", "d4"} {
-				c.net.Cut(cut, o)
-				c.daemons[o].view.SetGone(c.daemons[cut].ref)
+				c.net.Cut(disconnected, o)
+				c.daemons[o].view.SetGone(c.daemons[disconnected].ref)
 			}
 		}
 		time.Sleep(10 * time.Second)
 		c.own(c.daemons["d2"])
 		time.Sleep(DefaultLeaseFresh + 2*DefaultTTL)
-		require.Zero(t, c.takeable(c.daemons["d1"]), "no credit without a majority")
+		require.Zero(t, c.available(c.daemons["d1"]), "no credit without a majority")
 		time.Sleep(DefaultTTL + testLimit + 3*DefaultMargin)
-		require.Equal(t, 32, c.takeable(c.daemons["d3"]))
+		require.Equal(t, 32, c.available(c.daemons["d3"]))
 	})
 }
 
-func TestOutageOfTheStoreWithAMajorityGoesOn(t *testing.T) {
+func TestStoreOutageWithAMajorityStopsNothing(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 3)
 		defer c.close()
@@ -134,16 +132,15 @@
 		c.own(c.daemons["d0"])
 		time.Sleep(time.Second)
 		for _, d := range c.daemons {
-			d.setCut(time.Now())
+			d.setDisconnected(time.Now())
 			d.directory.Freeze()
 		}
 		time.Sleep(time.Hour)
-		require.Equal(t, 32, c.takeable(c.daemons["d1"]))
-		// After the bound on its authority the owner stops, and with it, one
-		// time to live later, every daemon.
+		require.Equal(t, 32, c.available(c.daemons["d1"]))
+		// At the limit of its authority the owner stops, and one TTL later every daemon.
 		c.daemons["d0"].directory.SetAuthority(0, 0)
 		time.Sleep(DefaultTTL + time.Second)
-		require.Zero(t, c.takeable(c.daemons["d1"]))
+		require.Zero(t, c.available(c.daemons["d1"]))
 	})
 }
 
@@ -172,27 +169,27 @@
 	})
 }
 
-// sick is a Health that rules one address out.
-type sick string
+// unhealthy is a Health that excludes one address.
+type unhealthy string
 
-func (s sick) Usable(address string) bool { return address != string(s) }
+func (s unhealthy) Usable(address string) bool { return address != string(s) }
 
 func TestUnusableInstanceIsLeftToOthers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 2)
 		defer c.close()
 		c.endpoints = append(c.endpoints, endpoint(0, 0, 8), endpoint(1, 0, 8))
-		c.change = func(o *Options) { o.Health = sick(c.endpoints[0].Address) }
+		c.change = func(o *Options) { o.Health = unhealthy(c.endpoints[0].Address) }
 		d := c.start(peer.Ref{ID: "d9", Incarnation: 1})
 		c.publish()
 		c.own(c.daemons["d0"])
 		time.Sleep(time.Second)
-		require.Equal(t, 8, c.takeable(d))
-		require.Equal(t, 16, c.takeable(c.daemons["d1"]))
+		require.Equal(t, 8, c.available(d))
+		require.Equal(t, 16, c.available(c.daemons["d1"]))
 	})
 }
 
-// TestOneDaemonIsACentralQueue compares the starts with a naive queue.
+// TestOneDaemonIsACentralQueue compares the waiting times with those of a simple queue.
 func TestOneDaemonIsACentralQueue(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		slots := rapid.IntRange(1, 6).Draw(rt, "slots")
@@ -201,14 +198,14 @@
 		arrivals := make([]arrival, n)
 		at := time.Duration(0)
 		for i := range arrivals {
-			// Distinct times: two events at one instant may go in any order.
+			// Distinct times, because the order of simultaneous events is undefined.
 			at += time.Duration(1+r.IntN(300)) * time.Millisecond
 			arrivals[i] = arrival{at: at, service: time.Duration(r.IntN(1500))*time.Millisecond + time.Duration(i+1)*time.Microsecond}
 		}
-		naive := newQueue(2 * slots)
+		reference := newQueue(2 * slots)
 		var want, got []string
 		for i, a := range arrivals {
-			want = append(want, fmt.Sprint(i, naive.serve(a)))
+			want = append(want, fmt.Sprint(i, reference.serve(a)))
 		}
 		synctest.Test(t, func(t *testing.T) {
 			c := newCell(t, 1, 1)
@@ -216,7 +213,7 @@
 			c.setEndpoints(2, slots)
 			c.own(c.daemons["d0"])
 			time.Sleep(time.Second)
-			got = c.waitsOf(arrivals)
+			got = c.waitingTimes(arrivals)
 		})
 		slices.Sort(want)
 		slices.Sort(got)
@@ -224,8 +221,8 @@
 	})
 }
 
-// waitsOf runs the arrivals at d0 and returns each one's wait.
-func (c *cell) waitsOf(arrivals []arrival) []string {
+// waitingTimes runs the arrivals at d0 and returns each one's waiting time.
+func (c *cell) waitingTimes(arrivals []arrival) []string {
 	begin := time.Now()
 	out := make(chan string, len(arrivals))
 	for i, a := range arrivals {
--- a/request/slots/gap_test.go
+++ b/request/slots/gap_test.go
@@ -10,8 +10,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestSlotsAreUsedWhileThePoolHasNoOwner guards against a service that stands still between
-// two owners of its slots: credits that were given back to the first reach nobody.
+// TestSlotsAreUsedWhileThePoolHasNoOwner guards against a service that serves nothing between
+// two owners of its pool, because credits that were returned to the first owner cannot be
+// granted.
 func TestSlotsAreUsedWhileThePoolHasNoOwner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 2)
@@ -21,10 +22,10 @@
 		time.Sleep(20 * time.Second)
 		const gap = 3 * time.Second
 		var served atomic.Int64
-		var users sync.WaitGroup
+		var clients sync.WaitGroup
 		end := time.Now().Add(gap + time.Second)
-		for i := range 16 { // four times as many as there are slots
-			users.Go(func() {
+		for i := range 16 { // four times the number of slots
+			clients.Go(func() {
 				for time.Now().Before(end) {
 					if _, err := c.request(c.daemons[memberID(i%2)], 10*time.Second, 10*time.Millisecond); err == nil {
 						served.Add(1)
@@ -38,7 +39,7 @@
 		time.Sleep(gap)
 		during := served.Load() - before
 		c.own(c.daemons["d1"])
-		users.Wait()
+		clients.Wait()
 		require.GreaterOrEqual(t, during, int64(gap/(10*time.Millisecond)), "at least one of four slots' worth")
 	})
 }
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -17,23 +17,23 @@
 
 // Codes of the *verdict.Error values that Acquire returns, all NotRun.
 const (
-	CodeNoSlot         = "no_slot"         // none came free in time
-	CodeQueueFull      = "queue_full"      // too many requests wait already
+	CodeNoSlot         = "no_slot"         // no slot was free in time
+	CodeQueueFull      = "queue_full"      // too many requests are waiting
 	CodeUnknownService = "unknown_service" // not in the configuration
 )
 
-// retryAfterMillis is what a caller without a slot is told.
+// retryAfterMillis is the retry delay returned to a caller without a slot.
 const retryAfterMillis = 1000
 
 var (
-	errQueueFull      = errors.New("too many requests wait for a slot of the service")
-	errUnknownService = errors.New("no such service")
-	errEnded          = errors.New("this life of the daemon is over")
+	errQueueFull        = errors.New("too many requests wait for a slot of the service")
+	errUnknownService   = errors.New("no such service")
+	errIncarnationEnded = errors.New("this life of the daemon is over")
 )
 
-// holder is this daemon's part of one service: the credits it holds and the
-// requests that wait here. A short mutex guards it, so that a request that
-// finds an idle credit costs no goroutine switch and no message.
+// holder is this daemon's side of one service: the credits it holds and the requests that wait
+// here. It is guarded by a briefly held mutex, so that a request that finds an idle credit needs
+// no goroutine switch and no message.
 type holder struct {
 	m       *Manager
 	service string
@@ -46,25 +46,26 @@
 	waiters   list.List // of *waiter, in order of arrival
 
 	owner      ownership.Claim
-	validUntil time.Time  // no request begins on a credit after this
+	validUntil time.Time  // no request may begin on a credit after this time
 	seq        uint64     // of the newest report
-	seen       uint64     // highest batch that arrived
-	fence      uint64     // no batch up to this is taken any more
-	returned   []creditID // to be told to the pool
-	// givenBack are the credits in returned, and in reports that the pool has not answered.
-	givenBack  map[creditID]*credit
-	target     int
-	contended  bool
-	oldest     time.Time // arrival of the first waiter over all daemons
-	calls      int       // reports under way
-	renewed    bool      // with this owner
-	again      bool      // something changed that no report has told
-	leaving    bool      // keeps no idle credit any more
-	lastReport time.Time
-	lastAsked  time.Time // of a reserve
+	lastBatch  uint64     // highest batch received
+	fence      uint64     // batches up to this one are rejected
+	returned   []creditID // credits to report as returned
+	// pendingReturns are the credits in returned, and in reports that the pool has not answered
+	// yet.
+	pendingReturns     map[creditID]*credit
+	target             int
+	contended          bool
+	oldest             time.Time // arrival of the first waiter over all daemons
+	reportsInFlight    int       // reports in flight
+	renewed            bool      // whether this owner has answered a full report
+	reportDue          bool      // whether a change has not been reported yet
+	leaving            bool      // the daemon is stopping: no idle credit is kept
+	lastReport         time.Time
+	lastReserveRequest time.Time // time of the last request for a reserve
 }
 
-// instanceLoad counts this daemon's use of one instance.
+// instanceLoad is this daemon's use of one instance.
 type instanceLoad struct {
 	inUse    int
 	lastUsed time.Time
@@ -75,17 +76,17 @@
 const (
 	creditIdle creditState = iota
 	creditInUse
-	creditLimbo // the request's end is unknown
+	creditUncertain // the outcome of its request is unknown
 )
 
-// credit is the right to have one request at one instance.
+// credit is the right to run one request at one instance.
 type credit struct {
 	id       creditID
 	instance instanceID
 	endpoint plan.Endpoint
 	state    creditState
 	began    time.Time
-	// orphaned credits are no longer counted as ours; they end with the
+	// orphaned credits are no longer recorded as this holder's by the pool; they end with the
 	// request that uses them.
 	orphaned bool
 }
@@ -99,7 +100,7 @@
 	return &holder{
 		m: m, service: service,
 		endpoints: map[instanceID]plan.Endpoint{}, load: map[instanceID]*instanceLoad{}, credits: map[creditID]*credit{},
-		givenBack: map[creditID]*credit{},
+		pendingReturns: map[creditID]*credit{},
 	}
 }
 
@@ -108,7 +109,7 @@
 	h.mu.Lock()
 	if h.waiters.Len() == 0 {
 		if c := h.pick(time.Now()); c != nil {
-			h.askIfLow()
+			h.requestReserveIfLow()
 			h.mu.Unlock()
 			return &slot{h: h, c: c}, nil
 		}
@@ -120,23 +121,23 @@
 	w := &waiter{arrived: time.Now(), got: make(chan *credit, 1)}
 	el := h.waiters.PushBack(w)
 	h.m.counts.Waited.Add(1)
-	h.kick()
+	h.triggerReport()
 	h.mu.Unlock()
 	select {
 	case c := <-w.got:
 		return &slot{h: h, c: c}, nil
 	case <-ctx.Done():
-		return nil, h.giveUp(el, w, ctx.Err())
+		return nil, h.cancelWait(el, w, ctx.Err())
 	case <-h.m.ctx.Done():
-		// This life of the daemon is over: nobody will grant a credit any more,
-		// and the caller had better ask another daemon at once.
-		return nil, h.giveUp(el, w, errEnded)
+		// This incarnation of the daemon has ended: no credit will be granted any more, and the
+		// caller should retry at another daemon at once.
+		return nil, h.cancelWait(el, w, errIncarnationEnded)
 	}
 }
 
-// giveUp removes a waiter whose time is over; a credit that it was handed
-// meanwhile goes to the next.
-func (h *holder) giveUp(el *list.Element, w *waiter, cause error) error {
+// cancelWait removes a waiter that stops waiting; a credit that was granted to it at the same
+// moment goes to the next one.
+func (h *holder) cancelWait(el *list.Element, w *waiter, cause error) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	select {
@@ -155,13 +156,13 @@
 	}
 }
 
-// pick takes the best usable idle credit: one in this daemon's zone, on the
-// instance that it uses least and has used least recently.
+// pick takes the best usable idle credit: preferably in this daemon's zone, then on the instance
+// that it uses least and has used least recently.
 //
-// What could go wrong: this daemon was paused or cut off for so long that the
-// pool has given its slots to others. One would notice an instance with more
-// requests than slots. validUntil counts from the beginning of the renewal and
-// is always earlier than the pool's own deadline.
+// It takes none after validUntil. While this daemon was paused or disconnected, the pool may
+// have granted its slots to others, and an instance would get more requests than it has slots.
+// validUntil counts from the start of the renewal and is always earlier than the pool's own
+// deadline.
 func (h *holder) pick(now time.Time) *credit {
 	if !now.Before(h.validUntil) {
 		return nil
@@ -221,7 +222,7 @@
 	l.lastUsed = now
 }
 
-// limit is the longest time that a request of the service may run.
+// limit returns the longest time that a request of the service may run.
 func (h *holder) limit() time.Duration { return h.m.limits.of(h.service) }
 
 // release ends a request's use of c.
@@ -232,7 +233,7 @@
 		h.free(c)
 		return
 	}
-	c.state = creditLimbo
+	c.state = creditUncertain
 	wait := time.Until(c.began.Add(h.limit() + h.m.opts.Margin))
 	time.AfterFunc(max(wait, 0), func() {
 		h.mu.Lock()
@@ -241,9 +242,9 @@
 	})
 }
 
-// free makes a used credit available: to the first waiter here unless another
-// daemon's has waited much longer, back to the pool when slots are short, or
-// to the reserve. The caller holds mu.
+// free makes a credit that was in use available: to the first waiter here, unless another
+// daemon's first waiter has waited much longer; to the pool when slots are short; or else to the
+// reserve. The caller holds mu.
 func (h *holder) free(c *credit) {
 	h.loadOf(c.instance).inUse--
 	if c.orphaned {
@@ -251,34 +252,34 @@
 	}
 	c.state = creditIdle
 	if !h.keepable(c) {
-		h.giveBack(c)
-		h.kick()
+		h.returnCredit(c)
+		h.triggerReport()
 		return
 	}
 	h.idle = append(h.idle, c)
 	now := time.Now()
-	if h.contended && h.othersFirst() {
+	if h.contended && h.remoteFirst() {
 		h.returnIdle(1)
-		h.kick()
+		h.triggerReport()
 		return
 	}
 	h.serve(now)
 	if h.contended && len(h.idle) > 0 || h.surplus() > 0 {
 		h.returnIdle(max(h.surplus(), 0))
-		h.kick()
+		h.triggerReport()
 	}
 }
 
-// keepable reports whether an idle credit may stay here: its instance still
-// takes new requests and this daemon is not leaving.
+// keepable reports whether an idle credit may be kept: its instance accepts new requests and
+// this daemon is not stopping.
 func (h *holder) keepable(c *credit) bool {
 	e, ok := h.endpoints[c.instance]
 	return ok && !e.Leaving && !h.leaving
 }
 
-// othersFirst reports whether a request elsewhere has waited so much longer
-// than the first one here that it goes first.
-func (h *holder) othersFirst() bool {
+// remoteFirst reports whether a request at another daemon has waited so much longer than the
+// first one here that it is served first.
+func (h *holder) remoteFirst() bool {
 	if h.waiters.Len() == 0 {
 		return true
 	}
@@ -286,7 +287,7 @@
 	return !h.oldest.IsZero() && first.arrived.Sub(h.oldest) > h.m.opts.FairWindow
 }
 
-// surplus is how many idle credits are above what this daemon should keep.
+// surplus returns the number of idle credits above what this daemon should keep.
 func (h *holder) surplus() int {
 	if h.waiters.Len() > 0 {
 		return 0
@@ -300,7 +301,7 @@
 	return 0
 }
 
-// serve hands idle credits to waiters in order of arrival.
+// serve gives idle credits to waiters in order of arrival.
 func (h *holder) serve(now time.Time) {
 	for h.waiters.Len() > 0 {
 		c := h.pick(now)
@@ -312,8 +313,8 @@
 	}
 }
 
-// returnIdle gives n idle credits back, the least useful first. The caller
-// holds mu and sees to the report.
+// returnIdle returns n idle credits to the pool, the least useful first. The caller holds mu and
+// triggers the report.
 func (h *holder) returnIdle(n int) {
 	for ; n > 0 && len(h.idle) > 0; n-- {
 		worst := 0
@@ -324,59 +325,59 @@
 		}
 		c := h.idle[worst]
 		h.removeIdle(worst)
-		h.giveBack(c)
+		h.returnCredit(c)
 	}
 }
 
-// giveBack ends a credit that is in no list; the next report tells the pool.
-func (h *holder) giveBack(c *credit) {
+// returnCredit ends a credit that is in no list; the next report returns it to the pool.
+func (h *holder) returnCredit(c *credit) {
 	delete(h.credits, c.id)
 	h.returned = append(h.returned, c.id)
-	h.givenBack[c.id] = c
+	h.pendingReturns[c.id] = c
 }
 
-// takeBack keeps credits that the pool's owner has refused to hear of, since it is the
-// owner no more: nobody else has been told of them, and the next one asks for what is held.
+// reclaim keeps credits whose return the receiver refused because it no longer owns the pool: no
+// other daemon has been granted them, and the next owner asks for the credits that are held.
 //
-// What goes wrong otherwise: while slots are short each credit is given back after its
-// use, and between two owners there is nobody to grant it again. One would notice that a
-// service stands still for seconds in a planned stop, beside idle instances.
-func (h *holder) takeBack(ids []creditID, now time.Time) {
+// Otherwise, while slots are short, each credit would be returned after its use, and between two
+// owners no daemon could grant it again: a service would serve nothing for seconds during a
+// planned stop, with idle instances.
+func (h *holder) reclaim(ids []creditID, now time.Time) {
 	for _, id := range ids {
-		c, ok := h.givenBack[id]
+		c, ok := h.pendingReturns[id]
 		if !ok || !now.Before(h.validUntil) || !h.keepable(c) {
 			h.returned = append(h.returned, id)
 			continue
 		}
-		delete(h.givenBack, id)
+		delete(h.pendingReturns, id)
 		h.credits[id] = c
 		h.idle = append(h.idle, c)
 	}
-	h.ownerSilent()
+	h.clearContention()
 	h.serve(now)
 }
 
-// ownerSilent notes that the pool's owner did not take a report: what it last said of the
-// waiting elsewhere is no reason to give credits back to it.
-func (h *holder) ownerSilent() { h.contended, h.oldest = false, time.Time{} }
+// clearContention is called when the pool's owner did not accept a report: the waiting elsewhere
+// that it last announced is no reason to return credits to it.
+func (h *holder) clearContention() { h.contended, h.oldest = false, time.Time{} }
 
-// heardBack forgets the credits of a report that the pool has taken.
-func (h *holder) heardBack(r report) {
+// confirmReturns drops the records of returned credits after the pool has accepted the report.
+func (h *holder) confirmReturns(r report) {
 	for _, id := range r.Returned {
-		delete(h.givenBack, id)
+		delete(h.pendingReturns, id)
 	}
 	if !r.Full {
 		return
 	}
-	for id := range h.givenBack { // told by an answer to a push, if not waiting to be told
+	for id := range h.pendingReturns { // sent in the reply to a push, unless still to be reported
 		if !slices.Contains(h.returned, id) {
-			delete(h.givenBack, id)
+			delete(h.pendingReturns, id)
 		}
 	}
 }
 
-// setEndpoints takes the service's instances; idle credits of those that left
-// or are leaving go back at once.
+// setEndpoints replaces the service's instances; idle credits of instances that were removed or
+// are leaving are returned at once.
 func (h *holder) setEndpoints(list map[instanceID]plan.Endpoint) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -388,20 +389,20 @@
 	}
 	h.dropUnkeepable()
 	h.serve(time.Now())
-	h.kick()
+	h.triggerReport()
 }
 
 func (h *holder) dropUnkeepable() {
-	kept := h.idle[:0]
+	retained := h.idle[:0]
 	for _, c := range h.idle {
 		if h.keepable(c) {
-			kept = append(kept, c)
+			retained = append(retained, c)
 		} else {
-			h.giveBack(c)
+			h.returnCredit(c)
 		}
 	}
-	clear(h.idle[len(kept):])
-	h.idle = kept
+	clear(h.idle[len(retained):])
+	h.idle = retained
 }
 
 // slot implements Slot.
--- a/request/slots/leave.go
+++ b/request/slots/leave.go
@@ -8,19 +8,17 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// returnPoll is how often ReturnIdle looks whether the pools have answered.
+// returnPoll is how often ReturnIdle checks whether the pools have answered.
 const returnPoll = 10 * time.Millisecond
 
-// ReturnIdle gives every idle credit back to its pool and keeps none from then
-// on. Call it on a planned stop, when no request waits any more and before the
-// membership ends: afterwards the pools take no report from here. It returns
-// when each pool has answered; the error says that ctx, or the time for which the
-// credits are valid, ended before.
+// ReturnIdle returns every idle credit to its pool and keeps none from then on. Call it on a
+// planned stop, when no request waits any more and before the membership ends, since pools
+// accept no report from a daemon that is no member. It returns when each pool has answered; the
+// error reports that ctx, or the time for which the credits are valid, ended before.
 //
-// What goes wrong otherwise: the credits that a leaving daemon keeps in reserve
-// count as taken until they have lapsed and requests begun under them would
-// have reached their limit. One would notice callers that wait beside idle
-// instances during each upgrade.
+// Otherwise the credits that a stopping daemon keeps in reserve would count as taken until they
+// have expired and requests begun under them would have reached their limit: during each upgrade
+// callers would wait beside idle instances.
 func (m *Manager) ReturnIdle(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.TTL)
 	defer cancel()
@@ -38,25 +36,24 @@
 	return nil
 }
 
-// leave gives the idle credits back.
+// leave returns the idle credits to the pool.
 func (h *holder) leave() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaving, h.target = true, 0
 	h.dropUnkeepable()
 	if len(h.returned) > 0 {
-		h.kick()
+		h.triggerReport()
 	}
 }
 
-// returnedAll reports whether the pool knows of everything that was given
-// back. An owner that has not renewed with this holder would count its credits
-// as taken.
+// returnedAll reports whether the pool has received everything that was returned. An owner that
+// has not answered a full report of this holder would count its credits as taken.
 func (h *holder) returnedAll() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.owner.Epoch == 0 {
-		return true // nobody to tell
+		return true // no owner to report to
 	}
-	return h.renewed && h.calls == 0 && len(h.returned) == 0
+	return h.renewed && h.reportsInFlight == 0 && len(h.returned) == 0
 }
--- a/request/slots/leave_test.go
+++ b/request/slots/leave_test.go
@@ -9,7 +9,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// reserveAt makes the daemon keep idle credits and a used one.
+// reserveAt makes the daemon keep idle credits and one in use.
 func (c *cell) reserveAt(d *daemon) (used Slot) {
 	held := c.hold(d, 20)
 	time.Sleep(time.Second)
@@ -20,7 +20,7 @@
 	return held[0]
 }
 
-// cellWithReserve returns a cell whose pool d0 owns, and of which d1 keeps a reserve.
+// cellWithReserve returns a cell whose pool d0 owns and in which d1 keeps a reserve.
 func cellWithReserve(t *testing.T, daemons int) *cell {
 	c := newCell(t, 1, daemons)
 	c.setEndpoints(4, 8)
@@ -30,11 +30,10 @@
 	return c
 }
 
-// Symptom: during a rolling upgrade callers wait though slots stand idle.
-// Sequence: a daemon that keeps a reserve of idle credits leaves as planned;
-// perhaps a call is lost, or the pool has just got a new owner.
-// Cause: nobody gave the credits back; they count as taken until they lapse.
-func TestPlannedStopGivesIdleCreditsBack(t *testing.T) {
+// TestPlannedStopReturnsIdleCredits guards against callers that wait beside idle slots during a
+// rolling upgrade: the credits in reserve at a stopping daemon count as taken until they expire,
+// unless it returns them, also when a call is lost or the pool has just got a new owner.
+func TestPlannedStopReturnsIdleCredits(t *testing.T) {
 	for name, disturb := range map[string]func(*cell){
 		"same owner": func(*cell) {},
 		"loss":       func(c *cell) { c.net.SetLoss(0.2) },
@@ -57,15 +56,16 @@
 				c.net.SetLoss(0)
 				c.crash("d1")
 				time.Sleep(2 * time.Second)
-				// The used one's request may still run.
-				require.Equal(t, 31, c.takeable(c.daemons["d2"]))
+				// The request of the credit in use may still run.
+				require.Equal(t, 31, c.available(c.daemons["d2"]))
 			})
 		})
 	}
 }
 
-// TestIdleCreditsGoBackToAnOwnerThatWasAway guards against a planned stop that gives up the return of
-// its credits, so that they count as taken, though they are valid and their owner comes back.
+// TestIdleCreditsGoBackToAnOwnerThatWasAway guards against a planned stop that abandons the
+// return of its credits although they are still valid and their owner becomes reachable again:
+// they would count as taken.
 func TestIdleCreditsGoBackToAnOwnerThatWasAway(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
@@ -83,9 +83,8 @@
 	}
 }
 
-// Symptom: a planned stop does not end while the owner of a pool is away.
-// Sequence: a daemon leaves when the owner of its credits can not be reached.
-// Cause: it waits for an answer without a bound.
+// TestReturnOfIdleCreditsIsBounded guards against a planned stop that does not end while the
+// owner of its credits is unreachable, because it waits for a reply without a limit.
 func TestReturnOfIdleCreditsIsBounded(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := cellWithReserve(t, 2)
--- a/request/slots/limits.go
+++ b/request/slots/limits.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// AttemptFactor times a service's request_timeout is the longest time that
-	// an attempt may last: the request may wait until just before its deadline
-	// is over, and the gateway lets the attempt go on for up to the service's
-	// request_timeout after the deadline, to learn its end.
+	// AttemptFactor times a service's request_timeout is the longest time that an attempt may
+	// last: the request may wait until just before its deadline, and after the deadline the
+	// gateway lets the attempt continue for up to the service's request_timeout, to learn its
+	// outcome.
 	AttemptFactor = 2
-	// configurationLag is how long a daemon may still begin requests under a
-	// configuration that another daemon has replaced already.
+	// configurationLag is how long a daemon may still begin requests under a configuration that
+	// has been replaced at another daemon.
 	configurationLag = time.Minute
 )
 
@@ -24,8 +24,8 @@
 // request timeout may last.
 func AttemptLimit(requestTimeout time.Duration) time.Duration { return AttemptFactor * requestTimeout }
 
-// LimitsOf returns a RequestLimit: the AttemptLimit of the services' request
-// timeouts in the configuration in force.
+// LimitsOf returns a function for Options.RequestLimit: the AttemptLimit of the services'
+// request timeouts in the configuration in force.
 func LimitsOf(source spec.Source) func(service string) (time.Duration, bool) {
 	return func(service string) (time.Duration, bool) {
 		job, ok := source.Current().Jobs[service]
@@ -39,37 +39,36 @@
 	}
 }
 
-// LongestAttempt returns how long an attempt that is under way on this daemon
-// may last at most, over all services; 0 when it has served none.
+// LongestAttempt returns the longest time that an attempt in progress on this daemon may last,
+// over all services; 0 when it has served none.
 func (m *Manager) LongestAttempt() time.Duration { return m.limits.longest() }
 
-// limits remembers the time limits of services.
+// limits keeps the time limits of services.
 //
-// What could go wrong: the operators lower a service's limit, or remove the
-// service, while requests begun under the longer one still run. One would
-// notice an instance with more requests than slots. A limit counts on until
-// every request begun under it has ended.
+// Operators may lower a service's limit, or remove the service, while requests begun under the
+// longer limit still run. If the new limit applied at once, an instance could get more requests
+// than it has slots, so a limit remains in effect until every request begun under it has ended.
 type limits struct {
-	now func(service string) (time.Duration, bool)
+	inForce func(service string) (time.Duration, bool)
 
-	mu   sync.Mutex
-	kept map[string]keptLimit
+	mu       sync.Mutex
+	retained map[string]retainedLimit
 }
 
-type keptLimit struct {
+type retainedLimit struct {
 	limit time.Duration
 	until time.Time
 }
 
-func newLimits(now func(service string) (time.Duration, bool)) *limits {
-	return &limits{now: now, kept: map[string]keptLimit{}}
+func newLimits(inForce func(service string) (time.Duration, bool)) *limits {
+	return &limits{inForce: inForce, retained: map[string]retainedLimit{}}
 }
 
-// longest returns the longest limit, over all services that this daemon served,
-// under which requests may still run.
+// longest returns the longest limit, over all services that this daemon has served, under which
+// requests may still run.
 func (l *limits) longest() time.Duration {
 	l.mu.Lock()
-	services := slices.Collect(maps.Keys(l.kept))
+	services := slices.Collect(maps.Keys(l.retained))
 	l.mu.Unlock()
 	var longest time.Duration
 	for _, service := range services {
@@ -80,8 +79,8 @@
 	return longest
 }
 
-// of returns the longest limit of the service under which requests may still
-// run; that of a service without a limit of its own when it is not known.
+// of returns the longest limit of the service under which requests may still run; for an unknown
+// service, the limit of a service without one of its own.
 func (l *limits) of(service string) time.Duration {
 	if limit, ok := l.lookup(service); ok {
 		return limit
@@ -89,21 +88,21 @@
 	return AttemptLimit(DefaultRequestLimit)
 }
 
-// lookup is of; false when the service is not known, or was removed so long ago
+// lookup is like of, but returns false when the service is unknown, or was removed so long ago
 // that every request has ended.
 func (l *limits) lookup(service string) (time.Duration, bool) {
-	current, known := l.now(service)
+	current, known := l.inForce(service)
 	now := time.Now()
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	kept, ok := l.kept[service]
-	if ok && (!known || kept.limit > current) && now.Before(kept.until) {
-		return kept.limit, true
+	retained, ok := l.retained[service]
+	if ok && (!known || retained.limit > current) && now.Before(retained.until) {
+		return retained.limit, true
 	}
 	if !known {
-		delete(l.kept, service)
+		delete(l.retained, service)
 		return 0, false
 	}
-	l.kept[service] = keptLimit{limit: current, until: now.Add(current + configurationLag)}
+	l.retained[service] = retainedLimit{limit: current, until: now.Add(current + configurationLag)}
 	return current, true
 }
--- a/request/slots/limits_test.go
+++ b/request/slots/limits_test.go
@@ -18,7 +18,7 @@
 func (f fixedConfig) Current() *spec.Config    { return f.config }
 func (f fixedConfig) Changed() <-chan struct{} { return nil }
 
-// limitCell is a cell whose request limit the test changes.
+// limitCell returns a cell whose request limit the test can change.
 func limitCell(t *testing.T, daemons, slots int) (*cell, *atomic.Int64) {
 	limit := &atomic.Int64{}
 	limit.Store(int64(testLimit))
@@ -35,10 +35,9 @@
 	return c, limit
 }
 
-// Symptom: an instance runs more requests than it has slots.
-// Sequence: the operators raise a service's request_timeout; a request's
-// connection breaks and its end is unknown.
-// Cause: the daemon counts the slot as taken for the old, shorter time.
+// TestRaisedLimitHoldsSlotOfUnknownEnd guards against an instance that runs more requests than
+// it has slots: after a service's request_timeout was raised, a request's connection breaks, its
+// outcome is unknown, and the daemon keeps the slot only for the old, shorter time.
 func TestRaisedLimitHoldsSlotOfUnknownEnd(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c, limit := limitCell(t, 1, 1)
@@ -48,24 +47,24 @@
 		d := c.daemons["d0"]
 		c.hold(d, 1)[0].Release(Unknown)
 		time.Sleep(2*testLimit + DefaultMargin)
-		require.Zero(t, c.takeable(d), "the request may still run")
+		require.Zero(t, c.available(d), "the request may still run")
 		time.Sleep(8 * testLimit)
-		require.Equal(t, 1, c.takeable(d))
+		require.Equal(t, 1, c.available(d))
 	})
 }
 
-// Symptom: an instance runs more requests than it has slots.
-// Sequence: the operators change a service's request_timeout; a daemon with
-// requests under way dies; perhaps the pool gets a new owner.
-// Cause: the pool frees the daemon's slots after a limit read at its own begin,
-// or after the lowered one while requests begun under the longer one still run.
-func TestChangedLimitHoldsSlotsOfDeadDaemon(t *testing.T) {
+// TestChangedLimitHoldsSlotsOfFailedDaemon guards against an instance that runs more requests
+// than it has slots. A service's request_timeout changes, a daemon with requests in progress
+// fails, and the pool may get a new owner; the pool must not free the daemon's slots by the
+// limit at its own start, or by a lowered one while requests begun under the longer one still
+// run.
+func TestChangedLimitHoldsSlotsOfFailedDaemon(t *testing.T) {
 	const long = 20 * testLimit
 	for _, c := range []struct {
 		name    string
-		lowered bool // again, after the requests began
-		owner   bool // a new one
-		fresh   bool // and its daemon has begun after the change
+		lowered bool // after the requests began
+		owner   bool // the pool gets a new owner
+		fresh   bool // whose daemon has started after the change
 	}{
 		{"raised", false, false, false},
 		{"raised, new owner", false, true, false},
@@ -94,18 +93,17 @@
 					cell.own(owner)
 				}
 				time.Sleep(DefaultTTL + testLimit + 8*DefaultMargin)
-				require.Zero(t, cell.takeable(owner), "its requests may still run")
+				require.Zero(t, cell.available(owner), "its requests may still run")
 				time.Sleep(long + DefaultTTL)
-				require.Equal(t, 8, cell.takeable(owner))
+				require.Equal(t, 8, cell.available(owner))
 			})
 		})
 	}
 }
 
-// Symptom: an instance runs more requests than it has slots.
-// Sequence: a request's attempt goes on past its deadline, to learn its end;
-// its daemon dies.
-// Cause: the accounts let an attempt last for request_timeout only.
+// TestLimitsOfCoverAnAttemptPastItsDeadline guards against an instance that runs more requests
+// than it has slots: an attempt continues past its deadline, to learn its outcome, its daemon
+// fails, and the credit records allow for request_timeout only.
 func TestLimitsOfCoverAnAttemptPastItsDeadline(t *testing.T) {
 	of := LimitsOf(fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{
 		testService: {Job: spec.Job{Service: &spec.ServiceSettings{RequestTimeout: spec.Duration(20 * time.Second)}}},
@@ -123,10 +121,9 @@
 	}
 }
 
-// Symptom: a planned stop cuts a request that is allowed to run longer.
-// Sequence: request_timeout is lowered, or the service removed, while requests
-// run; then the daemon stops.
-// Cause: the bound of the stop follows the new limit at once.
+// TestLongestAttemptFollowsChangesLate guards against a planned stop that cuts off a request in
+// progress because request_timeout was lowered, or the service removed, after the request began,
+// and the time limit of the stop followed the new value at once.
 func TestLongestAttemptFollowsChangesLate(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		inForce := map[string]time.Duration{"a": 10 * time.Second, "b": time.Minute}
--- a/request/slots/manager.go
+++ b/request/slots/manager.go
@@ -15,32 +15,31 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// holderTick is how often holders look whether a renewal or a retry is due.
+// holderTick is how often holders check whether a renewal or a retry is due.
 const holderTick = 100 * time.Millisecond
 
-// recentMembers is how long a member that is no longer listed still counts in
-// the majority that a new owner needs; longer than a store lease and a
-// takeover take together.
-const recentMembers = 5 * time.Minute
+// recentMemberWindow is how long a member that is no longer listed still counts towards the
+// majority that a new owner needs; it is longer than a store lease and a takeover together.
+const recentMemberWindow = 5 * time.Minute
 
-// Manager is one daemon's part in sharing the slots of all services: a holder
-// for every service and the pool of each that it owns. It implements Acquirer
-// and ownership.User for ownership.ServicePrefix, and takes plan.State.
+// Manager is one daemon's part in sharing the slots of all services: a holder for every service,
+// and a pool for each service that it owns. It implements Acquirer, and ownership.User for
+// ownership.ServicePrefix, and receives plan.State.
 type Manager struct {
 	opts      Options
 	ctx       context.Context
 	cancel    context.CancelFunc
 	endpoints *endpoints
-	signs     *signs
+	notices   *notices
 	counts    Counters
 	limits    *limits
 
-	mu      sync.Mutex
-	holders map[string]*holder
-	pools   map[string]*pool
-	handed  map[string]*handover        // accounts of pools that this daemon no longer owns
-	roster  map[peer.MemberID]bool      // members when the lease was last fresh
-	recent  map[peer.MemberID]time.Time // when each member was last listed
+	mu        sync.Mutex
+	holders   map[string]*holder
+	pools     map[string]*pool
+	handovers map[string]*handover        // credit records of pools that this daemon no longer owns
+	roster    map[peer.MemberID]bool      // members at the time when the lease was last fresh
+	recent    map[peer.MemberID]time.Time // when each member was last listed
 }
 
 var (
@@ -53,18 +52,18 @@
 	opts.setDefaults()
 	m := &Manager{
 		opts: opts, endpoints: newEndpoints(), limits: newLimits(opts.RequestLimit),
-		holders: map[string]*holder{}, pools: map[string]*pool{}, handed: map[string]*handover{},
+		holders: map[string]*holder{}, pools: map[string]*pool{}, handovers: map[string]*handover{},
 		roster: map[peer.MemberID]bool{}, recent: map[peer.MemberID]time.Time{},
 	}
 	m.ctx, m.cancel = context.WithCancel(context.Background())
-	m.signs = newSigns(m)
+	m.notices = newNotices(m)
 	opts.Registrar.Handle(methodReport, m.handleReport)
 	opts.Registrar.Handle(methodPush, m.handlePush)
 	opts.Registrar.Handle(methodLeaving, m.handleLeaving)
 	return m
 }
 
-// Serve renews and repeats until ctx ends; then every pool stops.
+// Serve runs renewals and retries until ctx ends; then every pool stops.
 func (m *Manager) Serve(ctx context.Context) error {
 	defer m.cancel()
 	t := time.NewTicker(holderTick)
@@ -72,7 +71,7 @@
 	for {
 		changed := m.opts.Directory.Changed()
 		m.followOwners()
-		m.noteRoster()
+		m.updateRoster()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -95,8 +94,8 @@
 	return h.acquire(ctx)
 }
 
-// Short reports whether requests wait here because all slots of the service are taken, over
-// all daemons. The pool's last word on that is old only where nobody waits.
+// Short reports whether requests wait here because all slots of the service are in use, over all
+// daemons. The pool's last announcement of that can only be outdated while no request waits.
 func (m *Manager) Short(service string) bool {
 	h := m.holder(service)
 	if h == nil {
@@ -107,27 +106,27 @@
 	return h.contended && h.waiters.Len() > 0
 }
 
-// Apply takes a partition's state; it is a sink of the cell's view.
+// Apply takes a partition's state from the cell's view.
 func (m *Manager) Apply(s plan.State) {
 	m.refresh(m.endpoints.apply(s))
 }
 
-// MarkLeaving notes the first sign that the endpoint at the address is leaving
-// and tells every daemon. It gets nothing new from here from now on.
+// MarkLeaving records the first notice that the endpoint at the address is leaving and notifies
+// every daemon. From then on this daemon sends no new request to it.
 func (m *Manager) MarkLeaving(address string) {
-	if m.leaving(address) {
-		m.signs.spread(address)
+	if m.applyNotice(address) {
+		m.notices.broadcast(address)
 	}
 }
 
-// leaving applies a sign; false when it was known.
-func (m *Manager) leaving(address string) bool {
-	changed, news := m.endpoints.markLeaving(address)
+// applyNotice applies a leaving notice; it returns false when the notice was known.
+func (m *Manager) applyNotice(address string) bool {
+	changed, isNew := m.endpoints.markLeaving(address)
 	m.refresh(changed)
-	return news
+	return isNew
 }
 
-// refresh hands changed endpoint lists to the holders and pools.
+// refresh passes changed endpoint lists to the holders and pools.
 func (m *Manager) refresh(services map[string]bool) {
 	for service := range services {
 		list := m.endpoints.of(service)
@@ -182,7 +181,7 @@
 	return m.pools[service]
 }
 
-// followOwners tells the holders of new owners.
+// followOwners passes new owners to the holders.
 func (m *Manager) followOwners() {
 	for _, h := range m.allHolders() {
 		if claim, ok := m.opts.Directory.Owner(serviceResource(h.service)); ok {
@@ -191,13 +190,14 @@
 	}
 }
 
-// leaseFresh reports whether nobody can have taken this daemon's claims over.
+// leaseFresh reports whether it is certain that no other daemon has taken over this daemon's
+// claims.
 func (m *Manager) leaseFresh() bool {
 	return m.opts.LeaseRenewed == nil || time.Since(m.opts.LeaseRenewed()) < m.opts.LeaseFresh
 }
 
-// noteRoster remembers the members as they were when the lease was fresh.
-func (m *Manager) noteRoster() {
+// updateRoster records the members while the lease is fresh.
+func (m *Manager) updateRoster() {
 	if !m.leaseFresh() {
 		return
 	}
@@ -211,7 +211,7 @@
 		m.recent[member.ID] = now
 	}
 	for id, at := range m.recent {
-		if now.Sub(at) > recentMembers {
+		if now.Sub(at) > recentMemberWindow {
 			delete(m.recent, id)
 		}
 	}
@@ -239,11 +239,11 @@
 	}
 }
 
-// Lost implements ownership.User. The accounts are kept for the next owner.
+// Lost implements ownership.User. The credit records are kept for the next owner.
 func (m *Manager) Lost(r ownership.Resource, epoch uint64) {
 	service := strings.TrimPrefix(string(r), ownership.ServicePrefix)
 	if p := m.pool(service); p != nil && p.epoch <= epoch {
-		m.handOver(context.Background(), p)
+		m.freezePool(context.Background(), p)
 	}
 }
 
@@ -251,17 +251,17 @@
 func (m *Manager) Releasing(ctx context.Context, r ownership.Resource) error {
 	service := strings.TrimPrefix(string(r), ownership.ServicePrefix)
 	if p := m.pool(service); p != nil {
-		m.handOver(ctx, p)
+		m.freezePool(ctx, p)
 	}
 	return nil
 }
 
-// handOver freezes a pool and keeps its accounts.
-func (m *Manager) handOver(ctx context.Context, p *pool) {
+// freezePool freezes a pool and keeps its credit records.
+func (m *Manager) freezePool(ctx context.Context, p *pool) {
 	frozen := make(chan *handover, 1)
-	var accounts *handover
+	var records *handover
 	if p.do(ctx, func() { frozen <- p.freeze() }) {
-		accounts = <-frozen
+		records = <-frozen
 	}
 	p.cancel()
 	m.mu.Lock()
@@ -269,12 +269,12 @@
 	if m.pools[p.service] == p {
 		delete(m.pools, p.service)
 	}
-	if accounts != nil {
-		m.handed[p.service] = accounts
+	if records != nil {
+		m.handovers[p.service] = records
 	}
 }
 
-// settled tells the ownership manager that earlier owners are accounted for.
+// settled reports to the ownership manager that earlier owners are accounted for.
 func (m *Manager) settled(c ownership.Claim) {
 	if m.opts.Settle == nil {
 		return
@@ -286,16 +286,16 @@
 	}()
 }
 
-// majority reports whether the set holds more than half of the members that
-// this daemon knew when its store lease was last fresh.
+// majority reports whether the set holds more than half of the members at the time when this
+// daemon's store lease was last fresh.
 func (m *Manager) majority(set map[peer.MemberID]bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return moreThanHalf(m.roster, set)
 }
 
-// recentMajority is majority over the members of the last recentMembers, so
-// that it overlaps with a majority of an owner that was cut off meanwhile.
+// recentMajority is majority over the members of the last recentMemberWindow, so that it
+// overlaps with a majority of an owner that was disconnected in that time.
 func (m *Manager) recentMajority(set map[peer.MemberID]bool) bool {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -317,13 +317,13 @@
 	if err := peer.Unmarshal(payload, &r); err != nil {
 		return nil, fmt.Errorf("slots.report: %w", err)
 	}
-	return m.takeReport(ctx, from, r)
+	return m.deliverReport(ctx, from, r)
 }
 
-// errPoolStops means that the pool may have taken a report, and tells nobody any more.
+// errPoolStops: the pool may have processed a report, but has stopped answering.
 var errPoolStops = errors.New("slots: the pool has stopped")
 
-func (m *Manager) takeReport(ctx context.Context, from peer.Ref, r report) (reply, error) {
+func (m *Manager) deliverReport(ctx context.Context, from peer.Ref, r report) (reply, error) {
 	p := m.pool(r.Service)
 	claim, _ := m.opts.Directory.Owner(serviceResource(r.Service))
 	if p == nil || p.epoch != r.Epoch {
@@ -341,30 +341,30 @@
 	if err := peer.Unmarshal(payload, &msg); err != nil {
 		return nil, fmt.Errorf("slots.push: %w", err)
 	}
-	return m.takePush(msg), nil
+	return m.deliverPush(msg), nil
 }
 
-func (m *Manager) takePush(msg push) pushReply {
+func (m *Manager) deliverPush(msg push) pushReply {
 	h := m.holder(msg.Service)
 	if h == nil {
 		return pushReply{Status: statusNotOwner}
 	}
 	if p := m.pool(msg.Service); p != nil && p.epoch < msg.Terms.Epoch {
-		m.handOver(m.ctx, p)
+		m.freezePool(m.ctx, p)
 	}
-	out := h.pushed(msg)
+	out := h.applyPush(msg)
 	if msg.Collect && out.Status == statusOK {
 		m.mu.Lock()
-		out.Pool = m.handed[msg.Service]
+		out.Pool = m.handovers[msg.Service]
 		m.mu.Unlock()
 	}
 	return out
 }
 
-// callReport sends a report; the pool on this daemon is reached directly.
+// callReport sends a report; a pool on this daemon is called directly.
 func (m *Manager) callReport(ctx context.Context, to peer.Ref, r report) (reply, error) {
 	if to == m.opts.Self {
-		return m.takeReport(ctx, to, r)
+		return m.deliverReport(ctx, to, r)
 	}
 	var out reply
 	err := m.opts.Caller.Call(ctx, to, methodReport, r, &out)
@@ -373,7 +373,7 @@
 
 func (m *Manager) callPush(ctx context.Context, to peer.Ref, msg push) (pushReply, error) {
 	if to == m.opts.Self {
-		return m.takePush(msg), nil
+		return m.deliverPush(msg), nil
 	}
 	var out pushReply
 	err := m.opts.Caller.Call(ctx, to, methodPush, msg, &out)
--- a/request/slots/message.go
+++ b/request/slots/message.go
@@ -12,15 +12,15 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// Methods of this package.
+// Peer methods.
 const (
 	methodReport  peer.Method = "slots.report"  // report -> reply, holder to pool
 	methodPush    peer.Method = "slots.push"    // push -> pushReply, pool to holder
-	methodLeaving peer.Method = "slots.leaving" // leavingSign -> nothing, to every daemon
+	methodLeaving peer.Method = "slots.leaving" // leavingNotice -> nothing, to every daemon
 )
 
-// creditID names one grant of one slot; it is never used again, so every
-// message about credits may be late or come twice without harm.
+// creditID identifies one grant of one slot. It is never reused, so every message about credits
+// may be delayed or delivered twice without harm.
 type creditID uint64
 
 const serialBits = 40
@@ -29,7 +29,7 @@
 	return creditID(epoch<<serialBits | serial&(1<<serialBits-1))
 }
 
-// instanceID names one life of a service instance.
+// instanceID identifies one attempt of a service's task at one address.
 type instanceID uint64
 
 func instanceOf(e *plan.Endpoint) instanceID {
@@ -38,53 +38,52 @@
 	return instanceID(d.Sum64())
 }
 
-// heldAt lists the credits that a holder has at one instance.
+// heldAt lists the credits that a holder has for one instance.
 type heldAt struct {
 	_        struct{} `cbor:",toarray"`
 	Instance instanceID
 	Credits  []creditID
 }
 
-// report tells the pool what a holder has, gives back and needs.
+// report lists what a holder has, returns and needs.
 type report struct {
 	Service string `cbor:"1,keyasint"`
 	Epoch   uint64 `cbor:"2,keyasint"`
 	Seq     uint64 `cbor:"3,keyasint"`
-	// Seen is the highest batch of grants that arrived.
+	// Seen is the highest batch of grants received.
 	Seen uint64 `cbor:"4,keyasint,omitempty"`
 	// Returned lists credits that the holder no longer has.
 	Returned []creditID `cbor:"5,keyasint,omitempty"`
 	Idle     int        `cbor:"6,keyasint,omitempty"`
 	InUse    int        `cbor:"7,keyasint,omitempty"`
 	Waiting  int        `cbor:"8,keyasint,omitempty"`
-	// OldestMicros and NewestMicros are the waiting times of the first and the
-	// last waiter.
+	// OldestMicros and NewestMicros are the waiting times of the first and the last waiter.
 	OldestMicros int64 `cbor:"9,keyasint,omitempty"`
 	NewestMicros int64 `cbor:"10,keyasint,omitempty"`
-	// Low asks for a reserve of idle credits.
+	// Low requests a reserve of idle credits.
 	Low bool `cbor:"11,keyasint,omitempty"`
-	// Avoid lists instances that the holder does not want now.
+	// Avoid lists instances that the holder does not want at present.
 	Avoid []instanceID `cbor:"12,keyasint,omitempty"`
-	// Full reports renew: Held lists every credit, and the holder takes no
-	// batch up to Fence from now on, so the pool may free what it granted in
-	// these and what is not listed.
+	// Full reports renew the credits: Held lists every credit, and the holder rejects batches up
+	// to Fence from now on, so the pool may free what it granted in these batches and what is
+	// not listed.
 	Full  bool     `cbor:"13,keyasint,omitempty"`
 	Held  []heldAt `cbor:"14,keyasint,omitempty"`
 	Fence uint64   `cbor:"15,keyasint,omitempty"`
 	Zone  string   `cbor:"16,keyasint,omitempty"`
-	// LimitMicros, in full reports, is the holder's limits.of the service: the
-	// holder may run requests under a configuration that the pool does not have.
+	// LimitMicros, in full reports, is the holder's request limit for the service: the holder
+	// may run requests under a configuration that the pool does not have yet.
 	LimitMicros int64 `cbor:"17,keyasint,omitempty"`
 }
 
-// status tells how the other side took a message.
+// status is how the receiver handled a message.
 type status int
 
 const (
 	statusOK       status = iota
 	statusNotOwner        // the receiver does not own the pool under that epoch
-	statusStale           // the receiver knows a higher epoch
-	statusNeedFull        // the pool does not know the holder: send a full report
+	statusStale           // the receiver has seen a higher epoch
+	statusNeedFull        // the pool has no record of the holder: send a full report
 	statusNotReady        // the new owner has not collected from the holder yet
 )
 
@@ -95,18 +94,18 @@
 	Instance instanceID
 }
 
-// terms is what the pool tells holders with every message.
+// terms is what the pool sends to holders with every message.
 type terms struct {
 	Epoch uint64 `cbor:"1,keyasint"`
 	// Batch numbers the messages with grants from one pool to one holder.
 	Batch  uint64    `cbor:"2,keyasint,omitempty"`
 	Grants []granted `cbor:"3,keyasint,omitempty"`
-	// Endpoints describes instances that the holder has not been told of.
+	// Endpoints describes instances that have not been sent to the holder before.
 	Endpoints []plan.Endpoint `cbor:"4,keyasint,omitempty"`
-	// Target is the reserve of idle credits that the holder should keep.
+	// Target is the number of idle credits that the holder should keep in reserve.
 	Target int `cbor:"5,keyasint,omitempty"`
-	// Contended is set while requests wait for slots somewhere: idle credits
-	// go back at once. OldestMicros is the longest wait.
+	// Contended is set while requests wait for slots at any daemon: idle credits are returned at
+	// once. OldestMicros is the longest wait.
 	Contended    bool  `cbor:"6,keyasint,omitempty"`
 	OldestMicros int64 `cbor:"7,keyasint,omitempty"`
 }
@@ -115,10 +114,10 @@
 type reply struct {
 	Status status `cbor:"1,keyasint,omitempty"`
 	Terms  terms  `cbor:"2,keyasint"`
-	// Unknown lists credits that the pool does not count as the holder's; it
-	// must not use them again.
+	// Unknown lists credits that the pool does not record as the holder's; the holder must not
+	// use them again.
 	Unknown []creditID `cbor:"3,keyasint,omitempty"`
-	// Claim is the newest claim that the receiver knows, with a bad status.
+	// Claim is the newest claim that the receiver has, sent with a status other than statusOK.
 	Claim ownership.Claim `cbor:"4,keyasint,omitzero"`
 }
 
@@ -126,9 +125,9 @@
 type push struct {
 	Service string `cbor:"1,keyasint"`
 	Terms   terms  `cbor:"2,keyasint"`
-	// Recall asks for that many idle credits.
+	// Recall requests the return of that many idle credits.
 	Recall int `cbor:"3,keyasint,omitempty"`
-	// Collect asks for a full report and, from an earlier owner, for its pool.
+	// Collect requests a full report and, from an earlier owner, the credit records of its pool.
 	Collect bool     `cbor:"4,keyasint,omitempty"`
 	Owner   peer.Ref `cbor:"5,keyasint"`
 }
@@ -138,26 +137,26 @@
 	Status status    `cbor:"1,keyasint,omitempty"`
 	Report report    `cbor:"2,keyasint"`
 	Pool   *handover `cbor:"3,keyasint,omitempty"`
-	// Claim is the newest claim that the receiver knows, with a bad status.
+	// Claim is the newest claim that the receiver has, sent with a status other than statusOK.
 	Claim ownership.Claim `cbor:"4,keyasint,omitzero"`
 }
 
-// handover is an earlier owner's whole pool, frozen for its successor.
+// handover holds the credit records of an earlier owner's pool, frozen for its successor.
 type handover struct {
 	// Complete is set when the earlier owner had accounted for every slot.
-	Complete bool         `cbor:"1,keyasint,omitempty"`
-	Holders  []holderPart `cbor:"2,keyasint,omitempty"`
-	Epoch    uint64       `cbor:"3,keyasint"`
+	Complete bool            `cbor:"1,keyasint,omitempty"`
+	Holders  []holderCredits `cbor:"2,keyasint,omitempty"`
+	Epoch    uint64          `cbor:"3,keyasint"`
 }
 
-// holderPart lists what one holder may have.
-type holderPart struct {
+// holderCredits lists the credits that one holder may have.
+type holderCredits struct {
 	Holder peer.Ref `cbor:"1,keyasint"`
 	Held   []heldAt `cbor:"2,keyasint,omitempty"`
 }
 
-// leavingSign tells that an endpoint is leaving.
-type leavingSign struct {
+// leavingNotice announces that an endpoint is leaving.
+type leavingNotice struct {
 	Address string `cbor:"1,keyasint"`
 }
 
--- a/request/slots/options.go
+++ b/request/slots/options.go
@@ -25,8 +25,8 @@
 	DefaultMaxWaiting     = 4096
 )
 
-// Health tells which instances this daemon trusts with new requests; outlier
-// ejection implements it, with a floor of its own.
+// Health decides which instances may get new requests from this daemon. Outlier ejection
+// implements it, with its own limit on how many instances are excluded.
 type Health interface {
 	Usable(address string) bool
 }
@@ -51,34 +51,32 @@
 	// LeaseRenewed returns the beginning of the last successful renewal of this
 	// daemon's store lease; nil means that the lease is always fresh.
 	LeaseRenewed func() time.Time
-	// Settle tells the ownership manager that every earlier owner of a pool is
-	// accounted for; nil when nobody keeps account of them.
+	// Settle reports to the ownership manager that every earlier owner of a pool is accounted
+	// for; nil when earlier owners are not tracked.
 	Settle func(context.Context, ownership.Claim) error
-	// CheckInvariants makes pools and holders check their accounts after every
-	// change and panic when they are broken.
+	// CheckInvariants makes pools check their credit records after every change and panic when
+	// they are inconsistent.
 	CheckInvariants bool
 
-	// TTL is how long a credit is valid after the beginning of its renewal.
+	// TTL is how long a credit is valid after the start of its renewal.
 	TTL time.Duration
-	// Margin is added to every wait that rests on two clocks running alike.
+	// Margin is added to every wait that relies on two clocks running at the same rate.
 	Margin time.Duration
-	// AuthorityBound is the longest time that an owner which is cut off from
-	// the store may go on; it must not be shorter than the renew bound of the
-	// ownership manager.
+	// AuthorityBound is the longest time that an owner may continue while it is disconnected
+	// from the store; it must not be shorter than the renewal limit of the ownership manager.
 	AuthorityBound time.Duration
-	// LeaseFresh is the age of the last renewal up to which nobody can have
-	// taken a claim over; it must be shorter than the store lease. With an
-	// older one a pool's owner goes on only while it hears from a majority of
-	// the daemons.
+	// LeaseFresh is the age of the last renewal up to which no other daemon can have taken over
+	// a claim; it must be shorter than the store lease. When the renewal is older, a pool's
+	// owner continues only while it receives messages from a majority of the daemons.
 	LeaseFresh time.Duration
-	// SlowStart is how long a new instance takes to get all its slots granted.
+	// SlowStart is how long it takes until all slots of a new instance may be granted.
 	SlowStart time.Duration
-	// FairWindow is how much longer than the first local waiter another
-	// daemon's must have waited to get a slot that comes free here.
+	// FairWindow is how much longer than the first local waiter another daemon's must have
+	// waited to get a slot that becomes free here.
 	FairWindow time.Duration
-	// CallTimeout bounds one call between daemons.
+	// CallTimeout limits one call between daemons.
 	CallTimeout time.Duration
-	// MaxWaiting bounds the waiting requests per service on this daemon.
+	// MaxWaiting limits the waiting requests per service on this daemon.
 	MaxWaiting int
 }
 
--- a/request/slots/pool.go
+++ b/request/slots/pool.go
@@ -12,11 +12,11 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// poolTick is how often a pool looks at its deadlines.
+// poolTick is how often a pool checks its deadlines.
 const poolTick = 200 * time.Millisecond
 
-// pool is the state of a service's slots at their owner. Its run goroutine
-// alone touches the fields; others go through do.
+// pool is the state of a service's slots at their owner. Only its run goroutine accesses the
+// fields; other goroutines use do.
 type pool struct {
 	m       *Manager
 	service string
@@ -30,61 +30,60 @@
 	credits   map[creditID]*grant
 	holders   map[peer.Ref]*holderState
 	serial    uint64
-	frozen    bool // handed over or fenced: nothing is granted any more
+	frozen    bool // transferred or fenced: nothing is granted any more
 	contended bool
 	takeover  *takeover // nil when every slot is accounted for
 }
 
-// instance counts the slots of one service instance. At all times
-// free + granted + blocked == slots, where free may be negative after the
-// endpoint went away or was made smaller.
+// instance counts the slots of one service instance. At all times free + granted + blocked ==
+// slots, where free may be negative after the endpoint was removed or got fewer slots.
 type instance struct {
 	endpoint plan.Endpoint
-	known    bool // in the endpoint list now
+	listed   bool // in the current endpoint list
 	slots    int
 	granted  int
-	blocked  int // perhaps held by someone who is not accounted for
+	blocked  int // possibly in use by a holder that is not accounted for
 	since    time.Time
 }
 
-// grant is one credit in somebody's hands.
+// grant is one credit that a holder has.
 type grant struct {
 	instance instanceID
 	holder   peer.Ref
 	batch    uint64
 }
 
-// holderState is what the pool knows of one daemon.
+// holderState is the pool's record of one daemon.
 type holderState struct {
-	ref     peer.Ref
-	zone    string
-	limit   time.Duration // of requests, by its newest full report
-	credits map[creditID]struct{}
-	told    map[instanceID]struct{} // instances it was told of
-	avoid   map[instanceID]struct{}
-	// expires is when the holder's credits lapse at the latest, by this
-	// daemon's clock; requests begun before may still run for the limit.
-	expires  time.Time
-	heard    time.Time // of the newest message
-	renewed  time.Time // of the newest full report that was answered
-	seq      uint64    // of the newest report
-	batch    uint64    // of the newest grants
-	inFlight []batchSize
-	idle     int
-	inUse    int
-	waiting  int
-	oldest   time.Time // arrival of the first waiter
-	newest   time.Time
-	low      bool
-	recalled bool      // a recall is under way
-	noRecall time.Time // it had nothing to give back; not asked until then
-	// unreachable holders get nothing until then, or until they report.
-	unreachable time.Time
-	queue       []granted
-	pushing     bool
+	ref           peer.Ref
+	zone          string
+	limit         time.Duration // request limit in its newest full report
+	credits       map[creditID]struct{}
+	sentEndpoints map[instanceID]struct{} // instances that were sent to it
+	avoid         map[instanceID]struct{}
+	// expires is when the holder's credits expire at the latest, by this daemon's clock;
+	// requests begun before may still run for the limit.
+	expires     time.Time
+	lastMessage time.Time // time of the newest message
+	renewed     time.Time // time of the newest full report that was answered
+	seq         uint64    // of the newest report
+	batch       uint64    // of the newest grants
+	inFlight    []batchSize
+	idle        int
+	inUse       int
+	waiting     int
+	oldest      time.Time // arrival of the first waiter
+	newest      time.Time
+	low         bool
+	recalled    bool      // a recall is in flight
+	recallAfter time.Time // it had nothing to return; no recall until then
+	// unreachableUntil: the holder gets nothing until then, or until it reports.
+	unreachableUntil time.Time
+	queue            []granted
+	pushing          bool
 }
 
-// batchSize counts grants that the holder has not confirmed.
+// batchSize counts the grants of a batch that the holder has not confirmed.
 type batchSize struct {
 	batch uint64
 	size  int
@@ -100,8 +99,8 @@
 	return p
 }
 
-// do runs f on the pool's goroutine and waits for it; false when the pool has
-// stopped or ctx ended first.
+// do runs f on the pool's goroutine and waits for it; it returns false when the pool has stopped
+// or ctx has ended first.
 func (p *pool) do(ctx context.Context, f func()) bool {
 	done := make(chan struct{})
 	select {
@@ -119,7 +118,7 @@
 	}
 }
 
-// post runs f on the pool's goroutine some time.
+// post runs f on the pool's goroutine without waiting for it.
 func (p *pool) post(f func()) {
 	select {
 	case p.work <- f:
@@ -143,9 +142,9 @@
 	}
 }
 
-// authorized reports whether this owner may still grant and renew. Slots
-// follow the longer bound: what circulates among the daemons keeps running
-// through an outage of the store.
+// authorized reports whether this owner may still grant and renew. Slots use the longer of the
+// two authority limits: the credits held by the daemons stay in use through an outage of the
+// store.
 func (p *pool) authorized() bool {
 	if p.frozen {
 		return false
@@ -155,39 +154,39 @@
 		return false
 	}
 	_, renew := p.m.opts.Directory.Authority()
-	return renew > 0 && (p.m.leaseFresh() || p.m.majority(p.heard(time.Now())))
+	return renew > 0 && (p.m.leaseFresh() || p.m.majority(p.activeMembers(time.Now())))
 }
 
-// heard lists the members that this pool heard from within a TTL.
-func (p *pool) heard(now time.Time) map[peer.MemberID]bool {
+// activeMembers returns the members that have sent a message to this pool within a TTL.
+func (p *pool) activeMembers(now time.Time) map[peer.MemberID]bool {
 	out := map[peer.MemberID]bool{p.m.opts.Self.ID: true}
 	for ref, h := range p.holders {
-		if now.Sub(h.heard) < p.m.opts.TTL {
+		if now.Sub(h.lastMessage) < p.m.opts.TTL {
 			out[ref.ID] = true
 		}
 	}
 	return out
 }
 
-// setEndpoints takes the service's instances. A new instance is free, but for
-// the time in which an earlier owner may have granted its slots.
+// setEndpoints replaces the service's instances. A new instance is free, except while an earlier
+// owner may have granted its slots.
 func (p *pool) setEndpoints(list map[instanceID]plan.Endpoint, first bool) {
 	now := time.Now()
 	for id, in := range p.instances {
 		if _, ok := list[id]; !ok {
-			in.known = false
-			p.forgetIfEmpty(id, in)
+			in.listed = false
+			p.removeIfUnused(id, in)
 		}
 	}
 	for id, e := range list {
 		in := p.instance(id)
-		if !in.known && !first && in.since.IsZero() {
+		if !in.listed && !first && in.since.IsZero() {
 			in.since = now
 		}
-		in.endpoint, in.known = e, true
+		in.endpoint, in.listed = e, true
 		p.resize(in, e.Slots)
 	}
-	p.settle(now)
+	p.distribute(now)
 }
 
 func (p *pool) instance(id instanceID) *instance {
@@ -199,8 +198,8 @@
 	return in
 }
 
-// resize sets the number of slots; while a takeover is open, slots that are
-// new to this owner count as held by someone.
+// resize sets the number of slots. During a takeover, slots that are new to this owner count as
+// blocked.
 func (p *pool) resize(in *instance, slots int) {
 	if in.slots == slots {
 		return
@@ -214,15 +213,15 @@
 	}
 }
 
-func (p *pool) forgetIfEmpty(id instanceID, in *instance) {
-	if !in.known && in.granted == 0 && p.takeover == nil {
+func (p *pool) removeIfUnused(id instanceID, in *instance) {
+	if !in.listed && in.granted == 0 && p.takeover == nil {
 		delete(p.instances, id)
 	}
 }
 
-// allowance is how many slots of the instance may be granted now.
+// allowance returns how many slots of the instance may be granted in total at present.
 func (p *pool) allowance(in *instance, now time.Time) int {
-	if !in.known || in.endpoint.Leaving {
+	if !in.listed || in.endpoint.Leaving {
 		return 0
 	}
 	age := now.Sub(in.since)
@@ -233,7 +232,7 @@
 	return min(in.slots, 1+int(ramp))
 }
 
-// free is how many slots of the instance can be granted now.
+// free returns how many further slots of the instance can be granted now.
 func (p *pool) free(in *instance, now time.Time) int {
 	return min(in.slots-in.granted-in.blocked, p.allowance(in, now)-in.granted)
 }
@@ -241,21 +240,21 @@
 func (p *pool) holder(ref peer.Ref) *holderState {
 	h, ok := p.holders[ref]
 	if !ok {
-		h = &holderState{ref: ref, credits: map[creditID]struct{}{}, told: map[instanceID]struct{}{}}
+		h = &holderState{ref: ref, credits: map[creditID]struct{}{}, sentEndpoints: map[instanceID]struct{}{}}
 		p.holders[ref] = h
 	}
 	return h
 }
 
-// give records a credit as the holder's.
-func (p *pool) give(id creditID, to *holderState, at instanceID, batch uint64) {
+// assign records a credit as the holder's.
+func (p *pool) assign(id creditID, to *holderState, at instanceID, batch uint64) {
 	p.credits[id] = &grant{instance: at, holder: to.ref, batch: batch}
 	to.credits[id] = struct{}{}
 	p.instances[at].granted++
 }
 
-// take ends a credit; its slot is free.
-func (p *pool) take(id creditID) {
+// endCredit deletes a credit and so frees its slot.
+func (p *pool) endCredit(id creditID) {
 	g, ok := p.credits[id]
 	if !ok {
 		return
@@ -266,25 +265,25 @@
 	}
 	in := p.instances[g.instance]
 	in.granted--
-	p.forgetIfEmpty(g.instance, in)
+	p.removeIfUnused(g.instance, in)
 }
 
-// tick ends what is past its deadline and repeats what got lost.
+// tick handles expired deadlines and distributes free slots.
 func (p *pool) tick(now time.Time) {
 	p.endTakeover(now)
 	limit := p.limit()
 	for _, h := range p.holders {
-		// A member that is gone may only be cut off from here: it too may start
-		// requests until its credits lapse.
+		// A member that is listed as removed may only be unreachable from here: it too may start
+		// requests until its credits expire.
 		if now.After(h.expires.Add(limit + p.m.opts.Margin)) {
 			p.dropHolder(h)
 		}
 	}
-	p.settle(now)
+	p.distribute(now)
 }
 
-// limit is the longest time that a request of the service may run, on this
-// daemon or at a holder.
+// limit returns the longest time that a request of the service may run, on this daemon or at a
+// holder.
 func (p *pool) limit() time.Duration {
 	limit := p.m.limits.of(p.service)
 	for _, h := range p.holders {
@@ -293,24 +292,24 @@
 	return limit
 }
 
-// dropHolder frees the slots of a holder that did not renew for so long that
-// every request begun under its credits has reached its time limit.
+// dropHolder frees the slots of a holder that has not renewed for so long that every request
+// begun under its credits has reached its time limit.
 func (p *pool) dropHolder(h *holderState) {
 	for id := range h.credits {
-		p.take(id)
+		p.endCredit(id)
 	}
 	delete(p.holders, h.ref)
 	p.m.counts.HoldersExpired.Add(1)
 }
 
-// live reports whether the holder can use credits and can be reached. One that
-// has not renewed here may hold credits of an earlier owner, but would have to
-// give new ones back, at once and for ever.
+// live reports whether the holder can use credits and can be reached. A holder that has not
+// renewed here may hold credits of an earlier owner, but would return new ones at once, again
+// and again.
 func (p *pool) live(h *holderState, now time.Time) bool {
-	return now.Before(h.renewed.Add(p.m.opts.TTL)) && !now.Before(h.unreachable)
+	return now.Before(h.renewed.Add(p.m.opts.TTL)) && !now.Before(h.unreachableUntil)
 }
 
-// unconfirmed is the number of grants that may still be on their way.
+// unconfirmed returns the number of grants that may still be in flight.
 func (h *holderState) unconfirmed() int {
 	n := 0
 	for _, b := range h.inFlight {
@@ -319,28 +318,27 @@
 	return n
 }
 
-// confirm forgets batches up to seen, and those sent so long before that they
-// are lost.
+// confirm drops the batches up to seen, and those sent so long ago that they are lost.
 //
-// What could go wrong: an answer with grants is lost, and the pool takes the
-// waiter for served. One would notice a request that waits beside free slots.
-func (h *holderState) confirm(seen uint64, lostBefore time.Time) {
-	kept := h.inFlight[:0]
+// When an answer with grants is lost, its waiter would otherwise count as served, and wait
+// beside free slots.
+func (h *holderState) confirm(lastBatch uint64, lostBefore time.Time) {
+	retained := h.inFlight[:0]
 	for _, b := range h.inFlight {
-		if b.batch > seen && b.sent.After(lostBefore) {
-			kept = append(kept, b)
+		if b.batch > lastBatch && b.sent.After(lostBefore) {
+			retained = append(retained, b)
 		}
 	}
-	h.inFlight = kept
+	h.inFlight = retained
 }
 
-// needs is how many waiters are not served by grants on their way.
+// needs returns how many waiters are not covered by grants in flight.
 func (h *holderState) needs() int { return max(h.waiting-h.unconfirmed(), 0) }
 
-// idleExpected counts the grants on their way as idle.
-func (h *holderState) idleExpected() int { return max(h.idle+h.unconfirmed()-h.waiting, 0) }
+// expectedIdle returns the idle credits, with the grants in flight counted as idle.
+func (h *holderState) expectedIdle() int { return max(h.idle+h.unconfirmed()-h.waiting, 0) }
 
-// headArrival estimates the arrival of the next unserved waiter.
+// headArrival estimates the arrival of the first waiter that is not covered.
 func (h *holderState) headArrival() time.Time {
 	if h.waiting < 2 {
 		return h.oldest
@@ -350,13 +348,13 @@
 	return h.oldest.Add(span * time.Duration(served) / time.Duration(h.waiting-1))
 }
 
-// weight is a holder's part of the idle credits: the demand of a daemon
-// swings by about the square root of its load.
+// weight is a holder's share of the idle credits: the demand of a daemon varies by about the
+// square root of its load.
 func (h *holderState) weight() float64 { return math.Sqrt(float64(h.inUse + h.waiting + 1)) }
 
-// check is the pool's invariant. It panics and so ends the process: a pool that
-// granted a slot twice must not go on, and the next owner counts every slot as
-// taken until it is accounted for.
+// check checks the pool's invariants. On a violation it panics and so ends the process: a pool
+// that granted a slot twice must not continue, and the next owner counts every slot as taken
+// until it is accounted for.
 func (p *pool) check() {
 	if !p.m.opts.CheckInvariants {
 		return
@@ -376,7 +374,7 @@
 		if counted[id] != in.granted || in.blocked < 0 {
 			panic(fmt.Sprintf("slots: %s: instance %x: %d credits, %d counted, %d blocked", p.service, id, counted[id], in.granted, in.blocked))
 		}
-		if in.known && in.blocked > 0 && in.granted+in.blocked > in.slots {
+		if in.listed && in.blocked > 0 && in.granted+in.blocked > in.slots {
 			panic(fmt.Sprintf("slots: %s: instance %x: %d granted and %d blocked of %d", p.service, id, in.granted, in.blocked, in.slots))
 		}
 	}
--- a/request/slots/poolgrant.go
+++ b/request/slots/poolgrant.go
@@ -6,20 +6,20 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// minSurplus is by how many idle credits two holders must differ before one
-// is asked to give some to the other.
+// minSurplus is the smallest difference in idle credits between two holders at which one is
+// asked to return some for the other.
 const minSurplus = 3
 
-// report takes a holder's report and returns the answer with what is granted.
+// report processes a holder's report and returns the reply with the credits granted.
 func (p *pool) report(from peer.Ref, r report) reply {
 	now := time.Now()
 	if !p.authorized() {
 		return p.refuse()
 	}
-	if p.awaits(from) {
+	if p.awaitsCollection(from) {
 		return reply{Status: statusNotReady, Terms: terms{Epoch: p.epoch}}
 	}
-	unknown, ok := p.takeReport(from, r, now)
+	unknown, ok := p.applyReport(from, r, now)
 	if !ok {
 		return reply{Status: statusNeedFull, Terms: terms{Epoch: p.epoch}}
 	}
@@ -27,13 +27,13 @@
 	if r.Full {
 		h.renewed = now
 	}
-	h.pushing = true // what is granted to h now goes with the answer
-	p.settle(now)
+	h.pushing = true // grants to h are sent with this reply
+	p.distribute(now)
 	h.pushing = false
 	out := reply{Terms: p.terms(h, now), Unknown: unknown}
 	if r.Full {
-		// The next full report is fenced up to here, so that grants in a lost
-		// answer are found out and their slots come back.
+		// The next full report is fenced up to here, so that grants in a lost reply are detected
+		// and their slots freed.
 		out.Terms.Batch = h.batch
 	}
 	return out
@@ -47,10 +47,10 @@
 	return reply{Status: statusNotOwner, Claim: claim}
 }
 
-// takeReport updates the accounts; false when a full report is needed first.
-// Everything in it is monotone: a report that comes late or twice can only
-// make the pool count too much as taken.
-func (p *pool) takeReport(from peer.Ref, r report, now time.Time) ([]creditID, bool) {
+// applyReport updates the credit records; it returns false when a full report is needed first.
+// All its changes are monotonic: a report that is delayed or delivered twice can only make the
+// pool count too many slots as taken.
+func (p *pool) applyReport(from peer.Ref, r report, now time.Time) ([]creditID, bool) {
 	h, ok := p.holders[from]
 	if !r.Full && (!ok || !now.Before(h.expires)) {
 		return nil, false
@@ -59,11 +59,11 @@
 		return nil, false
 	}
 	h = p.holder(from)
-	h.heard = now
-	h.unreachable = time.Time{}
+	h.lastMessage = now
+	h.unreachableUntil = time.Time{}
 	for _, id := range r.Returned {
 		if g, ok := p.credits[id]; ok && g.holder == from {
-			p.take(id)
+			p.endCredit(id)
 		}
 	}
 	var unknown []creditID
@@ -74,12 +74,12 @@
 		h.limit = fromMicros(r.LimitMicros)
 	}
 	if r.Seq > h.seq {
-		p.takeNeeds(h, r, now)
+		p.updateNeeds(h, r, now)
 	}
 	return unknown, true
 }
 
-// reconcile makes the accounts of h equal to its full report.
+// reconcile makes the records of h equal to its full report.
 func (p *pool) reconcile(h *holderState, r report) []creditID {
 	var unknown []creditID
 	listed := map[creditID]struct{}{}
@@ -93,7 +93,7 @@
 	}
 	for id := range h.credits {
 		if _, ok := listed[id]; !ok && p.credits[id].batch <= r.Fence {
-			p.take(id)
+			p.endCredit(id)
 		}
 	}
 	return unknown
@@ -105,7 +105,7 @@
 	return ok && g.holder == h.ref
 }
 
-func (p *pool) takeNeeds(h *holderState, r report, now time.Time) {
+func (p *pool) updateNeeds(h *holderState, r report, now time.Time) {
 	h.seq = r.Seq
 	h.confirm(r.Seen, now.Add(-p.m.opts.CallTimeout))
 	h.idle, h.inUse, h.waiting, h.low = r.Idle, r.InUse, r.Waiting, r.Low
@@ -120,10 +120,9 @@
 	}
 }
 
-// settle grants free slots to whoever waits, in order of arrival over all
-// daemons, then to low reserves, and recalls idle credits when slots are
-// short.
-func (p *pool) settle(now time.Time) {
+// distribute grants free slots to waiting requests, in order of arrival over all daemons, then
+// to holders whose reserve is low. It recalls idle credits when slots are short.
+func (p *pool) distribute(now time.Time) {
 	if !p.authorized() {
 		return
 	}
@@ -160,8 +159,8 @@
 	}
 }
 
-// grantOne grants the best free slot to h: one in its zone on the least
-// loaded instance.
+// grantOne grants the best free slot to h: preferably in its zone, then on the least loaded
+// instance.
 func (p *pool) grantOne(h *holderState, now time.Time) bool {
 	var best instanceID
 	bestScore := 0.0
@@ -192,12 +191,12 @@
 	}
 	h.inFlight[len(h.inFlight)-1].size++
 	h.queue = append(h.queue, granted{ID: id, Instance: best})
-	p.give(id, h, best, h.batch)
+	p.assign(id, h, best, h.batch)
 	p.m.counts.Granted.Add(1)
 	return true
 }
 
-// grantReserves fills low reserves from what is free.
+// grantReserves fills low reserves from the free slots.
 func (p *pool) grantReserves(holders []*holderState, now time.Time) {
 	if p.unmet(holders, now) > 0 {
 		return
@@ -207,15 +206,15 @@
 		if !h.low || !p.live(h, now) {
 			continue
 		}
-		for h.idleExpected() < targets[h] && p.grantOne(h, now) {
+		for h.expectedIdle() < targets[h] && p.grantOne(h, now) {
 		}
-		if h.idleExpected()*2 >= targets[h] {
+		if h.expectedIdle()*2 >= targets[h] {
 			h.low = false
 		}
 	}
 }
 
-// targets shares the idle credits out by weight.
+// targets distributes the idle credits by weight.
 func (p *pool) targets(holders []*holderState, now time.Time) map[*holderState]int {
 	idle, weights := 0, 0.0
 	for _, in := range p.instances {
@@ -223,7 +222,7 @@
 	}
 	for _, h := range holders {
 		if p.live(h, now) {
-			idle += h.idleExpected()
+			idle += h.expectedIdle()
 			weights += h.weight()
 		}
 	}
@@ -236,7 +235,7 @@
 	return out
 }
 
-// unmet is the number of waiters for whom no slot is on its way.
+// unmet returns the number of waiters for which no grant is in flight.
 func (p *pool) unmet(holders []*holderState, now time.Time) int {
 	n := 0
 	for _, h := range holders {
@@ -247,11 +246,11 @@
 	return n
 }
 
-// recall asks holders for idle credits that others need more.
+// recall requests idle credits from holders when others need them more.
 func (p *pool) recall(holders []*holderState, now time.Time) {
 	if need := p.unmet(holders, now); need > 0 {
 		for _, h := range holders {
-			if n := min(h.idleExpected(), need); n > 0 && p.recallable(h, now) {
+			if n := min(h.expectedIdle(), need); n > 0 && p.recallable(h, now) {
 				need -= n
 				p.startPush(h, n)
 			}
@@ -264,33 +263,34 @@
 			continue
 		}
 		donor := p.donor(holders, targets, now)
-		if donor == nil || donor == h || donor.idleExpected() < h.idleExpected()+minSurplus {
+		if donor == nil || donor == h || donor.expectedIdle() < h.expectedIdle()+minSurplus {
 			return
 		}
-		p.startPush(donor, (donor.idleExpected()-h.idleExpected())/2)
+		p.startPush(donor, (donor.expectedIdle()-h.expectedIdle())/2)
 	}
 }
 
-// recallable reports whether h may be asked for idle credits now.
+// recallable reports whether idle credits may be recalled from h now.
 func (p *pool) recallable(h *holderState, now time.Time) bool {
-	return !h.recalled && p.live(h, now) && !now.Before(h.noRecall)
+	return !h.recalled && p.live(h, now) && !now.Before(h.recallAfter)
 }
 
-// donor is the holder with most idle credits above its target.
+// donor returns the holder with the most idle credits above its target.
 func (p *pool) donor(holders []*holderState, targets map[*holderState]int, now time.Time) *holderState {
 	var best *holderState
 	for _, h := range holders {
-		if !p.recallable(h, now) || h.idleExpected() <= targets[h] {
+		if !p.recallable(h, now) || h.expectedIdle() <= targets[h] {
 			continue
 		}
-		if best == nil || h.idleExpected()-targets[h] > best.idleExpected()-targets[best] {
+		if best == nil || h.expectedIdle()-targets[h] > best.expectedIdle()-targets[best] {
 			best = h
 		}
 	}
 	return best
 }
 
-// announce tells the holders when contention begins or ends.
+// announce notifies the holders when contention begins; its end reaches them with the next
+// message.
 func (p *pool) announce(holders []*holderState, now time.Time) {
 	contended := p.unmet(holders, now) > 0
 	if contended == p.contended {
@@ -304,7 +304,7 @@
 	}
 }
 
-// terms takes what is queued for h.
+// terms returns the terms for h and empties its queue of grants.
 func (p *pool) terms(h *holderState, now time.Time) terms {
 	holders := p.sortedHolders()
 	t := terms{Epoch: p.epoch, Grants: h.queue, Contended: p.contended, Target: p.targets(holders, now)[h]}
@@ -313,8 +313,8 @@
 	}
 	h.queue = nil
 	for _, g := range t.Grants {
-		if _, ok := h.told[g.Instance]; !ok {
-			h.told[g.Instance] = struct{}{}
+		if _, ok := h.sentEndpoints[g.Instance]; !ok {
+			h.sentEndpoints[g.Instance] = struct{}{}
 			t.Endpoints = append(t.Endpoints, p.instances[g.Instance].endpoint)
 		}
 	}
--- a/request/slots/poolpush.go
+++ b/request/slots/poolpush.go
@@ -9,13 +9,13 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// pushPause is how long a holder is left alone after a push to it failed.
-const pushPause = 200 * time.Millisecond
+// pushBackoff is how long nothing is sent to a holder after a push to it failed.
+const pushBackoff = 200 * time.Millisecond
 
-// recallPause is how long a holder that had nothing to give back is not asked.
-const recallPause = 20 * time.Millisecond
+// recallBackoff is the pause before the next recall from a holder that had nothing to return.
+const recallBackoff = 20 * time.Millisecond
 
-// startPush sends what is queued for h, with a recall of n idle credits.
+// startPush sends the queued grants to h, with a recall of n idle credits.
 func (p *pool) startPush(h *holderState, n int) {
 	if h.pushing && n == 0 {
 		return
@@ -26,15 +26,15 @@
 	go p.push(h.ref, msg)
 }
 
-// push runs beside the loop and posts its result.
+// push runs outside the pool's goroutine and posts its result to it.
 func (p *pool) push(to peer.Ref, msg push) {
 	ctx, cancel := context.WithTimeout(p.ctx, p.m.opts.CallTimeout)
 	defer cancel()
 	answer, err := p.m.callPush(ctx, to, msg)
-	p.post(func() { p.pushed(to, msg, answer, err) })
+	p.post(func() { p.pushDone(to, msg, answer, err) })
 }
 
-func (p *pool) pushed(to peer.Ref, msg push, answer pushReply, err error) {
+func (p *pool) pushDone(to peer.Ref, msg push, answer pushReply, err error) {
 	h, ok := p.holders[to]
 	if !ok {
 		return
@@ -43,50 +43,50 @@
 	if msg.Recall > 0 {
 		h.recalled = false
 		if len(answer.Report.Returned) == 0 {
-			// Asking again at once would be answered so again, for ever when
-			// the holder is on this daemon and the answer takes no time.
-			h.noRecall = now.Add(recallPause)
+			// An immediate second recall would get the same answer, in an endless loop when the
+			// holder is on this daemon and answers without delay.
+			h.recallAfter = now.Add(recallBackoff)
 		}
 	}
 	if err != nil {
-		// Without a pause a push that fails at once would be repeated at once,
-		// for ever: one would notice a daemon at full load and no progress.
-		h.unreachable = now.Add(pushPause)
+		// Without a pause a push that fails at once would be repeated at once, without end: a
+		// daemon would run at full load without progress.
+		h.unreachableUntil = now.Add(pushBackoff)
 	}
 	switch {
 	case errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife):
-		p.takeBack(h, msg.Terms)
+		p.undoGrants(h, msg.Terms)
 	case err != nil:
-		// Perhaps it arrived: the next full report tells.
+		// The push may have arrived: the next full report shows it.
 	case answer.Status == statusStale:
 		p.stale(answer.Claim)
 		return
 	case answer.Status != statusOK:
-		p.takeBack(h, msg.Terms)
+		p.undoGrants(h, msg.Terms)
 	default:
-		p.takeReport(to, answer.Report, now)
+		p.applyReport(to, answer.Report, now)
 	}
-	p.settle(now)
+	p.distribute(now)
 }
 
-// takeBack ends grants that certainly did not arrive.
-func (p *pool) takeBack(h *holderState, t terms) {
+// undoGrants ends grants that certainly did not arrive.
+func (p *pool) undoGrants(h *holderState, t terms) {
 	for _, g := range t.Grants {
-		p.take(g.ID)
+		p.endCredit(g.ID)
 	}
-	kept := h.inFlight[:0]
+	retained := h.inFlight[:0]
 	for _, b := range h.inFlight {
 		if b.batch != t.Batch || t.Batch == 0 {
-			kept = append(kept, b)
+			retained = append(retained, b)
 		}
 	}
-	h.inFlight = kept
+	h.inFlight = retained
 	for _, e := range t.Endpoints {
-		delete(h.told, instanceOf(&e))
+		delete(h.sentEndpoints, instanceOf(&e))
 	}
 }
 
-// stale stops the pool at once: a daemon has met a newer owner.
+// stale stops the pool at once: a daemon has seen a newer owner.
 func (p *pool) stale(c ownership.Claim) {
 	p.frozen = true
 	if c.Epoch > p.epoch {
--- a/request/slots/report.go
+++ b/request/slots/report.go
@@ -8,56 +8,55 @@
 )
 
 const (
-	// maxCalls bounds the reports of one holder that are under way.
-	maxCalls = 4
-	// reserveInterval is the least time between two reports that only ask for
-	// a reserve.
+	// maxReportsInFlight is the maximum number of concurrent reports of one holder.
+	maxReportsInFlight = 4
+	// reserveInterval is the minimum time between two reports that only request a reserve.
 	reserveInterval = 2 * time.Millisecond
-	// notReadyPause is the pause before a report that came too early for a new
-	// owner is repeated.
-	notReadyPause = 20 * time.Millisecond
+	// notReadyDelay is the pause before a report is repeated that a new owner received too
+	// early.
+	notReadyDelay = 20 * time.Millisecond
 	// retryInterval is how often a holder with waiters repeats a report.
 	retryInterval = 250 * time.Millisecond
 )
 
-// askIfLow asks for a reserve before it is needed. The caller holds mu.
-func (h *holder) askIfLow() {
-	if h.low() && time.Since(h.lastAsked) >= reserveInterval {
-		h.kick()
+// requestReserveIfLow requests a reserve before it is needed. The caller holds mu.
+func (h *holder) requestReserveIfLow() {
+	if h.low() && time.Since(h.lastReserveRequest) >= reserveInterval {
+		h.triggerReport()
 	}
 }
 
 // low reports whether the reserve is below half its target.
 func (h *holder) low() bool { return len(h.idle)*2 < h.target }
 
-// kick starts a report, or notes that one is due when the others are back.
+// triggerReport sends a report, or records that one is due when those in flight are answered.
 // The caller holds mu.
-func (h *holder) kick() {
-	if h.calls >= maxCalls {
-		h.again = true
+func (h *holder) triggerReport() {
+	if h.reportsInFlight >= maxReportsInFlight {
+		h.reportDue = true
 		return
 	}
 	if h.owner.Epoch == 0 {
 		return
 	}
-	r := h.build(time.Now(), false)
+	r := h.buildReport(time.Now(), false)
 	h.send(r)
 }
 
-// build writes a report. The caller holds mu.
-func (h *holder) build(now time.Time, full bool) report {
+// buildReport creates a report. The caller holds mu.
+func (h *holder) buildReport(now time.Time, full bool) report {
 	h.seq++
 	h.lastReport = now
 	if h.waiters.Len() > 0 && now.Before(h.validUntil) {
-		h.returnIdle(len(h.idle)) // none is usable, or a waiter would have it
+		h.returnIdle(len(h.idle)) // none is usable, or a waiter would have got it
 	}
 	r := report{
-		Service: h.service, Epoch: h.owner.Epoch, Seq: h.seq, Seen: h.seen, Zone: h.m.opts.Zone,
+		Service: h.service, Epoch: h.owner.Epoch, Seq: h.seq, Seen: h.lastBatch, Zone: h.m.opts.Zone,
 		Returned: h.returned, Idle: len(h.idle), InUse: len(h.credits) - len(h.idle), Waiting: h.waiters.Len(), Low: h.low(),
 	}
 	h.returned = nil
 	if r.Low {
-		h.lastAsked = now
+		h.lastReserveRequest = now
 	}
 	if r.Waiting > 0 {
 		r.OldestMicros = micros(now.Sub(h.waiters.Front().Value.(*waiter).arrived))
@@ -65,12 +64,12 @@
 		r.Avoid = h.avoid()
 	}
 	if full || !h.renewed || h.validUntil.Sub(now) < h.m.opts.TTL*2/3 {
-		h.fill(&r)
+		h.makeFull(&r)
 	}
 	return r
 }
 
-// avoid lists instances that health rules out now.
+// avoid lists the instances that Health excludes now.
 func (h *holder) avoid() []instanceID {
 	var out []instanceID
 	for id, e := range h.endpoints {
@@ -81,12 +80,12 @@
 	return out
 }
 
-// fill makes the report a full one.
-func (h *holder) fill(r *report) {
-	h.dropLapsed(time.Now())
+// makeFull makes the report a full one.
+func (h *holder) makeFull(r *report) {
+	h.dropExpired(time.Now())
 	r.Full = true
 	r.LimitMicros = micros(h.limit())
-	r.Fence, h.fence = h.seen, h.seen
+	r.Fence, h.fence = h.lastBatch, h.lastBatch
 	byInstance := map[instanceID][]creditID{}
 	for id, c := range h.credits {
 		byInstance[c.instance] = append(byInstance[c.instance], id)
@@ -96,14 +95,13 @@
 	}
 }
 
-// dropLapsed disowns every credit when the renewal is so long overdue that the
-// pool may have freed them.
+// dropExpired drops every credit when the renewal is so long overdue that the pool may have
+// freed them.
 //
-// What could go wrong: this daemon was cut off, its slots were freed and
-// granted to another, and a new owner of the pool takes this list for true.
-// One would notice a slot that is accounted for twice. The pool waits for a
-// margin longer than this.
-func (h *holder) dropLapsed(now time.Time) {
+// After this daemon was disconnected, its slots may have been freed and granted to another
+// holder. A new owner of the pool would accept the credits listed here, and a slot would be
+// recorded twice. The pool waits for a margin longer than this.
+func (h *holder) dropExpired(now time.Time) {
 	if now.Before(h.validUntil.Add(h.limit())) {
 		return
 	}
@@ -111,103 +109,103 @@
 	for id := range h.credits {
 		ids = append(ids, id)
 	}
-	h.forget(ids)
+	h.orphan(ids)
 }
 
-// send calls the pool beside the caller, who holds mu.
+// send calls the pool in a new goroutine. The caller holds mu.
 func (h *holder) send(r report) {
 	owner, began := h.owner, time.Now()
-	h.calls++
-	h.again = false
+	h.reportsInFlight++
+	h.reportDue = false
 	h.m.counts.Reports.Add(1)
 	go func() {
 		ctx, cancel := context.WithTimeout(h.m.ctx, h.m.opts.CallTimeout)
 		defer cancel()
 		answer, err := h.m.callReport(ctx, owner.Owner, r)
-		h.answered(owner, began, r, answer, err)
+		h.handleReply(owner, began, r, answer, err)
 	}()
 }
 
-// answered takes the pool's answer to r.
-func (h *holder) answered(owner ownership.Claim, began time.Time, r report, answer reply, err error) {
+// handleReply processes the pool's reply to r.
+func (h *holder) handleReply(owner ownership.Claim, began time.Time, r report, answer reply, err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if owner != h.owner {
-		// Another owner meanwhile: what this one says no longer counts, and its
-		// grants were never ours.
+		// The owner has changed meanwhile: this reply no longer counts, and its grants were
+		// never recorded here.
 		return
 	}
-	h.calls--
+	h.reportsInFlight--
 	switch {
 	case err != nil:
 		h.returned = append(h.returned, r.Returned...)
-		h.ownerSilent()
+		h.clearContention()
 		h.m.counts.ReportsFailed.Add(1)
-		return // the ticker tries again
+		return // the ticker retries
 	case answer.Status == statusNeedFull:
 		h.returned = append(h.returned, r.Returned...)
 		if !r.Full {
-			h.send(h.build(time.Now(), true))
+			h.send(h.buildReport(time.Now(), true))
 		}
 		return
 	case answer.Status == statusNotReady:
 		h.returned = append(h.returned, r.Returned...)
-		time.AfterFunc(notReadyPause, func() { h.retryRenewal(owner) })
+		time.AfterFunc(notReadyDelay, func() { h.retryRenewal(owner) })
 		return
 	case answer.Status != statusOK:
-		h.takeBack(r.Returned, time.Now())
+		h.reclaim(r.Returned, time.Now())
 		if answer.Claim.Epoch > h.owner.Epoch {
 			h.m.opts.Directory.Observe(answer.Claim)
 		}
 		return
 	default:
-		h.heardBack(r)
-		h.accept(began, r, answer)
+		h.confirmReturns(r)
+		h.applyReply(began, r, answer)
 	}
-	if h.again {
-		h.kick()
+	if h.reportDue {
+		h.triggerReport()
 	}
 }
 
-// retryRenewal renews with a new owner that had not collected from here yet.
+// retryRenewal renews with a new owner that had not collected from this holder yet.
 func (h *holder) retryRenewal(owner ownership.Claim) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.owner == owner && !h.renewed && h.m.ctx.Err() == nil {
-		h.kick()
+		h.triggerReport()
 	}
 }
 
-func (h *holder) accept(began time.Time, r report, answer reply) {
+func (h *holder) applyReply(began time.Time, r report, answer reply) {
 	if r.Full {
 		h.renewed = true
-		h.forget(answer.Unknown)
+		h.orphan(answer.Unknown)
 		if until := began.Add(h.m.opts.TTL); until.After(h.validUntil) {
 			h.validUntil = until
 		}
 	}
-	h.takeTerms(answer.Terms, time.Now())
+	h.applyTerms(answer.Terms, time.Now())
 }
 
-// tick renews in time and repeats what got lost.
+// tick renews in time and retries reports that got no answer.
 func (h *holder) tick(now time.Time) {
-	h.limit() // notes a raised one before it is lowered again
+	h.limit() // records a raised limit before it is lowered again
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if h.owner.Epoch == 0 || h.calls > 0 {
+	if h.owner.Epoch == 0 || h.reportsInFlight > 0 {
 		return
 	}
 	h.serve(now)
 	renew := h.validUntil.Sub(now) < h.m.opts.TTL*2/3
 	waiting := !h.renewed || h.waiters.Len() > 0 || len(h.returned) > 0 || h.low()
 	if renew || waiting && now.Sub(h.lastReport) >= retryInterval {
-		h.kick()
+		h.triggerReport()
 	}
 }
 
-// setOwner takes the newest claim of the pool. Credits stay: the new owner
-// adopts them with the next full report. They stay valid as before, because
-// the new owner counts what is not accounted for as taken.
+// setOwner sets the newest claim of the pool. The credits are kept: the new owner adopts them
+// with the next full report. They remain valid as before, because the new owner counts what is
+// not accounted for as taken.
 func (h *holder) setOwner(c ownership.Claim) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -219,14 +217,14 @@
 		return
 	}
 	h.owner = c
-	h.seen, h.fence, h.returned = 0, 0, nil
-	clear(h.givenBack)
-	h.target, h.contended, h.calls, h.renewed = 0, false, 0, false
-	h.send(h.build(time.Now(), true))
+	h.lastBatch, h.fence, h.returned = 0, 0, nil
+	clear(h.pendingReturns)
+	h.target, h.contended, h.reportsInFlight, h.renewed = 0, false, 0, false
+	h.send(h.buildReport(time.Now(), true))
 }
 
-// pushed takes a push; a pool under a lower epoch is refused.
-func (h *holder) pushed(msg push) pushReply {
+// applyPush processes a push; a pool with a lower epoch is refused.
+func (h *holder) applyPush(msg push) pushReply {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if msg.Terms.Epoch < h.owner.Epoch {
@@ -234,10 +232,10 @@
 	}
 	h.changeOwner(ownership.Claim{Resource: serviceResource(h.service), Owner: msg.Owner, Epoch: msg.Terms.Epoch})
 	if !msg.Collect {
-		h.takeTerms(msg.Terms, time.Now())
+		h.applyTerms(msg.Terms, time.Now())
 	}
 	if h.waiters.Len() == 0 {
 		h.returnIdle(msg.Recall)
 	}
-	return pushReply{Report: h.build(time.Now(), msg.Collect)}
+	return pushReply{Report: h.buildReport(time.Now(), msg.Collect)}
 }
--- a/request/slots/slots_test.go
+++ b/request/slots/slots_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// TestSlotsAreShortOnlyWhileAllAreTaken guards against admission that holds requests back
-// beside free slots, or lets all of them in at once where there are none.
+// TestSlotsAreShortOnlyWhileAllAreTaken guards against admission that holds requests back beside
+// free slots, or admits all of them at once when there are none.
 func TestSlotsAreShortOnlyWhileAllAreTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 2)
@@ -49,16 +49,16 @@
 		c.own(c.daemons["d0"])
 		time.Sleep(time.Second)
 		d := c.daemons["d1"]
-		var users sync.WaitGroup
+		var clients sync.WaitGroup
 		for range 4 {
-			users.Go(func() { _, _ = c.request(d, 5*time.Second, 2*time.Second) })
+			clients.Go(func() { _, _ = c.request(d, 5*time.Second, 2*time.Second) })
 		}
 		time.Sleep(time.Second)
-		require.False(t, d.Short(testService), "nobody waits")
-		users.Go(func() { _, _ = c.request(d, 5*time.Second, time.Second) })
+		require.False(t, d.Short(testService), "no request waits")
+		clients.Go(func() { _, _ = c.request(d, 5*time.Second, time.Second) })
 		time.Sleep(500 * time.Millisecond)
 		require.True(t, d.Short(testService))
-		users.Wait()
+		clients.Wait()
 		_, err := c.request(d, time.Second, time.Millisecond)
 		require.NoError(t, err)
 		require.False(t, d.Short(testService))
--- a/request/slots/takeover.go
+++ b/request/slots/takeover.go
@@ -12,36 +12,36 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// collectRetry is the pause between two tries to reach a member.
+// collectRetry is the pause between two attempts to collect from a member.
 const collectRetry = 500 * time.Millisecond
 
-// takeover is open while slots may be held under an earlier owner by someone
-// who is not accounted for.
+// takeover is the state of a pool's owner while slots may be in use under an earlier owner by a
+// holder that is not accounted for.
 //
-// What could go wrong: the earlier owner is paused or cut off from here, but
-// not from some daemon, and goes on granting slots that this owner grants too;
-// or a dead daemon's requests still run. One would notice an instance with
-// more requests than slots. This prevents it: every slot that nobody reported
-// stays blocked until all earlier owners are known to grant nothing any more
-// and the credits they granted have lapsed and the requests begun under these
-// have reached their time limit.
+// The earlier owner may be paused or unreachable from here, but reachable for some other daemon,
+// and continue to grant slots that this owner grants too; or the requests of a failed daemon may
+// still run. An instance would then get more requests than it has slots. Therefore every slot
+// that no holder reported stays blocked until it is certain that no earlier owner grants any
+// more, that the credits they granted have expired, and that the requests begun under these have
+// reached their time limit.
 type takeover struct {
 	began time.Time
-	// previous is the claim that ours replaced.
+	// previous is the claim that this owner's claim replaced.
 	previous ownership.Claim
 	// answered lists the members that refuse lower epochs from now on.
 	answered map[peer.Ref]bool
-	// met lists holders that reported before they were collected from.
-	met map[peer.Ref]bool
-	// complete is set when the previous owner handed over complete accounts.
+	// reported lists holders that sent a report before their credits were collected.
+	reported map[peer.Ref]bool
+	// complete is set when the previous owner transferred complete credit records.
 	complete bool
 	// unresolved lists earlier owners that may still grant.
 	unresolved map[peer.Ref]bool
-	// granted is until when a resolved owner may have granted credits.
-	granted time.Time
+	// lastGrant is the latest time at which an earlier owner that no longer grants may have
+	// granted credits.
+	lastGrant time.Time
 }
 
-// beginTakeover blocks every slot unless nobody owned the pool before.
+// beginTakeover blocks every slot, unless the pool never had an owner.
 func (p *pool) beginTakeover(g ownership.Grant) {
 	if g.Previous.Epoch == 0 && len(g.Earlier) == 0 {
 		return
@@ -49,7 +49,7 @@
 	now := time.Now()
 	t := &takeover{
 		began: now, previous: g.Previous,
-		answered: map[peer.Ref]bool{}, met: map[peer.Ref]bool{}, unresolved: map[peer.Ref]bool{},
+		answered: map[peer.Ref]bool{}, reported: map[peer.Ref]bool{}, unresolved: map[peer.Ref]bool{},
 	}
 	p.takeover = t
 	for _, owner := range g.Earlier {
@@ -65,26 +65,25 @@
 	}
 }
 
-// grantedUntil keeps the unaccounted slots blocked for credits granted up to
-// the time.
+// grantedUntil keeps the unaccounted slots blocked for credits granted up to the given time.
 func (t *takeover) grantedUntil(at time.Time) {
-	if at.After(t.granted) {
-		t.granted = at
+	if at.After(t.lastGrant) {
+		t.lastGrant = at
 	}
 }
 
-// horizon is when the last credit of earlier owners has lapsed and the last
-// request begun under one has ended. It is computed at each use, because the
-// service's limit may be raised meanwhile.
-func (p *pool) horizon() time.Time {
+// blockedUntil is when the last credit of earlier owners has expired and the last request begun
+// under one has ended. It is computed at each use, because the service's limit may be raised
+// meanwhile.
+func (p *pool) blockedUntil() time.Time {
 	t := p.takeover
-	if t.complete || t.granted.IsZero() {
+	if t.complete || t.lastGrant.IsZero() {
 		return t.began
 	}
-	return t.granted.Add(p.m.opts.TTL + p.limit() + 2*p.m.opts.Margin)
+	return t.lastGrant.Add(p.m.opts.TTL + p.limit() + 2*p.m.opts.Margin)
 }
 
-// resolve notes that an earlier owner grants nothing from now on.
+// resolve records that an earlier owner grants nothing from now on.
 func (p *pool) resolve(owner peer.Ref, now time.Time) {
 	if p.takeover == nil {
 		return
@@ -95,7 +94,7 @@
 	}
 }
 
-// endTakeover frees what is still blocked once nobody can hold it.
+// endTakeover frees the blocked slots once no holder can be using them.
 func (p *pool) endTakeover(now time.Time) {
 	t := p.takeover
 	if t == nil {
@@ -106,106 +105,103 @@
 		case p.replaced(owner) || now.Sub(t.began) > p.m.opts.AuthorityBound:
 			p.resolve(owner, now)
 		case p.m.opts.Members.Gone(owner) && p.m.recentMajority(t.members()):
-			// Gone may mean cut off. An owner that is cut off from the store
-			// stops once it has not heard from a majority for a TTL, and the
-			// majority that answered here refuses it from now on.
+			// A removed member may just be unreachable. An owner that has lost the store stops
+			// once it has received nothing from a majority for a TTL, and the majority that
+			// answered here refuses it from now on.
 			p.resolve(owner, now.Add(p.m.opts.TTL))
 		}
 	}
-	if len(t.unresolved) > 0 || now.Before(p.horizon()) {
+	if len(t.unresolved) > 0 || now.Before(p.blockedUntil()) {
 		return
 	}
 	p.takeover = nil
 	p.m.settled(p.claim)
 	for id, in := range p.instances {
 		in.blocked = 0
-		p.forgetIfEmpty(id, in)
+		p.removeIfUnused(id, in)
 	}
 }
 
-// replaced reports whether a later life of the owner has registered.
+// replaced reports whether a later incarnation of the owner has registered.
 func (p *pool) replaced(owner peer.Ref) bool {
 	m, ok := p.m.opts.Members.Lookup(owner.ID)
 	return ok && m.Incarnation > owner.Incarnation
 }
 
-// collect asks every member for its holdings until each has answered or the
-// takeover is over. Each that answers refuses lower epochs from then on.
+// collect requests the credits of every member until each has answered or the takeover has
+// ended. Each member that answers refuses lower epochs from then on.
 func (p *pool) collect() {
 	for {
-		ask, open := p.toAsk()
+		targets, open := p.collectTargets()
 		if !open {
 			return
 		}
 		var wg sync.WaitGroup
-		for _, ref := range ask {
+		for _, ref := range targets {
 			wg.Go(func() { p.collectFrom(ref) })
 		}
 		wg.Wait()
-		_ = sleep.For(p.ctx, collectRetry) // toAsk tells when it is over
+		_ = sleep.For(p.ctx, collectRetry) // collectTargets reports the end of the takeover
 	}
 }
 
-// awaits reports whether the takeover has still to collect from the holder.
+// awaitsCollection reports whether the takeover has still to collect from the holder.
 //
-// What could go wrong: a holder that was not collected from renews with this
-// owner and goes on with credits of an earlier one, whose slots this owner
-// frees when the takeover ends. One would notice an instance with more
-// requests than slots. Until it was collected from, nothing of it is renewed,
-// so its credits lapse before the takeover ends.
-func (p *pool) awaits(ref peer.Ref) bool {
+// Until then the holder cannot renew, so its credits expire before the takeover ends. Otherwise
+// it could renew with this owner and continue to use credits of an earlier one, whose slots this
+// owner frees when the takeover ends, and an instance would get more requests than it has slots.
+func (p *pool) awaitsCollection(ref peer.Ref) bool {
 	if p.takeover == nil || p.takeover.answered[ref] {
 		return false
 	}
-	p.takeover.met[ref] = true
+	p.takeover.reported[ref] = true
 	return true
 }
 
-// toAsk lists the members, holders and earlier owners that have not answered;
-// false when the takeover is over.
-func (p *pool) toAsk() ([]peer.Ref, bool) {
-	asked := make(chan []peer.Ref, 1)
+// collectTargets lists the members, holders and earlier owners that have not answered; it
+// returns false when the takeover has ended.
+func (p *pool) collectTargets() ([]peer.Ref, bool) {
+	result := make(chan []peer.Ref, 1)
 	done := p.do(p.ctx, func() {
-		ask := map[peer.Ref]bool{}
+		targets := map[peer.Ref]bool{}
 		t := p.takeover
 		if t == nil {
-			asked <- nil
+			result <- nil
 			return
 		}
 		for _, m := range p.m.opts.Members.Members() {
-			ask[m.Ref] = true
+			targets[m.Ref] = true
 		}
 		if t.previous.Epoch > 0 {
-			ask[t.previous.Owner] = true
+			targets[t.previous.Owner] = true
 		}
 		for ref := range p.holders {
-			ask[ref] = true
+			targets[ref] = true
 		}
-		for ref := range t.met {
-			ask[ref] = true
+		for ref := range t.reported {
+			targets[ref] = true
 		}
 		for ref := range t.unresolved {
-			ask[ref] = true
+			targets[ref] = true
 		}
 		for ref := range t.answered {
-			delete(ask, ref)
+			delete(targets, ref)
 		}
-		asked <- append([]peer.Ref{}, slices.Collect(maps.Keys(ask))...)
+		result <- append([]peer.Ref{}, slices.Collect(maps.Keys(targets))...)
 	})
 	if !done {
 		return nil, false
 	}
-	ask := <-asked
-	return ask, ask != nil
+	targets := <-result
+	return targets, targets != nil
 }
 
-// collectFrom asks one member.
+// collectFrom collects the credits of one member.
 //
-// What could go wrong: the answer comes so late that the earlier owner has
-// freed a listed credit and granted its slot again. One would notice a slot
-// counted as accounted for while somebody else uses it. Answers later than
-// half the margin are thrown away and asked for again; an earlier owner waits
-// for a whole margin.
+// Replies later than half the margin are discarded and requested again; an earlier owner waits
+// for a whole margin. A later reply could list a credit that the earlier owner has since freed
+// and whose slot it has granted again, so the slot would count as accounted for while another
+// holder uses it.
 func (p *pool) collectFrom(ref peer.Ref) {
 	began := time.Now()
 	ctx, cancel := context.WithTimeout(p.ctx, min(p.m.opts.CallTimeout, p.m.opts.Margin/2))
@@ -217,27 +213,27 @@
 	}
 	p.do(p.ctx, func() {
 		if time.Since(began) <= p.m.opts.Margin/2 {
-			p.collected(ref, answer)
+			p.applyCollected(ref, answer)
 		}
 	})
 }
 
-func (p *pool) collected(ref peer.Ref, answer pushReply) {
+func (p *pool) applyCollected(ref peer.Ref, answer pushReply) {
 	now := time.Now()
 	if answer.Pool != nil {
-		p.takeHandover(answer.Pool, now)
+		p.applyHandover(answer.Pool, now)
 	}
 	if p.takeover != nil {
 		p.adopt(ref, answer.Report)
 		p.takeover.answered[ref] = true
 	}
-	p.takeReport(ref, answer.Report, now)
+	p.applyReport(ref, answer.Report, now)
 	p.resolve(ref, now)
 	p.endTakeover(now)
-	p.settle(now)
+	p.distribute(now)
 }
 
-// members lists the members that have answered.
+// members returns the members that have answered.
 func (t *takeover) members() map[peer.MemberID]bool {
 	out := map[peer.MemberID]bool{}
 	for ref := range t.answered {
@@ -246,7 +242,7 @@
 	return out
 }
 
-// adopt counts the credits of earlier owners that a member holds as its own.
+// adopt records the credits of earlier owners that a member holds.
 func (p *pool) adopt(ref peer.Ref, r report) {
 	h := p.holder(ref)
 	if until := time.Now().Add(p.m.opts.TTL + p.m.opts.Margin); until.After(h.expires) {
@@ -259,36 +255,36 @@
 	}
 }
 
-// adoptOne moves a slot from the unaccounted to the holder. It is refused when
-// every slot of the instance is accounted for otherwise.
+// adoptOne moves a slot from the blocked ones to the holder. It does nothing when every slot of
+// the instance is accounted for otherwise.
 func (p *pool) adoptOne(h *holderState, id creditID, at instanceID) {
 	if _, ok := p.credits[id]; ok || uint64(id)>>serialBits >= p.epoch {
 		return
 	}
 	in := p.instance(at)
-	if in.known && in.blocked == 0 {
+	if in.listed && in.blocked == 0 {
 		return
 	}
 	in.blocked = max(in.blocked-1, 0)
-	p.give(id, h, at, 0)
+	p.assign(id, h, at, 0)
 }
 
-// takeHandover takes the accounts of the previous owner; when they are complete,
-// what they do not list is free. Books of an earlier epoch are out of date:
-// their credits may have been given back, and their slots granted again.
-func (p *pool) takeHandover(h *handover, now time.Time) {
+// applyHandover takes the credit records of the previous owner; when they are complete, slots
+// that they do not list are free. Records of an earlier epoch are out of date: their credits may
+// have been returned, and their slots granted again.
+func (p *pool) applyHandover(h *handover, now time.Time) {
 	if p.takeover == nil || p.takeover.complete || h.Epoch != p.takeover.previous.Epoch {
 		return
 	}
-	for _, part := range h.Holders {
-		if p.takeover.answered[part.Holder] {
-			continue // its own list is newer than the accounts
+	for _, entry := range h.Holders {
+		if p.takeover.answered[entry.Holder] {
+			continue // the holder's own list is newer than the records
 		}
-		to := p.holder(part.Holder)
+		to := p.holder(entry.Holder)
 		if to.expires.IsZero() {
 			to.expires = now.Add(p.m.opts.TTL + p.m.opts.Margin)
 		}
-		for _, at := range part.Held {
+		for _, at := range entry.Held {
 			for _, id := range at.Credits {
 				p.adoptOne(to, id, at.Instance)
 			}
@@ -300,12 +296,12 @@
 	}
 }
 
-// freeze stops granting and returns the accounts for a successor.
+// freeze stops granting and returns the credit records for a successor.
 func (p *pool) freeze() *handover {
 	p.frozen = true
 	out := &handover{Epoch: p.epoch, Complete: p.takeover == nil}
 	for _, h := range p.sortedHolders() {
-		out.Holders = append(out.Holders, holderPart{Holder: h.ref, Held: p.heldBy(h)})
+		out.Holders = append(out.Holders, holderCredits{Holder: h.ref, Held: p.heldBy(h)})
 	}
 	return out
 }
--- a/request/slots/terms.go
+++ b/request/slots/terms.go
@@ -6,8 +6,8 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// takeTerms takes what the pool sent. The caller holds mu.
-func (h *holder) takeTerms(t terms, now time.Time) {
+// applyTerms processes what the pool sent. The caller holds mu.
+func (h *holder) applyTerms(t terms, now time.Time) {
 	h.target, h.contended = t.Target, t.Contended
 	if h.leaving {
 		h.target = 0
@@ -21,11 +21,11 @@
 			h.endpoints = withEndpoint(h.endpoints, id, e)
 		}
 	}
-	h.takeGrants(t)
+	h.addGrants(t)
 	h.serve(now)
 	h.returnIdle(h.surplus())
 	if len(h.returned) > 0 || h.waiters.Len() > 0 && len(h.idle) > 0 {
-		h.kick()
+		h.triggerReport()
 	}
 }
 
@@ -34,7 +34,8 @@
 	return ok
 }
 
-// withEndpoint copies the list, which is shared with the endpoint table.
+// withEndpoint returns a copy of the list with the endpoint added, since the list is shared with
+// the endpoint table.
 func withEndpoint(list map[instanceID]plan.Endpoint, id instanceID, e plan.Endpoint) map[instanceID]plan.Endpoint {
 	out := make(map[instanceID]plan.Endpoint, len(list)+1)
 	for k, v := range list {
@@ -44,18 +45,18 @@
 	return out
 }
 
-// takeGrants adds new credits. A batch at or below the fence comes too late:
-// the pool may have freed its slots.
+// addGrants adds new credits. A batch at or below the fence arrives too late: the pool may have
+// freed its slots.
 //
-// What could go wrong: the same terms are taken twice, and a credit is idle
-// twice, or idle while a request uses it. One would notice an instance with
-// more requests than slots. A credit that is held here already is skipped.
-func (h *holder) takeGrants(t terms) {
+// A credit that is held already is skipped. If the same terms arrived twice, the credit would
+// otherwise be idle twice, or idle while a request uses it, and an instance would get more
+// requests than it has slots.
+func (h *holder) addGrants(t terms) {
 	if t.Batch == 0 {
 		return
 	}
 	late := t.Batch <= h.fence
-	h.seen = max(h.seen, t.Batch)
+	h.lastBatch = max(h.lastBatch, t.Batch)
 	for _, g := range t.Grants {
 		if _, held := h.credits[g.ID]; held {
 			continue
@@ -71,8 +72,8 @@
 	}
 }
 
-// forget drops credits that the pool does not count as ours.
-func (h *holder) forget(ids []creditID) {
+// orphan drops credits that the pool does not record as this holder's.
+func (h *holder) orphan(ids []creditID) {
 	for _, id := range ids {
 		c, ok := h.credits[id]
 		if !ok {
--- a/request/slots/terms_test.go
+++ b/request/slots/terms_test.go
@@ -8,9 +8,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Symptom: an instance runs more requests than it has slots.
-// Sequence: the terms of a pool arrive twice.
-// Cause: a credit that is known already is added again.
+// TestRepeatedGrantsCountOnce guards against an instance that runs more requests than it has
+// slots, because terms of a pool that arrive twice add a credit again.
 func TestRepeatedGrantsCountOnce(t *testing.T) {
 	for name, use := range map[string]bool{"idle": false, "in use": true} {
 		t.Run(name, func(t *testing.T) {
@@ -24,11 +23,11 @@
 				h.validUntil = time.Now().Add(time.Minute)
 				e := c.endpoints[0]
 				grants := terms{Batch: 1, Target: 1, Grants: []granted{{ID: newCreditID(1, 1), Instance: instanceOf(&e)}}}
-				h.takeTerms(grants, time.Now())
+				h.applyTerms(grants, time.Now())
 				if use {
 					require.NotNil(t, h.pick(time.Now()))
 				}
-				h.takeTerms(grants, time.Now())
+				h.applyTerms(grants, time.Now())
 				require.Len(t, h.credits, 1)
 				if use {
 					require.Nil(t, h.pick(time.Now()))
--- a/request/slots/wait_test.go
+++ b/request/slots/wait_test.go
@@ -12,9 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The waiting time from arrival to start, in virtual time: the daemons of this
-// package on a network with 1 ms one way, beside a central queue without any
-// delay and three ways to share without one, on the same arrivals.
+// The tests here measure, in virtual time, the waiting time from arrival to start. They compare
+// the daemons of this package, on a network with a one-way delay of 1 ms, with a central queue
+// without any delay and with three other ways to distribute requests, without delay too, on the
+// same arrivals.
 
 const (
 	waitInstances = 48
@@ -36,12 +37,12 @@
 	return x
 }
 
-// queue is a first-come queue of servers.
+// queue is a first-come, first-served queue with several servers.
 type queue struct{ free freeTimes }
 
 func newQueue(servers int) *queue { return &queue{free: make(freeTimes, servers)} }
 
-// serve returns the wait of an arrival.
+// serve returns the waiting time of an arrival.
 func (q *queue) serve(a arrival) time.Duration {
 	start := max(a.at, q.free[0])
 	q.free[0] = start + a.service
@@ -49,8 +50,8 @@
 	return start - a.at
 }
 
-// shared splits the arrivals over queues by choose.
-func shared(arrivals []arrival, queues, servers int, choose func(i int, a arrival) int) *hdrhistogram.Histogram {
+// simulate distributes the arrivals over queues by choose and returns the waiting times.
+func simulate(arrivals []arrival, queues, servers int, choose func(i int, a arrival) int) *hdrhistogram.Histogram {
 	qs := make([]*queue, queues)
 	for i := range qs {
 		qs[i] = newQueue(servers)
@@ -117,19 +118,19 @@
 	return out
 }
 
-// maxWaitRatio is the goal of the waiting time at 90 % load, for requests that
-// take long beside the network's delay.
+// maxWaitRatio is the limit of the mean waiting time, relative to a central queue, at 90 % load,
+// for requests that take long compared with the network delay.
 const maxWaitRatio = 1.3
 
 func TestWaitNearCentralQueue(t *testing.T) {
 	t.Log("  service load daemons  central    ours  ratio   fixed   robin  random |    p99 central ours | reports pushes per request")
 	for _, c := range waitCases() {
 		arrivals := poisson(3, 20000, c.daemons, c.load*waitTotal/c.service.Seconds(), c.service)
-		central := shared(arrivals, 1, waitTotal, func(int, arrival) int { return 0 })
-		fixed := shared(arrivals, c.daemons, waitTotal/c.daemons, func(_ int, a arrival) int { return a.daemon })
-		robin := shared(arrivals, waitInstances, waitSlots, func(i int, _ arrival) int { return i % waitInstances })
+		central := simulate(arrivals, 1, waitTotal, func(int, arrival) int { return 0 })
+		fixed := simulate(arrivals, c.daemons, waitTotal/c.daemons, func(_ int, a arrival) int { return a.daemon })
+		robin := simulate(arrivals, waitInstances, waitSlots, func(i int, _ arrival) int { return i % waitInstances })
 		r := rand.New(rand.NewPCG(5, 5))
-		random := shared(arrivals, waitInstances, waitSlots, func(int, arrival) int { return r.IntN(waitInstances) })
+		random := simulate(arrivals, waitInstances, waitSlots, func(int, arrival) int { return r.IntN(waitInstances) })
 		var ours *hdrhistogram.Histogram
 		var run *cell
 		synctest.Test(t, func(t *testing.T) { ours, run = measured(t, c.daemons, arrivals) })
