--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -89,7 +89,7 @@
 	}
 }
 
-// Request asks for admission.
+// Request describes a request for admission.
 type Request struct {
 	Service  string
 	Team     string
@@ -218,8 +218,9 @@
 // End is the outcome of a request.
 type End int
 
-// Outcomes of a request. Late means that its deadline passed while it ran, Unbegun that it had a
-// slot and was not sent, because InTime returned false.
+// Outcomes of a request. Whole means that it was answered completely, Late that its deadline
+// passed while it ran, Unbegun that it had a slot and was not sent, because InTime returned
+// false.
 const (
 	Other End = iota
 	Whole
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -57,10 +57,10 @@
 	target             int
 	contended          bool
 	oldest             time.Time // arrival of the first waiter over all daemons
-	reportsInFlight    int       // reports in flight
-	renewed            bool      // whether this owner has answered a full report
-	reportDue          bool      // whether a change has not been reported yet
-	leaving            bool      // the daemon is stopping: no idle credit is kept
+	reportsInFlight    int
+	renewed            bool // whether this owner has answered a full report
+	reportDue          bool // whether a change has not been reported yet
+	leaving            bool // the daemon is stopping: no idle credit is kept
 	lastReport         time.Time
 	lastReserveRequest time.Time // time of the last request for a reserve
 }
@@ -387,12 +387,12 @@
 			delete(h.load, id)
 		}
 	}
-	h.dropUnkeepable()
+	h.returnUnkeepable()
 	h.serve(time.Now())
 	h.triggerReport()
 }
 
-func (h *holder) dropUnkeepable() {
+func (h *holder) returnUnkeepable() {
 	retained := h.idle[:0]
 	for _, c := range h.idle {
 		if h.keepable(c) {
--- a/request/slots/leave.go
+++ b/request/slots/leave.go
@@ -41,7 +41,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.leaving, h.target = true, 0
-	h.dropUnkeepable()
+	h.returnUnkeepable()
 	if len(h.returned) > 0 {
 		h.triggerReport()
 	}
--- a/request/slots/pool.go
+++ b/request/slots/pool.go
@@ -318,7 +318,7 @@
 	return n
 }
 
-// confirm drops the batches up to seen, and those sent so long ago that they are lost.
+// confirm drops the batches up to lastBatch, and those sent so long ago that they are lost.
 //
 // When an answer with grants is lost, its waiter would otherwise count as served, and wait
 // beside free slots.
