--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -43,7 +43,7 @@
 // this one: the workers refuse its orders. Nothing is started on those that are closed.
 func (e *Engine) QuotaReport(asked []string) quota.Report {
 	r := quota.Report{Part: e.o.Part, Epoch: e.o.Epoch, Uses: e.ledger.Uses(asked)}
-	if e.unresolvedOpen == 0 {
+	if e.unresolvedUncordoned == 0 {
 		r.Obeyed = e.capShares
 	}
 	return r
@@ -85,7 +85,7 @@
 // awaitsQuota notes that a step waits for nothing but its account's quota.
 func (e *Engine) awaitsQuota(s *step) {
 	s.job.account.Want(s.charge(), len(s.pending), s.startsTogether())
-	e.holdUp(s)
+	e.keepFree(s)
 	if s.overQuota {
 		return
 	}
@@ -95,43 +95,43 @@
 }
 
 // book counts a run on its worker and for its account.
-func (e *Engine) book(p *place) {
-	p.w.take(p)
-	p.s.job.account.Adopt(p.s.charge())
-	e.noteKind(p.s.job, p.s.charge())
+func (e *Engine) book(alloc *allocation) {
+	alloc.w.take(alloc)
+	alloc.s.job.account.Adopt(alloc.s.charge())
+	e.noteUsage(alloc.s.job, alloc.s.charge())
 }
 
 // unbook frees what a run takes, once it is known not to run any more.
-func (e *Engine) unbook(p *place) {
-	if !p.w.drop(p) {
+func (e *Engine) unbook(alloc *allocation) {
+	if !alloc.w.drop(alloc) {
 		return
 	}
-	a := p.s.job.account
-	a.Refund(p.s.charge())
-	e.fair.Used(a.Name, e.now, (e.now-p.sent).Seconds()*float64(p.s.spec.Size.CPU)/1000)
-	e.noteKind(p.s.job, quota.Size{}.Sub(p.s.charge()))
+	a := alloc.s.job.account
+	a.Refund(alloc.s.charge())
+	e.fair.Used(a.Name, e.now, (e.now-alloc.sent).Seconds()*float64(alloc.s.spec.Size.CPU)/1000)
+	e.noteUsage(alloc.s.job, quota.Size{}.Sub(alloc.s.charge()))
 	if a.Held().Negative() {
-		e.violate("refund of more than an account holds: "+a.Name, p.id(), p.w.ID)
+		e.violate("refund of more than an account holds: "+a.Name, alloc.id(), alloc.w.ID)
 	}
 }
 
-// stray is a run without a place that is being stopped.
-type stray struct {
+// untrackedRun is a run without a place that is being stopped.
+type untrackedRun struct {
 	task    work.TaskID
 	account *quota.Account
 	size    quota.Size
 }
 
-// chargeStray counts a run that is being stopped for its account until the next report
+// chargeUntracked counts a run that is being stopped for its account until the next report
 // of its worker. A job whose end was read from the store has no steps: what it still ran
 // is in ending.
-func (e *Engine) chargeStray(w *worker, task work.TaskID) {
-	x := stray{task: task, account: e.ledger.Account("")}
+func (e *Engine) chargeUntracked(w *worker, task work.TaskID) {
+	x := untrackedRun{task: task, account: e.ledger.Account("")}
 	if j := e.jobs[task.Job]; j != nil {
 		x.account, x.size = e.ledger.Account(j.spec.Account), j.sizeOf(task.Step)
 	}
 	x.account.Adopt(x.size)
-	w.strays = append(w.strays, x)
+	w.untracked = append(w.untracked, x)
 }
 
 // sizeOf returns what a task of a step counts for the job's account; nothing for a step
@@ -146,11 +146,11 @@
 	return quota.Size{}
 }
 
-func (w *worker) refundStrays() {
-	for _, x := range w.strays {
+func (w *worker) refundUntracked() {
+	for _, x := range w.untracked {
 		x.account.Refund(x.size)
 	}
-	w.strays = w.strays[:0]
+	w.untracked = w.untracked[:0]
 }
 
 // countUnseen counts for the accounts what an earlier epoch may have started, as long as
@@ -162,7 +162,7 @@
 // successor sees the account's runs only as the workers answer, takes it to hold
 // nothing, and starts its waiting work beside them.
 func (e *Engine) countUnseen() {
-	if e.unresolved == 0 && len(e.ending) == 0 && !e.anyUnseen {
+	if e.unresolved == 0 && len(e.endedHeld) == 0 && !e.anyUnseen {
 		return
 	}
 	unseen := map[*quota.Account]quota.Size{}
@@ -173,10 +173,10 @@
 			unseen[a] = size.Least(most.Add(listed[a]))
 		}
 	}
-	if e.unresolved == 0 && !e.anyStrays() {
-		clear(e.ending)
+	if e.unresolved == 0 && !e.anyUntracked() {
+		clear(e.endedHeld)
 	}
-	for a, size := range e.ending {
+	for a, size := range e.endedHeld {
 		unseen[a] = unseen[a].Add(size)
 	}
 	e.ledger.Each(func(a *quota.Account) { a.SetUnseen(unseen[a]) })
@@ -216,11 +216,11 @@
 func (e *Engine) unresolvedCapacity() quota.Size {
 	var all, largest quota.Size
 	unlisted := 0
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		size := sizeOf(w.Capacity)
 		largest = largest.Most(size)
 		switch {
-		case !w.inherited, w.closed && !w.unlisted:
+		case !w.inherited, w.cordoned && !w.unlisted:
 		case w.Capacity == (work.Resources{}):
 			unlisted++
 		default:
@@ -230,23 +230,23 @@
 	return all.Add(largest.Times(unlisted))
 }
 
-func (e *Engine) anyStrays() bool {
-	for _, w := range e.order {
-		if len(w.strays) > 0 {
+func (e *Engine) anyUntracked() bool {
+	for _, w := range e.workerList {
+		if len(w.untracked) > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// noteEnding remembers what a job that had ended was still running when that was
+// noteEndedHeld remembers what a job that had ended was still running when that was
 // written.
-func (e *Engine) noteEnding(p *work.Progress) {
+func (e *Engine) noteEndedHeld(p *work.Progress) {
 	if p.Held == (work.Resources{}) {
 		return
 	}
 	a := e.ledger.Account(p.Account)
-	e.ending[a] = e.ending[a].Add(sizeOf(p.Held))
+	e.endedHeld[a] = e.endedHeld[a].Add(sizeOf(p.Held))
 }
 
 // held is what the runs of a job take for its account.
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -29,38 +29,38 @@
 	return e
 }
 
-// readyBench is an engine with workers of 64 cores that have answered.
-func readyBench(t *testing.T, ids ...runner.WorkerID) *bench {
-	b := newBench(t, 1)
-	b.largeWorkers(ids...)
-	b.answer(ids...)
-	return b
+// readyHarness is an engine with workers of 64 cores that have answered.
+func readyHarness(t *testing.T, ids ...runner.WorkerID) *harness {
+	h := newHarness(t, 1)
+	h.largeWorkers(ids...)
+	h.answer(ids...)
+	return h
 }
 
-func (b *bench) largeWorkers(ids ...runner.WorkerID) {
+func (h *harness) largeWorkers(ids ...runner.WorkerID) {
 	for _, id := range ids {
-		b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 64000, Memory: 131072}})
+		h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 64000, Memory: 131072}})
 	}
-	b.step(50 * time.Millisecond)
+	h.step(50 * time.Millisecond)
 }
 
-func (b *bench) answer(ids ...runner.WorkerID) {
+func (h *harness) answer(ids ...runner.WorkerID) {
 	for _, id := range ids {
-		b.report(id, runner.Report{Clock: time.Second + b.now})
+		h.report(id, runner.Report{Clock: time.Second + h.now})
 	}
 }
 
 // successor is an engine of the second epoch over what the first one left, with two
 // workers of 64 cores that it used.
-func successor(t *testing.T, saved Saved, accounts ...work.Account) *bench {
-	b := newBench(t, 2)
+func successor(t *testing.T, saved Saved, accounts ...work.Account) *harness {
+	h := newHarness(t, 2)
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-1"}, {ID: "w-2"}}})
 	require.NoError(t, err)
 	saved.Fleet = []store.Entry{{Key: keyFleet, Value: fleet, Revision: 5}}
-	require.NoError(t, b.e.Load(b.now, saved))
-	b.e.SetAccounts(b.now, accountsOf(t, accounts...))
-	b.largeWorkers("w-1", "w-2")
-	return b
+	require.NoError(t, h.e.Load(h.now, saved))
+	h.e.SetAccounts(h.now, accountsOf(t, accounts...))
+	h.largeWorkers("w-1", "w-2")
+	return h
 }
 
 const (
@@ -77,12 +77,12 @@
 	// Symptom: an account runs a tenth and more above its cap.
 	// Sequence: it hands in more than the cap lets run, on a cell with room for all.
 	// Cause: nothing counted what an account holds.
-	b := readyBench(t, "w-1", "w-2")
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000, Memory: 10000}}))
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", firstJob, 1, tasksOf(8, false))))
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "south", secondJob, 1, tasksOf(8, false))))
-	b.step(tickPeriod)
-	starts := b.starts()
+	h := readyHarness(t, "w-1", "w-2")
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000, Memory: 10000}}))
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(8, false))))
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "south", secondJob, 1, tasksOf(8, false))))
+	h.step(tickPeriod)
+	starts := h.starts()
 	count := func(id work.JobID) (n int) {
 		for _, s := range starts {
 			if s.Start.Task.Job == id {
@@ -96,9 +96,9 @@
 
 	// A start without an answer may be carried out yet, and counts.
 	first := starts[0]
-	b.e.Started(b.now, first.To.ID, first.Start.Task, first.Start.Run, runner.ErrUnknown)
-	b.step(100 * time.Millisecond)
-	for _, s := range b.starts() {
+	h.e.Started(h.now, first.To.ID, first.Start.Task, first.Start.Run, runner.ErrUnknown)
+	h.step(100 * time.Millisecond)
+	for _, s := range h.starts() {
 		require.Equal(t, first.Start.Run, s.Start.Run, "the same run again, nothing new")
 	}
 	// A known end makes room for one.
@@ -108,63 +108,63 @@
 			other = s
 		}
 	}
-	b.report(other.To.ID, done(1, other))
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 1)
+	h.report(other.To.ID, done(1, other))
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 1)
 }
 
 func TestGangStartsWholeOrNotWithinItsCap(t *testing.T) {
-	b := readyBench(t, "w-1", "w-2")
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}}))
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", firstJob, 1, tasksOf(3, false))))
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 3)
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", secondJob, 1, tasksOf(3, true))))
-	b.step(tickPeriod)
-	require.Empty(t, b.starts(), "two of its three members are within the cap")
-	require.Equal(t, uint64(1), b.e.Stats().OverQuota)
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 6000}}))
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 3, "a cap that is raised holds at once")
+	h := readyHarness(t, "w-1", "w-2")
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}}))
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(3, false))))
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 3)
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", secondJob, 1, tasksOf(3, true))))
+	h.step(tickPeriod)
+	require.Empty(t, h.starts(), "two of its three members are within the cap")
+	require.Equal(t, uint64(1), h.e.Stats().OverQuota)
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 6000}}))
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 3, "a cap that is raised holds at once")
 }
 
 func TestCapLoweredBelowWhatRunsStopsNothingAndStartsNothing(t *testing.T) {
-	b := readyBench(t, "w-1", "w-2")
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}}))
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", firstJob, 1, tasksOf(8, false))))
-	b.step(tickPeriod)
-	starts := b.starts()
+	h := readyHarness(t, "w-1", "w-2")
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}}))
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(8, false))))
+	h.step(tickPeriod)
+	starts := h.starts()
 	require.Len(t, starts, 5)
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 2000}}))
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 2000}}))
 	for i, s := range starts[:3] {
-		b.report(s.To.ID, done(int64(i+1), s))
-		b.step(tickPeriod)
-		require.Empty(t, b.starts(), "%d still run", 4-i)
-		require.Empty(t, b.stops())
+		h.report(s.To.ID, done(int64(i+1), s))
+		h.step(tickPeriod)
+		require.Empty(t, h.starts(), "%d still run", 4-i)
+		require.Empty(t, h.stops())
 	}
-	b.report(starts[3].To.ID, done(4, starts[3]))
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 1)
+	h.report(starts[3].To.ID, done(4, starts[3]))
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 1)
 
 	// An account that is no longer configured keeps its last cap.
-	b.e.SetAccounts(b.now, accountsOf(t))
-	b.step(tickPeriod)
-	require.Empty(t, b.starts())
+	h.e.SetAccounts(h.now, accountsOf(t))
+	h.step(tickPeriod)
+	require.Empty(t, h.starts())
 }
 
 func TestJobsOfAccountsWaitUntilCapsAreKnown(t *testing.T) {
 	// Symptom: a leader that has just begun runs an account over its cap.
 	// Sequence: it has read the jobs, and no configuration yet.
-	b := readyBench(t, "w-1")
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", firstJob, 1, tasksOf(2, false))))
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "", secondJob, 1, tasksOf(2, false))))
-	b.step(tickPeriod)
-	for _, s := range b.starts() {
+	h := readyHarness(t, "w-1")
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(2, false))))
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "", secondJob, 1, tasksOf(2, false))))
+	h.step(tickPeriod)
+	for _, s := range h.starts() {
 		require.Equal(t, secondJob, s.Start.Task.Job, "of no account")
 	}
-	b.e.SetAccounts(b.now, nil)
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 2)
+	h.e.SetAccounts(h.now, nil)
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 2)
 }
 
 func TestSuccessorCountsWhatMayRunUnseen(t *testing.T) {
@@ -173,26 +173,26 @@
 	//   not answer its successor; new work of the account is handed in.
 	// Cause: the successor counted only the runs that it had been told of.
 	old := jobOf(t, "north", firstJob, 1, tasksOf(5, false))
-	b := successor(t, Saved{Accepted: []store.Entry{old}}, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}})
-	b.answer("w-1")
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
-	b.step(tickPeriod)
-	require.Empty(t, b.starts(), "all five tasks may run on the worker that has not answered")
-	run := b.e.nextRun(0)
-	b.report("w-2", runner.Report{Clock: time.Second + b.now, Running: []runner.Live{
+	h := successor(t, Saved{Accepted: []store.Entry{old}}, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}})
+	h.answer("w-1")
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
+	h.step(tickPeriod)
+	require.Empty(t, h.starts(), "all five tasks may run on the worker that has not answered")
+	run := h.e.nextRun(0)
+	h.report("w-2", runner.Report{Clock: time.Second + h.now, Running: []runner.Live{
 		{Task: work.TaskID{Job: firstJob, Index: 0}, Run: run}, {Task: work.TaskID{Job: firstJob, Index: 1}, Run: run}}})
-	require.Len(t, b.starts(), 3, "two run, and three more are within the cap")
+	require.Len(t, h.starts(), 3, "two run, and three more are within the cap")
 }
 
 func TestWhatMayRunUnseenIsBoundedByItsWorkers(t *testing.T) {
 	// Symptom: after a takeover an account starts nothing for as long as one worker out
 	//   of reach may hold a lease.
 	// Cause: all of its waiting work was taken to run there, more than it can hold.
-	b := successor(t, Saved{Accepted: []store.Entry{jobOf(t, "north", firstJob, 1, tasksOf(500, false))}}, work.Account{Name: "north", Cap: work.Resources{CPU: 66000}})
-	b.answer("w-1")
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
-	b.step(tickPeriod)
-	require.Len(t, b.starts(), 2, "64 of its 66 cores may be in use there")
+	h := successor(t, Saved{Accepted: []store.Entry{jobOf(t, "north", firstJob, 1, tasksOf(500, false))}}, work.Account{Name: "north", Cap: work.Resources{CPU: 66000}})
+	h.answer("w-1")
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
+	h.step(tickPeriod)
+	require.Len(t, h.starts(), 2, "64 of its 66 cores may be in use there")
 }
 
 func TestRunsOfEndedJobsCountOverATakeover(t *testing.T) {
@@ -200,13 +200,13 @@
 	// Sequence: its job is cancelled, the leader writes that and is lost before the stops
 	//   are carried out; the successor has the job's end, not its tasks.
 	// Cause: what an ended job still ran was not written with its end.
-	b := readyBench(t, "w-1")
-	b.e.SetAccounts(b.now, nil)
-	require.NoError(t, b.e.Accepted(b.now, jobOf(t, "north", firstJob, 1, tasksOf(4, false))))
-	b.step(tickPeriod)
-	starts := b.starts()
-	require.NoError(t, b.e.Accepted(b.now, store.Entry{Key: KeyCancel(firstJob)}))
-	state, err := work.EncodeProgress(b.e.jobs[firstJob].progress())
+	h := readyHarness(t, "w-1")
+	h.e.SetAccounts(h.now, nil)
+	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(4, false))))
+	h.step(tickPeriod)
+	starts := h.starts()
+	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyCancel(firstJob)}))
+	state, err := work.EncodeProgress(h.e.jobs[firstJob].progress())
 	require.NoError(t, err)
 	p, err := work.DecodeProgress(state)
 	require.NoError(t, err)
@@ -230,36 +230,36 @@
 // TestChargesEqualWhatIsPlaced compares the accounts with a recount after each step of
 // random cells; see also the workers' own count in the random tests.
 func TestChargesEqualWhatIsPlaced(t *testing.T) {
-	b := readyBench(t, "w-1", "w-2", "w-3")
+	h := readyHarness(t, "w-1", "w-2", "w-3")
 	rng := rand.New(rand.NewPCG(1, 2))
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "a", Cap: work.Resources{CPU: 9000}}, work.Account{Name: "b", Cap: work.Resources{CPU: 20000}}))
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "a", Cap: work.Resources{CPU: 9000}}, work.Account{Name: "b", Cap: work.Resources{CPU: 20000}}))
 	var running []SendStart
 	number := map[runner.WorkerID]int64{}
 	for i := range 300 {
 		if i%5 == 0 {
 			id := work.JobID([]byte("0000000000000000")[:13]) + work.JobID([]byte{'0' + byte(i/100), '0' + byte(i/10%10), '0' + byte(i%10)})
-			require.NoError(t, b.e.Accepted(b.now, jobOf(t, []string{"a", "b"}[rng.IntN(2)], id, 1, tasksOf(1+rng.IntN(6), rng.IntN(3) == 0))))
+			require.NoError(t, h.e.Accepted(h.now, jobOf(t, []string{"a", "b"}[rng.IntN(2)], id, 1, tasksOf(1+rng.IntN(6), rng.IntN(3) == 0))))
 		}
-		b.step(20 * time.Millisecond)
-		running = append(running, b.starts()...)
+		h.step(20 * time.Millisecond)
+		running = append(running, h.starts()...)
 		if len(running) > 0 && rng.IntN(2) == 0 {
 			k := rng.IntN(len(running))
 			s := running[k]
 			running = append(running[:k], running[k+1:]...)
 			number[s.To.ID]++
-			b.report(s.To.ID, done(number[s.To.ID], s))
+			h.report(s.To.ID, done(number[s.To.ID], s))
 		}
 		want := map[string]quota.Size{}
-		for _, w := range b.e.order {
-			for _, p := range w.places {
-				name := p.s.job.spec.Account
-				want[name] = want[name].Add(p.s.charge())
+		for _, w := range h.e.workerList {
+			for _, alloc := range w.allocs {
+				name := alloc.s.job.spec.Account
+				want[name] = want[name].Add(alloc.s.charge())
 			}
-			for _, x := range w.strays {
+			for _, x := range w.untracked {
 				want[x.account.Name] = want[x.account.Name].Add(x.size)
 			}
 		}
-		b.e.ledger.Each(func(a *quota.Account) { require.Equal(t, want[a.Name], a.Held(), a.Name) })
+		h.e.ledger.Each(func(a *quota.Account) { require.Equal(t, want[a.Name], a.Held(), a.Name) })
 	}
 }
 
@@ -267,10 +267,10 @@
 // tight and change. The workers count what runs of each.
 func TestAccountsUnderRandomTroubles(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
-		c := newTestCell(t, seed, 16, 3, usual(0.05))
+		c := newTestCell(t, seed, 16, 3, usualBehaviour(0.05))
 		c.changeCaps()
 		names := []string{"north", "south", "east"}
-		randomTroublesOf(t, c, func(rng *rand.Rand) *work.Job {
+		randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job {
 			j := drawJob(rng, rng.IntN(2) == 0)
 			j.Account = names[rng.IntN(len(names))]
 			return j
@@ -278,7 +278,7 @@
 			if c.rng.IntN(3) == 0 {
 				c.changeCaps()
 			}
-			c.trouble()
+			c.injectFault()
 		})
 	})
 }
@@ -288,13 +288,13 @@
 	//   behind it and are late.
 	// Sequence: it hands in twice what it is entitled to; another hands in one job later.
 	// Cause: jobs were ordered by the time at which they should be done alone.
-	b := newBench(t, 1)
-	b.e = NewEngine(Options{Epoch: 1, Bounds: Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: time.Minute,
+	h := newHarness(t, 1)
+	h.e = NewEngine(Options{Epoch: 1, Bounds: Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: time.Minute,
 		Entitled: fair.Entitlement{Window: 2 * time.Second, Slack: 10}},
 		Violation: func(what string, _ work.TaskID, _ runner.WorkerID) { t.Errorf("invariant: %s", what) }})
-	b.largeWorkers("w-1")
-	b.answer("w-1")
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "hot", Weight: 10}, work.Account{Name: "calm", Weight: 10}))
+	h.largeWorkers("w-1")
+	h.answer("w-1")
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "hot", Weight: 10}, work.Account{Name: "calm", Weight: 10}))
 	full := tasksOf(1, false)
 	full.Size.CPU = 64000 // a worker's whole room
 	var all []store.Entry
@@ -303,18 +303,18 @@
 	}
 	calm := work.JobID("00000000000000ff")
 	for _, x := range append(all, jobOf(t, "calm", calm, 1, full)) {
-		require.NoError(t, b.e.Accepted(b.now, x))
+		require.NoError(t, h.e.Accepted(h.now, x))
 	}
 	before := 0
 	for {
-		b.step(tickPeriod)
-		s := b.starts()
+		h.step(tickPeriod)
+		s := h.starts()
 		require.Len(t, s, 1)
 		if s[0].Start.Task.Job == calm {
 			break
 		}
 		before++
-		b.report(s[0].To.ID, done(int64(before), s[0]))
+		h.report(s[0].To.ID, done(int64(before), s[0]))
 	}
 	require.Less(t, before, 31, "what the hot account is entitled to: ten a second over two seconds, and ten")
 }
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -12,20 +12,20 @@
 
 // Asking for advice.
 const (
-	// maxNamed is how many workers one call may name.
-	maxNamed = 100
+	// maxWorkersPerCall is how many workers one call may name.
+	maxWorkersPerCall = 100
 	// maxCalls is how many calls for one gang may be under way. Load pattern: gangs
 	// that need most of the workers that they are allowed, of several hundred; one
 	// call after the other took four seconds until all were known.
 	maxCalls = 4
-	// firstShare is the share of workers taken to be good for a step of a queue
+	// initialGoodShare is the share of workers taken to be good for a step of a queue
 	// of which nothing has been learnt.
-	firstShare = 0.4
-	// shareDecay is the weight of the newest answer in the learnt share.
-	shareDecay = 0.1
-	// namedReserve is how many times the workers are named that would do if the
+	initialGoodShare = 0.4
+	// goodShareDecay is the weight of the newest answer in the learnt share.
+	goodShareDecay = 0.1
+	// askFactor is how many times the workers are named that would do if the
 	// share held exactly.
-	namedReserve = 1.6
+	askFactor = 1.6
 	// ticketMargin is kept between a start and the end of its ticket: the way
 	// to the worker, and a second try.
 	ticketMargin = 60 * time.Millisecond
@@ -34,21 +34,21 @@
 	adviceGrace = 700 * time.Millisecond
 	// slowCall is the cost from which a call counts as slow. Slow calls never
 	// take every lane, so that a quick queue's step does not wait behind one.
-	slowCall  = 60 * time.Millisecond
-	slowLanes = 0.7
+	slowCall       = 60 * time.Millisecond
+	slowProxyShare = 0.7
 	// advicePause is between calls for a step after one failed.
 	advicePause = 100 * time.Millisecond
 )
 
-// lane is a daemon through which advice is asked. Its calls are answered one
+// adviceProxy is a daemon through which advice is asked. Its calls are answered one
 // after the other, so it has one at a time.
-type lane struct {
-	member string
-	busy   *step // nil: idle
-	named  []runner.WorkerID
-	sent   time.Duration
-	until  time.Duration
-	failed time.Duration // when its last call failed
+type adviceProxy struct {
+	member  string
+	busy    *step // nil: idle
+	workers []runner.WorkerID
+	sent    time.Duration
+	until   time.Duration
+	failed  time.Duration // when its last call failed
 }
 
 // advice is what a step knows of the workers that may run it.
@@ -60,9 +60,9 @@
 	// ticketAt is one more than the place of a worker's ticket, by its slot; 0 for
 	// none.
 	ticketAt []int32
-	asking   int               // calls on their way
-	wanted   []runner.WorkerID // to be named by the next calls, maxNamed in each
-	hold     holdKind          // what is to be held during the call
+	inFlight int               // calls on their way
+	toAsk    []runner.WorkerID // to be named by the next calls, maxNamed in each
+	reserve  gangReserveMode   // what is to be held during the call
 	next     time.Duration     // no call before
 }
 
@@ -91,11 +91,11 @@
 	(*list)[slot] = v
 }
 
-// of returns what is known of a worker. Rounds of placement ask for every pair of a
+// verdictOf returns what is known of a worker. Rounds of placement ask for every pair of a
 // waiting step and a worker, so it is one look into a list.
-func (a *advice) of(w *worker) verdict { return at(a.verdicts, w.slot) }
+func (a *advice) verdictOf(w *worker) verdict { return at(a.verdicts, w.index) }
 
-func (a *advice) learn(w *worker, v verdict) { set(&a.verdicts, w.slot, v) }
+func (a *advice) record(w *worker, v verdict) { set(&a.verdicts, w.index, v) }
 
 type ticket struct {
 	w       *worker
@@ -103,15 +103,15 @@
 	expires time.Duration
 }
 
-func (a *advice) find(w *worker) *ticket {
-	if i := at(a.ticketAt, w.slot); i > 0 {
+func (a *advice) ticketFor(w *worker) *ticket {
+	if i := at(a.ticketAt, w.index); i > 0 {
 		return &a.tickets[i-1]
 	}
 	return nil
 }
 
 func (a *advice) expire(w *worker) {
-	if t := a.find(w); t != nil {
+	if t := a.ticketFor(w); t != nil {
 		t.expires = 0
 	}
 }
@@ -119,9 +119,9 @@
 // valid reports whether the ticket holds long enough for a start.
 func (t *ticket) valid(now time.Duration) bool { return t.expires > now+ticketMargin }
 
-// holds reports whether a worker's ticket holds long enough for a start.
-func (a *advice) holds(w *worker, now time.Duration) bool {
-	t := a.find(w)
+// hasTicket reports whether a worker's ticket holds long enough for a start.
+func (a *advice) hasTicket(w *worker, now time.Duration) bool {
+	t := a.ticketFor(w)
 	return t != nil && t.valid(now)
 }
 
@@ -137,12 +137,12 @@
 
 // add takes a ticket in place of the worker's earlier one.
 func (a *advice) add(t ticket) {
-	if old := a.find(t.w); old != nil {
+	if old := a.ticketFor(t.w); old != nil {
 		*old = t
 		return
 	}
 	a.tickets = append(a.tickets, t)
-	set(&a.ticketAt, t.w.slot, int32(len(a.tickets)))
+	set(&a.ticketAt, t.w.index, int32(len(a.tickets)))
 }
 
 // Members tells the engine through which daemons advice can be asked.
@@ -150,82 +150,82 @@
 	e.now = now
 	e.members = names
 	for _, name := range names {
-		if e.lanes[name] == nil {
-			e.lanes[name] = &lane{member: name}
+		if e.proxies[name] == nil {
+			e.proxies[name] = &adviceProxy{member: name}
 		}
 	}
-	for name, l := range e.lanes {
-		if !slices.Contains(names, name) && l.busy == nil {
-			delete(e.lanes, name)
+	for name, proxy := range e.proxies {
+		if !slices.Contains(names, name) && proxy.busy == nil {
+			delete(e.proxies, name)
 		}
 	}
 }
 
-// want asks for advice on workers for a step, through the next idle lanes, and
+// requestAdvice asks for advice on workers for a step, through the next idle lanes, and
 // reports whether there are any.
-func (e *Engine) want(s *step, ids []runner.WorkerID) bool {
+func (e *Engine) requestAdvice(s *step, ids []runner.WorkerID) bool {
 	a := s.advice
 	if len(ids) == 0 {
 		return false
 	}
-	calls := (len(ids) + maxNamed - 1) / maxNamed
-	calls = min(calls, e.lanesIdle)
+	calls := (len(ids) + maxWorkersPerCall - 1) / maxWorkersPerCall
+	calls = min(calls, e.idleProxies)
 	if s.callCost(len(ids)) >= slowCall {
-		calls = min(calls, e.lanesSlow)
-		e.lanesSlow -= max(calls, 0)
+		calls = min(calls, e.idleForSlow)
+		e.idleForSlow -= max(calls, 0)
 	}
 	if calls <= 0 {
 		return false
 	}
-	a.wanted, a.hold = ids[:min(len(ids), calls*maxNamed)], holdNothing
-	e.lanesIdle -= calls
+	a.toAsk, a.reserve = ids[:min(len(ids), calls*maxWorkersPerCall)], reserveNone
+	e.idleProxies -= calls
 	return true
 }
 
 // callCost returns how long a call takes that names the first of n workers.
 func (s *step) callCost(n int) time.Duration {
-	return s.job.spec.Queue.Advice.Cost(min(n, maxNamed))
+	return s.job.spec.Queue.Advice.Cost(min(n, maxWorkersPerCall))
 }
 
-// countLanes counts the lanes that are idle, and those of them that may take slow
+// countProxies counts the lanes that are idle, and those of them that may take slow
 // calls.
 //
 // What goes wrong if both are one number: steps whose slow calls can not go out now
 // use it up in every round, and quick ones behind them are not asked for beside
 // idle lanes.
-func (e *Engine) countLanes() {
-	e.lanesIdle = e.countIdleLanes()
-	e.lanesSlow = e.maxSlowLanes() - e.slowLanes()
+func (e *Engine) countProxies() {
+	e.idleProxies = e.countIdleProxies()
+	e.idleForSlow = e.maxSlowProxies() - e.busyWithSlow()
 }
 
-// maxSlowLanes bounds the lanes with a slow call.
-func (e *Engine) maxSlowLanes() int {
-	return max(1, int(math.Floor(float64(len(e.members))*slowLanes)))
+// maxSlowProxies bounds the lanes with a slow call.
+func (e *Engine) maxSlowProxies() int {
+	return max(1, int(math.Floor(float64(len(e.members))*slowProxyShare)))
 }
 
-// slowLanes counts the lanes with a slow call.
-func (e *Engine) slowLanes() int {
+// busyWithSlow counts the lanes with a slow call.
+func (e *Engine) busyWithSlow() int {
 	n := 0
-	for _, l := range e.lanes {
-		if l.busy != nil && l.cost() >= slowCall {
+	for _, proxy := range e.proxies {
+		if proxy.busy != nil && proxy.cost() >= slowCall {
 			n++
 		}
 	}
 	return n
 }
 
-func (e *Engine) countIdleLanes() int {
+func (e *Engine) countIdleProxies() int {
 	n := 0
 	for _, name := range e.members {
-		if e.usableLane(e.lanes[name]) {
+		if e.usableProxy(e.proxies[name]) {
 			n++
 		}
 	}
 	return n
 }
 
-func (e *Engine) usableLane(l *lane) bool {
-	return l.busy == nil && (l.failed == 0 || e.now-l.failed >= adviceGrace)
+func (e *Engine) usableProxy(proxy *adviceProxy) bool {
+	return proxy.busy == nil && (proxy.failed == 0 || e.now-proxy.failed >= adviceGrace)
 }
 
 // adviceOf returns the step's advice, nil if its queue needs none.
@@ -261,12 +261,12 @@
 		weak  int
 	}
 	var all []candidate
-	for _, w := range e.order {
-		known := a.of(w) == good
-		if a.of(w) == bad || !e.eligible(s, w) || a.holds(w, e.now) {
+	for _, w := range e.workerList {
+		known := a.verdictOf(w) == good
+		if a.verdictOf(w) == bad || !e.eligible(s, w) || a.hasTicket(w, e.now) {
 			continue
 		}
-		fits := e.room(s, w, need, s.perWorker(slots))
+		fits := e.capacityFor(s, w, need, s.perWorker(slots))
 		if fits == 0 && (known || !s.spec.Gang) {
 			continue
 		}
@@ -284,15 +284,15 @@
 		}
 		return cmp.Compare(y.fits, x.fits)
 	})
-	share := e.share(s.job.spec.Queue.Name)
-	most := maxNamed
+	share := e.goodShare(s.job.spec.Queue.Name)
+	most := maxWorkersPerCall
 	if s.spec.Gang && !e.o.Policy.NoParallelAdvice {
 		most *= maxCalls
 	}
 	var ids []runner.WorkerID
 	expected := 0.0
 	for _, c := range all {
-		if expected >= float64(slots)*namedReserve || len(ids) == most {
+		if expected >= float64(slots)*askFactor || len(ids) == most {
 			break
 		}
 		ids = append(ids, c.id)
@@ -302,39 +302,39 @@
 			expected += float64(max(c.fits, 1)) * share
 		}
 	}
-	e.want(s, ids)
+	e.requestAdvice(s, ids)
 }
 
 // mayAsk reports whether a call for the step could go out in this round.
 func (e *Engine) mayAsk(s *step) bool {
 	a := s.advice
-	if s.job.spec.Queue.Advice.Base >= slowCall && e.lanesSlow <= 0 {
+	if s.job.spec.Queue.Advice.Base >= slowCall && e.idleForSlow <= 0 {
 		return false
 	}
-	return a.asking == 0 && e.now >= a.next && e.lanesIdle > 0
+	return a.inFlight == 0 && e.now >= a.next && e.idleProxies > 0
 }
 
-func (e *Engine) share(queue string) float64 {
-	if v, ok := e.shares[queue]; ok {
+func (e *Engine) goodShare(queue string) float64 {
+	if v, ok := e.goodShares[queue]; ok {
 		return v
 	}
-	return firstShare
+	return initialGoodShare
 }
 
 // retryAdvice gives up calls that were not answered.
 func (e *Engine) retryAdvice() {
-	for _, l := range e.lanes {
-		if l.busy != nil && e.now > l.until {
-			e.adviceFailed(l)
+	for _, proxy := range e.proxies {
+		if proxy.busy != nil && e.now > proxy.until {
+			e.adviceFailed(proxy)
 		}
 	}
 }
 
-func (e *Engine) adviceFailed(l *lane) {
-	s := l.busy
-	l.busy, l.failed = nil, e.now
+func (e *Engine) adviceFailed(proxy *adviceProxy) {
+	s := proxy.busy
+	proxy.busy, proxy.failed = nil, e.now
 	if s.advice != nil {
-		s.advice.asking--
+		s.advice.inFlight--
 		s.advice.next = e.now + advicePause
 	}
 	e.scheduled = false
@@ -343,31 +343,31 @@
 // Advised takes the outcome of an AskAdvice.
 func (e *Engine) Advised(now time.Duration, member string, id work.TaskID, allowed []runner.Ticket, err error) {
 	e.now = now
-	l := e.lanes[member]
-	if l == nil || l.busy == nil || l.busy.id() != id {
+	proxy := e.proxies[member]
+	if proxy == nil || proxy.busy == nil || proxy.busy.id() != id {
 		return // given up before
 	}
 	if err != nil {
-		e.decide(Decision{What: "advice failed", Task: id, Why: member + ": " + err.Error(), Age: now - l.sent})
-		e.adviceFailed(l)
+		e.decide(Decision{What: "advice failed", Task: id, Why: member + ": " + err.Error(), Age: now - proxy.sent})
+		e.adviceFailed(proxy)
 		return
 	}
-	s := l.busy
-	l.busy = nil
+	s := proxy.busy
+	proxy.busy = nil
 	e.stats.Advised++
 	e.scheduled = false
 	a := s.advice
 	if a == nil {
 		return
 	}
-	a.asking--
-	s.heldUntil, s.retryAt, s.misses = 0, 0, 0
+	a.inFlight--
+	s.feasibleUntil, s.retryAt, s.misses = 0, 0, 0
 	queue := &s.job.spec.Queue
 	fresh, freshGood := 0, 0
-	for _, id := range l.named {
-		if w := e.workers[id]; w != nil && a.of(w) == unknown {
+	for _, id := range proxy.workers {
+		if w := e.workers[id]; w != nil && a.verdictOf(w) == unknown {
 			fresh++
-			a.learn(w, bad)
+			a.record(w, bad)
 		}
 	}
 	for _, t := range allowed {
@@ -375,9 +375,9 @@
 		if w == nil {
 			continue // its life is over
 		}
-		if a.of(w) != good {
+		if a.verdictOf(w) != good {
 			freshGood++
-			a.learn(w, good)
+			a.record(w, good)
 		}
 		// The ticket holds from when the service gave it, which is when it
 		// answered; the answer has taken some milliseconds since.
@@ -385,67 +385,69 @@
 	}
 	if fresh > 0 {
 		share := float64(freshGood) / float64(fresh)
-		e.shares[queue.Name] = e.share(queue.Name)*(1-shareDecay) + share*shareDecay
+		e.goodShares[queue.Name] = e.goodShare(queue.Name)*(1-goodShareDecay) + share*goodShareDecay
 	}
 }
 
-// askAll hands what is wanted to idle lanes, in the order of the steps.
-func (e *Engine) askAll(steps []*step) {
+// sendAdviceCalls hands what is wanted to idle lanes, in the order of the steps.
+func (e *Engine) sendAdviceCalls(steps []*step) {
 	if len(e.members) == 0 {
 		return
 	}
-	slow, maxSlow := e.slowLanes(), e.maxSlowLanes()
+	slow, maxSlow := e.busyWithSlow(), e.maxSlowProxies()
 	for _, s := range steps {
 		a := s.advice
-		if a == nil || len(a.wanted) == 0 || a.asking > 0 || !s.job.active() {
+		if a == nil || len(a.toAsk) == 0 || a.inFlight > 0 || !s.job.active() {
 			continue
 		}
-		cost := s.callCost(len(a.wanted))
-		if a.hold != holdNothing && !e.holdSeats(s, a, cost) {
-			a.wanted = nil // others have taken the room in this round
+		cost := s.callCost(len(a.toAsk))
+		if a.reserve != reserveNone && !e.reserveGang(s, a, cost) {
+			a.toAsk = nil // others have taken the room in this round
 			continue
 		}
-		for len(a.wanted) > 0 {
-			isSlow := s.callCost(len(a.wanted)) >= slowCall
+		for len(a.toAsk) > 0 {
+			isSlow := s.callCost(len(a.toAsk)) >= slowCall
 			if isSlow && slow >= maxSlow {
 				break
 			}
-			l := e.idleLane(isSlow)
-			if l == nil {
+			proxy := e.pickProxy(isSlow)
+			if proxy == nil {
 				return
 			}
 			if isSlow {
 				slow++
 			}
-			e.ask(s, l)
+			e.sendAdviceCall(s, proxy)
 		}
 	}
 }
 
-// ask hands the next call for a step to a lane.
-func (e *Engine) ask(s *step, l *lane) {
+// sendAdviceCall hands the next call for a step to a lane.
+func (e *Engine) sendAdviceCall(s *step, proxy *adviceProxy) {
 	a := s.advice
-	n := min(len(a.wanted), maxNamed)
+	n := min(len(a.toAsk), maxWorkersPerCall)
 	cost := s.callCost(n)
-	a.asking++
-	l.busy, l.named, l.sent, l.until = s, a.wanted[:n:n], e.now, e.now+cost+adviceGrace
-	a.wanted = a.wanted[n:]
-	e.out = append(e.out, AskAdvice{Member: l.member, Step: s.id(), Workers: l.named, Timeout: cost + adviceGrace})
+	a.inFlight++
+	proxy.busy, proxy.workers, proxy.sent, proxy.until = s, a.toAsk[:n:n], e.now, e.now+cost+adviceGrace
+	a.toAsk = a.toAsk[n:]
+	e.out = append(e.out, AskAdvice{Member: proxy.member, Step: s.id(), Workers: proxy.workers, Timeout: cost + adviceGrace})
 }
 
-func (l *lane) cost() time.Duration { return l.busy.job.spec.Queue.Advice.Cost(len(l.named)) }
+func (proxy *adviceProxy) cost() time.Duration {
+	return proxy.busy.job.spec.Queue.Advice.Cost(len(proxy.workers))
+}
 
-// idleLane picks the lane for a call. Quick and slow calls start from opposite
+// pickProxy picks the lane for a call. Quick and slow calls start from opposite
 // ends of the members, so that slow ones rarely hold every lane.
-func (e *Engine) idleLane(slow bool) *lane {
-	var found *lane
+func (e *Engine) pickProxy(slow bool) *adviceProxy {
+	var found *adviceProxy
 	for _, name := range e.members {
-		l := e.lanes[name]
-		if !e.usableLane(l) {
+		proxy := e.proxies[name]
+		if !e.usableProxy(proxy) {
 			continue
 		}
-		if found = l; !slow {
-			return l
+		if found = proxy; !slow {
+			return proxy
 		}
 	}
 	return found
--- a/process/dispatch/bundle.go
+++ b/process/dispatch/batch.go
@@ -20,23 +20,23 @@
 // one write on its way at a time. Jobs are moved from bundles to their own keys
 // when there is room, and a bundle from which all have moved is removed.
 
-// maxBundle is the size of a bundle in bytes: a fraction of a second on a link
+// maxBatch is the size of a bundle in bytes: a fraction of a second on a link
 // of 10 Mbit/s, and some thousand ended jobs.
-const maxBundle = 128 << 10
+const maxBatch = 128 << 10
 
-// bundle is a value in the store that holds the newest progress of jobs.
-type bundle struct {
+// batch is a value in the store that holds the newest progress of jobs.
+type batch struct {
 	key  string
 	jobs int // whose newest progress is in it
 }
 
-// addBundle writes the jobs that still wait as one value.
-func (e *Engine) addBundle(b *batch, c *SendCommit) {
+// addBatch writes the jobs that still wait as one value.
+func (e *Engine) addBatch(ws *writeSet, c *SendCommit) {
 	var records []work.JobProgress
 	size := 0
 	n := 0
 	for _, j := range e.dirty {
-		if size >= maxBundle {
+		if size >= maxBatch {
 			break
 		}
 		p := j.progress()
@@ -49,47 +49,47 @@
 		e.violate("bundle does not encode: "+err.Error(), work.TaskID{Job: e.dirty[0].id}, "")
 		return
 	}
-	e.bundleSeq++
-	b.bundle = &bundle{key: fmt.Sprintf("%s%016x-%08x", PrefixBundle, e.o.Epoch, e.bundleSeq)}
-	c.Writes = append(c.Writes, store.Write{Key: b.bundle.key, Value: data})
+	e.batchSeq++
+	ws.batch = &batch{key: fmt.Sprintf("%s%016x-%08x", PrefixBundle, e.o.Epoch, e.batchSeq)}
+	c.Writes = append(c.Writes, store.Write{Key: ws.batch.key, Value: data})
 	for _, j := range e.dirty[:n] {
-		e.include(b, j, true)
+		e.include(ws, j, true)
 	}
 	e.dirty = slices.Delete(e.dirty, 0, n)
 	e.stats.Bundles++
 }
 
-// addUnbundled moves jobs out of bundles as far as there is room, the oldest
+// addUnbatched moves jobs out of bundles as far as there is room, the oldest
 // first, and returns the room that is left.
-func (e *Engine) addUnbundled(b *batch, c *SendCommit, room int) int {
-	kept := e.unbundle[:0]
-	for _, j := range e.unbundle {
+func (e *Engine) addUnbatched(ws *writeSet, c *SendCommit, room int) int {
+	kept := e.unbatch[:0]
+	for _, j := range e.unbatch {
 		switch {
-		case j.bundle == nil:
-			j.unbundling = false
+		case j.batch == nil:
+			j.unbatching = false
 		case j.writing || j.dirty || room < j.keys():
 			kept = append(kept, j)
 		default:
 			room -= j.keys()
-			e.addJob(b, c, j)
+			e.addJob(ws, c, j)
 			kept = append(kept, j) // until the answer
 		}
 	}
-	clear(e.unbundle[len(kept):])
-	e.unbundle = kept
+	clear(e.unbatch[len(kept):])
+	e.unbatch = kept
 	return room
 }
 
 // moveTo notes where a job's newest progress is: in a bundle, or, for nil, under
 // the job's own key.
-func (e *Engine) moveTo(j *job, to *bundle) {
-	from := j.bundle
-	j.bundle = to
+func (e *Engine) moveTo(j *job, to *batch) {
+	from := j.batch
+	j.batch = to
 	if to != nil {
 		to.jobs++
-		if !j.unbundling {
-			j.unbundling = true
-			e.unbundle = append(e.unbundle, j)
+		if !j.unbatching {
+			j.unbatching = true
+			e.unbatch = append(e.unbatch, j)
 		}
 	}
 	if from == nil {
@@ -106,13 +106,13 @@
 	job      work.JobID
 	progress *work.Progress
 	revision store.Revision
-	bundle   *bundle
+	batch    *batch
 }
 
 // newest collects the newest progress of each job from the jobs' own keys and
 // from bundles. Entries that can not be read are left alone and returned as
 // errors.
-func (e *Engine) newest(states, bundles []store.Entry) (found map[work.JobID]stored, errs []error) {
+func (e *Engine) newest(states, batches []store.Entry) (found map[work.JobID]stored, errs []error) {
 	found = make(map[work.JobID]stored, len(states))
 	take := func(s stored) {
 		if have, ok := found[s.job]; !ok || s.revision > have.revision {
@@ -127,22 +127,22 @@
 		}
 		take(stored{job: jobOfState(entry.Key), progress: p, revision: entry.Revision})
 	}
-	var read []*bundle
-	newest := map[*bundle]int{} // jobs
-	for _, entry := range bundles {
+	var read []*batch
+	newest := map[*batch]int{} // jobs
+	for _, entry := range batches {
 		records, err := work.DecodeBundle(entry.Value)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", entry.Key, err))
 			continue
 		}
-		b := &bundle{key: entry.Key}
+		b := &batch{key: entry.Key}
 		read = append(read, b)
 		for i := range records {
-			take(stored{job: records[i].Job, progress: &records[i].Progress, revision: entry.Revision, bundle: b})
+			take(stored{job: records[i].Job, progress: &records[i].Progress, revision: entry.Revision, batch: b})
 		}
 	}
 	for _, s := range found {
-		newest[s.bundle]++
+		newest[s.batch]++
 	}
 	for _, b := range read {
 		if newest[b] == 0 {
@@ -155,10 +155,10 @@
 // NewestProgress returns a job's progress among bundles, and whether one holds
 // any: a reader that finds a job handed in and not ended under its own key has
 // to look there.
-func NewestProgress(bundles []store.Entry, id work.JobID) (*work.Progress, bool) {
+func NewestProgress(batches []store.Entry, id work.JobID) (*work.Progress, bool) {
 	var found *work.Progress
 	var revision store.Revision
-	for _, entry := range bundles {
+	for _, entry := range batches {
 		records, err := work.DecodeBundle(entry.Value)
 		if err != nil || entry.Revision < revision {
 			continue
--- a/process/dispatch/bench_test.go
+++ b/process/dispatch/bench_test.go
@@ -32,7 +32,7 @@
 		id := runner.WorkerID(fmt.Sprintf("w-%d", i))
 		e.WorkerSeen(0, runner.Worker{Ref: runner.Ref{ID: id, Address: string(id)}, Service: "s", Capacity: work.Resources{CPU: 64000, Memory: 131072}, Labels: []string{"a", fmt.Sprint("r", i/8)}})
 		w := e.workers[id]
-		w.kept, w.fenced = true, true
+		w.recorded, w.fenced = true, true
 	}
 	e.Members(0, []string{"a", "b", "c"})
 	var list []work.Account
@@ -52,7 +52,7 @@
 		}
 		e.add(work.JobID(fmt.Sprintf("%016x", i)), spec, 0)
 	}
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		w.used = work.Resources{CPU: 60000, Memory: 120000}
 	}
 	b.ResetTimer()
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -41,10 +41,10 @@
 	rng    *rand.Rand
 	policy Policy
 	// accounts of the configuration; nil for none.
-	accounts             atomic.Pointer[work.Accounts]
-	capsDrawn, capsHeard int
-	// bundles is the number of bundles that one term wrote, at the most.
-	bundles atomic.Uint64
+	accounts               atomic.Pointer[work.Accounts]
+	capsDrawn, capsApplied int
+	// batches is the number of bundles that one term wrote, at the most.
+	batches atomic.Uint64
 }
 
 // node is a daemon that can lead.
@@ -58,17 +58,17 @@
 
 // adviser is the advice service: each member's calls are served in turn.
 type adviser struct {
-	mu    sync.Mutex
-	lanes map[string]*sync.Mutex
-	share float64
+	mu      sync.Mutex
+	members map[string]*sync.Mutex
+	share   float64
 }
 
 func (a *adviser) ask(ctx context.Context, member, step string, workers []runner.WorkerID) ([]runner.Ticket, error) {
 	a.mu.Lock()
-	lane := a.lanes[member]
+	lane := a.members[member]
 	if lane == nil {
 		lane = &sync.Mutex{}
-		a.lanes[member] = lane
+		a.members[member] = lane
 	}
 	a.mu.Unlock()
 	if err := sleep.For(ctx, 5*time.Millisecond+time.Duration(len(workers))*200*time.Microsecond); err != nil {
@@ -91,7 +91,7 @@
 
 func newCellOf(t *testing.T, seed uint64, workers, daemons int, policy Policy, behave func(*rand.Rand, work.TaskID) epochworker.Behaviour) *cell {
 	rng := rand.New(rand.NewPCG(seed, 3))
-	c := &cell{t: t, policy: policy, kv: kv.NewSeeded(seed), jobs: map[work.JobID]*work.Job{}, rng: rng, advice: &adviser{lanes: map[string]*sync.Mutex{}, share: 0.5}}
+	c := &cell{t: t, policy: policy, kv: kv.NewSeeded(seed), jobs: map[work.JobID]*work.Job{}, rng: rng, advice: &adviser{members: map[string]*sync.Mutex{}, share: 0.5}}
 	draw := rand.New(rand.NewPCG(seed, 5))
 	c.fleet = epochworker.New(epochworker.Options{Seed: seed, Lease: testLease, Gang: 3 * time.Second, Stop: 200 * time.Millisecond,
 		Delay: time.Millisecond, Attempts: 4,
@@ -108,7 +108,7 @@
 
 // restartingCell is a cell of workers that come back after a crash, as the options say.
 func restartingCell(t *testing.T, workers, daemons int, o epochworker.Options) *cell {
-	c := newTestCell(t, o.Seed, 0, 0, usual(0))
+	c := newTestCell(t, o.Seed, 0, 0, usualBehaviour(0))
 	o.Lease, o.Gang, o.Stop, o.Delay, o.Attempts = testLease, 3*time.Second, 200*time.Millisecond, time.Millisecond, 4
 	c.fleet = epochworker.New(o)
 	for i := range workers {
@@ -141,7 +141,7 @@
 			h := NewHost(HostOptions{Store: c.kv, Patience: patience, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
 				Advise: c.advice.ask, Log: log, Policy: c.policy,
 				Accounts: func() (*work.Accounts, bool) { return c.accounts.Load(), true },
-				Count:    func(s Stats) { c.bundles.Store(max(c.bundles.Load(), s.Bundles)) },
+				Count:    func(s Stats) { c.batches.Store(max(c.batches.Load(), s.Bundles)) },
 				Bounds:   Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: 10 * time.Minute},
 				Violation: func(what string) {
 					c.mu.Lock()
@@ -264,7 +264,7 @@
 	return j
 }
 
-func usual(failShare float64) func(*rand.Rand, work.TaskID) epochworker.Behaviour {
+func usualBehaviour(failShare float64) func(*rand.Rand, work.TaskID) epochworker.Behaviour {
 	return func(rng *rand.Rand, _ work.TaskID) epochworker.Behaviour {
 		return epochworker.Behaviour{Takes: time.Duration(200+rng.IntN(3000)) * time.Millisecond, Fails: rng.Float64() < failShare}
 	}
@@ -274,7 +274,7 @@
 // completed, each task once.
 func TestCalmCellServesEveryJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		c := newTestCell(t, 1, 16, 3, usual(0))
+		c := newTestCell(t, 1, 16, 3, usualBehaviour(0))
 		time.Sleep(3 * time.Second)
 		for range 100 {
 			c.submit(drawJob(c.rng, true))
@@ -300,7 +300,7 @@
 	require.NoError(t, err)
 	require.NoError(t, pprof.StartCPUProfile(f))
 	synctest.Test(t, func(t *testing.T) {
-		c := newTestCell(t, 1, 48, 3, usual(0.02))
+		c := newTestCell(t, 1, 48, 3, usualBehaviour(0.02))
 		time.Sleep(3 * time.Second)
 		for range 2000 {
 			c.submit(drawJob(c.rng, true))
@@ -313,11 +313,11 @@
 	require.NoError(t, f.Close())
 }
 
-// trouble is one random disturbance of a cell.
-func (c *cell) trouble() { c.troubleOf(0, 1, 2, 3, 4, 5, 6, 7, 8) }
+// injectFault is one random disturbance of a cell.
+func (c *cell) injectFault() { c.injectFaultOf(0, 1, 2, 3, 4, 5, 6, 7, 8) }
 
-// troubleOf is one of these disturbances.
-func (c *cell) troubleOf(kinds ...int) {
+// injectFaultOf is one of these disturbances.
+func (c *cell) injectFaultOf(kinds ...int) {
 	workers := c.fleet.IDs()
 	id := workers[c.rng.IntN(len(workers))]
 	span := time.Duration(500+c.rng.IntN(5000)) * time.Millisecond
@@ -375,8 +375,8 @@
 	time.AfterFunc(time.Duration(c.rng.Int64N(int64(capLag))), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if version > c.capsHeard { // never back to an older version
-			c.capsHeard = version
+		if version > c.capsApplied { // never back to an older version
+			c.capsApplied = version
 			c.accounts.Store(accounts)
 		}
 	})
@@ -387,7 +387,7 @@
 // workers count runs and check every start.
 func TestRandomTroubles(t *testing.T) {
 	overSeeds(t, 4, func(t *testing.T, seed uint64) {
-		randomTroubles(t, seed, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) })
+		randomFaults(t, seed, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) })
 	})
 }
 
@@ -417,11 +417,11 @@
 
 func seedName(seed uint64) string { return strconv.FormatUint(seed, 10) }
 
-func randomTroubles(t *testing.T, seed uint64, draw func(*rand.Rand) *work.Job) {
-	randomTroublesOf(t, newTestCell(t, seed, 16, 3, usual(0.05)), draw, (*cell).trouble)
+func randomFaults(t *testing.T, seed uint64, draw func(*rand.Rand) *work.Job) {
+	randomFaultsOf(t, newTestCell(t, seed, 16, 3, usualBehaviour(0.05)), draw, (*cell).injectFault)
 }
 
-func randomTroublesOf(t *testing.T, c *cell, draw func(*rand.Rand) *work.Job, trouble func(*cell)) {
+func randomFaultsOf(t *testing.T, c *cell, draw func(*rand.Rand) *work.Job, trouble func(*cell)) {
 	time.Sleep(2 * time.Second)
 	next := time.Now().Add(2 * time.Second)
 	for i := range 120 {
--- a/process/dispatch/ends.go
+++ b/process/dispatch/completions.go
@@ -10,44 +10,44 @@
 
 // Ends of runs: what they mean for their tasks, and when a worker may forget them.
 
-// takeEnds processes the ends that are new and returns their number.
-func (e *Engine) takeEnds(w *worker, ends []runner.End) int {
+// takeCompletions processes the ends that are new and returns their number.
+func (e *Engine) takeCompletions(w *worker, ends []runner.End) int {
 	n := 0
 	slices.SortFunc(ends, func(a, b runner.End) int { return int(a.Number - b.Number) })
 	for i := range ends {
-		if ends[i].Number <= w.seen {
+		if ends[i].Number <= w.lastCompletion {
 			continue
 		}
-		e.noteMissedEnds(w, ends[i].Number)
-		w.seen = ends[i].Number
-		j := e.takeEnd(w, &ends[i])
-		wait := ackWait{number: ends[i].Number, task: ends[i].Task, job: j}
+		e.noteMissedCompletions(w, ends[i].Number)
+		w.lastCompletion = ends[i].Number
+		j := e.takeCompletion(w, &ends[i])
+		wait := pendingAck{number: ends[i].Number, task: ends[i].Task, job: j}
 		if j != nil {
 			wait.version = j.version
 		}
-		w.waiting = append(w.waiting, wait)
+		w.pendingAcks = append(w.pendingAcks, wait)
 		n++
 	}
 	e.acknowledge(w)
 	return n
 }
 
-// noteMissedEnds tells of ends that a worker has forgotten though nobody here has heard of
+// noteMissedCompletions tells of ends that a worker has forgotten though nobody here has heard of
 // them: the numbers of a life follow each other, and ends are listed until they are
 // acknowledged. A life that an earlier epoch has called may have forgotten those it heard of.
-func (e *Engine) noteMissedEnds(w *worker, next int64) {
-	if missed := next - w.seen - 1; missed > 0 && (w.seen > 0 || w.fresh) {
+func (e *Engine) noteMissedCompletions(w *worker, next int64) {
+	if missed := next - w.lastCompletion - 1; missed > 0 && (w.lastCompletion > 0 || w.newInEpoch) {
 		e.stats.EndsMissed += uint64(missed)
 		e.decide(Decision{What: "ends were forgotten unheard", Worker: w.ID, Why: fmt.Sprintf("%d before number %d", missed, next)})
 	}
 }
 
-// takeEnd processes one end and returns the job whose progress has to be in
+// takeCompletion processes one end and returns the job whose progress has to be in
 // the store before the end is acknowledged, if any.
-func (e *Engine) takeEnd(w *worker, end *runner.End) *job {
-	p := w.places[end.Task]
-	if p != nil && p.run != end.Run {
-		p = nil
+func (e *Engine) takeCompletion(w *worker, end *runner.End) *job {
+	alloc := w.allocs[end.Task]
+	if alloc != nil && alloc.run != end.Run {
+		alloc = nil
 	}
 	j := e.jobs[end.Task.Job]
 	s := j.step(end.Task)
@@ -55,29 +55,29 @@
 		return j // an occurrence that is done waits for the store as well
 	}
 	t := &s.tasks[end.Task.Index]
-	ours := p != nil && t.place == p
+	ours := alloc != nil && t.alloc == alloc
 	e.endTrial(s, end.Task.Index, end.Run)
-	if p != nil {
-		e.begin(p)
-		e.unbook(p)
+	if alloc != nil {
+		e.noteStarted(alloc)
+		e.unbook(alloc)
 		e.scheduled = false
 	}
 	if ours {
-		t.place = nil // before the end is judged, which stops what the task still runs
+		t.alloc = nil // before the end is judged, which stops what the task still runs
 	}
 	if end.Checkpoint != "" && s.spec.Checkpoints {
 		s.keepCheckpoint(end.Task.Index, end.Checkpoint)
 	}
 	switch end.How {
 	case runner.Done:
-		e.taskDone(w, s, end, p)
+		e.taskDone(w, s, end, alloc)
 	case runner.Failed:
-		e.taskFailed(w, s, end, p)
+		e.taskFailed(w, s, end, alloc)
 	default:
 		e.stats.Back++
 	}
 	if ours {
-		e.back(s, end.Task.Index)
+		e.requeueEnded(s, end.Task.Index)
 	}
 	return j
 }
@@ -92,10 +92,10 @@
 	}
 }
 
-// back lets a task whose run ended start again, unless it is done.
-func (e *Engine) back(s *step, i int) {
+// requeueEnded lets a task whose run ended start again, unless it is done.
+func (e *Engine) requeueEnded(s *step, i int) {
 	if s.spec.Gang && s.live() == 0 {
-		s.gang.breaking = false
+		s.gang.stopping = false
 	}
 	if s.tasks[i].done || !s.job.active() {
 		return
@@ -104,11 +104,11 @@
 	e.open(s)
 }
 
-func (e *Engine) taskDone(w *worker, s *step, end *runner.End, p *place) {
+func (e *Engine) taskDone(w *worker, s *step, end *runner.End, alloc *allocation) {
 	j := s.job
-	if p != nil {
-		w.noteDone()
-		e.learnPace(w, s, p)
+	if alloc != nil {
+		w.noteSuccess()
+		e.learnRunTime(w, s, alloc)
 	}
 	if s.tasks[end.Task.Index].done || !j.active() {
 		return
@@ -123,7 +123,7 @@
 			e.finish(s, i)
 		}
 	}
-	e.mark(j, false)
+	e.markDirty(j, false)
 	if s.left > 0 {
 		return
 	}
@@ -137,23 +137,23 @@
 // finish marks a task done, and stops another run of it.
 func (e *Engine) finish(s *step, i int) {
 	s.finish(i)
-	if p := s.tasks[i].place; p != nil && !s.spec.Gang && p.state != running {
-		e.stop(p, "the task is done by another run")
+	if alloc := s.tasks[i].alloc; alloc != nil && !s.spec.Gang && alloc.state != running {
+		e.stop(alloc, "the task is done by another run")
 	}
 }
 
-func (e *Engine) taskFailed(w *worker, s *step, end *runner.End, p *place) {
+func (e *Engine) taskFailed(w *worker, s *step, end *runner.End, alloc *allocation) {
 	j, t := s.job, &s.tasks[end.Task.Index]
 	e.decide(Decision{What: "failed", Task: end.Task, Run: end.Run, Worker: w.ID})
 	e.stats.Failed++
-	if p != nil && p.serves() {
+	if alloc != nil && alloc.serves() {
 		return // a task that had come to work fails by its own doing
 	}
-	if p != nil && j.blames(w.ID) && w.noteFail(e.now, j.id) {
+	if alloc != nil && j.countsAgainst(w.ID) && w.noteFailure(e.now, j.id) {
 		e.stats.Aside++
-		e.decide(Decision{What: "worker set aside", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.asideFor})
+		e.decide(Decision{What: "worker set aside", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
 	}
-	t.shun(w.ID, e.now)
+	t.avoidWorker(w.ID, e.now)
 	if t.done || !j.active() || s.spec.Lasting {
 		return
 	}
@@ -165,7 +165,7 @@
 		return // counted before, by this epoch or an earlier one
 	}
 	*failed = append(*failed, end.Run)
-	e.mark(j, false)
+	e.markDirty(j, false)
 	if len(*failed) >= j.spec.Queue.Attempts {
 		e.end(j, work.Failed, "a task failed as often as its queue allows")
 	}
@@ -173,15 +173,15 @@
 
 // acknowledge raises the number of ends that the worker may forget.
 func (e *Engine) acknowledge(w *worker) {
-	for len(w.waiting) > 0 {
-		a := w.waiting[0]
+	for len(w.pendingAcks) > 0 {
+		a := w.pendingAcks[0]
 		if a.job != nil && a.job.saved < a.version {
 			return
 		}
-		w.ack = a.number
-		w.waiting = w.waiting[1:]
+		w.ackedCompletion = a.number
+		w.pendingAcks = w.pendingAcks[1:]
 	}
-	if w.nextRenew > e.now && w.seen == w.ack {
+	if w.nextRenew > e.now && w.lastCompletion == w.ackedCompletion {
 		w.nextRenew = e.now
 	}
 }
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -17,85 +17,87 @@
 // crashedFor is how long an address counts as one whose worker has crashed of late.
 const crashedFor = 30 * time.Second
 
-// quiet keeps a worker for one step: nothing else is started there until then, so that a
+// isolation keeps a worker for one step: nothing else is started there until then, so that a
 // death says which task caused it.
-type quiet struct {
+type isolation struct {
 	s     *step
 	until time.Duration
 }
 
-func (q quiet) from(s *step, now time.Duration) bool { return now < q.until && q.s != s }
+func (q isolation) excludes(s *step, now time.Duration) bool { return now < q.until && q.s != s }
 
-// livedOn reports whether a run is known to have begun and, if its worker lived at some
+// pastCrashWindow reports whether a run is known to have begun and, if its worker lived at some
 // time, not to have crashed it.
-func (p *place) livedOn(at time.Duration) bool { return p.begun > 0 && at >= p.begun+crash.Window }
+func (alloc *allocation) pastCrashWindow(at time.Duration) bool {
+	return alloc.confirmedAt > 0 && at >= alloc.confirmedAt+crash.Window
+}
 
-// quietFor reports whether no run of another job has just begun on the worker, is about to, or
+// noRecentStarts reports whether no run of another job has just begun on the worker, is about to, or
 // is on trial there.
-func (e *Engine) quietFor(w *worker, s *step) bool {
-	for _, p := range w.places {
-		if p.s.job != s.job && (!p.livedOn(e.now) || p.task().crashes.OnTrial(p.run)) {
+func (e *Engine) noRecentStarts(w *worker, s *step) bool {
+	for _, alloc := range w.allocs {
+		if alloc.s.job != s.job && (!alloc.pastCrashWindow(e.now) || alloc.task().crashes.OnTrial(alloc.run)) {
 			return false
 		}
 	}
 	return true
 }
 
-// keepQuiet keeps a worker for a step with a suspect task until what has just begun there
+// isolate keeps a worker for a step with a suspect task until what has just begun there
 // has lived on, unless one is kept for the step.
-func (e *Engine) keepQuiet(s *step, w *worker) {
-	if k := s.keeps; k != nil && k.quiet.s == s && e.now < k.quiet.until {
+func (e *Engine) isolate(s *step, w *worker) {
+	if k := s.isolates; k != nil && k.isolated.s == s && e.now < k.isolated.until {
 		return
 	}
-	s.keeps = w
-	w.quiet = quiet{s, e.now + 2*crash.Window}
+	s.isolates = w
+	w.isolated = isolation{s, e.now + 2*crash.Window}
 }
 
-// keepSeatsQuiet does so for the workers of a gang with a suspect task, and reports whether
+// isolateGang does so for the workers of a gang with a suspect task, and reports whether
 // the gang has to wait for that. It waits for a bounded time only.
-func (e *Engine) keepSeatsQuiet(s *step, seats []seat) (wait bool) {
+func (e *Engine) isolateGang(s *step, slots []gangSlots) (wait bool) {
 	if !slices.ContainsFunc(s.tasks, func(t task) bool { return t.crashes.Suspect() }) {
 		return false
 	}
-	for _, x := range seats {
-		if !e.quietFor(x.w, s) {
-			x.w.quiet = quiet{s, e.now + 2*crash.Window}
+	for _, x := range slots {
+		if !e.noRecentStarts(x.w, s) {
+			x.w.isolated = isolation{s, e.now + 2*crash.Window}
 			wait = true
 		}
 	}
-	if s.quietWait < e.now-crash.Window {
-		s.quietWait = e.now + maxQuietWait
+	if s.isolationWait < e.now-crash.Window {
+		s.isolationWait = e.now + maxIsolationWait
 	}
-	return wait && e.now < s.quietWait
+	return wait && e.now < s.isolationWait
 }
 
-// maxQuietWait bounds how long a gang waits for workers on which nothing has just begun.
-const maxQuietWait = 4 * crash.Window
+// maxIsolationWait bounds how long a gang waits for workers on which nothing has just begun.
+const maxIsolationWait = 4 * crash.Window
 
-// noteHeard notes that the worker lived at some time.
-func (w *worker) noteHeard(at time.Duration) { w.heard = max(w.heard, at) }
+// noteAlive notes that the worker lived at some time.
+func (w *worker) noteAlive(at time.Duration) { w.aliveAt = max(w.aliveAt, at) }
 
-// startHeard notes that the worker lived when a start was sent that it has answered. What
+// startAnswered notes that the worker lived when a start was sent that it has answered. What
 // had lived on by then is cleared at once: no renewal may follow before the worker dies, and
 // a successor takes a trial that is open for what crashed it.
-func (e *Engine) startHeard(p *place) {
-	p.w.noteHeard(p.sent)
-	e.settleCrashes(p.w, false)
+func (e *Engine) startAnswered(alloc *allocation) {
+	alloc.w.noteAlive(alloc.sent)
+	e.settleCrashes(alloc.w, false)
 }
 
 // suspects returns the runs that may have crashed the worker, and whether they are of one
 // job: those that had not lived on when it was last heard of. Where there are none and
 // the worker's life is over, it is all.
-func (w *worker) suspects(ended bool) (all []*place, sole bool) {
-	for _, p := range places(w) {
-		if p.tries > 0 && !p.livedOn(w.heard) {
-			all = append(all, p)
+func (w *worker) suspects(ended bool) (all []*allocation, sole bool) {
+	for _, alloc := range sortedAllocs(w) {
+		if alloc.tries > 0 && !alloc.pastCrashWindow(w.aliveAt) {
+			all = append(all, alloc)
 		}
 	}
 	if len(all) == 0 && ended {
-		all = slices.DeleteFunc(places(w), func(p *place) bool { return p.tries == 0 })
+		all = slices.DeleteFunc(sortedAllocs(w), func(alloc *allocation) bool { return alloc.tries == 0 })
 	}
-	sole = !slices.ContainsFunc(all, func(p *place) bool { return p.s.job != all[0].s.job })
+	sole = !slices.ContainsFunc(all, func(alloc *allocation) bool { return alloc.s.job != all[0].s.job })
 	return all, sole
 }
 
@@ -106,15 +108,15 @@
 	}
 	all := slices.Clone(w.inheritedSuspects)
 	suspects, sole := w.suspects(ended)
-	for _, p := range suspects {
-		all = append(all, suspectRun{p.id(), p.run, sole})
+	for _, alloc := range suspects {
+		all = append(all, suspectRun{alloc.id(), alloc.run, sole})
 	}
 	return all
 }
 
-// blame records what was lost with a worker that did not leave as planned, and returns
+// recordLosses records what was lost with a worker that did not leave as planned, and returns
 // the tasks that may have caused it. ended tells that its life is over.
-func (e *Engine) blame(w *worker, ended bool) []suspectRun {
+func (e *Engine) recordLosses(w *worker, ended bool) []suspectRun {
 	if ended && !w.Draining {
 		e.crashedAt[w.Address] = e.now
 	}
@@ -125,12 +127,12 @@
 			continue
 		}
 		t := &s.tasks[x.Task.Index]
-		if p := t.place; p != nil && p.w == w {
-			p.blamed = true
+		if alloc := t.alloc; alloc != nil && alloc.w == w {
+			alloc.lossRecorded = true
 		}
 		t.crashes.Lose(x.Run, string(w.ID), x.Sole, ended)
-		e.noteUnder(w.ID, x.Task)
-		e.mark(s.job, false)
+		e.noteCrashRecord(w.ID, x.Task)
+		e.markDirty(s.job, false)
 		e.stats.Suspected++
 		e.decide(Decision{What: "may have crashed its worker", Task: x.Task, Run: x.Run, Worker: w.ID,
 			Why: fmt.Sprintf("sole=%v ended=%v suspects=%d records=%d", x.Sole, ended, len(suspects), len(t.crashes)), Age: e.now - w.answered})
@@ -138,15 +140,15 @@
 	return suspects
 }
 
-// noteUnder remembers that a task has a record of a worker.
-func (e *Engine) noteUnder(id runner.WorkerID, task work.TaskID) {
-	if !slices.Contains(e.underCrashes[id], task) {
-		e.underCrashes[id] = append(e.underCrashes[id], task)
+// noteCrashRecord remembers that a task has a record of a worker.
+func (e *Engine) noteCrashRecord(id runner.WorkerID, task work.TaskID) {
+	if !slices.Contains(e.tasksByCrash[id], task) {
+		e.tasksByCrash[id] = append(e.tasksByCrash[id], task)
 	}
 }
 
-// judge ends the job of a task that crashes its workers.
-func (e *Engine) judge(id work.TaskID) {
+// failIfGuilty ends the job of a task that crashes its workers.
+func (e *Engine) failIfGuilty(id work.TaskID) {
 	s := e.jobs[id.Job].step(id)
 	if s == nil || !s.job.active() {
 		return
@@ -162,7 +164,7 @@
 // settleCrashes tells the tasks with records of a worker what has become of it: its life
 // has ended, or it has just answered.
 func (e *Engine) settleCrashes(w *worker, ended bool) {
-	tasks := e.underCrashes[w.ID]
+	tasks := e.tasksByCrash[w.ID]
 	if len(tasks) == 0 {
 		return
 	}
@@ -173,23 +175,23 @@
 		}
 	}
 	if len(kept) == 0 {
-		delete(e.underCrashes, w.ID)
+		delete(e.tasksByCrash, w.ID)
 		return
 	}
-	e.underCrashes[w.ID] = kept
+	e.tasksByCrash[w.ID] = kept
 }
 
 // settleCrash does so for one task, and reports whether a record of the worker is left.
 func (e *Engine) settleCrash(s *step, id work.TaskID, w *worker, ended bool) bool {
 	t := &s.tasks[id.Index]
 	var live uint64 // a trial that may crash the worker yet
-	if p := t.place; p != nil && p.w == w && !p.livedOn(w.heard) {
-		live = p.run
+	if alloc := t.alloc; alloc != nil && alloc.w == w && !alloc.pastCrashWindow(w.aliveAt) {
+		live = alloc.run
 	}
 	if t.crashes.Settle(string(w.ID), ended && !w.Draining, live) {
-		e.mark(s.job, false)
+		e.markDirty(s.job, false)
 	}
-	e.judge(id)
+	e.failIfGuilty(id)
 	return slices.ContainsFunc(t.crashes, func(c work.Crash) bool { return c.Worker == string(w.ID) })
 }
 
@@ -203,22 +205,22 @@
 		for i := range s.tasks {
 			for _, c := range slices.Clone(s.tasks[i].crashes) {
 				id := s.taskID(i)
-				e.noteUnder(runner.WorkerID(c.Worker), id)
+				e.noteCrashRecord(runner.WorkerID(c.Worker), id)
 				if e.workers[runner.WorkerID(c.Worker)] == nil && s.tasks[i].crashes.Settle(c.Worker, true, 0) {
-					e.mark(j, false)
-					e.judge(id)
+					e.markDirty(j, false)
+					e.failIfGuilty(id)
 				}
 			}
 		}
 	}
 }
 
-// forgetCrashes drops what concerns jobs that have ended and crashes long past.
-func (e *Engine) forgetCrashes() {
-	for id, tasks := range e.underCrashes {
+// pruneCrashes drops what concerns jobs that have ended and crashes long past.
+func (e *Engine) pruneCrashes() {
+	for id, tasks := range e.tasksByCrash {
 		tasks = slices.DeleteFunc(tasks, func(t work.TaskID) bool { return e.jobs[t.Job] == nil || !e.jobs[t.Job].active() })
-		if e.underCrashes[id] = tasks; len(tasks) == 0 {
-			delete(e.underCrashes, id)
+		if e.tasksByCrash[id] = tasks; len(tasks) == 0 {
+			delete(e.tasksByCrash, id)
 		}
 	}
 	for address, at := range e.crashedAt {
@@ -228,44 +230,44 @@
 	}
 }
 
-func (e *Engine) crashedLately(w *worker) bool {
+func (e *Engine) crashedRecently(w *worker) bool {
 	at, known := e.crashedAt[w.Address]
 	return known && e.now-at <= crashedFor
 }
 
 // beginTrial records the start of a suspect task; it is sent once the store has that. A
 // successor that finds neither the run nor its end then knows of the worker's death.
-func (e *Engine) beginTrial(p *place) {
-	sole := e.quietFor(p.w, p.s)
-	p.task().crashes.Begin(p.run, string(p.w.ID), sole)
-	e.noteUnder(p.w.ID, p.id())
-	e.mark(p.s.job, true)
-	p.awaits = p.s.job.version
-	p.s.job.trials = append(p.s.job.trials, p)
-	p.w.quiet = quiet{p.s, e.now + 2*crash.Window}
+func (e *Engine) beginTrial(alloc *allocation) {
+	sole := e.noRecentStarts(alloc.w, alloc.s)
+	alloc.task().crashes.Begin(alloc.run, string(alloc.w.ID), sole)
+	e.noteCrashRecord(alloc.w.ID, alloc.id())
+	e.markDirty(alloc.s.job, true)
+	alloc.awaitsVersion = alloc.s.job.version
+	alloc.s.job.trials = append(alloc.s.job.trials, alloc)
+	alloc.w.isolated = isolation{alloc.s, e.now + 2*crash.Window}
 	e.stats.Trials++
-	e.decide(Decision{What: "trial of a suspect task", Task: p.id(), Run: p.run, Worker: p.w.ID, Why: fmt.Sprintf("sole=%v records=%d", sole, len(p.task().crashes))})
+	e.decide(Decision{What: "trial of a suspect task", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: fmt.Sprintf("sole=%v records=%d", sole, len(alloc.task().crashes))})
 }
 
-// errNoLongerFit is why a trial is not sent.
-var errNoLongerFit = errors.New("the worker can not be used any more")
+// errUnusable is why a trial is not sent.
+var errUnusable = errors.New("the worker can not be used any more")
 
 // sendTrials sends the trials of a job that the store has on record.
 func (e *Engine) sendTrials(j *job) {
 	waiting := j.trials
 	j.trials = nil
-	for _, p := range waiting {
-		w := p.w
+	for _, alloc := range waiting {
+		w := alloc.w
 		switch {
-		case p.task().place != p || p.state != starting: // given up meanwhile
-		case p.awaits > j.saved:
-			j.trials = append(j.trials, p)
-		case w.Draining || w.closed || w.misses > 0 || w.over():
-			e.release(p)
-			e.brokenStart(p, errNoLongerFit)
+		case alloc.task().alloc != alloc || alloc.state != starting: // given up meanwhile
+		case alloc.awaitsVersion > j.saved:
+			j.trials = append(j.trials, alloc)
+		case w.Draining || w.cordoned || w.misses > 0 || w.over():
+			e.release(alloc)
+			e.memberNotStarted(alloc, errUnusable)
 		default:
-			w.quiet = quiet{p.s, e.now + crash.Window}
-			e.sendStart(p)
+			w.isolated = isolation{alloc.s, e.now + crash.Window}
+			e.sendStart(alloc)
 		}
 	}
 }
@@ -273,16 +275,16 @@
 // endTrial forgets the trial of a run that was not lost with its worker.
 func (e *Engine) endTrial(s *step, i int, run uint64) {
 	if s.tasks[i].crashes.Drop(run) {
-		e.mark(s.job, false)
+		e.markDirty(s.job, false)
 	}
 }
 
-// noteSound forgets the crashes under a task of which a run has lived for long.
-func (e *Engine) noteSound(p *place) {
-	t := p.task()
-	if len(t.crashes) == 0 || p.state != running || e.now-p.begun < crash.SoundAfter {
+// noteHealthy forgets the crashes under a task of which a run has lived for long.
+func (e *Engine) noteHealthy(alloc *allocation) {
+	t := alloc.task()
+	if len(t.crashes) == 0 || alloc.state != running || e.now-alloc.confirmedAt < crash.SoundAfter {
 		return
 	}
 	t.crashes = nil
-	e.mark(p.s.job, false)
+	e.markDirty(alloc.s.job, false)
 }
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -109,48 +109,48 @@
 // TestSoundJobsAreNotGivenUpUnderTroubles guards against sound jobs that pay for workers
 // that crash, are cut off or flap, beside tasks that do crash their workers.
 func TestSoundJobsAreNotGivenUpUnderTroubles(t *testing.T) {
-	overSeeds(t, 6, crashesUnderTroubles)
+	overSeeds(t, 6, crashesUnderFaults)
 }
 
-func crashesUnderTroubles(t *testing.T, seed uint64) {
+func crashesUnderFaults(t *testing.T, seed uint64) {
 	c := crashingCell(t, seed, seed%3 == 2)
-	randomTroublesOf(t, c, func(rng *rand.Rand) *work.Job { return crashStep(1+rng.IntN(4), rng.IntN(4) == 0) }, (*cell).trouble)
+	randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job { return crashStep(1+rng.IntN(4), rng.IntN(4) == 0) }, (*cell).injectFault)
 	c.checkGivenUp()
 }
 
-// suspectBench is an engine with a task under which workers have died, as the store has it.
-func suspectBench(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *bench {
-	b := loadSuspect(t, crashes, workers...)
+// suspectHarness is an engine with a task under which workers have died, as the store has it.
+func suspectHarness(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *harness {
+	h := loadSuspect(t, crashes, workers...)
 	for _, id := range workers {
-		b.report(id, runner.Report{Clock: time.Second})
+		h.report(id, runner.Report{Clock: time.Second})
 	}
-	b.step(100 * time.Millisecond)
-	return b
+	h.step(100 * time.Millisecond)
+	return h
 }
 
 // loadSuspect is the same before any worker has answered.
-func loadSuspect(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *bench {
-	b := newBench(t, 2, workers...)
+func loadSuspect(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *harness {
+	h := newHarness(t, 2, workers...)
 	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Crashes: crashes}}})
 	require.NoError(t, err)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
-	b.step(50 * time.Millisecond)
-	return b
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
+	h.step(50 * time.Millisecond)
+	return h
 }
 
-// twoDeaths make a task suspect.
-var twoDeaths = []work.Crash{{Run: 1, Worker: "x"}, {Run: 2, Worker: "y"}}
+// twoCrashes make a task suspect.
+var twoCrashes = []work.Crash{{Run: 1, Worker: "x"}, {Run: 2, Worker: "y"}}
 
 // TestTrialIsRecordedBeforeItStarts guards against a trial that nobody knows of once its
 // leader and its worker have died together.
 func TestTrialIsRecordedBeforeItStarts(t *testing.T) {
-	b := loadSuspect(t, twoDeaths, "w-a")
-	b.e.Renewed(b.now, "w-a", runner.Report{Clock: time.Second}, nil)
+	h := loadSuspect(t, twoCrashes, "w-a")
+	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second}, nil)
 	var recorded *work.Progress
 	for range 20 {
-		b.now += tickPeriod
-		b.e.Tick(b.now)
-		for _, x := range b.e.Flush(b.now) {
+		h.now += tickPeriod
+		h.e.Tick(h.now)
+		for _, x := range h.e.Flush(h.now) {
 			switch x := x.(type) {
 			case SendCommit:
 				for _, w := range x.Writes {
@@ -160,7 +160,7 @@
 						require.NoError(t, err)
 					}
 				}
-				b.e.Committed(b.now, x.Chain)
+				h.e.Committed(h.now, x.Chain)
 			case SendStart:
 				require.NotNil(t, recorded, "started before it was recorded")
 				require.Equal(t, work.Crash{Run: x.Start.Run, Worker: "w-a", Sole: true, Open: true}, recorded.Ends[0].Crashes[2])
@@ -174,33 +174,33 @@
 // TestTrialOfADeadLeaderCounts guards against a death of the trial's worker that falls
 // between two leaders.
 func TestTrialOfADeadLeaderCounts(t *testing.T) {
-	b := suspectBench(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Open: true}}, "w-a")
-	state, known := b.e.State(testJob)
+	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Open: true}}, "w-a")
+	state, known := h.e.State(testJob)
 	require.True(t, known)
 	require.Equal(t, work.Failed, state)
-	require.Empty(t, b.starts())
+	require.Empty(t, h.starts())
 }
 
 // TestWorkerThatAnswersAgainHasNotCrashed guards against a sound task that is given up for
 // workers that were cut off.
 func TestWorkerThatAnswersAgainHasNotCrashed(t *testing.T) {
-	b := suspectBench(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a", "w-b")
-	first := b.starts()
+	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a", "w-b")
+	first := h.starts()
 	require.Len(t, first, 1)
 	on := first[0].To.ID
-	b.now += tickPeriod
-	b.e.Started(b.now, on, first[0].Start.Task, first[0].Start.Run, nil)
+	h.now += tickPeriod
+	h.e.Started(h.now, on, first[0].Start.Task, first[0].Start.Run, nil)
 	other := map[runner.WorkerID]runner.WorkerID{"w-a": "w-b", "w-b": "w-a"}[on]
 	for range 16 { // until its lease has run out
-		b.e.Renewed(b.now, on, runner.Report{}, runner.ErrUnknown)
-		b.report(other, runner.Report{Clock: time.Second})
-		b.step(500 * time.Millisecond)
+		h.e.Renewed(h.now, on, runner.Report{}, runner.ErrUnknown)
+		h.report(other, runner.Report{Clock: time.Second})
+		h.step(500 * time.Millisecond)
 	}
-	state, _ := b.e.State(testJob)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Running, state, "its death is not known")
-	require.Len(t, b.starts(), 1, "it starts elsewhere")
-	b.report(on, runner.Report{Clock: 20 * time.Second})
-	s := b.e.jobs[testJob].step(first[0].Start.Task)
+	require.Len(t, h.starts(), 1, "it starts elsewhere")
+	h.report(on, runner.Report{Clock: 20 * time.Second})
+	s := h.e.jobs[testJob].step(first[0].Start.Task)
 	require.Len(t, s.tasks[0].crashes, 3, "the two deaths, and the trial that runs")
 	require.NotContains(t, s.tasks[0].crashes, work.Crash{Run: first[0].Start.Run, Worker: string(on), Sole: true, Open: true})
 }
@@ -208,99 +208,99 @@
 // TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver guards against a sound task that is given up
 // for the death of its trial's worker, though a later start was answered there meanwhile.
 func TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver(t *testing.T) {
-	b := suspectBench(t, twoDeaths, "w-a")
-	trial := b.starts()
+	h := suspectHarness(t, twoCrashes, "w-a")
+	trial := h.starts()
 	require.Len(t, trial, 1)
-	b.now += tickPeriod
-	b.e.Started(b.now, "w-a", trial[0].Start.Task, trial[0].Start.Run, nil)
-	b.step(2 * crash.Window) // no renewal is answered in that time
+	h.now += tickPeriod
+	h.e.Started(h.now, "w-a", trial[0].Start.Task, trial[0].Start.Run, nil)
+	h.step(2 * crash.Window) // no renewal is answered in that time
 	other := jobEntry(t, 2, 4, oneTask())
 	other.Key = KeyIn("00000000000000bb")
-	require.NoError(t, b.e.Accepted(b.now, other))
-	b.step(2 * tickPeriod)
-	later := b.starts()
+	require.NoError(t, h.e.Accepted(h.now, other))
+	h.step(2 * tickPeriod)
+	later := h.starts()
 	require.Len(t, later, 1)
-	b.e.Started(b.now, "w-a", later[0].Start.Task, later[0].Start.Run, nil)
-	records := b.e.jobs[testJob].step(trial[0].Start.Task).tasks[0].crashes
+	h.e.Started(h.now, "w-a", later[0].Start.Task, later[0].Start.Run, nil)
+	records := h.e.jobs[testJob].step(trial[0].Start.Task).tasks[0].crashes
 	require.False(t, records.OnTrial(trial[0].Start.Run), "a successor takes what is open for the trial's death: %+v", records)
 }
 
 // TestTaskThatHasLivedOnIsNoSuspect guards against deaths over days that add up against a
 // task that lasts.
 func TestTaskThatHasLivedOnIsNoSuspect(t *testing.T) {
-	b := suspectBench(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a")
-	first := b.starts()
+	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a")
+	first := h.starts()
 	require.Len(t, first, 1)
 	live := []runner.Live{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 10}}
 	for i := range 26 {
 		live[0].Percent = 10 + float64(i)
-		b.report("w-a", runner.Report{Clock: time.Duration(i) * time.Second, Running: live})
-		b.step(400 * time.Millisecond)
+		h.report("w-a", runner.Report{Clock: time.Duration(i) * time.Second, Running: live})
+		h.step(400 * time.Millisecond)
 	}
-	require.Empty(t, b.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
+	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
 // TestRunsOnAWorkerThatLeavesAreNotSuspect guards against planned departures that are
 // taken for crashes.
 func TestRunsOnAWorkerThatLeavesAreNotSuspect(t *testing.T) {
-	b := suspectBench(t, nil, "w-a")
-	first := b.starts()
+	h := suspectHarness(t, nil, "w-a")
+	first := h.starts()
 	require.Len(t, first, 1)
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}, Draining: true})
-	b.e.Renewed(b.now, "w-a", runner.Report{}, runner.ErrGone)
-	require.Empty(t, b.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}, Draining: true})
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrGone)
+	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
 // TestLateStartAtTheNextLifeDoesNotRunBesideAnother guards against a start that is carried
 // out by the next life under a worker's name, while the task runs elsewhere.
 func TestLateStartAtTheNextLifeDoesNotRunBesideAnother(t *testing.T) {
 	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
-	b := newBench(t, 1, first, "w-b")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report(first, runner.Report{Clock: time.Second})
-	start := b.starts()[0].Start
-	b.e.Renewed(b.now, first, runner.Report{}, runner.ErrGone)
-	b.resize(next, work.Resources{CPU: 4000, Memory: 4000})
-	b.step(50 * time.Millisecond)
-	b.report("w-b", runner.Report{Clock: time.Second})
-	require.Empty(t, b.starts(), "it may run at the next life")
-	b.report(next, runner.Report{Clock: time.Second, Running: []runner.Live{{Task: start.Task, Run: start.Run}}})
-	b.report("w-b", runner.Report{Clock: time.Second})
-	require.Empty(t, b.starts(), "it runs at the next life")
-	b.report(next, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run, How: runner.Stopped}}})
-	b.step(200 * time.Millisecond) // it is a suspect now, and its trial is written first
-	require.Len(t, b.starts(), 1)
+	h := newHarness(t, 1, first, "w-b")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report(first, runner.Report{Clock: time.Second})
+	start := h.starts()[0].Start
+	h.e.Renewed(h.now, first, runner.Report{}, runner.ErrGone)
+	h.resize(next, work.Resources{CPU: 4000, Memory: 4000})
+	h.step(50 * time.Millisecond)
+	h.report("w-b", runner.Report{Clock: time.Second})
+	require.Empty(t, h.starts(), "it may run at the next life")
+	h.report(next, runner.Report{Clock: time.Second, Running: []runner.Live{{Task: start.Task, Run: start.Run}}})
+	h.report("w-b", runner.Report{Clock: time.Second})
+	require.Empty(t, h.starts(), "it runs at the next life")
+	h.report(next, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run, How: runner.Stopped}}})
+	h.step(200 * time.Millisecond) // it is a suspect now, and its trial is written first
+	require.Len(t, h.starts(), 1)
 }
 
 // TestEndsOfTheNextLifeCount guards against a later life under a worker's name whose ends
 // are taken for those of the earlier one.
 func TestEndsOfTheNextLifeCount(t *testing.T) {
 	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
-	b := newBench(t, 1, first)
+	h := newHarness(t, 1, first)
 	step := oneTask()
 	step.Count = 4
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
-	b.step(50 * time.Millisecond)
-	b.report(first, runner.Report{Clock: time.Second})
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
+	h.step(50 * time.Millisecond)
+	h.report(first, runner.Report{Clock: time.Second})
 	var ends []runner.End
-	for i, s := range b.starts()[:3] {
+	for i, s := range h.starts()[:3] {
 		ends = append(ends, runner.End{Number: int64(i + 1), Task: s.Start.Task, Run: s.Start.Run})
 	}
-	b.report(first, runner.Report{Clock: time.Second, Ended: ends})
-	b.resize(next, work.Resources{CPU: 4000, Memory: 4000}) // listed with a later birth
-	b.step(50 * time.Millisecond)
-	b.resize(first, work.Resources{CPU: 4000, Memory: 4000}) // an entry that comes late
-	require.Nil(t, b.e.workers[first])
-	b.report(next, runner.Report{Clock: time.Second})
-	b.step(30 * time.Second)
-	b.report(next, runner.Report{Clock: 30 * time.Second})
-	last := b.starts()
+	h.report(first, runner.Report{Clock: time.Second, Ended: ends})
+	h.resize(next, work.Resources{CPU: 4000, Memory: 4000}) // listed with a later birth
+	h.step(50 * time.Millisecond)
+	h.resize(first, work.Resources{CPU: 4000, Memory: 4000}) // an entry that comes late
+	require.Nil(t, h.e.workers[first])
+	h.report(next, runner.Report{Clock: time.Second})
+	h.step(30 * time.Second)
+	h.report(next, runner.Report{Clock: 30 * time.Second})
+	last := h.starts()
 	require.NotEmpty(t, last)
 	x := last[len(last)-1].Start
-	b.report(next, runner.Report{Clock: 31 * time.Second, Ended: []runner.End{{Number: 1, Task: x.Task, Run: x.Run}}})
-	b.step(100 * time.Millisecond)
-	state, _ := b.e.State(testJob)
+	h.report(next, runner.Report{Clock: 31 * time.Second, Ended: []runner.End{{Number: 1, Task: x.Task, Run: x.Run}}})
+	h.step(100 * time.Millisecond)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Completed, state)
 }
 
@@ -353,42 +353,42 @@
 // TestDeathThatIsKnownLateCounts guards against a crash that is forgotten because the
 // worker's entry outlasts its lease.
 func TestDeathThatIsKnownLateCounts(t *testing.T) {
-	b := newBench(t, 2)
+	h := newHarness(t, 2)
 	task := work.TaskID{Job: testJob}
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}}})
 	require.NoError(t, err)
-	closed, err := peer.Marshal(closedRecord{Workers: []closedWorker{{ID: "w-a", Tasks: []work.TaskID{task}, Suspects: []suspectRun{{Task: task, Run: 1, Sole: true}}}}})
+	closed, err := peer.Marshal(cordonRecord{Workers: []cordonedWorker{{ID: "w-a", Tasks: []work.TaskID{task}, Suspects: []suspectRun{{Task: task, Run: 1, Sole: true}}}}})
 	require.NoError(t, err)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())},
-		Fleet: []store.Entry{{Key: keyFleet, Value: fleet}, {Key: keyClosed, Value: closed}}}))
-	b.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // listed
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())},
+		Fleet: []store.Entry{{Key: keyFleet, Value: fleet}, {Key: keyCordoned, Value: closed}}}))
+	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // listed
 	for range 24 {
-		b.e.Renewed(b.now, "w-a", runner.Report{}, runner.ErrUnknown)
-		b.step(500 * time.Millisecond)
+		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
+		h.step(500 * time.Millisecond)
 	}
-	crashes := func() crash.Records { return b.e.jobs[testJob].step(task).tasks[0].crashes }
+	crashes := func() crash.Records { return h.e.jobs[testJob].step(task).tasks[0].crashes }
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has run out")
-	b.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
-	b.e.Renewed(b.now, "w-a", runner.Report{}, runner.ErrGone)
+	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrGone)
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true}}, crashes())
 }
 
 // TestSuspectTaskDoesNotHoldUpItsSiblings guards against sound tasks that wait behind one
 // for which no quiet worker is there.
 func TestSuspectTaskDoesNotHoldUpItsSiblings(t *testing.T) {
-	b := newBench(t, 2, "w-a")
+	h := newHarness(t, 2, "w-a")
 	first := jobEntry(t, 1, 4, oneTask())
 	first.Key = KeyIn("00000000000000bb")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{first}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	require.Len(t, b.starts(), 1)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{first}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	require.Len(t, h.starts(), 1)
 	step := oneTask()
 	step.Count = 2
-	require.NoError(t, b.e.Accepted(b.now, jobEntry(t, 2, 4, step)))
-	b.e.jobs[testJob].step(work.TaskID{Job: testJob}).tasks[0].crashes = slices.Clone(twoDeaths)
-	b.step(2 * tickPeriod)
-	second := b.starts()
+	require.NoError(t, h.e.Accepted(h.now, jobEntry(t, 2, 4, step)))
+	h.e.jobs[testJob].step(work.TaskID{Job: testJob}).tasks[0].crashes = slices.Clone(twoCrashes)
+	h.step(2 * tickPeriod)
+	second := h.starts()
 	require.Len(t, second, 1)
 	require.Equal(t, 1, second[0].Start.Task.Index)
 }
--- a/process/dispatch/directory.go
+++ b/process/dispatch/directory.go
@@ -11,23 +11,23 @@
 // WorkerSeen takes a worker's entry in the directory.
 func (e *Engine) WorkerSeen(now time.Duration, seen runner.Worker) {
 	e.now = now
-	seen.ID = e.lifeOf(seen.ID)
-	over, next := e.noteBirth(seen.ID)
-	if over {
+	seen.ID = e.incarnationOf(seen.ID)
+	older, next := e.noteIncarnation(seen.ID)
+	if older {
 		return // an entry of an earlier life, which came late
 	}
 	w := e.workers[seen.ID]
 	if w == nil {
 		w = e.addWorker(seen)
-		w.fresh = next
+		w.newInEpoch = next
 	}
-	if w.gone {
+	if w.removed {
 		return
 	}
 	w.Worker, w.listed = seen, true
 	w.rack = rackOf(seen.Labels)
-	if !w.kept {
-		e.fleetNew = true
+	if !w.recorded {
+		e.fleetChanged = true
 	}
 	e.scheduled = false
 }
@@ -37,9 +37,9 @@
 	listed := make(map[runner.WorkerID]bool, len(workers))
 	for i := range workers {
 		e.WorkerSeen(now, workers[i])
-		listed[e.lifeOf(workers[i].ID)] = true
+		listed[e.incarnationOf(workers[i].ID)] = true
 	}
-	for _, w := range slices.Clone(e.order) {
+	for _, w := range slices.Clone(e.workerList) {
 		if w.listed && !listed[w.ID] {
 			e.WorkerUnlisted(now, w.ID)
 		}
@@ -56,10 +56,10 @@
 }
 
 func (e *Engine) addWorker(seen runner.Worker) *worker {
-	w := &worker{Worker: seen, places: map[work.TaskID]*place{}, pace: 1, nextRenew: e.now, slot: e.slots}
-	e.slots++
+	w := &worker{Worker: seen, allocs: map[work.TaskID]*allocation{}, slowdown: 1, nextRenew: e.now, index: e.workerCount}
+	e.workerCount++
 	e.workers[seen.ID] = w
-	e.order = append(e.order, w)
+	e.workerList = append(e.workerList, w)
 	return w
 }
 
@@ -69,66 +69,66 @@
 	e.now = now
 	w := e.workers[id]
 	if w == nil {
-		e.unlistedName(now, id)
+		e.unlistedByName(now, id)
 		return
 	}
 	w.listed = false
 	w.nextRenew = now
-	if w.misses > 0 && len(w.places) == 0 && w.fenced {
-		e.workerGone(w, "not listed and not answering", true)
+	if w.misses > 0 && len(w.allocs) == 0 && w.fenced {
+		e.removeWorker(w, "not listed and not answering", true)
 	}
 }
 
-// workerGone gives a worker up: nothing of it runs any more. ended tells that its life is
+// removeWorker gives a worker up: nothing of it runs any more. ended tells that its life is
 // over, as far as can be known.
-func (e *Engine) workerGone(w *worker, why string, ended bool) {
-	if w.gone {
+func (e *Engine) removeWorker(w *worker, why string, ended bool) {
+	if w.removed {
 		return
 	}
 	e.decide(Decision{What: "worker gone", Worker: w.ID, Why: why, Age: e.now - w.answered})
-	w.gone = true
+	w.removed = true
 	e.stats.Gone++
-	e.clearPlaces(w, why, ended)
+	e.clearAllocs(w, why, ended)
 	e.resolve(w)
 	if ended {
 		e.settleCrashes(w, true)
 	}
 	delete(e.workers, w.ID)
-	e.order = slices.DeleteFunc(e.order, func(x *worker) bool { return x == w })
-	e.fleetNew = e.fleetNew || w.kept
-	w.waiting = nil
+	e.workerList = slices.DeleteFunc(e.workerList, func(x *worker) bool { return x == w })
+	e.fleetChanged = e.fleetChanged || w.recorded
+	w.pendingAcks = nil
 }
 
-// clearPlaces frees every run on a worker on which nothing runs any more.
-func (e *Engine) clearPlaces(w *worker, why string, ended bool) {
-	w.refundStrays()
-	suspects := e.blame(w, ended)
-	for _, p := range places(w) {
+// clearAllocs frees every run on a worker on which nothing runs any more.
+func (e *Engine) clearAllocs(w *worker, why string, ended bool) {
+	w.refundUntracked()
+	suspects := e.recordLosses(w, ended)
+	for _, alloc := range sortedAllocs(w) {
 		e.stats.Lost++
 		e.stats.LostWithWorker++
-		e.decide(Decision{What: "run lost", Task: p.id(), Run: p.run, Worker: w.ID, Why: why, Age: e.now - p.sent})
-		s := p.s
-		if ended && e.mayOutlive(p) {
-			e.outlive(w, p)
+		e.decide(Decision{What: "run lost", Task: alloc.id(), Run: alloc.run, Worker: w.ID, Why: why, Age: e.now - alloc.sent})
+		s := alloc.s
+		if ended && e.mayStartLate(alloc) {
+			e.addLateStart(w, alloc)
 		} else {
-			e.release(p)
+			e.release(alloc)
 		}
 		if s.spec.Gang && s.job.active() {
-			e.breakGang(s, "a member was lost with its worker")
+			e.stopGang(s, "a member was lost with its worker")
 		}
 	}
 	for _, x := range suspects {
-		e.judge(x.Task)
+		e.failIfGuilty(x.Task)
 	}
 }
 
-// places returns the runs on a worker in a fixed order.
-func places(w *worker) []*place {
-	all := make([]*place, 0, len(w.places))
-	for _, p := range w.places {
-		all = append(all, p)
+// sortedAllocs returns the runs on a worker in a fixed order.
+func sortedAllocs(w *worker) []*allocation {
+	all := make([]*allocation, 0, len(w.allocs))
+	for _, alloc := range w.allocs {
+		all = append(all, alloc)
 	}
-	slices.SortFunc(all, func(a, b *place) int {
+	slices.SortFunc(all, func(a, b *allocation) int {
 		if a.sent != b.sent {
 			return int(a.sent - b.sent)
 		}
@@ -137,12 +137,12 @@
 	return all
 }
 
-// lapsed is called when everything on a worker must have ended with its lease.
-func (e *Engine) lapsed(w *worker) {
+// leaseExpired is called when everything on a worker must have ended with its lease.
+func (e *Engine) leaseExpired(w *worker) {
 	e.decide(Decision{What: "lease lapsed", Worker: w.ID, Why: "no answer until the lease had run out", Age: e.now - w.answered})
 	if !w.listed || !w.fenced {
-		e.workerGone(w, "its lease has run out and it does not answer", !w.listed)
+		e.removeWorker(w, "its lease has run out and it does not answer", !w.listed)
 		return
 	}
-	e.clearPlaces(w, "its lease has run out", false)
+	e.clearAllocs(w, "its lease has run out", false)
 }
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -24,18 +24,18 @@
 	jobs map[work.JobID]*job
 	// cancels that ended no job, since its hand-in has not been seen yet or it
 	// had ended, and when they came.
-	cancels map[work.JobID]time.Duration
-	workers map[runner.WorkerID]*worker
-	order   []*worker // the workers, in a fixed order
-	slots   int       // used up by workers of this epoch, those that are gone included
+	cancels     map[work.JobID]time.Duration
+	workers     map[runner.WorkerID]*worker
+	workerList  []*worker // the workers, in a fixed order
+	workerCount int       // used up by workers of this epoch, those that are gone included
 	// unresolved counts workers that an earlier epoch used and that have
 	// neither answered this one nor certainly ended; unresolvedOpen those of them
 	// that were not closed.
-	unresolved, unresolvedOpen int
-	// unlistedClosed counts closed ones of which it is not known what they may run;
+	unresolved, unresolvedUncordoned int
+	// cordonedUnlisted counts closed ones of which it is not known what they may run;
 	// what was handed in after closedAt does not run there.
-	unlistedClosed int
-	closedAt       store.Revision
+	cordonedUnlisted int
+	fleetRevision    store.Revision
 	// mayRun counts, by task, the closed workers on which it may run yet.
 	mayRun map[work.TaskID]int
 
@@ -45,47 +45,47 @@
 	ledger        *quota.Ledger // of this part of the cell
 	accountsKnown bool
 	capShares     uint64 // the version of the parts' shares that is obeyed; 0: none is known
-	// ending is what jobs that had ended still ran when an earlier epoch wrote that.
-	ending map[*quota.Account]quota.Size
-	fair   *fair.Book
-	kinds  map[kindKey]*kindUse
+	// endedHeld is what jobs that had ended still ran when an earlier epoch wrote that.
+	endedHeld map[*quota.Account]quota.Size
+	fair      *fair.Book
+	usages    map[usageKey]*usage
 	// priorities lists those for which an account has run anything, rising.
 	priorities map[*quota.Account][]int
-	heldUp     map[*quota.Account]quota.Size // kept free in this round
+	keptFree   map[*quota.Account]quota.Size // kept free in this round
 	anyUnseen  bool                          // something counts for accounts that is not seen
 
-	// underCrashes are the tasks with records of crashes, by worker, and crashedAt the
+	// tasksByCrash are the tasks with records of crashes, by worker, and crashedAt the
 	// addresses of the workers whose lives ended of late.
-	underCrashes map[runner.WorkerID][]work.TaskID
+	tasksByCrash map[runner.WorkerID][]work.TaskID
 	crashedAt    map[string]time.Duration
-	// births are the latest ones by name, and outliving the runs that may be carried out
+	// latestStart are the latest ones by name, and outliving the runs that may be carried out
 	// by a later life.
-	births    map[string]int64
-	outliving map[string][]*place
-
-	members []string
-	lanes   map[string]*lane
-	shares  map[string]float64  // of workers that are good, by queue
-	paces   map[string]*float64 // run time against estimate, by queue
-
-	dirty     []*job
-	dirtyAt   time.Duration // since when something waits for a commit
-	urgent    bool
-	removals  []string
-	writes    [lead.Chains]*batch // on their way, by chain
-	writtenAt time.Duration       // when the last one went out
-	unbundle  []*job              // whose newest progress is in a bundle
-	bundleSeq uint64
-	fleetNew  bool
-	closedNew bool // the list of closed workers is to be written
-	forgetAt  time.Duration
-	scheduled bool // nothing has changed since the last placement
+	latestStart map[string]int64
+	lateStarts  map[string][]*allocation
+
+	members        []string
+	proxies        map[string]*adviceProxy
+	goodShares     map[string]float64  // of workers that are good, by queue
+	estimateRatios map[string]*float64 // run time against estimate, by queue
+
+	dirty          []*job
+	dirtyAt        time.Duration // since when something waits for a commit
+	urgent         bool
+	removals       []string
+	writes         [lead.Chains]*writeSet // on their way, by chain
+	writtenAt      time.Duration          // when the last one went out
+	unbatch        []*job                 // whose newest progress is in a bundle
+	batchSeq       uint64
+	fleetChanged   bool
+	cordonsChanged bool // the list of closed workers is to be written
+	pruneAt        time.Duration
+	scheduled      bool // nothing has changed since the last placement
 	// scheduledAt and planAt are when the last round was, and when room for
 	// waiting gangs is to be planned anew.
 	scheduledAt, planAt time.Duration
 	roundCost           time.Duration // of a round of placement, decaying
-	lanesIdle           int           // left in this round
-	lanesSlow           int           // of them for slow calls
+	idleProxies         int           // left in this round
+	idleForSlow         int           // of them for slow calls
 
 	deposed bool
 	stats   Stats
@@ -113,10 +113,10 @@
 	entitled := o.Bounds.Entitled
 	entitled.Share = 1 / float64(max(o.Parts, 1))
 	return &Engine{o: o, fair: fair.New(o.Policy.Shares, entitled), jobs: map[work.JobID]*job{}, cancels: map[work.JobID]time.Duration{},
-		workers: map[runner.WorkerID]*worker{}, lanes: map[string]*lane{}, ledger: quota.NewLedger(), ending: map[*quota.Account]quota.Size{},
-		kinds: map[kindKey]*kindUse{}, priorities: map[*quota.Account][]int{}, heldUp: map[*quota.Account]quota.Size{},
-		underCrashes: map[runner.WorkerID][]work.TaskID{}, crashedAt: map[string]time.Duration{}, births: map[string]int64{}, outliving: map[string][]*place{},
-		mayRun: map[work.TaskID]int{}, shares: map[string]float64{}, paces: map[string]*float64{}}
+		workers: map[runner.WorkerID]*worker{}, proxies: map[string]*adviceProxy{}, ledger: quota.NewLedger(), endedHeld: map[*quota.Account]quota.Size{},
+		usages: map[usageKey]*usage{}, priorities: map[*quota.Account][]int{}, keptFree: map[*quota.Account]quota.Size{},
+		tasksByCrash: map[runner.WorkerID][]work.TaskID{}, crashedAt: map[string]time.Duration{}, latestStart: map[string]int64{}, lateStarts: map[string][]*allocation{},
+		mayRun: map[work.TaskID]int{}, goodShares: map[string]float64{}, estimateRatios: map[string]*float64{}}
 }
 
 // Deposed reports whether a worker was called with a higher epoch.
@@ -166,15 +166,15 @@
 	j := e.jobs[s.job]
 	if j == nil && s.progress.State.Final() {
 		// Its hand-in was removed when it ended.
-		j = &job{id: s.job, spec: &work.Job{Account: s.progress.Account}, state: s.progress.State, visible: s.progress.State, endedAt: e.now, isShed: true}
+		j = &job{id: s.job, spec: &work.Job{Account: s.progress.Account}, state: s.progress.State, visible: s.progress.State, endedAt: e.now, trimmed: true}
 		e.jobs[s.job] = j
-		e.noteEnding(s.progress)
+		e.noteEndedHeld(s.progress)
 	}
 	if j == nil {
 		return // its hand-in could not be read: its progress is left alone
 	}
-	e.moveTo(j, s.bundle)
-	if j.isShed || (j.state == work.Cancelled && !s.progress.State.Final()) {
+	e.moveTo(j, s.batch)
+	if j.trimmed || (j.state == work.Cancelled && !s.progress.State.Final()) {
 		return // a cancellation that is not yet written as such stands
 	}
 	j.restore(s.progress)
@@ -205,24 +205,24 @@
 }
 
 func (e *Engine) add(id work.JobID, spec *work.Job, revision store.Revision) {
-	j := &job{id: id, spec: spec, handedIn: true, revision: revision, since: e.now, inherited: spec.Epoch < e.o.Epoch,
-		accepted: e.atTime(spec.Accepted), start: e.atTime(spec.StartAt), pace: e.paceOf(spec.Queue.Name), account: e.ledger.Account(spec.Account)}
+	j := &job{id: id, spec: spec, submitted: true, revision: revision, loadedAt: e.now, inherited: spec.Epoch < e.o.Epoch,
+		accepted: e.engineTime(spec.Accepted), start: e.engineTime(spec.StartAt), estimateRatio: e.estimateRatioOf(spec.Queue.Name), account: e.ledger.Account(spec.Account)}
 	e.jobs[id] = j
-	j.work = spec.Work()
-	j.beyond = !e.fair.HandedIn(spec.Account, j.accepted)
+	j.coreSeconds = spec.Work()
+	j.overEntitled = !e.fair.HandedIn(spec.Account, j.accepted)
 	if _, ok := e.cancels[id]; ok {
 		delete(e.cancels, id)
 		e.end(j, work.Cancelled, "cancelled before the hand-in was seen")
 		return
 	}
 	e.openDue(j)
-	if j.next < j.repeat() {
+	if j.nextDue < j.repeat() {
 		e.timed = append(e.timed, j)
 	}
 }
 
-// atTime returns the engine's time at a time of day, in milliseconds since 1970.
-func (e *Engine) atTime(ms int64) time.Duration {
+// engineTime returns the engine's time at a time of day, in milliseconds since 1970.
+func (e *Engine) engineTime(ms int64) time.Duration {
 	return time.Duration(ms-e.o.Today) * time.Millisecond
 }
 
@@ -249,17 +249,17 @@
 // end gives a job its final state and stops what runs of it.
 func (e *Engine) end(j *job, state work.State, why string) {
 	j.state, j.endedAt = state, e.now
-	e.decide(Decision{What: state.String(), Task: work.TaskID{Job: j.id}, Why: why, Age: e.now - j.since, waits: &j.waits})
+	e.decide(Decision{What: state.String(), Task: work.TaskID{Job: j.id}, Why: why, Age: e.now - j.loadedAt, waits: &j.waits})
 	for s := range j.steps() {
 		s.advice = nil
 		e.unreserve(s)
 		for i := range s.tasks {
-			if p := s.tasks[i].place; p != nil && state != work.Completed {
-				e.stop(p, why)
+			if alloc := s.tasks[i].alloc; alloc != nil && state != work.Completed {
+				e.stop(alloc, why)
 			}
 		}
 	}
-	e.mark(j, true)
+	e.markDirty(j, true)
 }
 
 // settle ends a job whose occurrences have all come and are done. Tasks that
@@ -269,12 +269,12 @@
 		return
 	}
 	j.prune()
-	if j.next < j.repeat() || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.done() }) {
+	if j.nextDue < j.repeat() || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.done() }) {
 		return
 	}
 	e.took(SpanComplete, j)
 	if n := len(j.occurrences); j.spec.Account != "" && n > 0 {
-		e.fair.Ended(j.spec.Account, e.now, j.work, e.now <= j.occurrences[n-1].due)
+		e.fair.Ended(j.spec.Account, e.now, j.coreSeconds, e.now <= j.occurrences[n-1].due)
 	}
 	e.end(j, work.Completed, "every task is done")
 }
@@ -286,7 +286,7 @@
 	if j == nil || j.visible == work.Refused {
 		return 0, false
 	}
-	if !j.visible.Final() && j.begun {
+	if !j.visible.Final() && j.started {
 		return work.Running, true
 	}
 	return j.visible, true
@@ -304,7 +304,7 @@
 func (e *Engine) Pending(queue string) int {
 	n := 0
 	for _, j := range e.jobs {
-		if j.active() && !j.begun && j.spec.Queue.Name == queue {
+		if j.active() && !j.started && j.spec.Queue.Name == queue {
 			n++
 		}
 	}
@@ -331,45 +331,45 @@
 // Tick does what is due by time.
 func (e *Engine) Tick(now time.Duration) {
 	e.now = now
-	for _, w := range slices.Clone(e.order) {
+	for _, w := range slices.Clone(e.workerList) {
 		e.tickWorker(w)
 	}
 	e.openTimed()
 	e.retryAdvice()
-	e.expireHolds()
-	e.breakPartial()
-	e.expireOutliving()
-	e.forget()
+	e.expireGangReservations()
+	e.stopPartialGangs()
+	e.expireLateStarts()
+	e.pruneJobs()
 	e.scheduled = false
 }
 
 func (e *Engine) tickWorker(w *worker) {
-	if w.gone {
+	if w.removed {
 		return
 	}
-	if now := e.now; w.lapse > 0 && now > w.lapse && (len(w.places) > 0 || !w.fenced) {
-		e.lapsed(w)
+	if now := e.now; w.expiry > 0 && now > w.expiry && (len(w.allocs) > 0 || !w.fenced) {
+		e.leaseExpired(w)
 	}
 	if w.misses == 0 {
-		for _, p := range w.places {
-			e.tickPlace(p)
+		for _, alloc := range w.allocs {
+			e.tickAlloc(alloc)
 		}
 	}
-	if w.gone {
+	if w.removed {
 		return
 	}
-	e.closeSilent(w)
-	e.closeLeaving(w)
+	e.cordonUnresponsive(w)
+	e.cordonDraining(w)
 	e.renew(w)
 }
 
-// forget drops jobs that ended long ago, and lets the store drop them.
-func (e *Engine) forget() {
-	if e.now < e.forgetAt {
+// pruneJobs drops jobs that ended long ago, and lets the store drop them.
+func (e *Engine) pruneJobs() {
+	if e.now < e.pruneAt {
 		return
 	}
-	e.forgetAt = e.now + forgetPause
-	e.forgetCrashes()
+	e.pruneAt = e.now + prunePause
+	e.pruneCrashes()
 	for id, at := range e.cancels {
 		if e.now-at > e.o.Bounds.Keep {
 			delete(e.cancels, id)
@@ -380,8 +380,8 @@
 		if !j.visible.Final() {
 			continue
 		}
-		e.shed(j)
-		if !j.isShed || j.writing || j.dirty || j.bundle != nil || e.now-j.endedAt < e.o.Bounds.Keep {
+		e.trim(j)
+		if !j.trimmed || j.writing || j.dirty || j.batch != nil || e.now-j.endedAt < e.o.Bounds.Keep {
 			continue
 		}
 		delete(e.jobs, id)
@@ -389,8 +389,8 @@
 	}
 }
 
-// forgetPause is between looks for jobs to forget.
-const forgetPause = 2 * time.Second
+// prunePause is between looks for jobs to forget.
+const prunePause = 2 * time.Second
 
 // took measures a span of a job that this engine has seen from its acceptance.
 func (e *Engine) took(what Span, j *job) {
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -15,59 +15,59 @@
 
 const testJob = work.JobID("00000000000000aa")
 
-// bench is an engine whose calls a test answers by hand.
-type bench struct {
+// harness is an engine whose calls a test answers by hand.
+type harness struct {
 	t   *testing.T
 	e   *Engine
 	now time.Duration
 	out []Effect
 }
 
-func newBench(t *testing.T, epoch uint64, workers ...runner.WorkerID) *bench {
-	b := &bench{t: t, e: NewEngine(Options{Epoch: epoch, Bounds: Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: time.Minute},
+func newHarness(t *testing.T, epoch uint64, workers ...runner.WorkerID) *harness {
+	h := &harness{t: t, e: NewEngine(Options{Epoch: epoch, Bounds: Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: time.Minute},
 		Violation: func(what string, _ work.TaskID, _ runner.WorkerID) { t.Errorf("invariant: %s", what) }})}
 	for _, id := range workers {
-		b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
+		h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
 	}
-	return b
+	return h
 }
 
 // step moves time on and carries commits out at once; other effects are kept.
-func (b *bench) step(d time.Duration) {
-	for until := b.now + d; b.now < until; {
-		b.now += tickPeriod
-		b.e.Tick(b.now)
-		for _, x := range b.e.Flush(b.now) {
+func (h *harness) step(d time.Duration) {
+	for until := h.now + d; h.now < until; {
+		h.now += tickPeriod
+		h.e.Tick(h.now)
+		for _, x := range h.e.Flush(h.now) {
 			if c, ok := x.(SendCommit); ok {
-				b.e.Committed(b.now, c.Chain)
+				h.e.Committed(h.now, c.Chain)
 				continue
 			}
-			b.out = append(b.out, x)
+			h.out = append(h.out, x)
 		}
 	}
 }
 
 // report answers a worker's renewal.
-func (b *bench) report(id runner.WorkerID, r runner.Report) {
-	b.now += time.Millisecond
-	b.e.Renewed(b.now, id, r, nil)
-	b.step(tickPeriod)
+func (h *harness) report(id runner.WorkerID, r runner.Report) {
+	h.now += time.Millisecond
+	h.e.Renewed(h.now, id, r, nil)
+	h.step(tickPeriod)
 }
 
 // sent returns the effects of one kind, and forgets all.
-func sent[T Effect](b *bench) []T {
+func sent[T Effect](h *harness) []T {
 	var all []T
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if s, ok := x.(T); ok {
 			all = append(all, s)
 		}
 	}
-	b.out = nil
+	h.out = nil
 	return all
 }
 
 // starts returns and forgets the starts that were sent.
-func (b *bench) starts() []SendStart { return sent[SendStart](b) }
+func (h *harness) starts() []SendStart { return sent[SendStart](h) }
 
 func jobEntry(t *testing.T, epoch uint64, attempts int, steps ...work.Step) store.Entry {
 	j := &work.Job{Queue: work.Queue{Name: "q", Service: "s", Attempts: attempts, Slack: 2}, Spec: "x", Steps: steps, Epoch: epoch}
@@ -98,14 +98,14 @@
 	//   worker answers first, and then of the first run's.
 	// Cause: only the highest counted run was kept, and the lower one taken for
 	//   one that had been counted.
-	b := newBench(t, 2, "w-a", "w-b")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
+	h := newHarness(t, 2, "w-a", "w-b")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
 	task := work.TaskID{Job: testJob}
-	b.report("w-b", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 2, How: runner.Failed}}})
-	b.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 1, How: runner.Failed}}})
-	b.step(50 * time.Millisecond)
-	state, known := b.e.State(testJob)
+	h.report("w-b", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 2, How: runner.Failed}}})
+	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 1, How: runner.Failed}}})
+	h.step(50 * time.Millisecond)
+	state, known := h.e.State(testJob)
 	require.True(t, known)
 	require.Equal(t, work.Failed, state)
 }
@@ -115,16 +115,16 @@
 	// Sequence: a failure is in the store and not yet acknowledged when the
 	//   leader is lost; the successor reads it and hears of it again.
 	// Cause: an end is told apart from another one only by its run's number.
-	b := newBench(t, 2, "w-a")
+	h := newHarness(t, 2, "w-a")
 	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: []uint64{1}}}}}})
 	require.NoError(t, err)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: work.TaskID{Job: testJob}, Run: 1, How: runner.Failed}}})
-	b.step(avoidPatience + 100*time.Millisecond) // there is no other worker
-	state, _ := b.e.State(testJob)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: work.TaskID{Job: testJob}, Run: 1, How: runner.Failed}}})
+	h.step(avoidTimeout + 100*time.Millisecond) // there is no other worker
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Running, state)
-	require.Len(t, b.starts(), 1)
+	require.Len(t, h.starts(), 1)
 }
 
 func TestTasksOfASilentWorkerStartElsewhere(t *testing.T) {
@@ -132,53 +132,53 @@
 	// Sequence: the worker stops answering; the leader goes on asking it.
 	// Cause: each renewal without an answer put off the time at which everything
 	//   there has ended for sure.
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	first := b.starts()
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	first := h.starts()
 	require.Len(t, first, 1)
-	b.e.Started(b.now, "w-a", first[0].Start.Task, first[0].Start.Run, nil)
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-b"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
-	b.step(50 * time.Millisecond)
-	b.report("w-b", runner.Report{Clock: time.Second})
+	h.e.Started(h.now, "w-a", first[0].Start.Task, first[0].Start.Run, nil)
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-b"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
+	h.step(50 * time.Millisecond)
+	h.report("w-b", runner.Report{Clock: time.Second})
 	for range 60 {
-		b.e.Renewed(b.now, "w-a", runner.Report{}, runner.ErrUnknown)
-		b.e.Renewed(b.now, "w-b", runner.Report{Clock: time.Second + b.now}, nil)
-		for _, x := range b.out {
+		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
+		h.e.Renewed(h.now, "w-b", runner.Report{Clock: time.Second + h.now}, nil)
+		for _, x := range h.out {
 			if s, ok := x.(SendStart); ok {
 				require.Equal(t, runner.WorkerID("w-b"), s.To.ID)
-				require.Greater(t, b.now, testLease, "before the lease has run out")
+				require.Greater(t, h.now, testLease, "before the lease has run out")
 				return
 			}
 		}
-		b.out = nil
-		b.step(200 * time.Millisecond)
+		h.out = nil
+		h.step(200 * time.Millisecond)
 	}
 	t.Fatal("the task never started again")
 }
 
 func TestInvariantsAreNoticed(t *testing.T) {
 	var seen []string
-	b := newBench(t, 1, "w-a")
-	b.e.o.Violation = func(what string, _ work.TaskID, _ runner.WorkerID) { seen = append(seen, what) }
+	h := newHarness(t, 1, "w-a")
+	h.e.o.Violation = func(what string, _ work.TaskID, _ runner.WorkerID) { seen = append(seen, what) }
 	second := oneTask()
 	second.After = []int{0}
 	second.Size.CPU = 5000 // more than the worker has
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask(), second)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	j, w := b.e.jobs[testJob], b.e.workers["w-a"]
-	require.Nil(t, b.e.start(w, j.occurrences[0].steps[0], 0, 9, ""), "a task that has a run")
-	require.Nil(t, b.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "before the step it follows")
-	b.e.finish(j.occurrences[0].steps[0], 0)
-	require.Nil(t, b.e.start(w, j.occurrences[0].steps[0], 0, 9, ""), "a task that is done")
-	require.Nil(t, b.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "over the capacity")
-	b.e.end(j, work.Cancelled, "test")
-	require.Nil(t, b.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "after the cancellation")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask(), second)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	j, w := h.e.jobs[testJob], h.e.workers["w-a"]
+	require.Nil(t, h.e.start(w, j.occurrences[0].steps[0], 0, 9, ""), "a task that has a run")
+	require.Nil(t, h.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "before the step it follows")
+	h.e.finish(j.occurrences[0].steps[0], 0)
+	require.Nil(t, h.e.start(w, j.occurrences[0].steps[0], 0, 9, ""), "a task that is done")
+	require.Nil(t, h.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "over the capacity")
+	h.e.end(j, work.Cancelled, "test")
+	require.Nil(t, h.e.start(w, j.occurrences[0].steps[1], 0, 9, ""), "after the cancellation")
 	require.Len(t, seen, 5)
 	require.Contains(t, seen, "start over the worker's capacity")
-	require.EqualValues(t, 5, b.e.Stats().Violations)
+	require.EqualValues(t, 5, h.e.Stats().Violations)
 }
 
 func TestUnansweredStartKeepsItsRoomUntilItIsResolved(t *testing.T) {
@@ -186,38 +186,38 @@
 	//   to another task, or its task running elsewhere.
 	// Sequence: three tries of a start are not answered, nor is the first stop;
 	//   then the stop is answered, and a report lists neither run nor end.
-	b := newBench(t, 1, "w-a", "w-b")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	b.report("w-b", runner.Report{Clock: time.Second})
-	first := b.starts()
+	h := newHarness(t, 1, "w-a", "w-b")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-b", runner.Report{Clock: time.Second})
+	first := h.starts()
 	require.Len(t, first, 1)
 	to, task, run := first[0].To.ID, first[0].Start.Task, first[0].Start.Run
 	for range maxStarts {
-		b.e.Started(b.now, to, task, run, runner.ErrUnknown)
+		h.e.Started(h.now, to, task, run, runner.ErrUnknown)
 	}
-	w := b.e.workers[to]
-	b.step(2 * time.Second)
-	require.Empty(t, b.otherStarts(to, run))
-	b.out = nil // the tries
+	w := h.e.workers[to]
+	h.step(2 * time.Second)
+	require.Empty(t, h.otherStarts(to, run))
+	h.out = nil // the tries
 	require.Equal(t, 1000, w.used.CPU)
-	b.e.StopAnswered(b.now, to, task, run, nil)
-	b.step(time.Second)
+	h.e.StopAnswered(h.now, to, task, run, nil)
+	h.step(time.Second)
 	require.Equal(t, 1000, w.used.CPU, "the report was not asked for after the stop yet")
-	b.e.Renewed(b.now, to, runner.Report{}, runner.ErrUnknown) // the one on its way
-	b.step(time.Second)
-	b.report(to, runner.Report{Clock: 4 * time.Second})
-	b.step(time.Second)
-	again := b.starts()
+	h.e.Renewed(h.now, to, runner.Report{}, runner.ErrUnknown) // the one on its way
+	h.step(time.Second)
+	h.report(to, runner.Report{Clock: 4 * time.Second})
+	h.step(time.Second)
+	again := h.starts()
 	require.NotEmpty(t, again)
 	require.Greater(t, again[0].Start.Run, run)
 }
 
 // otherStarts returns the starts sent but for one run.
-func (b *bench) otherStarts(to runner.WorkerID, run uint64) []SendStart {
+func (h *harness) otherStarts(to runner.WorkerID, run uint64) []SendStart {
 	var all []SendStart
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if s, ok := x.(SendStart); ok && (s.To.ID != to || s.Start.Run != run) {
 			all = append(all, s)
 		}
@@ -232,86 +232,86 @@
 	ref := runner.Ref{ID: "w-far"}
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{ref}})
 	require.NoError(t, err)
-	b := newBench(t, 2, "w-near")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Fleet: []store.Entry{{Key: keyFleet, Value: fleet}}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-near", runner.Report{Clock: time.Second})
-	for b.now < noticeTime+testLease {
-		b.e.Renewed(b.now, "w-far", runner.Report{}, runner.ErrUnknown)
-		b.step(100 * time.Millisecond)
-		require.Empty(t, b.starts(), "after %v", b.now)
-		b.report("w-near", runner.Report{Clock: time.Second + b.now})
+	h := newHarness(t, 2, "w-near")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Fleet: []store.Entry{{Key: keyFleet, Value: fleet}}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-near", runner.Report{Clock: time.Second})
+	for h.now < supersedeTime+testLease {
+		h.e.Renewed(h.now, "w-far", runner.Report{}, runner.ErrUnknown)
+		h.step(100 * time.Millisecond)
+		require.Empty(t, h.starts(), "after %v", h.now)
+		h.report("w-near", runner.Report{Clock: time.Second + h.now})
 	}
 	for range 40 {
-		b.e.Renewed(b.now, "w-far", runner.Report{}, runner.ErrUnknown)
-		b.report("w-near", runner.Report{Clock: time.Second + b.now})
-		if len(b.starts()) == 1 {
+		h.e.Renewed(h.now, "w-far", runner.Report{}, runner.ErrUnknown)
+		h.report("w-near", runner.Report{Clock: time.Second + h.now})
+		if len(h.starts()) == 1 {
 			return
 		}
-		b.step(100 * time.Millisecond)
+		h.step(100 * time.Millisecond)
 	}
 	t.Fatal("the task never starts")
 }
 
 func TestEndIsAcknowledgedOnlyOnceItIsInTheStore(t *testing.T) {
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	s := b.starts()[0]
-	b.e.Started(b.now, "w-a", s.Start.Task, s.Start.Run, nil)
-	b.e.Flush(b.now)
-	b.e.Renewed(b.now, "w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Done}}}, nil)
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	s := h.starts()[0]
+	h.e.Started(h.now, "w-a", s.Start.Task, s.Start.Run, nil)
+	h.e.Flush(h.now)
+	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Done}}}, nil)
 	for range 40 { // the store does not take the write
-		b.now += tickPeriod
-		b.e.Tick(b.now)
-		for _, x := range b.e.Flush(b.now) {
+		h.now += tickPeriod
+		h.e.Tick(h.now)
+		for _, x := range h.e.Flush(h.now) {
 			if r, ok := x.(SendRenew); ok {
 				require.Zero(t, r.Renewal.Acknowledge)
-				b.e.Renewed(b.now, "w-a", runner.Report{Clock: time.Second + b.now}, nil)
+				h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second + h.now}, nil)
 			}
 		}
-		state, _ := b.e.State(testJob)
+		state, _ := h.e.State(testJob)
 		require.Equal(t, work.Running, state)
 	}
-	b.e.Committed(b.now, 0)
-	state, _ := b.e.State(testJob)
+	h.e.Committed(h.now, 0)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Completed, state)
-	require.EqualValues(t, 1, b.e.workers["w-a"].ack)
+	require.EqualValues(t, 1, h.e.workers["w-a"].ackedCompletion)
 }
 
 func TestFailedTaskGoesToAnotherWorker(t *testing.T) {
 	// Symptom: a job fails though only one worker fails what it starts.
 	// Sequence: the task fails there; its ticket for that worker is the only one
 	//   at hand, and it is tried there again at once.
-	b := newBench(t, 1, "w-a", "w-b")
+	h := newHarness(t, 1, "w-a", "w-b")
 	entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) {
 		j.Queue.Advice = &work.Advice{Base: 5 * time.Millisecond, Valid: 2 * time.Second}
 	})
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	b.report("w-b", runner.Report{Clock: time.Second})
-	s := b.e.jobs[testJob].occurrences[0].steps[0]
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-b", runner.Report{Clock: time.Second})
+	s := h.e.jobs[testJob].occurrences[0].steps[0]
 	s.advice = &advice{}
 	for _, id := range []runner.WorkerID{"w-a"} {
-		s.advice.learn(b.e.workers[id], good)
+		s.advice.record(h.e.workers[id], good)
 	}
-	s.advice.add(ticket{b.e.workers["w-a"], "t", b.now + 2*time.Second})
-	b.step(50 * time.Millisecond)
-	first := b.starts()
+	s.advice.add(ticket{h.e.workers["w-a"], "t", h.now + 2*time.Second})
+	h.step(50 * time.Millisecond)
+	first := h.starts()
 	require.Len(t, first, 1)
-	b.e.Started(b.now, "w-a", first[0].Start.Task, first[0].Start.Run, nil)
-	b.e.Members(b.now, []string{"d"})
-	b.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run, How: runner.Failed}}})
-	b.step(50 * time.Millisecond)
+	h.e.Started(h.now, "w-a", first[0].Start.Task, first[0].Start.Run, nil)
+	h.e.Members(h.now, []string{"d"})
+	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run, How: runner.Failed}}})
+	h.step(50 * time.Millisecond)
 	var asked []runner.WorkerID
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if a, ok := x.(AskAdvice); ok {
 			asked = append(asked, a.Workers...)
 		}
 	}
-	require.Empty(t, b.starts())
+	require.Empty(t, h.starts())
 	require.Equal(t, []runner.WorkerID{"w-b"}, asked)
 }
 
@@ -319,23 +319,23 @@
 	// Symptom looked for: keys of cancellations stay in the store for good.
 	// Sequence: a cancellation is written just before the leader writes its
 	//   job's end, and reaches the leader after it.
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.report("w-a", done(1, b.starts()...))
-	b.step(50 * time.Millisecond)
-	state, _ := b.e.State(testJob)
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.report("w-a", done(1, h.starts()...))
+	h.step(50 * time.Millisecond)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Completed, state)
-	require.NoError(t, b.e.Accepted(b.now, store.Entry{Key: KeyCancel(testJob)}))
+	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyCancel(testJob)}))
 	var deleted []string
-	for until := b.now + 2*b.e.o.Bounds.Keep; b.now < until; {
-		b.now += time.Second
-		b.e.Tick(b.now)
-		for _, x := range b.e.Flush(b.now) {
+	for until := h.now + 2*h.e.o.Bounds.Keep; h.now < until; {
+		h.now += time.Second
+		h.e.Tick(h.now)
+		for _, x := range h.e.Flush(h.now) {
 			if c, ok := x.(SendCommit); ok {
 				deleted = append(deleted, c.Deletes...)
-				b.e.Committed(b.now, c.Chain)
+				h.e.Committed(h.now, c.Chain)
 			}
 		}
 	}
@@ -347,31 +347,31 @@
 	// Sequence: thousands of jobs end; each is kept for two minutes, to answer
 	//   for its state.
 	// Cause: it was kept with its text, its steps and tasks.
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	starts := b.starts()
-	b.report("w-a", done(1, starts...))
-	b.step(50 * time.Millisecond)
-	j := b.e.jobs[testJob]
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	starts := h.starts()
+	h.report("w-a", done(1, starts...))
+	h.step(50 * time.Millisecond)
+	j := h.e.jobs[testJob]
 	require.Empty(t, j.occurrences)
 	require.Empty(t, j.spec.Spec)
 	require.Empty(t, j.spec.Steps)
-	state, known := b.e.State(testJob)
+	state, known := h.e.State(testJob)
 	require.True(t, known)
 	require.Equal(t, work.Completed, state)
 	task := starts[0].Start.Task
-	b.report("w-a", runner.Report{Running: []runner.Live{{Task: task, Run: 9}}})
+	h.report("w-a", runner.Report{Running: []runner.Live{{Task: task, Run: 9}}})
 	var stopped []SendStop
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if s, ok := x.(SendStop); ok {
 			stopped = append(stopped, s)
 		}
 	}
 	require.Len(t, stopped, 1, "a late run of it")
-	b.report("w-a", runner.Report{Ended: []runner.End{{Number: 2, Task: task, Run: 9, How: runner.Stopped}}})
-	require.EqualValues(t, 2, b.e.workers["w-a"].ack)
+	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 2, Task: task, Run: 9, How: runner.Stopped}}})
+	require.EqualValues(t, 2, h.e.workers["w-a"].ackedCompletion)
 }
 
 func TestQuickStepsAreAskedForBesideSlowOnes(t *testing.T) {
@@ -380,8 +380,8 @@
 	//   that take such calls; a quick step comes after them.
 	// Cause: each round they used up the count of idle daemons, though their calls
 	//   could not go out.
-	b := newBench(t, 1, "w-a", "w-b")
-	b.e.Members(b.now, []string{"d-1", "d-2", "d-3", "d-4"})
+	h := newHarness(t, 1, "w-a", "w-b")
+	h.e.Members(h.now, []string{"d-1", "d-2", "d-3", "d-4"})
 	var entries []store.Entry
 	add := func(id string, base time.Duration, priority int) {
 		entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) {
@@ -395,12 +395,12 @@
 		add(fmt.Sprintf("%016x", i), time.Second, 0)
 	}
 	add(string(testJob), 5*time.Millisecond, 1)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: entries}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.report("w-b", runner.Report{})
+	require.NoError(t, h.e.Load(0, Saved{Accepted: entries}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.report("w-b", runner.Report{})
 	asked := map[work.JobID]bool{}
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if a, ok := x.(AskAdvice); ok {
 			asked[a.Step.Job] = true
 		}
--- /dev/null
+++ b/process/dispatch/estimate.go
@@ -0,0 +1,95 @@
+package dispatch
+
+import "time"
+
+// Judging how work goes.
+const (
+	// runTimeDecay is the weight of the newest run in a learnt pace.
+	runTimeDecay = 0.15
+	// minPercent: below this share of its work a run's own progress says
+	// less of its remaining time than its estimate.
+	minPercent = 8
+)
+
+// estimate returns how long a task of the step is likely to take.
+func (e *Engine) estimate(s *step) time.Duration {
+	return scale(s.spec.Estimate, *s.job.estimateRatio)
+}
+
+// estimateRatioOf returns the learnt pace of a queue, which its jobs share: rounds of
+// placement ask for it once for each run of each worker.
+func (e *Engine) estimateRatioOf(queue string) *float64 {
+	p := e.estimateRatios[queue]
+	if p == nil {
+		p = new(float64)
+		*p = 1
+		e.estimateRatios[queue] = p
+	}
+	return p
+}
+
+// learnRunTime learns from a run that was done how long runs of the queue, and on
+// the worker, take against their estimates.
+func (e *Engine) learnRunTime(w *worker, s *step, alloc *allocation) {
+	if s.spec.Estimate <= 0 || alloc.state != running || s.spec.Lasting {
+		return
+	}
+	took := float64(e.now-alloc.confirmedAt) / float64(s.spec.Estimate)
+	mean := *s.job.estimateRatio
+	w.slowdown += (min(max(took/mean, 0.2), 5) - w.slowdown) * runTimeDecay
+	*s.job.estimateRatio = mean + (min(took, 5)-mean)*runTimeDecay/4
+}
+
+// remaining estimates how long a run goes on.
+func (e *Engine) remaining(alloc *allocation) time.Duration {
+	switch {
+	case alloc.state == stopping:
+		return stopRetry
+	case alloc.s.spec.Lasting:
+		return forever
+	}
+	elapsed := e.now - alloc.sent
+	whole := e.estimate(alloc.s)
+	if alloc.percent >= minPercent && alloc.percentAt > alloc.confirmedAt {
+		whole = scale(alloc.percentAt-alloc.confirmedAt, 100/alloc.percent) + alloc.confirmedAt - alloc.sent
+	}
+	return max(whole-elapsed, minRemaining)
+}
+
+// minRemaining: a run past its estimate may end any time.
+const minRemaining = 100 * time.Millisecond
+
+// checkStalled stops a run that makes no progress while its worker answers,
+// so that it goes on elsewhere.
+func (e *Engine) checkStalled(alloc *allocation) {
+	if alloc.state != running || alloc.percent >= nearlyDone {
+		return
+	}
+	still := e.now - max(alloc.percentAt, alloc.confirmedAt)
+	bound := max(stallTimeout, e.estimate(alloc.s)/2)
+	if alloc.s.spec.Lasting {
+		bound = stallTimeout // its estimate says nothing of how soon it is at work
+	}
+	if still < bound || alloc.w.answered < alloc.percentAt+stallTimeout {
+		return
+	}
+	e.stats.Moved++
+	w := alloc.w
+	alloc.task().avoidWorker(w.ID, e.now)
+	if w.noteFailure(e.now, alloc.s.job.id) {
+		e.decide(Decision{What: "worker set aside", Worker: w.ID, Why: "runs of different jobs stand still there", Age: w.quarantine})
+	}
+	if alloc.s.spec.Gang {
+		e.stopGang(alloc.s, "a member makes no progress")
+		return
+	}
+	e.stop(alloc, "no progress")
+}
+
+// nearlyDone is the progress from which a run is left alone: members of a gang
+// end together, and those on faster workers wait with all of their work done.
+const nearlyDone = 97
+
+// stallTimeout is how long a run's progress may stay the same: reports come
+// at least every renewWait, and a run of ten seconds gains ten percent a second.
+const stallTimeout = 2500 * time.Millisecond
--- a/process/dispatch/explain.go
+++ b/process/dispatch/explain.go
@@ -61,7 +61,7 @@
 	if j == nil || !known {
 		return Explanation{}, false
 	}
-	x := Explanation{Job: id, State: state.String(), Account: j.spec.Account, Beyond: j.beyond, Waited: map[string]int64{}}
+	x := Explanation{Job: id, State: state.String(), Account: j.spec.Account, Beyond: j.overEntitled, Waited: map[string]int64{}}
 	if a := j.account; a != nil {
 		x.Held, x.Cap = a.Held(), a.Cap()
 	}
--- a/process/dispatch/explain_test.go
+++ b/process/dispatch/explain_test.go
@@ -14,41 +14,41 @@
 // TestExplanationNamesTheBound guards against a waiting job of which nobody can say what
 // it waits for.
 func TestExplanationNamesTheBound(t *testing.T) {
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	second := oneTask()
 	second.After = []int{0}
 	first := oneTask()
 	first.Count = 6
 	entry := changed(t, jobEntry(t, 1, 4, first, second), func(j *work.Job) { j.Account = "north" })
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
-	b.step(50 * time.Millisecond)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
+	h.step(50 * time.Millisecond)
 	bounds := func() (x Explanation, first, second string) {
-		x, known := b.e.Explain(b.now, testJob)
+		x, known := h.e.Explain(h.now, testJob)
 		require.True(t, known)
 		require.Len(t, x.Steps, 2)
 		return x, x.Steps[0].Bound, x.Steps[1].Bound
 	}
-	b.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-a", runner.Report{Clock: time.Second})
 	_, step, after := bounds()
 	require.Equal(t, "quota", step, "the caps are not known")
 	require.Equal(t, boundBefore, after)
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Weight: 1, Cap: work.Resources{CPU: 2000}}))
-	b.step(200 * time.Millisecond)
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Weight: 1, Cap: work.Resources{CPU: 2000}}))
+	h.step(200 * time.Millisecond)
 	x, step, _ := bounds()
 	require.Equal(t, "quota", step)
 	require.Equal(t, int64(2000), x.Held.MilliCPU)
 	require.Equal(t, int64(2000), x.Cap.MilliCPU)
 	require.Equal(t, 2, x.Steps[0].Running)
-	require.Equal(t, b.now.Milliseconds(), x.Steps[0].OpenMS)
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Weight: 1, Cap: work.Resources{CPU: 500}}))
+	require.Equal(t, h.now.Milliseconds(), x.Steps[0].OpenMS)
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Weight: 1, Cap: work.Resources{CPU: 500}}))
 	_, step, _ = bounds()
 	require.Equal(t, boundNever, step)
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Weight: 1}))
-	b.step(200 * time.Millisecond)
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Weight: 1}))
+	h.step(200 * time.Millisecond)
 	x, step, _ = bounds()
 	require.Equal(t, "room", step)
 	require.Equal(t, 4, x.Steps[0].Running)
 	require.Positive(t, x.Waited["quota"])
-	_, known := b.e.Explain(b.now, "00000000000000ff")
+	_, known := h.e.Explain(h.now, "00000000000000ff")
 	require.False(t, known)
 }
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -21,19 +21,19 @@
 // fleetRecord lists the workers that the leader may have started tasks on.
 type fleetRecord struct {
 	Workers []runner.Ref `cbor:"1,keyasint"`
-	// Closed is written by earlier versions, which do not tell what may run there.
-	Closed []runner.WorkerID `cbor:"2,keyasint,omitempty"`
+	// Cordoned is written by earlier versions, which do not tell what may run there.
+	Cordoned []runner.WorkerID `cbor:"2,keyasint,omitempty"`
 }
 
-// closedRecord lists the workers on which nothing is started until the list is written
+// cordonRecord lists the workers on which nothing is started until the list is written
 // again without them.
-type closedRecord struct {
-	Workers []closedWorker `cbor:"1,keyasint"`
+type cordonRecord struct {
+	Workers []cordonedWorker `cbor:"1,keyasint"`
 }
 
-// closedWorker is a worker with all tasks that may run there, or have ended there without
+// cordonedWorker is a worker with all tasks that may run there, or have ended there without
 // that being written. Those that ended later stay listed.
-type closedWorker struct {
+type cordonedWorker struct {
 	ID    runner.WorkerID `cbor:"1,keyasint"`
 	Tasks []work.TaskID   `cbor:"2,keyasint,omitempty"`
 	// Suspects are the runs that may have crashed it, if it has crashed.
@@ -51,25 +51,25 @@
 // wait of a renewal and one more call, so that a lost answer closes none. closeMisses
 // calls in a row that fail, as they do at once where nobody listens, close it sooner.
 const (
-	closeAfter  = renewWait + 2*renewGrace
-	closeMisses = 2
+	cordonAfter  = renewWait + 2*renewGrace
+	cordonMisses = 2
 )
 
-func (e *Engine) fleetDirty() bool { return e.fleetNew || e.closedNew }
+func (e *Engine) fleetDirty() bool { return e.fleetChanged || e.cordonsChanged }
 
 // loadFleet takes over what is known of the workers.
 func (e *Engine) loadFleet(entries []store.Entry) error {
 	var f fleetRecord
-	var c closedRecord
+	var cordons cordonRecord
 	var errs []error
 	for _, entry := range entries {
 		var err error
 		switch entry.Key {
 		case keyFleet:
 			err = peer.Unmarshal(entry.Value, &f)
-			e.closedAt = entry.Revision
-		case keyClosed:
-			err = peer.Unmarshal(entry.Value, &c)
+			e.fleetRevision = entry.Revision
+		case keyCordoned:
+			err = peer.Unmarshal(entry.Value, &cordons)
 		}
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", entry.Key, err))
@@ -77,23 +77,23 @@
 	}
 	for _, ref := range f.Workers {
 		w := e.addWorker(runner.Worker{Ref: ref})
-		e.noteBirth(ref.ID)
-		w.kept, w.inherited = true, true
-		w.lapse = e.now + noticeTime + ranOut(e.o.Bounds.MaxLease)
+		e.noteIncarnation(ref.ID)
+		w.recorded, w.inherited = true, true
+		w.expiry = e.now + supersedeTime + leaseBound(e.o.Bounds.MaxLease)
 		e.unresolved++
-		e.unresolvedOpen++
+		e.unresolvedUncordoned++
 	}
-	for _, id := range f.Closed {
-		if w := e.workers[id]; w != nil && !w.closed {
-			w.closed, w.unlisted = true, true
-			e.unresolvedOpen--
-			e.unlistedClosed++
+	for _, id := range f.Cordoned {
+		if w := e.workers[id]; w != nil && !w.cordoned {
+			w.cordoned, w.unlisted = true, true
+			e.unresolvedUncordoned--
+			e.cordonedUnlisted++
 		}
 	}
-	for _, x := range c.Workers {
-		if w := e.workers[x.ID]; w != nil && !w.closed {
-			w.closed, w.mayRun, w.inheritedSuspects = true, x.Tasks, x.Suspects
-			e.unresolvedOpen--
+	for _, x := range cordons.Workers {
+		if w := e.workers[x.ID]; w != nil && !w.cordoned {
+			w.cordoned, w.mayRun, w.inheritedSuspects = true, x.Tasks, x.Suspects
+			e.unresolvedUncordoned--
 			for _, task := range x.Tasks {
 				e.mayRun[task]++
 			}
@@ -112,10 +112,10 @@
 	e.unresolved--
 	e.scheduled = false
 	switch {
-	case !w.closed:
-		e.unresolvedOpen--
+	case !w.cordoned:
+		e.unresolvedUncordoned--
 	case w.unlisted:
-		e.unlistedClosed--
+		e.cordonedUnlisted--
 	}
 	for _, task := range w.mayRun {
 		if e.mayRun[task]--; e.mayRun[task] <= 0 {
@@ -129,73 +129,73 @@
 // runs: every open worker that an earlier epoch used has answered or has certainly ended.
 // What the closed ones may run is in mayRun.
 func (e *Engine) accountedFor(s *step) bool {
-	if e.unresolvedOpen > 0 || (e.unlistedClosed > 0 && s.job.revision <= e.closedAt) {
+	if e.unresolvedUncordoned > 0 || (e.cordonedUnlisted > 0 && s.job.revision <= e.fleetRevision) {
 		return false
 	}
 	if !s.spec.Gang || len(e.mayRun) == 0 {
 		return true
 	}
 	for i := range s.tasks {
-		if e.unseen(s, i) {
+		if e.mayRunUnseen(s, i) {
 			return false
 		}
 	}
 	return true
 }
 
-// unseen reports whether a task may run on a closed worker that has not answered.
-func (e *Engine) unseen(s *step, i int) bool {
+// mayRunUnseen reports whether a task may run on a closed worker that has not answered.
+func (e *Engine) mayRunUnseen(s *step, i int) bool {
 	if len(e.mayRun) == 0 {
 		return false
 	}
 	return e.mayRun[s.taskID(i)] > 0
 }
 
-// closeSilent closes a worker that has not answered for a while: nothing is
+// cordonUnresponsive closes a worker that has not answered for a while: nothing is
 // started there until the store knows that it is open again.
-func (e *Engine) closeSilent(w *worker) {
-	if w.misses == 0 || (w.misses < closeMisses && e.now-w.answered < closeAfter) {
+func (e *Engine) cordonUnresponsive(w *worker) {
+	if w.misses == 0 || (w.misses < cordonMisses && e.now-w.answered < cordonAfter) {
 		return
 	}
-	e.closeWorker(w, "it does not answer")
+	e.cordon(w, "it does not answer")
 }
 
-// closeLeaving closes a worker that is about to leave: nothing is started there anyway.
-func (e *Engine) closeLeaving(w *worker) {
+// cordonDraining closes a worker that is about to leave: nothing is started there anyway.
+func (e *Engine) cordonDraining(w *worker) {
 	if w.Draining {
-		e.closeWorker(w, "it is leaving")
+		e.cordon(w, "it is leaving")
 	}
 }
 
-func (e *Engine) closeWorker(w *worker, why string) {
-	if w.closed || !w.fenced || !w.kept {
+func (e *Engine) cordon(w *worker, why string) {
+	if w.cordoned || !w.fenced || !w.recorded {
 		return
 	}
-	w.closed = true
-	e.closedNew = true
+	w.cordoned = true
+	e.cordonsChanged = true
 	e.decide(Decision{What: "worker closed", Worker: w.ID, Why: why, Age: e.now - w.answered})
 }
 
-// reopen lets a closed worker that has answered be used once the store knows.
-func (e *Engine) reopen(w *worker) {
-	if !w.closed || w.Draining {
+// uncordon lets a closed worker that has answered be used once the store knows.
+func (e *Engine) uncordon(w *worker) {
+	if !w.cordoned || w.Draining {
 		return
 	}
-	w.closed, w.kept = false, false
-	e.closedNew = true
+	w.cordoned, w.recorded = false, false
+	e.cordonsChanged = true
 }
 
 // tasks lists what runs on the worker, or may, and what has ended there without that being
 // in the store.
 func (w *worker) tasks() []work.TaskID {
 	var all []work.TaskID
-	for _, p := range places(w) {
-		all = append(all, p.id())
+	for _, alloc := range sortedAllocs(w) {
+		all = append(all, alloc.id())
 	}
-	for _, a := range w.waiting {
+	for _, a := range w.pendingAcks {
 		all = append(all, a.task)
 	}
-	for _, x := range w.strays {
+	for _, x := range w.untracked {
 		all = append(all, x.task)
 	}
 	return all
@@ -204,17 +204,17 @@
 // addFleet writes the lists of workers that have changed, and returns their number. A
 // worker is used only once it is in the store, and is not closed there: a successor that
 // can not reach it has to know that something may run there.
-func (e *Engine) addFleet(b *batch, c *SendCommit) (keys int) {
+func (e *Engine) addFleet(ws *writeSet, c *SendCommit) (keys int) {
 	var f fleetRecord
-	var closed closedRecord
-	for _, w := range e.order {
+	var cordoned cordonRecord
+	for _, w := range e.workerList {
 		f.Workers = append(f.Workers, runner.Ref{ID: w.ID, Address: w.Address})
 		switch {
-		case w.closed && w.unlisted: // stays open for a successor, which waits
-		case w.closed:
-			closed.Workers = append(closed.Workers, closedWorker{ID: w.ID, Tasks: append(w.tasks(), w.mayRun...), Suspects: w.suspectRuns(false)})
-		case !w.kept:
-			b.fleet = append(b.fleet, w)
+		case w.cordoned && w.unlisted: // stays open for a successor, which waits
+		case w.cordoned:
+			cordoned.Workers = append(cordoned.Workers, cordonedWorker{ID: w.ID, Tasks: append(w.tasks(), w.mayRun...), Suspects: w.suspectRuns(false)})
+		case !w.recorded:
+			ws.fleet = append(ws.fleet, w)
 		}
 	}
 	put := func(key string, record any) {
@@ -226,17 +226,17 @@
 		c.Writes = append(c.Writes, store.Write{Key: key, Value: data})
 		keys++
 	}
-	if e.fleetNew {
+	if e.fleetChanged {
 		put(keyFleet, f)
 	}
-	if e.closedNew {
-		put(keyClosed, closed)
+	if e.cordonsChanged {
+		put(keyCordoned, cordoned)
 	}
-	e.fleetNew, e.closedNew = false, false
+	e.fleetChanged, e.cordonsChanged = false, false
 	return keys
 }
 
-// noticeTime is how long after a takeover an earlier leader may still renew a
+// supersedeTime is how long after a takeover an earlier leader may still renew a
 // worker that the new one does not reach: it renews every worker at least this
 // often, and the first one that the new leader has called tells it to stop.
-const noticeTime = 2 * time.Second
+const supersedeTime = 2 * time.Second
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -14,9 +14,9 @@
 
 // successorOf is an engine of the next epoch over a store, with the same workers, of which
 // none has answered.
-func successorOf(t *testing.T, s *slowStore, ids ...runner.WorkerID) *bench {
-	next := newBench(t, 2)
-	require.NoError(t, next.e.Load(0, Saved{Accepted: s.under(PrefixJobs), States: s.under(PrefixState), Bundles: s.under(PrefixBundle), Fleet: s.under(prefixFleet)}))
+func successorOf(t *testing.T, s *slowStore, ids ...runner.WorkerID) *harness {
+	next := newHarness(t, 2)
+	require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Bundles: s.withPrefix(PrefixBundle), Fleet: s.withPrefix(prefixFleet)}))
 	next.e.SetAccounts(0, nil)
 	for _, id := range ids {
 		next.e.WorkerSeen(next.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
@@ -27,10 +27,10 @@
 
 // putJob hands a job in; the engine hears of it.
 func (s *slowStore) putJob(id work.JobID, steps ...work.Step) {
-	entry := jobEntry(s.b.t, s.b.e.o.Epoch, 2, steps...)
+	entry := jobEntry(s.h.t, s.h.e.o.Epoch, 2, steps...)
 	entry.Key = KeyIn(id)
 	s.put(entry.Key, entry.Value)
-	require.NoError(s.b.t, s.b.e.Accepted(s.b.now, s.entries[entry.Key]))
+	require.NoError(s.h.t, s.h.e.Accepted(s.h.now, s.entries[entry.Key]))
 }
 
 func startedJobs(starts []SendStart) (ids []work.JobID) {
@@ -47,31 +47,31 @@
 	//   started what waits, some of which was handed in before the silence.
 	// Cause: its successor can not tell what runs on the silent worker, and waits until
 	//   its lease has run out for certain.
-	b := newBench(t, 1, "w-a", "w-b")
-	s := newSlowStore(b, 0)
+	h := newHarness(t, 1, "w-a", "w-b")
+	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	b.report("w-b", runner.Report{Clock: time.Second})
+	h.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-b", runner.Report{Clock: time.Second})
 	full := work.Step{Count: 4, Size: work.Resources{CPU: 2000, Memory: 100}, Estimate: time.Minute}
 	s.putJob("00000000000000a1", full)
 	s.run(50 * time.Millisecond)
-	running := b.starts()
+	running := h.starts()
 	require.Len(t, running, 4, "two on each worker")
 	s.putJob("00000000000000a2", oneTask()) // there is no room for it
 	var near runner.Report
 	for _, x := range running {
-		b.e.Started(b.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
+		h.e.Started(h.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
 		if x.To.ID == "w-a" {
 			near.Running = append(near.Running, runner.Live{Task: x.Start.Task, Run: x.Start.Run})
 		}
 	}
 	for range 40 {
-		near.Clock = time.Second + b.now
-		b.e.Renewed(b.now, "w-a", near, nil)
-		b.e.Renewed(b.now, "w-b", runner.Report{}, runner.ErrUnknown)
+		near.Clock = time.Second + h.now
+		h.e.Renewed(h.now, "w-a", near, nil)
+		h.e.Renewed(h.now, "w-b", runner.Report{}, runner.ErrUnknown)
 		s.step()
 	}
-	require.Empty(t, b.starts())
+	require.Empty(t, h.starts())
 	s.putJob("00000000000000a3", oneTask())
 
 	next := successorOf(t, s, "w-a", "w-b")
@@ -91,12 +91,12 @@
 	for next.e.workers["w-b"] != nil {
 		require.Empty(t, next.starts())
 		var rows []runner.Live
-		for _, p := range next.e.workers["w-a"].places {
-			rows = append(rows, runner.Live{Task: p.id(), Run: p.run, Percent: next.now.Seconds()})
+		for _, alloc := range next.e.workers["w-a"].allocs {
+			rows = append(rows, runner.Live{Task: alloc.id(), Run: alloc.run, Percent: next.now.Seconds()})
 		}
 		next.report("w-a", runner.Report{Clock: time.Second + next.now, Running: rows})
 	}
-	require.Greater(t, next.now, noticeTime+testLease)
+	require.Greater(t, next.now, supersedeTime+testLease)
 	next.step(time.Second)
 	require.Len(t, next.starts(), 2)
 }
@@ -105,17 +105,17 @@
 	// Symptom: after a change of the leader what waits stands for eight seconds.
 	// Sequence: workers are taken away at short notice; the leader is lost in the moment
 	//   in which they go, so nobody has seen them silent.
-	b := newBench(t, 1, "w-a", "w-b")
-	s := newSlowStore(b, 0)
+	h := newHarness(t, 1, "w-a", "w-b")
+	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	b.report("w-b", runner.Report{Clock: time.Second})
+	h.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-b", runner.Report{Clock: time.Second})
 	s.putJob("00000000000000a1", oneTask())
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-b"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Draining: true})
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-b"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Draining: true})
 	s.run(100 * time.Millisecond)
-	b.report("w-b", runner.Report{Clock: time.Second + b.now})
+	h.report("w-b", runner.Report{Clock: time.Second + h.now})
 	s.run(100 * time.Millisecond)
-	require.True(t, b.e.workers["w-b"].closed, "an answer does not open it again")
+	require.True(t, h.e.workers["w-b"].cordoned, "an answer does not open it again")
 	s.putJob("00000000000000a2", oneTask())
 	next := successorOf(t, s, "w-a")
 	next.report("w-a", runner.Report{Clock: time.Second})
@@ -127,68 +127,68 @@
 	// Symptom looked for: a task runs a second time.
 	// Sequence: it ends on a worker, whose report the leader has read; before that is
 	//   written the worker is silent and closed, and the leader lost.
-	b := newBench(t, 1, "w-a", "w-b")
-	s := newSlowStore(b, 0)
+	h := newHarness(t, 1, "w-a", "w-b")
+	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
-	b.report("w-b", runner.Report{Clock: time.Second})
+	h.report("w-b", runner.Report{Clock: time.Second})
 	s.putJob("00000000000000a1", oneTask())
 	s.run(50 * time.Millisecond)
-	starts := b.starts()
+	starts := h.starts()
 	require.Len(t, starts, 1)
 	require.EqualValues(t, "w-b", starts[0].To.ID)
-	b.e.Renewed(b.now, "w-b", done(1, starts[0]), nil)
-	require.Contains(t, b.e.workers["w-b"].tasks(), starts[0].Start.Task)
+	h.e.Renewed(h.now, "w-b", done(1, starts[0]), nil)
+	require.Contains(t, h.e.workers["w-b"].tasks(), starts[0].Start.Task)
 }
 
 func TestClosedWorkersOfAnEarlierVersionAreWaitedFor(t *testing.T) {
 	// Symptom looked for: a task runs twice after an upgrade.
 	// Sequence: a leader of the version before, which tells only that workers are closed
 	//   and not what they run, is followed by one of this version, and that by another.
-	value, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}, {ID: "w-b"}}, Closed: []runner.WorkerID{"w-b"}})
+	value, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}, {ID: "w-b"}}, Cordoned: []runner.WorkerID{"w-b"}})
 	require.NoError(t, err)
-	b := newBench(t, 2)
-	s := newSlowStore(b, 0)
+	h := newHarness(t, 2)
+	s := newSlowStore(h, 0)
 	s.put(keyFleet, value)
 	entry := jobEntry(t, 1, 2, oneTask())
 	entry.Key, entry.Revision = KeyIn("00000000000000a1"), 1
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{entry}, Fleet: s.under(prefixFleet)}))
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}})
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}, Fleet: s.withPrefix(prefixFleet)}))
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}})
 	s.run(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-a", runner.Report{Clock: time.Second})
 	s.run(time.Second)
-	require.Empty(t, b.starts(), "handed in before the list was written")
-	b.e.closedNew = true
+	require.Empty(t, h.starts(), "handed in before the list was written")
+	h.e.cordonsChanged = true
 	s.run(100 * time.Millisecond)
-	require.Equal(t, 1, b.e.unlistedClosed)
-	next := newBench(t, 3)
-	require.NoError(t, next.e.Load(0, Saved{Fleet: s.under(prefixFleet)}))
-	require.False(t, next.e.workers["w-b"].closed && !next.e.workers["w-b"].unlisted, "no list of what it runs is made up")
+	require.Equal(t, 1, h.e.cordonedUnlisted)
+	next := newHarness(t, 3)
+	require.NoError(t, next.e.Load(0, Saved{Fleet: s.withPrefix(prefixFleet)}))
+	require.False(t, next.e.workers["w-b"].cordoned && !next.e.workers["w-b"].unlisted, "no list of what it runs is made up")
 }
 
 func TestClosedWorkerIsUsedAgainOnceTheStoreKnows(t *testing.T) {
 	// Symptom looked for: a task starts on a worker that the store still says is
 	//   closed, and a successor starts it a second time.
-	b := newBench(t, 1, "w-a")
-	s := newSlowStore(b, 300*time.Millisecond)
+	h := newHarness(t, 1, "w-a")
+	s := newSlowStore(h, 300*time.Millisecond)
 	s.run(time.Second)
-	b.report("w-a", runner.Report{Clock: time.Second})
+	h.report("w-a", runner.Report{Clock: time.Second})
 	s.run(time.Second)
 	for range 100 {
-		b.e.Renewed(b.now, "w-a", runner.Report{}, runner.ErrUnknown)
+		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
 		s.step()
 	}
-	closed := func() []closedWorker {
-		var c closedRecord
-		require.NoError(t, peer.Unmarshal(s.entries[keyClosed].Value, &c))
-		return c.Workers
+	closed := func() []cordonedWorker {
+		var cordons cordonRecord
+		require.NoError(t, peer.Unmarshal(s.entries[keyCordoned].Value, &cordons))
+		return cordons.Workers
 	}
 	require.Len(t, closed(), 1)
-	require.NoError(t, b.e.Accepted(b.now, jobEntry(t, 1, 2, oneTask())))
-	b.out = nil
+	require.NoError(t, h.e.Accepted(h.now, jobEntry(t, 1, 2, oneTask())))
+	h.out = nil
 	for range 40 {
-		b.e.Renewed(b.now, "w-a", runner.Report{Clock: time.Second + b.now}, nil)
+		h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second + h.now}, nil)
 		s.step()
-		if len(b.starts()) > 0 {
+		if len(h.starts()) > 0 {
 			require.Empty(t, closed())
 			return
 		}
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -11,35 +11,35 @@
 
 // Waiting of gangs.
 const (
-	// holdPeriod is how long it is remembered whether a gang could be held:
+	// feasiblePeriod is how long it is remembered whether a gang could be held:
 	// workers come and go slowly, and verdicts come a few a second.
-	holdPeriod = 250 * time.Millisecond
+	feasiblePeriod = 250 * time.Millisecond
 	// refreshAhead is kept between the end of a call for tickets and the end of
 	// those that are to hold as well.
 	refreshAhead = 200 * time.Millisecond
-	// reserveSpare is how many more seats than needed a gang asks tickets for,
+	// ticketSpare is how many more seats than needed a gang asks tickets for,
 	// as a factor: others may take some during the call.
-	reserveSpare = 1.4
+	ticketSpare = 1.4
 )
 
-// seat is room for some of a gang's tasks on a worker.
-type seat struct {
-	w    *worker
-	n    int
-	text string // the ticket
+// gangSlots is room for some of a gang's tasks on a worker.
+type gangSlots struct {
+	w      *worker
+	n      int
+	ticket string // the ticket
 }
 
 // placeGang starts all of a gang's tasks if there is room for all now.
 func (e *Engine) placeGang(s *step) bool {
 	a := e.adviceOf(s)
-	seats, ok := e.seats(s, e.openSeats(s, a))
+	slots, ok := e.chooseSlots(s, e.freeSlots(s, a))
 	if !ok {
 		if a != nil {
 			e.askForGang(s, a)
 		}
 		return false
 	}
-	if e.keepSeatsQuiet(s, seats) {
+	if e.isolateGang(s, slots) {
 		return false
 	}
 	run, ok := e.newRun(&s.gang.runs, s.id(), "")
@@ -48,31 +48,31 @@
 	}
 	s.gang.run = run
 	e.unreserve(s)
-	e.decide(Decision{What: "gang starts", Task: s.id(), Run: run, Why: fmt.Sprintf("%d tasks on %d workers", s.spec.Count, len(seats)), Age: e.now - s.openedAt})
+	e.decide(Decision{What: "gang starts", Task: s.id(), Run: run, Why: fmt.Sprintf("%d tasks on %d workers", s.spec.Count, len(slots)), Age: e.now - s.openedAt})
 	i := 0
-	for _, seat := range seats {
-		for range seat.n {
-			e.start(seat.w, s, i, s.gang.run, seat.text)
+	for _, x := range slots {
+		for range x.n {
+			e.start(x.w, s, i, s.gang.run, x.ticket)
 			i++
 		}
 	}
 	return true
 }
 
-// openSeats returns the room for a gang's tasks now, on workers with a ticket
+// freeSlots returns the room for a gang's tasks now, on workers with a ticket
 // where the queue needs one.
-func (e *Engine) openSeats(s *step, a *advice) []seat {
+func (e *Engine) freeSlots(s *step, a *advice) []gangSlots {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
-	var all []seat
+	var all []gangSlots
 	consider := func(w *worker, text string) {
 		if need.Fits(w.free()) && e.eligible(s, w) {
-			if n := e.room(s, w, need, limit); n > 0 {
-				all = append(all, seat{w, n, text})
+			if n := e.capacityFor(s, w, need, limit); n > 0 {
+				all = append(all, gangSlots{w, n, text})
 			}
 		}
 	}
 	if a == nil {
-		for _, w := range e.order {
+		for _, w := range e.workerList {
 			consider(w, "")
 		}
 		return all
@@ -85,9 +85,9 @@
 	return all
 }
 
-// seats picks room for every task of a gang, on one rack if it asks for that
+// chooseSlots picks room for every task of a gang, on one rack if it asks for that
 // and any could hold it.
-func (e *Engine) seats(s *step, all []seat) ([]seat, bool) {
+func (e *Engine) chooseSlots(s *step, all []gangSlots) ([]gangSlots, bool) {
 	total := 0
 	for _, x := range all {
 		total += x.n
@@ -99,7 +99,7 @@
 		if picked, ok := oneRack(all, s.spec.Count); ok {
 			return picked, true
 		}
-		if e.rackCouldHold(s) {
+		if e.rackFeasible(s) {
 			return nil, false
 		}
 	}
@@ -108,9 +108,9 @@
 
 // pick takes seats for n tasks: near the data, on fast workers, with the least
 // workers used.
-func pick(s *step, all []seat, n int) []seat {
-	score := func(x seat) float64 {
-		v := float64(x.n)/float64(n) - x.w.pace + scoreSuspect*x.w.suspicion
+func pick(s *step, all []gangSlots, n int) []gangSlots {
+	score := func(x gangSlots) float64 {
+		v := float64(x.n)/float64(n) - x.w.slowdown + scoreSuspect*x.w.suspicion
 		if s.spec.DataRack != "" && s.spec.DataRack == x.w.rack {
 			v += scoreNear
 		}
@@ -121,8 +121,8 @@
 		}
 		return v
 	}
-	slices.SortStableFunc(all, func(x, y seat) int { return cmp.Compare(score(y), score(x)) })
-	var picked []seat
+	slices.SortStableFunc(all, func(x, y gangSlots) int { return cmp.Compare(score(y), score(x)) })
+	var picked []gangSlots
 	for _, x := range all {
 		x.n = min(x.n, n)
 		n -= x.n
@@ -134,7 +134,7 @@
 	return picked
 }
 
-func oneRack(all []seat, n int) ([]seat, bool) {
+func oneRack(all []gangSlots, n int) ([]gangSlots, bool) {
 	byRack := map[string]int{}
 	for _, x := range all {
 		byRack[x.w.rack] += x.n
@@ -148,7 +148,7 @@
 	if best == "" {
 		return nil, false
 	}
-	var picked []seat
+	var picked []gangSlots
 	for _, x := range all {
 		if x.w.rack != best || n == 0 {
 			continue
@@ -160,11 +160,11 @@
 	return picked, true
 }
 
-// rackCouldHold reports whether an empty rack would hold the whole gang.
-func (e *Engine) rackCouldHold(s *step) bool {
+// rackFeasible reports whether an empty rack would hold the whole gang.
+func (e *Engine) rackFeasible(s *step) bool {
 	room := map[string]int{}
-	for _, w := range e.order {
-		if w.Service != s.job.spec.Queue.Service || !w.has(s.spec.Labels) || w.gone || !w.goodFor(s) {
+	for _, w := range e.workerList {
+		if w.Service != s.job.spec.Queue.Service || !w.has(s.spec.Labels) || w.removed || !w.goodFor(s) {
 			continue
 		}
 		room[w.rack] += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
@@ -182,7 +182,7 @@
 	if s.advice == nil {
 		return true
 	}
-	return s.advice.of(w) != bad
+	return s.advice.verdictOf(w) != bad
 }
 
 // askForGang asks for the workers on which a gang can start: known good ones
@@ -197,10 +197,10 @@
 		return
 	}
 	have, rest := e.gangCandidates(s, a)
-	missing := int(float64(s.spec.Count)*reserveSpare) - have
+	missing := int(float64(s.spec.Count)*ticketSpare) - have
 	var ids []runner.WorkerID
 	for _, c := range rest {
-		if missing <= 0 || c.fits == 0 || len(ids) == maxNamed {
+		if missing <= 0 || c.fits == 0 || len(ids) == maxWorkersPerCall {
 			break
 		}
 		ids = append(ids, c.w.ID)
@@ -209,8 +209,8 @@
 	}
 	switch {
 	case have >= s.spec.Count:
-		if e.want(s, ids) && !e.o.Policy.NoHolds {
-			a.hold = holdAll
+		if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+			a.reserve = reserveAll
 		}
 	case e.anyUnknown(s, a):
 		e.askFor(s, s.spec.Count)
@@ -226,14 +226,14 @@
 // allowed. A gang that asks only when its last seat is open keeps all of them empty
 // for the length of a call.
 func (e *Engine) askAhead(s *step, a *advice) {
-	if s.heldSeats {
+	if s.gangReserved {
 		return
 	}
 	need := s.spec.Need()
 	var ids []runner.WorkerID
 	from := time.Duration(0)
 	reserved, open := 0, 0
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		n := 0
 		for _, r := range w.reserved {
 			if r.s == s {
@@ -245,16 +245,16 @@
 			continue
 		}
 		reserved += n
-		open += e.room(s, w, need, n)
-		if t := a.find(w); (t == nil || !t.valid(e.now+aheadTicket)) && len(ids) < maxNamed {
+		open += e.capacityFor(s, w, need, n)
+		if t := a.ticketFor(w); (t == nil || !t.valid(e.now+aheadTicket)) && len(ids) < maxWorkersPerCall {
 			ids = append(ids, w.ID)
 		}
 	}
 	if reserved < s.spec.Count || float64(open) < aheadShare*float64(reserved) || from-e.now > s.job.spec.Queue.Advice.Cost(len(ids)) {
 		return
 	}
-	if e.want(s, ids) && !e.o.Policy.NoHolds {
-		a.hold = holdAhead
+	if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+		a.reserve = reserveAhead
 	}
 }
 
@@ -272,25 +272,25 @@
 	fits int
 }
 
-// couldHold reports whether the workers that may be good for a gang would hold
+// gangFeasible reports whether the workers that may be good for a gang would hold
 // it if they were empty.
 //
 // What goes wrong without it: gangs too wide for the workers that their advice
 // allows wait for good, come first since they are the oldest, and take the
 // places of those that a round tries and reserves room for.
-func (e *Engine) couldHold(s *step) bool {
-	if e.now < s.heldUntil {
-		return s.held
+func (e *Engine) gangFeasible(s *step) bool {
+	if e.now < s.feasibleUntil {
+		return s.feasible
 	}
-	s.heldUntil = e.now + holdPeriod
-	seats := 0
-	for _, w := range e.order {
-		if !w.gone && w.listed && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels) && w.goodFor(s) {
-			seats += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
+	s.feasibleUntil = e.now + feasiblePeriod
+	slots := 0
+	for _, w := range e.workerList {
+		if !w.removed && w.listed && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels) && w.goodFor(s) {
+			slots += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
 		}
 	}
-	s.held = seats >= s.spec.Count
-	return s.held
+	s.feasible = slots >= s.spec.Count
+	return s.feasible
 }
 
 // gangCandidates counts the seats on workers whose tickets outlast a call, and
@@ -298,12 +298,12 @@
 func (e *Engine) gangCandidates(s *step, a *advice) (have int, rest []candidate) {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	until := e.now + s.job.spec.Queue.Advice.Cost(0) + refreshAhead
-	for _, w := range e.order {
-		if a.of(w) != good || !e.eligible(s, w) {
+	for _, w := range e.workerList {
+		if a.verdictOf(w) != good || !e.eligible(s, w) {
 			continue
 		}
-		fits := e.room(s, w, need, limit)
-		if t := a.find(w); t != nil && t.valid(until) {
+		fits := e.capacityFor(s, w, need, limit)
+		if t := a.ticketFor(w); t != nil && t.valid(until) {
 			have += fits
 			continue
 		}
@@ -316,7 +316,7 @@
 // anyUnknown reports whether a worker that could run the step has not been
 // asked about.
 func (e *Engine) anyUnknown(s *step, a *advice) bool {
-	return slices.ContainsFunc(e.order, func(w *worker) bool {
-		return a.of(w) == unknown && e.eligible(s, w)
+	return slices.ContainsFunc(e.workerList, func(w *worker) bool {
+		return a.verdictOf(w) == unknown && e.eligible(s, w)
 	})
 }
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -19,22 +19,22 @@
 	// Cause: a reservation counted as standing for a whole period from when it
 	//   was made, also after it had been cleared.
 	for phase := range planPeriod / tickPeriod {
-		b := newBench(t, 1, "w-a")
+		h := newHarness(t, 1, "w-a")
 		small := oneTask()
 		small.Count = 4
-		require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, small)}}))
-		b.step(50 * time.Millisecond)
-		b.report("w-a", runner.Report{})
-		require.Len(t, b.starts(), 4, "the worker is full")
-		b.step(planPeriod + phase*tickPeriod)
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, small)}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{})
+		require.Len(t, h.starts(), 4, "the worker is full")
+		h.step(planPeriod + phase*tickPeriod)
 		gang := oneTask()
 		gang.Gang, gang.Count = true, 4
 		waits := jobEntry(t, 1, 2, gang)
 		waits.Key = KeyIn("00000000000000bb")
-		require.NoError(t, b.e.Accepted(b.now, waits))
+		require.NoError(t, h.e.Accepted(h.now, waits))
 		for range 12 {
-			b.step(tickPeriod)
-			require.NotEmpty(t, b.e.workers["w-a"].reserved, "phase %d, at %v", phase, b.now)
+			h.step(tickPeriod)
+			require.NotEmpty(t, h.e.workers["w-a"].reserved, "phase %d, at %v", phase, h.now)
 		}
 	}
 }
@@ -47,38 +47,38 @@
 	// Cause: nothing was asked for while some tickets held, and then the same
 	//   part was asked for again.
 	gang := work.Step{Count: 3, Size: work.Resources{CPU: 3000, Memory: 100}, Estimate: time.Second, Gang: true}
-	b := newBench(t, 1, "w-a", "w-b", "w-c")
+	h := newHarness(t, 1, "w-a", "w-b", "w-c")
 	entry := changed(t, jobEntry(t, 1, 2, gang), func(j *work.Job) {
 		j.Queue.Advice = &work.Advice{Base: 400 * time.Millisecond, Valid: 2 * time.Second}
 	})
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
-	b.step(50 * time.Millisecond)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
+	h.step(50 * time.Millisecond)
 	for _, id := range []runner.WorkerID{"w-a", "w-b", "w-c"} {
-		b.report(id, runner.Report{Clock: time.Second})
+		h.report(id, runner.Report{Clock: time.Second})
 	}
-	s := b.e.jobs[testJob].occurrences[0].steps[0]
+	s := h.e.jobs[testJob].occurrences[0].steps[0]
 	s.advice = &advice{}
 	for _, id := range []runner.WorkerID{"w-a", "w-b", "w-c"} {
-		s.advice.learn(b.e.workers[id], good)
+		s.advice.record(h.e.workers[id], good)
 	}
 	for _, id := range []runner.WorkerID{"w-a", "w-b"} {
-		s.advice.add(ticket{b.e.workers[id], "t", b.now + 1500*time.Millisecond})
+		s.advice.add(ticket{h.e.workers[id], "t", h.now + 1500*time.Millisecond})
 	}
-	b.out = nil
-	b.e.Members(b.now, []string{"d"})
-	b.step(50 * time.Millisecond)
+	h.out = nil
+	h.e.Members(h.now, []string{"d"})
+	h.step(50 * time.Millisecond)
 	var asked []AskAdvice
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if a, ok := x.(AskAdvice); ok {
 			asked = append(asked, a)
 		}
 	}
 	require.Len(t, asked, 1)
 	require.Equal(t, []runner.WorkerID{"w-c"}, asked[0].Workers)
-	b.e.Advised(b.now, "d", asked[0].Step, []runner.Ticket{{Worker: "w-c", Ticket: "t"}}, nil)
-	b.out = nil
-	b.step(50 * time.Millisecond)
-	require.Len(t, b.starts(), 3)
+	h.e.Advised(h.now, "d", asked[0].Step, []runner.Ticket{{Worker: "w-c", Ticket: "t"}}, nil)
+	h.out = nil
+	h.step(50 * time.Millisecond)
+	require.Len(t, h.starts(), 3)
 }
 
 func TestGangsThatNothingHoldsDoNotHoldUpOthers(t *testing.T) {
@@ -87,7 +87,7 @@
 	//   workers can hold; then one comes that is not.
 	// Cause: a round tries a number of gangs, the oldest first, and those that
 	//   can never start were counted.
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	wide := work.Step{Count: 5, Size: work.Resources{CPU: 1000, Memory: 100}, Estimate: time.Second, Gang: true}
 	entries := make([]store.Entry, 0, maxTried+1)
 	for i := range maxTried {
@@ -97,11 +97,11 @@
 	}
 	wide.Count = 4
 	entries = append(entries, jobEntry(t, 1, 2, wide)) // id ...aa sorts last
-	require.NoError(t, b.e.Load(0, Saved{Accepted: entries}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	b.step(50 * time.Millisecond)
-	require.Len(t, b.starts(), 4)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: entries}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	h.step(50 * time.Millisecond)
+	require.Len(t, h.starts(), 4)
 }
 
 func TestMembersThatWaitForTheirGangAreLeftAlone(t *testing.T) {
@@ -113,15 +113,15 @@
 	//   still.
 	gang := work.Step{Count: 2, Size: work.Resources{CPU: 3000, Memory: 100}, Estimate: time.Second, Gang: true}
 	for _, percent := range []float64{100, 50} {
-		b := newBench(t, 1, "w-a", "w-b")
-		require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
-		b.step(50 * time.Millisecond)
-		b.report("w-a", runner.Report{Clock: time.Second})
-		b.report("w-b", runner.Report{Clock: time.Second})
-		starts := b.starts()
+		h := newHarness(t, 1, "w-a", "w-b")
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{Clock: time.Second})
+		h.report("w-b", runner.Report{Clock: time.Second})
+		starts := h.starts()
 		require.Len(t, starts, 2)
 		for _, s := range starts {
-			b.e.Started(b.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
+			h.e.Started(h.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
 		}
 		stops := 0
 		for i := range 12 {
@@ -130,15 +130,15 @@
 				if k == 1 {
 					row.Percent = float64(i) // it makes progress
 				}
-				b.report(s.To.ID, runner.Report{Clock: time.Second + b.now, Running: []runner.Live{row}})
+				h.report(s.To.ID, runner.Report{Clock: time.Second + h.now, Running: []runner.Live{row}})
 			}
-			b.step(500 * time.Millisecond)
-			for _, x := range b.out {
+			h.step(500 * time.Millisecond)
+			for _, x := range h.out {
 				if _, ok := x.(SendStop); ok {
 					stops++
 				}
 			}
-			b.out = nil
+			h.out = nil
 		}
 		require.Equal(t, percent < nearlyDone, stops > 0, "at %v percent", percent)
 	}
@@ -150,7 +150,7 @@
 	//   there is; others, which any worker could hold, wait behind them.
 	// Cause: a round tries a bounded number of gangs, and those that wait for
 	//   what is taken used it up in every round.
-	b := newBench(t, 1, "w-a", "w-b")
+	h := newHarness(t, 1, "w-a", "w-b")
 	rare := oneTask()
 	rare.Gang, rare.Count, rare.Size.CPU, rare.Labels = true, 1, 4000, []string{"rare"}
 	var entries []store.Entry
@@ -162,41 +162,41 @@
 	any := rare
 	any.Labels = nil
 	entries = append(entries, jobEntry(t, 1, 2, any)) // id ...aa sorts last
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"rare", "r"}})
-	require.NoError(t, b.e.Load(0, Saved{Accepted: entries}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	require.Len(t, b.starts(), 1, "one on the rare worker")
-	b.report("w-b", runner.Report{})
-	b.step(2 * time.Second)
-	starts := b.starts()
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"rare", "r"}})
+	require.NoError(t, h.e.Load(0, Saved{Accepted: entries}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	require.Len(t, h.starts(), 1, "one on the rare worker")
+	h.report("w-b", runner.Report{})
+	h.step(2 * time.Second)
+	starts := h.starts()
 	require.Len(t, starts, 1)
 	require.Equal(t, testJob, starts[0].Start.Task.Job)
 }
 
 // advisedGang returns a bench with a gang of that many tasks of a whole worker each,
 // for which every worker is known to be good, and other steps of one such task.
-func advisedGang(t *testing.T, policy Policy, tasks int) (*bench, *step) {
-	b := newBench(t, 1, "w-a", "w-b", "w-c")
-	b.e.o.Policy = policy.complete()
+func advisedGang(t *testing.T, policy Policy, tasks int) (*harness, *step) {
+	h := newHarness(t, 1, "w-a", "w-b", "w-c")
+	h.e.o.Policy = policy.complete()
 	gang := work.Step{Count: tasks, Size: work.Resources{CPU: 4000, Memory: 100}, Estimate: time.Second, Gang: true}
 	entry := changed(t, jobEntry(t, 1, 2, gang), func(j *work.Job) {
 		j.Queue.Advice = &work.Advice{Base: 600 * time.Millisecond, Valid: 1500 * time.Millisecond}
 		j.Queue.Priority = 1
 	})
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
-	b.step(50 * time.Millisecond)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}}))
+	h.step(50 * time.Millisecond)
 	for _, id := range []runner.WorkerID{"w-a", "w-b", "w-c"} {
-		b.report(id, runner.Report{Clock: time.Second})
+		h.report(id, runner.Report{Clock: time.Second})
 	}
-	s := b.e.jobs[testJob].occurrences[0].steps[0]
+	s := h.e.jobs[testJob].occurrences[0].steps[0]
 	s.advice = &advice{}
 	for _, id := range []runner.WorkerID{"w-a", "w-b", "w-c"} {
-		s.advice.learn(b.e.workers[id], good)
+		s.advice.record(h.e.workers[id], good)
 	}
-	b.e.Members(b.now, []string{"d-1", "d-2", "d-3"})
-	b.step(50 * time.Millisecond)
-	return b, s
+	h.e.Members(h.now, []string{"d-1", "d-2", "d-3"})
+	h.step(50 * time.Millisecond)
+	return h, s
 }
 
 func TestSeatsOfAGangAreHeldWhileItAsks(t *testing.T) {
@@ -204,49 +204,49 @@
 	// Sequence: there is room for a gang; it asks for tickets; before they come, a
 	//   quick job takes a part of the room.
 	// Cause: nothing kept the room for the length of the call.
-	for _, held := range []bool{true, false} {
-		b, s := advisedGang(t, Policy{NoHolds: !held}, 3)
-		require.Equal(t, held, s.heldSeats)
+	for _, reserved := range []bool{true, false} {
+		h, s := advisedGang(t, Policy{NoHolds: !reserved}, 3)
+		require.Equal(t, reserved, s.gangReserved)
 		quick := jobEntry(t, 1, 2, oneTask())
-		require.NoError(t, b.e.Accepted(b.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
-		b.step(100 * time.Millisecond)
-		if !held {
-			require.Len(t, b.starts(), 1, "the quick job takes a worker")
+		require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
+		h.step(100 * time.Millisecond)
+		if !reserved {
+			require.Len(t, h.starts(), 1, "the quick job takes a worker")
 			continue
 		}
-		require.Empty(t, b.starts())
-		b.e.Advised(b.now, "d-3", s.id(), []runner.Ticket{{Worker: "w-a", Ticket: "t"}, {Worker: "w-b", Ticket: "t"}, {Worker: "w-c", Ticket: "t"}}, nil)
-		b.step(25 * time.Millisecond)
-		starts := b.starts()
+		require.Empty(t, h.starts())
+		h.e.Advised(h.now, "d-3", s.id(), []runner.Ticket{{Worker: "w-a", Ticket: "t"}, {Worker: "w-b", Ticket: "t"}, {Worker: "w-c", Ticket: "t"}}, nil)
+		h.step(25 * time.Millisecond)
+		starts := h.starts()
 		require.Len(t, starts, 3)
 		for _, x := range starts {
 			require.Equal(t, testJob, x.Start.Task.Job)
 		}
-		require.False(t, s.heldSeats)
+		require.False(t, s.gangReserved)
 	}
 }
 
 func TestHeldSeatsAreFreedWithoutAnAnswer(t *testing.T) {
 	// Symptom looked for: workers stay empty for a gang whose call for tickets is
 	//   lost.
-	b, s := advisedGang(t, Policy{}, 3)
-	require.True(t, s.heldSeats)
-	b.e.Members(b.now, nil) // nobody to ask again
+	h, s := advisedGang(t, Policy{}, 3)
+	require.True(t, s.gangReserved)
+	h.e.Members(h.now, nil) // nobody to ask again
 	quick := jobEntry(t, 1, 2, oneTask())
-	require.NoError(t, b.e.Accepted(b.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
-	b.step(2 * time.Second)
-	require.False(t, s.heldSeats)
-	require.Len(t, b.starts(), 1)
+	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
+	h.step(2 * time.Second)
+	require.False(t, s.gangReserved)
+	require.Len(t, h.starts(), 1)
 }
 
 func TestHeldSeatsAreFreedWhenTheJobIsCancelled(t *testing.T) {
-	b, s := advisedGang(t, Policy{}, 3)
-	require.True(t, s.heldSeats)
-	require.NoError(t, b.e.Accepted(b.now, store.Entry{Key: KeyCancel(testJob)}))
-	for _, w := range b.e.order {
-		require.Empty(t, w.holds)
+	h, s := advisedGang(t, Policy{}, 3)
+	require.True(t, s.gangReserved)
+	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyCancel(testJob)}))
+	for _, w := range h.e.workerList {
+		require.Empty(t, w.gangReservations)
 	}
-	require.False(t, s.heldSeats)
+	require.False(t, s.gangReserved)
 }
 
 func TestGangOfWhichOnlySomeWereStartedIsStopped(t *testing.T) {
@@ -254,32 +254,32 @@
 	// Sequence: the leader is replaced between the starts of the members; its successor
 	//   finds one of them, and no trace of the other.
 	// Cause: the successor took the one over and started nothing beside it.
-	b := newBench(t, 2, "w-a", "w-b")
+	h := newHarness(t, 2, "w-a", "w-b")
 	gang := oneTask()
 	gang.Count, gang.Gang = 2, true
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
-	b.step(50 * time.Millisecond)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
+	h.step(50 * time.Millisecond)
 	member := runner.Live{Task: work.TaskID{Job: testJob}, Run: 1}
-	b.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{member}})
-	b.report("w-b", runner.Report{Clock: time.Second})
-	b.step(300 * time.Millisecond)
-	require.Empty(t, b.stops(), "the other may come yet")
-	b.step(400 * time.Millisecond)
-	require.Equal(t, []SendStop{{To: runner.Ref{ID: "w-a"}, Task: member.Task, Run: 1}}, b.stops())
+	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{member}})
+	h.report("w-b", runner.Report{Clock: time.Second})
+	h.step(300 * time.Millisecond)
+	require.Empty(t, h.stops(), "the other may come yet")
+	h.step(400 * time.Millisecond)
+	require.Equal(t, []SendStop{{To: runner.Ref{ID: "w-a"}, Task: member.Task, Run: 1}}, h.stops())
 }
 
 func TestGangThatWorksIsNotStoppedForAMemberOutOfSight(t *testing.T) {
 	// Symptom looked for: a gang at work is stopped since one of its workers does not
 	//   answer the new leader.
-	b := newBench(t, 2, "w-a")
+	h := newHarness(t, 2, "w-a")
 	gang := oneTask()
 	gang.Count, gang.Gang = 2, true
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{{Task: work.TaskID{Job: testJob}, Run: 1, Percent: 3}}})
-	b.step(2 * time.Second)
-	require.Empty(t, b.stops())
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{{Task: work.TaskID{Job: testJob}, Run: 1, Percent: 3}}})
+	h.step(2 * time.Second)
+	require.Empty(t, h.stops())
 }
 
 // stops returns and forgets the stops that were sent.
-func (b *bench) stops() []SendStop { return sent[SendStop](b) }
+func (h *harness) stops() []SendStop { return sent[SendStop](h) }
--- a/process/dispatch/conduct_test.go
+++ b/process/dispatch/health_test.go
@@ -13,7 +13,7 @@
 
 // outcomes hands one job after the other in, each a task for every worker, and tells how
 // each run ends, by the job's number, until every job has ended.
-func outcomes(t *testing.T, b *bench, jobs, workers int, fails func(job int) bool) {
+func outcomes(t *testing.T, h *harness, jobs, workers int, fails func(job int) bool) {
 	t.Helper()
 	wide := tasksOf(workers, false)
 	wide.Size.CPU = 64000
@@ -22,18 +22,18 @@
 	for i := range jobs {
 		id := work.JobID(fmt.Sprintf("%016x", i+1))
 		jobNumber[id] = i
-		require.NoError(t, b.e.Accepted(b.now, jobOf(t, "", id, 1, wide)))
-		b.step(tickPeriod)
+		require.NoError(t, h.e.Accepted(h.now, jobOf(t, "", id, 1, wide)))
+		h.step(tickPeriod)
 		for range 2 * maxAttemptsOfTest {
-			b.step(200 * time.Millisecond) // longer than the pause before another try
-			for _, s := range b.starts() {
-				b.e.Started(b.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
+			h.step(200 * time.Millisecond) // longer than the pause before another try
+			for _, s := range h.starts() {
+				h.e.Started(h.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
 				number[s.To.ID]++
 				how := runner.Done
 				if fails(jobNumber[s.Start.Task.Job]) {
 					how = runner.Failed
 				}
-				b.report(s.To.ID, runner.Report{Clock: b.now, Ended: []runner.End{{Number: number[s.To.ID], Task: s.Start.Task, Run: s.Start.Run, How: how}}})
+				h.report(s.To.ID, runner.Report{Clock: h.now, Ended: []runner.End{{Number: number[s.To.ID], Task: s.Start.Task, Run: s.Start.Run, How: how}}})
 			}
 		}
 	}
@@ -49,36 +49,36 @@
 	// Cause: the second failed run of different jobs set a worker aside, though each of
 	//   the jobs had failed on others before.
 	workers := []runner.WorkerID{"w-1", "w-2", "w-3", "w-4"}
-	b := readyBench(t, workers...)
-	outcomes(t, b, 40, len(workers), func(job int) bool { return job%8 < 2 })
-	require.GreaterOrEqual(t, b.e.Stats().Failed, uint64(10*maxAttemptsOfTest))
-	require.Zero(t, b.e.Stats().Aside)
+	h := readyHarness(t, workers...)
+	outcomes(t, h, 40, len(workers), func(job int) bool { return job%8 < 2 })
+	require.GreaterOrEqual(t, h.e.Stats().Failed, uint64(10*maxAttemptsOfTest))
+	require.Zero(t, h.e.Stats().Aside)
 }
 
 func TestWorkerThatFailsAPartOfItsRunsIsSetAside(t *testing.T) {
 	// Symptom: gangs with a member on one of a few workers fail again and again.
 	// Sequence: the worker fails one run in two, never two in a row.
 	// Cause: only failures in a row set a worker aside.
-	var c conduct
+	var h health
 	for i := range 2 {
-		require.False(t, c.noteFail(0, work.JobID(fmt.Sprint(i))))
-		c.noteDone()
+		require.False(t, h.noteFailure(0, work.JobID(fmt.Sprint(i))))
+		h.noteSuccess()
 	}
-	require.True(t, c.noteFail(time.Minute, "2"))
-	require.Equal(t, time.Minute+asideFirst, c.asideUntil)
-	require.True(t, c.noteFail(2*time.Minute, "3"), "on trial it may not fail")
-	require.Equal(t, 2*time.Minute+2*asideFirst, c.asideUntil)
+	require.True(t, h.noteFailure(time.Minute, "2"))
+	require.Equal(t, time.Minute+quarantineMin, h.quarantinedUntil)
+	require.True(t, h.noteFailure(2*time.Minute, "3"), "on trial it may not fail")
+	require.Equal(t, 2*time.Minute+2*quarantineMin, h.quarantinedUntil)
 }
 
 func TestWorkerThatFailsFewOfItsRunsIsNotSetAside(t *testing.T) {
-	var c conduct
+	var h health
 	for i := range 100 {
-		require.False(t, c.noteFail(0, work.JobID(fmt.Sprint(i))))
+		require.False(t, h.noteFailure(0, work.JobID(fmt.Sprint(i))))
 		for range 19 {
-			c.noteDone()
+			h.noteSuccess()
 		}
 	}
-	require.Zero(t, c.suspicion)
-	require.False(t, c.noteFail(0, "x"))
-	require.NotZero(t, c.suspicion, "but runs that may choose avoid it")
+	require.Zero(t, h.suspicion)
+	require.False(t, h.noteFailure(0, "x"))
+	require.NotZero(t, h.suspicion, "but runs that may choose avoid it")
 }
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -82,10 +82,10 @@
 	calls  sync.WaitGroup
 	loaded chan struct{}
 
-	published time.Duration
-	answers   answers
-	accounts  *work.Accounts // those that the engine has
-	given     bool           // it has any
+	published   time.Duration
+	responses   responseTimes
+	accounts    *work.Accounts // those that the engine has
+	accountsSet bool           // it has any
 }
 
 // NewHost returns a host for a term.
@@ -190,7 +190,7 @@
 func (h *Host) loop(ctx context.Context) {
 	ticker := time.NewTicker(tickPeriod)
 	defer ticker.Stop()
-	h.giveAccounts()
+	h.updateAccounts()
 	for {
 		select {
 		case <-ctx.Done():
@@ -199,7 +199,7 @@
 			f(h.engine, h.now())
 			h.drain()
 		case <-ticker.C:
-			h.giveAccounts()
+			h.updateAccounts()
 			h.engine.Tick(h.now())
 			h.publish()
 		}
@@ -211,23 +211,23 @@
 			return
 		}
 		for _, e := range effects {
-			h.carryOut(ctx, e)
+			h.execute(ctx, e)
 		}
 	}
 }
 
-// giveAccounts tells the engine the accounts in force when they are new.
-func (h *Host) giveAccounts() {
+// updateAccounts tells the engine the accounts in force when they are new.
+func (h *Host) updateAccounts() {
 	if h.o.Accounts == nil {
-		if !h.given {
+		if !h.accountsSet {
 			h.engine.SetAccounts(h.now(), nil)
 		}
-		h.given = true
+		h.accountsSet = true
 		return
 	}
 	accounts, known := h.o.Accounts()
-	if known && (!h.given || accounts != h.accounts) {
-		h.accounts, h.given = accounts, true
+	if known && (!h.accountsSet || accounts != h.accounts) {
+		h.accounts, h.accountsSet = accounts, true
 		h.engine.SetAccounts(h.now(), accounts)
 	}
 }
@@ -262,8 +262,8 @@
 	}
 }
 
-// ask runs f on the engine's goroutine and waits for it.
-func (h *Host) ask(ctx context.Context, f func(*Engine, time.Duration)) error {
+// do runs f on the engine's goroutine and waits for it.
+func (h *Host) do(ctx context.Context, f func(*Engine, time.Duration)) error {
 	select {
 	case <-h.loaded:
 	case <-ctx.Done():
@@ -294,7 +294,7 @@
 
 // State returns what callers may be shown of a job.
 func (h *Host) State(ctx context.Context, id work.JobID) (shown Shown, known bool, err error) {
-	err = h.ask(ctx, func(e *Engine, _ time.Duration) {
+	err = h.do(ctx, func(e *Engine, _ time.Duration) {
 		shown.State, known = e.State(id)
 		shown.Account = e.Owner(id)
 	})
@@ -303,13 +303,13 @@
 
 // Explain tells what holds a job up.
 func (h *Host) Explain(ctx context.Context, id work.JobID) (x Explanation, known bool, err error) {
-	err = h.ask(ctx, func(e *Engine, now time.Duration) { x, known = e.Explain(now, id) })
+	err = h.do(ctx, func(e *Engine, now time.Duration) { x, known = e.Explain(now, id) })
 	return x, known, err
 }
 
 // Pending returns the number of a queue's jobs that have not begun.
 func (h *Host) Pending(ctx context.Context, queue string) (n int, err error) {
-	err = h.ask(ctx, func(e *Engine, _ time.Duration) { n = e.Pending(queue) })
+	err = h.do(ctx, func(e *Engine, _ time.Duration) { n = e.Pending(queue) })
 	return n, err
 }
 
@@ -320,7 +320,7 @@
 
 // QuotaReport returns what this part holds and wants of accounts.
 func (h *Host) QuotaReport(ctx context.Context, asked []string) (r quota.Report, err error) {
-	err = h.ask(ctx, func(e *Engine, _ time.Duration) { r = e.QuotaReport(asked) })
+	err = h.do(ctx, func(e *Engine, _ time.Duration) { r = e.QuotaReport(asked) })
 	return r, err
 }
 
@@ -336,8 +336,8 @@
 	}
 }
 
-// carryOut makes the call of an effect.
-func (h *Host) carryOut(ctx context.Context, effect Effect) {
+// execute makes the call of an effect.
+func (h *Host) execute(ctx context.Context, effect Effect) {
 	switch x := effect.(type) {
 	case SendStart:
 		h.calls.Go(func() { h.sendStart(ctx, x) })
@@ -353,25 +353,25 @@
 }
 
 func (h *Host) sendStart(ctx context.Context, x SendStart) {
-	bounded, cancel := context.WithTimeout(ctx, h.answers.timeout(h.o.Bounds.startTimeout(), h.o.Bounds.maxStartTimeout()))
+	bounded, cancel := context.WithTimeout(ctx, h.responses.timeout(h.o.Bounds.startTimeout(), h.o.Bounds.maxStartTimeout()))
 	defer cancel()
 	began := time.Now()
 	_, err := h.o.Runner.Start(bounded, x.To, x.Start)
 	if !errors.Is(err, runner.ErrUnknown) {
-		h.answers.note(time.Since(began))
+		h.responses.observe(time.Since(began))
 	}
 	h.post(func(e *Engine, now time.Duration) { e.Started(now, x.To.ID, x.Start.Task, x.Start.Run, err) })
 }
 
 func (h *Host) sendStop(ctx context.Context, x SendStop) {
-	bounded, cancel := context.WithTimeout(ctx, h.answers.timeout(stopTimeout, maxStopTimeout))
+	bounded, cancel := context.WithTimeout(ctx, h.responses.timeout(stopTimeout, maxStopTimeout))
 	defer cancel()
 	err := h.o.Runner.Stop(bounded, x.To, x.Task, x.Run, h.term.Epoch)
 	h.post(func(e *Engine, now time.Duration) { e.StopAnswered(now, x.To.ID, x.Task, x.Run, err) })
 }
 
 func (h *Host) sendRenew(ctx context.Context, x SendRenew) {
-	bounded, cancel := context.WithTimeout(ctx, x.Timeout-renewGrace+h.answers.timeout(renewGrace, maxRenewGrace))
+	bounded, cancel := context.WithTimeout(ctx, x.Timeout-renewGrace+h.responses.timeout(renewGrace, maxRenewGrace))
 	defer cancel()
 	report, err := h.o.Runner.Renew(bounded, x.To, x.Renewal)
 	h.post(func(e *Engine, now time.Duration) { e.Renewed(now, x.To.ID, report, err) })
--- a/process/dispatch/lives_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -18,12 +18,12 @@
 // Guards against what is kept under a worker's name and held against its next life: tasks run
 // twice, or again after their end was acknowledged.
 func TestWorkersThatComeBackUnderTheirName(t *testing.T) {
-	overSeeds(t, 10, livesUnderOneName)
+	overSeeds(t, 10, restartsUnderOneName)
 }
 
-// livesUnderOneName hands jobs in while workers crash and are back under their names soon,
+// restartsUnderOneName hands jobs in while workers crash and are back under their names soon,
 // long before their entries tell; orders are late, answers are lost and leaders are killed.
-func livesUnderOneName(t *testing.T, seed uint64) {
+func restartsUnderOneName(t *testing.T, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 5))
 	lag := time.Duration(draw.IntN(3)) * 2 * time.Second
 	c := restartingCell(t, 24, 3, epochworker.Options{Seed: seed, Restart: 500 * time.Millisecond, SameName: true, EntryLag: lag,
@@ -58,10 +58,10 @@
 	}
 }
 
-// behindACut runs jobs on two workers, one of which crashes behind a cut that the leader does
+// crashBehindCut runs jobs on two workers, one of which crashes behind a cut that the leader does
 // not notice, and hands another job in that may start at its next life, of which no entry
 // tells yet. Its tasks take as long as given.
-func behindACut(t *testing.T, takes time.Duration) {
+func crashBehindCut(t *testing.T, takes time.Duration) {
 	c := restartingCell(t, 0, 1, epochworker.Options{Seed: 1, Restart: 500 * time.Millisecond, SameName: true, EntryLag: 4 * time.Second,
 		Work: func(work.TaskID, uint64, runner.WorkerID) epochworker.Behaviour {
 			return epochworker.Behaviour{Takes: takes}
@@ -97,28 +97,28 @@
 // Guards against a start that was answered by a worker's next life, counts as lost with the
 // life before, and is made again beside the run that is there.
 func TestRunsAtTheNextLifeAreNotStartedBesideThem(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { behindACut(t, 5*time.Second) })
+	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 5*time.Second) })
 }
 
 // Guards against ends of a worker's next life that are acknowledged unheard, with the number
 // that the life before had reached, and whose tasks start again.
 func TestEndsOfTheNextLifeAreNotAcknowledgedUnheard(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { behindACut(t, 200*time.Millisecond) })
+	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 200*time.Millisecond) })
 }
 
 // Guards against the count of ends of one life that is told to the next, which forgets as many
 // ends that nobody has heard of.
 func TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds(t *testing.T) {
 	id := runner.LifeID("w-a", 1)
-	b := newBench(t, 1, id)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report(id, runner.Report{Clock: time.Second})
-	start := b.starts()[0].Start
-	b.report(id, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
+	h := newHarness(t, 1, id)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report(id, runner.Report{Clock: time.Second})
+	start := h.starts()[0].Start
+	h.report(id, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
 	last := func() (r runner.Renewal) {
-		b.step(400 * time.Millisecond) // over the pauses between renewals
-		for _, x := range b.out {
+		h.step(400 * time.Millisecond) // over the pauses between renewals
+		for _, x := range h.out {
 			if x, ok := x.(SendRenew); ok {
 				r = x.Renewal
 			}
@@ -126,29 +126,29 @@
 		return r
 	}
 	require.Equal(t, int64(1), last().Acknowledge)
-	b.e.Renewed(b.now, id, runner.Report{}, runner.ErrUnknown)
+	h.e.Renewed(h.now, id, runner.Report{}, runner.ErrUnknown)
 	require.Zero(t, last().Acknowledge, "another life may answer")
-	b.report(id, runner.Report{Clock: 2 * time.Second})
+	h.report(id, runner.Report{Clock: 2 * time.Second})
 	require.Equal(t, int64(1), last().Acknowledge, "it has answered")
-	b.e.Renewed(b.now, id, runner.Report{Clock: 2 * time.Second}, nil)
-	b.now += 3 * time.Second // the leader stood still
+	h.e.Renewed(h.now, id, runner.Report{Clock: 2 * time.Second}, nil)
+	h.now += 3 * time.Second // the leader stood still
 	require.Zero(t, last().Acknowledge, "another life may have begun meanwhile")
 }
 
 // Guards against starts by the hundred at a worker whose clock is not where it was thought to
 // be, and which refuses each.
 func TestWorkerThatRefusesAsLateIsAskedFirst(t *testing.T) {
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	first := b.starts()[0].Start
-	b.e.Started(b.now, "w-a", first.Task, first.Run, runner.ErrLate)
-	b.step(100 * time.Millisecond)
-	require.Empty(t, b.starts())
-	b.report("w-a", runner.Report{Clock: time.Hour})
-	b.step(time.Second)
-	all := b.starts()
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	first := h.starts()[0].Start
+	h.e.Started(h.now, "w-a", first.Task, first.Run, runner.ErrLate)
+	h.step(100 * time.Millisecond)
+	require.Empty(t, h.starts())
+	h.report("w-a", runner.Report{Clock: time.Hour})
+	h.step(time.Second)
+	all := h.starts()
 	require.Len(t, all, 1)
 	require.Greater(t, all[0].Start.Until, time.Hour, "by its clock as it is")
 }
@@ -156,28 +156,28 @@
 // Guards against a worker that is back under its name, without a word of its birth: its ends
 // are taken for those of before, acknowledged unheard, and their tasks start again.
 func TestClockThatGoesBackIsAnotherLifes(t *testing.T) {
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	step := oneTask()
 	step.Count = 2
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Hour})
-	start := b.starts()[0].Start
-	b.report("w-a", runner.Report{Clock: time.Hour, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
-	b.report("w-a", runner.Report{Clock: time.Minute, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
-	require.Nil(t, b.e.workers["w-a"])
-	b.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // its next heartbeat
-	b.step(50 * time.Millisecond)
-	require.Zero(t, b.e.workers["w-a"].seen, "its ends count from 1 again")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Hour})
+	start := h.starts()[0].Start
+	h.report("w-a", runner.Report{Clock: time.Hour, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
+	h.report("w-a", runner.Report{Clock: time.Minute, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
+	require.Nil(t, h.e.workers["w-a"])
+	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // its next heartbeat
+	h.step(50 * time.Millisecond)
+	require.Zero(t, h.e.workers["w-a"].lastCompletion, "its ends count from 1 again")
 }
 
 // Guards against a life whose entry tells no birth and that is taken for another worker.
 func TestEntryWithoutABirthNamesTheLifeThatIsKnown(t *testing.T) {
 	id := runner.LifeID("w-a", 7)
-	b := newBench(t, 1, id)
-	b.step(50 * time.Millisecond)
-	b.report(id, runner.Report{Clock: time.Second})
-	b.resize("w-a", work.Resources{CPU: 8000, Memory: 8000})
-	require.Nil(t, b.e.workers["w-a"])
-	require.Equal(t, 8000, b.e.workers[id].Capacity.CPU)
+	h := newHarness(t, 1, id)
+	h.step(50 * time.Millisecond)
+	h.report(id, runner.Report{Clock: time.Second})
+	h.resize("w-a", work.Resources{CPU: 8000, Memory: 8000})
+	require.Nil(t, h.e.workers["w-a"])
+	require.Equal(t, 8000, h.e.workers[id].Capacity.CPU)
 }
