--- a/process/dispatch/job.go
+++ b/process/dispatch/job.go
@@ -18,22 +18,22 @@
 	// accepted is when a daemon took the job, and start when its first occurrence
 	// is due, both in engine time.
 	accepted, start time.Duration
-	pace            *float64 // learnt, of its queue
+	estimateRatio   *float64 // learnt, of its queue
 	account         *quota.Account
 	sizes           []quota.Size // of its tasks by step, once the rest is dropped
 	// state as decided; callers see it once it is in the store.
 	state   work.State
 	visible work.State
-	begun   bool // a task has started
-	// since: when the engine took the job over.
-	since time.Duration
+	started bool // a task has started
+	// loadedAt: when the engine took the job over.
+	loadedAt time.Duration
 	// inherited: an earlier epoch may have started tasks of it.
 	inherited bool
-	isShed    bool // it has ended, and only its state is kept
+	trimmed   bool // it has ended, and only its state is kept
 
 	occurrences []*occurrence // held, by number
-	next        int           // the lowest occurrence that has not come due
-	before      int           // every occurrence below is done
+	nextDue     int           // the lowest occurrence that has not come due
+	doneBefore  int           // every occurrence below is done
 
 	version uint64 // of the progress, raised by each change that must last
 	saved   uint64 // the highest version in the store
@@ -41,16 +41,16 @@
 	writing bool   // a write of it is on its way
 	// revision of its hand-in; 0 if it was taken from an accepting daemon.
 	revision store.Revision
-	// handedIn: its hand-in is in the store; removed with the write of its end.
-	handedIn   bool
-	bundle     *bundle // that holds its newest progress; nil: its own key does
-	unbundling bool    // queued to be moved out of its bundle
-	endedAt    time.Duration
-	failedOn   runner.WorkerID // the first worker on which a run failed
-	waits      waits
-	trials     []*place // that wait to be on record
-	work       float64  // core-seconds, as declared
-	beyond     bool     // handed in beyond what its account is entitled to
+	// submitted: its hand-in is in the store; removed with the write of its end.
+	submitted     bool
+	batch         *batch // that holds its newest progress; nil: its own key does
+	unbatching    bool   // queued to be moved out of its bundle
+	endedAt       time.Duration
+	firstFailedOn runner.WorkerID // the first worker on which a run failed
+	waits         waits
+	trials        []*allocation // that wait to be on record
+	coreSeconds   float64       // core-seconds, as declared
+	overEntitled  bool          // handed in beyond what its account is entitled to
 }
 
 // step is one step of a job.
@@ -77,18 +77,18 @@
 
 	retryAt time.Duration // a gang is not tried before
 	misses  int           // tries in a row that found no room for a gang
-	// held tells whether the workers could hold a gang at all, as of some time
+	// feasible tells whether the workers could hold a gang at all, as of some time
 	// before heldUntil.
-	held      bool
-	heldUntil time.Duration
+	feasible      bool
+	feasibleUntil time.Duration
 
-	// heldSeats: room is held for the step until holdUntil.
-	heldSeats bool
-	holdUntil time.Duration
+	// gangReserved: room is held for the step until holdUntil.
+	gangReserved      bool
+	gangReservedUntil time.Duration
 
-	keeps *worker // kept quiet for a suspect task of the step
-	// quietWait is how long a gang with a suspect task waits for quiet workers.
-	quietWait time.Duration
+	isolates *worker // kept quiet for a suspect task of the step
+	// isolationWait is how long a gang with a suspect task waits for quiet workers.
+	isolationWait time.Duration
 
 	advice *advice
 	gang   gangState
@@ -97,7 +97,7 @@
 // task is one task of a step. Its place is nil while nothing of it can be
 // running.
 type task struct {
-	place      *place
+	alloc      *allocation
 	done       bool
 	failed     []uint64 // runs that failed
 	runs       uint64   // started in this epoch
@@ -112,42 +112,42 @@
 	run      uint64 // the highest run used
 	runs     uint64 // started in this epoch
 	failed   []uint64
-	breaking bool // its members are being stopped
+	stopping bool // its members are being stopped
 }
 
-// placeState says what is known of a run on a worker.
-type placeState uint8
+// allocState says what is known of a run on a worker.
+type allocState uint8
 
 const (
-	starting placeState = iota // sent, no answer yet
-	doubtful                   // no answer; may start yet
-	running                    // the worker confirmed it
-	stopping                   // a stop is wanted
+	starting    allocState = iota // sent, no answer yet
+	unconfirmed                   // no answer; may start yet
+	running                       // the worker confirmed it
+	stopping                      // a stop is wanted
 )
 
-// place is one run on one worker. It holds its resources until the worker
+// allocation is one run on one worker. It holds its resources until the worker
 // lists the end, the run can no longer start, or the worker's life is over.
-type place struct {
+type allocation struct {
 	w     *worker
 	s     *step
 	index int
 	run   uint64
 	need  work.Resources
-	state placeState
-
-	ticket string
-	sent   time.Duration // the first start
-	tries  int           // starts sent
-	begun  time.Duration // confirmed
-	listed bool          // by a report of the worker's life
-
-	stopSent time.Duration // the last stop
-	stopped  time.Duration // when a stop was answered, 0 if none was
-	missing  time.Duration // when a report first lacked it
-	// awaits is the version of its job that must be in the store before a trial is sent.
-	awaits uint64
-	blamed bool          // its loss is on record
-	lostAt time.Duration // when the life that it was sent to had ended
+	state allocState
+
+	ticket      string
+	sent        time.Duration // the first start
+	tries       int           // starts sent
+	confirmedAt time.Duration // confirmed
+	reported    bool          // by a report of the worker's life
+
+	stopSent     time.Duration // the last stop
+	stopAckedAt  time.Duration // when a stop was answered, 0 if none was
+	missingSince time.Duration // when a report first lacked it
+	// awaitsVersion is the version of its job that must be in the store before a trial is sent.
+	awaitsVersion uint64
+	lossRecorded  bool          // its loss is on record
+	orphanedAt    time.Duration // when the life that it was sent to had ended
 
 	percent   float64
 	percentAt time.Duration // when percent last rose
@@ -155,7 +155,7 @@
 	firstAt   time.Duration
 }
 
-func (p *place) id() work.TaskID { return p.s.taskID(p.index) }
+func (alloc *allocation) id() work.TaskID { return alloc.s.taskID(alloc.index) }
 
 // id names the step as its first task is named.
 func (s *step) id() work.TaskID {
@@ -169,7 +169,7 @@
 	return id
 }
 
-func (p *place) task() *task { return &p.s.tasks[p.index] }
+func (alloc *allocation) task() *task { return &alloc.s.tasks[alloc.index] }
 
 // active reports whether tasks of the job may start.
 func (j *job) active() bool { return !j.state.Final() }
@@ -183,7 +183,7 @@
 func (s *step) live() int {
 	n := 0
 	for i := range s.tasks {
-		if s.tasks[i].place != nil {
+		if s.tasks[i].alloc != nil {
 			n++
 		}
 	}
@@ -193,7 +193,7 @@
 // progress returns what must last of the job.
 func (j *job) progress() *work.Progress {
 	p := &work.Progress{State: j.state}
-	if j.state == work.Queued && j.begun {
+	if j.state == work.Queued && j.started {
 		p.State = work.Running
 	}
 	if j.state.Final() {
@@ -203,16 +203,16 @@
 		}
 		return p
 	}
-	p.Before = j.before
+	p.Before = j.doneBefore
 	for s := range j.steps() {
-		if e, any := s.ends(); any {
+		if e, any := s.completions(); any {
 			p.Ends = append(p.Ends, e)
 		}
 	}
 	return p
 }
 
-func (s *step) ends() (work.StepEnds, bool) {
+func (s *step) completions() (work.StepEnds, bool) {
 	e := work.StepEnds{Occurrence: s.occurrence.number, Step: s.number, All: s.left == 0}
 	if e.All {
 		return e, true
@@ -240,7 +240,7 @@
 func (j *job) restore(p *work.Progress) {
 	j.state, j.visible = p.State, p.State
 	if p.State == work.Running {
-		j.state, j.begun = work.Queued, true
+		j.state, j.started = work.Queued, true
 	}
 	for _, o := range j.occurrences {
 		if o.number < p.Before {
@@ -248,8 +248,8 @@
 		}
 	}
 	j.prune()
-	j.before = max(j.before, p.Before)
-	j.next = max(j.next, j.before)
+	j.doneBefore = max(j.doneBefore, p.Before)
+	j.nextDue = max(j.nextDue, j.doneBefore)
 	for _, e := range p.Ends {
 		s := j.step(work.TaskID{Occurrence: e.Occurrence, Step: max(e.Step, 0)})
 		if s == nil {
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -19,13 +19,13 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// slowLists is a store whose listings take a while, as a long one does over a small link.
-type slowLists struct {
+// slowListing is a store whose listings take a while, as a long one does over a small link.
+type slowListing struct {
 	store.Transactor
 	takes time.Duration
 }
 
-func (s slowLists) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
+func (s slowListing) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
 	store.Begun(ctx)
 	if err := sleep.For(ctx, s.takes); err != nil {
 		return nil, 0, err
@@ -33,22 +33,24 @@
 	return s.Transactor.List(ctx, prefix)
 }
 
-// noWorkers is a directory without workers.
-type noWorkers struct{}
+// emptyDirectory is a directory without workers.
+type emptyDirectory struct{}
 
-func (noWorkers) List(context.Context) ([]runner.Worker, store.Revision, error) { return nil, 1, nil }
+func (emptyDirectory) List(context.Context) ([]runner.Worker, store.Revision, error) {
+	return nil, 1, nil
+}
 
-func (noWorkers) Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]runner.Change, store.Revision, error) {
+func (emptyDirectory) Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]runner.Change, store.Revision, error) {
 	return nil, after, sleep.For(ctx, wait)
 }
 
-// lostLists is a store that never answers the first listing of each prefix.
-type lostLists struct {
+// lostListing is a store that never answers the first listing of each prefix.
+type lostListing struct {
 	store.Transactor
 	seen sync.Map // prefixes
 }
 
-func (s *lostLists) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
+func (s *lostListing) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
 	if _, seen := s.seen.LoadOrStore(prefix, true); !seen {
 		<-ctx.Done()
 		return nil, 0, fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
@@ -66,7 +68,7 @@
 	var took atomic.Int64 // written by a goroutine of each term
 	var e *lead.Elector
 	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, Patience: patience, Log: zerolog.Nop(), Lead: func(term *lead.Term) {
-		h := NewHost(HostOptions{Store: lists, Patience: patience, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
+		h := NewHost(HostOptions{Store: lists, Patience: patience, Directory: emptyDirectory{}, View: e.View(), Log: zerolog.Nop(),
 			Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Gang: 3 * time.Second, Keep: time.Minute}}, term)
 		go func() {
 			if _, _, err := h.State(ctx, testJob); err == nil {
@@ -84,7 +86,7 @@
 func TestStateThatWasLostIsReadAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		loaded, ok := leadOnce(t, &lostLists{Transactor: m}, m, 30*time.Second)
+		loaded, ok := leadOnce(t, &lostListing{Transactor: m}, m, 30*time.Second)
 		require.True(t, ok)
 		require.Less(t, loaded, time.Second, "its lease is renewed four times in that time")
 	})
@@ -97,7 +99,7 @@
 	// Cause: each reading is given up after three, and begun anew.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		_, ok := leadOnce(t, slowLists{m, 4 * time.Second}, m, 30*time.Second)
+		_, ok := leadOnce(t, slowListing{m, 4 * time.Second}, m, 30*time.Second)
 		require.True(t, ok)
 	})
 }
--- a/process/dispatch/lasting.go
+++ b/process/dispatch/longrunning.go
@@ -10,20 +10,22 @@
 // they end. The engine never stops one that is at work, so that what a step may
 // miss is left to ends that it has no part in.
 
-// atWorkPercent is the progress of a lasting task that serves.
-const atWorkPercent = 100
+// servingPercent is the progress of a lasting task that serves.
+const servingPercent = 100
 
-// rankLasting puts tasks that last before all work that ends.
-const rankLasting = -1
+// rankLongRunning puts tasks that last before all work that ends.
+const rankLongRunning = -1
 
 // serves reports whether the run is of a lasting task that is at work.
-func (p *place) serves() bool { return p.s.spec.Lasting && p.percent >= atWorkPercent }
+func (alloc *allocation) serves() bool {
+	return alloc.s.spec.Lasting && alloc.percent >= servingPercent
+}
 
 // noteServing judges the worker by a lasting task that has come to work there:
 // such tasks never end as done, which is the sign that other work gives.
-func (p *place) noteServing(before float64) {
-	if p.serves() && before < atWorkPercent {
-		p.w.noteDone()
+func (alloc *allocation) noteServing(before float64) {
+	if alloc.serves() && before < servingPercent {
+		alloc.w.noteSuccess()
 	}
 }
 
@@ -34,27 +36,27 @@
 // hostsTarget reports whether a task with a bound on its response time runs on
 // the worker.
 func (w *worker) hostsTarget() bool {
-	for _, p := range w.places {
-		if hasTarget(p.s.spec) {
+	for _, alloc := range w.allocs {
+		if hasTarget(alloc.s.spec) {
 			return true
 		}
 	}
 	return false
 }
 
-// giveWay stops what fills on a worker, for a task with a bound on its response
+// stopBestEffort stops what fills on a worker, for a task with a bound on its response
 // time.
 //
 // What goes wrong without it: work that fills takes the processors' shared
 // parts, the task beside it answers too late, and nothing here slows the other
 // down, since it counts for no processors.
-func (e *Engine) giveWay(w *worker, s *step) {
+func (e *Engine) stopBestEffort(w *worker, s *step) {
 	if !hasTarget(s.spec) {
 		return
 	}
-	for _, p := range places(w) {
-		if p.s.spec.Fills {
-			e.stop(p, "it fills, and a task that serves starts beside it")
+	for _, alloc := range sortedAllocs(w) {
+		if alloc.s.spec.Fills {
+			e.stop(alloc, "it fills, and a task that serves starts beside it")
 		}
 	}
 }
--- a/process/dispatch/lasting_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -14,7 +14,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-func lastingTask() work.Step {
+func longRunningTask() work.Step {
 	s := oneTask()
 	s.Lasting, s.Target = true, 50*time.Millisecond
 	return s
@@ -30,23 +30,23 @@
 }
 
 func TestLastingTaskIsRestartedHoweverItEnds(t *testing.T) {
-	b := newBench(t, 1, "w-a", "w-b")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, lastingTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.report("w-b", runner.Report{})
+	h := newHarness(t, 1, "w-a", "w-b")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.report("w-b", runner.Report{})
 	number := int64(0)
 	for _, how := range []runner.How{runner.Done, runner.Failed, runner.Failed, runner.Stopped, runner.Lapsed, runner.Broken} {
-		starts := b.starts()
+		starts := h.starts()
 		require.Len(t, starts, 1, "before it ends as %s", how)
 		s := starts[0]
 		number++
-		b.report(s.To.ID, runner.Report{Running: live(100, s)})
-		b.report(s.To.ID, runner.Report{Ended: []runner.End{{Number: number, Task: s.Start.Task, Run: s.Start.Run, How: how}}})
-		b.step(50 * time.Millisecond)
+		h.report(s.To.ID, runner.Report{Running: live(100, s)})
+		h.report(s.To.ID, runner.Report{Ended: []runner.End{{Number: number, Task: s.Start.Task, Run: s.Start.Run, How: how}}})
+		h.step(50 * time.Millisecond)
 	}
-	require.Len(t, b.starts(), 1)
-	state, _ := b.e.State(testJob)
+	require.Len(t, h.starts(), 1)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Running, state)
 }
 
@@ -57,19 +57,19 @@
 	// Cause: such an end was taken for a sign against the worker, and only an
 	//   end as done for a sign for it, which these tasks never give.
 	w := &worker{}
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, lastingTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	s := b.starts()[0]
-	w = b.e.workers["w-a"]
-	w.trial, w.failJobs = true, []work.JobID{"another"}
-	b.report("w-a", runner.Report{Running: live(100, s)})
-	require.False(t, w.trial, "a task at work there")
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	s := h.starts()[0]
+	w = h.e.workers["w-a"]
+	w.probation, w.failJobs = true, []work.JobID{"another"}
+	h.report("w-a", runner.Report{Running: live(100, s)})
+	require.False(t, w.probation, "a task at work there")
 	require.Empty(t, w.failJobs)
-	b.report("w-a", runner.Report{Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Failed}}})
+	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Failed}}})
 	require.Empty(t, w.failJobs)
-	require.Len(t, b.starts(), 1, "at once, at the same place")
+	require.Len(t, h.starts(), 1, "at once, at the same place")
 }
 
 func TestRoomIsKeptForATaskThatLasts(t *testing.T) {
@@ -78,27 +78,27 @@
 	//   followed by another, which fits the gap.
 	// Cause: room was kept for gangs only, and work that is late for its
 	//   objective came before it.
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	small := oneTask()
 	small.Count = 40
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, small)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	running := b.starts()
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, small)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	running := h.starts()
 	require.Len(t, running, 4, "the worker is full")
-	large := lastingTask()
+	large := longRunningTask()
 	large.Size.CPU = 3500
 	service := jobEntry(t, 1, 1, large)
 	service.Key = KeyIn("00000000000000bb")
-	require.NoError(t, b.e.Accepted(b.now, service))
+	require.NoError(t, h.e.Accepted(h.now, service))
 	number := int64(0)
 	for range 4 {
 		number++
 		first := running[0]
 		running = running[1:]
-		b.report("w-a", runner.Report{Running: live(10, running...), Ended: []runner.End{{Number: number, Task: first.Start.Task, Run: first.Start.Run, How: runner.Done}}})
-		b.step(150 * time.Millisecond)
-		for _, s := range b.starts() {
+		h.report("w-a", runner.Report{Running: live(10, running...), Ended: []runner.End{{Number: number, Task: first.Start.Task, Run: first.Start.Run, How: runner.Done}}})
+		h.step(150 * time.Millisecond)
+		for _, s := range h.starts() {
 			if s.Start.Task.Job == "00000000000000bb" {
 				require.EqualValues(t, 4, number, "as soon as there is room")
 				return
@@ -114,13 +114,13 @@
 	// Sequence: it fails at once wherever it starts, tens of thousands of times
 	//   in one epoch; then there is another leader.
 	// Cause: the numbers of an epoch's runs had run into those of the next.
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, lastingTask())}}))
-	b.e.jobs[testJob].occurrences[0].steps[0].tasks[0].runs = 1<<runBits - 1
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	require.True(t, b.e.Deposed())
-	require.Empty(t, b.starts())
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].runs = 1<<runBits - 1
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	require.True(t, h.e.Deposed())
+	require.Empty(t, h.starts())
 }
 
 func TestWorkThatFillsKeepsAwayFromWhatServes(t *testing.T) {
@@ -131,40 +131,40 @@
 	fill := oneTask()
 	fill.Fills, fill.Count, fill.Size.CPU = true, 3, 4000
 	t.Run("fills come second", func(t *testing.T) {
-		b := newBench(t, 1, "w-a", "w-b")
-		require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, lastingTask())}}))
-		b.step(50 * time.Millisecond)
-		b.report("w-a", runner.Report{})
-		serves := b.starts()[0].To.ID
-		b.report("w-b", runner.Report{})
+		h := newHarness(t, 1, "w-a", "w-b")
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{})
+		serves := h.starts()[0].To.ID
+		h.report("w-b", runner.Report{})
 		other := jobEntry(t, 1, 1, fill)
 		other.Key = KeyIn("00000000000000bb")
-		require.NoError(t, b.e.Accepted(b.now, other))
-		b.step(50 * time.Millisecond)
-		starts := b.starts()
+		require.NoError(t, h.e.Accepted(h.now, other))
+		h.step(50 * time.Millisecond)
+		starts := h.starts()
 		require.Len(t, starts, 3)
 		for _, s := range starts {
 			require.NotEqual(t, serves, s.To.ID)
 		}
 	})
 	t.Run("what serves comes second", func(t *testing.T) {
-		b := newBench(t, 1, "w-a")
-		require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, fill)}}))
-		b.step(50 * time.Millisecond)
-		b.report("w-a", runner.Report{})
-		require.Len(t, b.starts(), 3)
-		service := jobEntry(t, 1, 1, lastingTask())
+		h := newHarness(t, 1, "w-a")
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, fill)}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{})
+		require.Len(t, h.starts(), 3)
+		service := jobEntry(t, 1, 1, longRunningTask())
 		service.Key = KeyIn("00000000000000bb")
-		require.NoError(t, b.e.Accepted(b.now, service))
-		b.step(50 * time.Millisecond)
+		require.NoError(t, h.e.Accepted(h.now, service))
+		h.step(50 * time.Millisecond)
 		stops := 0
-		for _, x := range b.out {
+		for _, x := range h.out {
 			if _, ok := x.(SendStop); ok {
 				stops++
 			}
 		}
 		require.Equal(t, 3, stops, "what fills there gives way")
-		require.Len(t, b.starts(), 1)
+		require.Len(t, h.starts(), 1)
 	})
 }
 
@@ -172,10 +172,10 @@
 // killed and the store fails; nobody troubles the workers, so that the system
 // itself must not take a task away.
 func TestLastingJobsUnderRandomTroubles(t *testing.T) {
-	overSeeds(t, 3, lastingTroubles)
+	overSeeds(t, 3, longRunningUnderFaults)
 }
 
-func lastingTroubles(t *testing.T, seed uint64) {
+func longRunningUnderFaults(t *testing.T, seed uint64) {
 	c := newTestCell(t, seed, 16, 3, func(rng *rand.Rand, task work.TaskID) epochworker.Behaviour {
 		if task.Index == 0 && rng.IntN(3) == 0 {
 			return epochworker.Behaviour{Takes: time.Duration(rng.IntN(20_000)) * time.Millisecond, Fails: true}
@@ -193,7 +193,7 @@
 		time.Sleep(200 * time.Millisecond)
 	}
 	for range 10 {
-		c.troubleOf(0, 1, 2, 3, 4, 8)
+		c.injectFaultOf(0, 1, 2, 3, 4, 8)
 		time.Sleep(time.Duration(2000+c.rng.IntN(6000)) * time.Millisecond)
 	}
 	c.kv.SetFaults(kv.Faults{})
--- a/process/dispatch/occurrence.go
+++ b/process/dispatch/occurrence.go
@@ -59,7 +59,7 @@
 // otherwise: its end is taken for a stray's and acknowledged, and the task runs
 // a second time when it comes due here.
 func (j *job) occurrence(number int) *occurrence {
-	if j.isShed || number < j.before || number >= j.repeat() {
+	if j.trimmed || number < j.doneBefore || number >= j.repeat() {
 		return nil
 	}
 	i, found := slices.BinarySearchFunc(j.occurrences, number, func(o *occurrence, n int) int { return o.number - n })
@@ -108,22 +108,22 @@
 // prune forgets the occurrences that are done, up to the first that is not, so
 // that a job of many occurrences stays small, here and in the store.
 func (j *job) prune() {
-	for len(j.occurrences) > 0 && j.occurrences[0].number == j.before && j.occurrences[0].done() && j.occurrences[0].idle() {
+	for len(j.occurrences) > 0 && j.occurrences[0].number == j.doneBefore && j.occurrences[0].done() && j.occurrences[0].idle() {
 		j.occurrences = slices.Delete(j.occurrences, 0, 1)
-		j.before++
+		j.doneBefore++
 	}
-	j.next = max(j.next, j.before)
+	j.nextDue = max(j.nextDue, j.doneBefore)
 }
 
-// shed drops all of a job whose end is in the store but what is needed to answer
+// trim drops all of a job whose end is in the store but what is needed to answer
 // for its state and to count runs of it that turn up yet, once none of its runs holds a
 // worker's resources and none can be unseen: the text and the tasks of a job are some
 // kilobytes.
-func (e *Engine) shed(j *job) {
-	if j.isShed || (j.inherited && e.unresolved > 0) || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.idle() }) {
+func (e *Engine) trim(j *job) {
+	if j.trimmed || (j.inherited && e.unresolved > 0) || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.idle() }) {
 		return
 	}
-	j.isShed = true
+	j.trimmed = true
 	j.occurrences = nil
 	for i := range j.spec.Steps {
 		j.sizes = append(j.sizes, sizeOf(j.spec.Steps[i].Size))
@@ -139,9 +139,9 @@
 
 // openDue lists the steps of occurrences that have come due as ready.
 func (e *Engine) openDue(j *job) {
-	for j.active() && j.next < j.repeat() && j.opensAt(j.next) <= e.now && j.mayOpen() {
-		o := j.occurrence(j.next)
-		j.next++
+	for j.active() && j.nextDue < j.repeat() && j.opensAt(j.nextDue) <= e.now && j.mayOpen() {
+		o := j.occurrence(j.nextDue)
+		j.nextDue++
 		for _, s := range o.steps {
 			e.open(s)
 		}
@@ -164,6 +164,6 @@
 		}
 		j.prune()
 		e.openDue(j)
-		return j.next == j.repeat()
+		return j.nextDue == j.repeat()
 	})
 }
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -36,42 +36,42 @@
 	// Symptom: a job that is to run at given times runs at once, and only once.
 	// Sequence: it is handed in ahead of its first time.
 	// Cause: its times were kept and not looked at.
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, 500*time.Millisecond, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.step(900 * time.Millisecond)
-	require.Empty(t, b.starts(), "before the first time")
-	b.step(100 * time.Millisecond)
-	first := b.starts()
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, 500*time.Millisecond, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.step(900 * time.Millisecond)
+	require.Empty(t, h.starts(), "before the first time")
+	h.step(100 * time.Millisecond)
+	first := h.starts()
 	require.Len(t, first, 1)
 	require.Equal(t, work.TaskID{Job: testJob}, first[0].Start.Task)
-	b.report("w-a", done(1, first...))
-	b.step(300 * time.Millisecond)
-	state, _ := b.e.State(testJob)
+	h.report("w-a", done(1, first...))
+	h.step(300 * time.Millisecond)
+	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Running, state, "one time is to come")
-	b.step(200 * time.Millisecond)
-	second := b.starts()
+	h.step(200 * time.Millisecond)
+	second := h.starts()
 	require.Len(t, second, 1)
 	require.Equal(t, work.TaskID{Job: testJob, Occurrence: 1}, second[0].Start.Task)
-	b.report("w-a", done(2, second...))
-	b.step(50 * time.Millisecond)
-	state, _ = b.e.State(testJob)
+	h.report("w-a", done(2, second...))
+	h.step(50 * time.Millisecond)
+	state, _ = h.e.State(testJob)
 	require.Equal(t, work.Completed, state)
 }
 
 func TestOccurrencesOverlap(t *testing.T) {
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	second := oneTask()
 	second.After = []int{0}
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 3, 0, 100*time.Millisecond, oneTask(), second)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.step(300 * time.Millisecond)
-	all := b.starts()
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 3, 0, 100*time.Millisecond, oneTask(), second)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.step(300 * time.Millisecond)
+	all := h.starts()
 	require.Len(t, all, 3, "each time's first step")
-	b.report("w-a", done(1, all[1]))
-	next := b.starts()
+	h.report("w-a", done(1, all[1]))
+	next := h.starts()
 	require.Len(t, next, 1, "of the time whose first step is done")
 	require.Equal(t, work.TaskID{Job: testJob, Occurrence: 1, Step: 1}, next[0].Start.Task)
 }
@@ -84,21 +84,21 @@
 	// Cause: a run of an occurrence that is not due was taken for a stray.
 	for name, ended := range map[string]bool{"runs": false, "ended": true} {
 		t.Run(name, func(t *testing.T) {
-			b := newBench(t, 2, "w-a")
-			require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, time.Second, oneTask())}}))
-			b.step(50 * time.Millisecond)
+			h := newHarness(t, 2, "w-a")
+			require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, time.Second, oneTask())}}))
+			h.step(50 * time.Millisecond)
 			task := work.TaskID{Job: testJob, Occurrence: 1}
 			r := runner.Report{Running: []runner.Live{{Task: task, Run: 1}}}
 			if ended {
 				r = runner.Report{Ended: []runner.End{{Number: 1, Task: task, Run: 1, How: runner.Done}}}
 			}
-			b.report("w-a", r)
-			b.step(3 * time.Second)
-			for _, x := range b.out {
+			h.report("w-a", r)
+			h.step(3 * time.Second)
+			for _, x := range h.out {
 				_, stop := x.(SendStop)
 				require.False(t, stop, "stopped")
 			}
-			for _, s := range b.starts() {
+			for _, s := range h.starts() {
 				require.NotEqual(t, 1, s.Start.Task.Occurrence, "started again")
 			}
 		})
@@ -106,18 +106,18 @@
 }
 
 func TestDoneOccurrencesStayDoneOverATakeover(t *testing.T) {
-	b := newBench(t, 2, "w-a")
+	h := newHarness(t, 2, "w-a")
 	two := oneTask()
 	two.Count = 2
 	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Before: 2, Ends: []work.StepEnds{
 		{Occurrence: 2, Done: []int{1}}, {Occurrence: 3, All: true}}})
 	require.NoError(t, err)
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 5, 0, 0, two)}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
-	b.step(50 * time.Millisecond)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 5, 0, 0, two)}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.step(50 * time.Millisecond)
 	var started []work.TaskID
-	for _, s := range b.starts() {
+	for _, s := range h.starts() {
 		started = append(started, s.Start.Task)
 	}
 	require.ElementsMatch(t, []work.TaskID{{Job: testJob, Occurrence: 2}, {Job: testJob, Occurrence: 4}, {Job: testJob, Occurrence: 4, Index: 1}}, started)
@@ -127,28 +127,28 @@
 	// Symptom: the leader's memory runs out over one small hand-in.
 	// Sequence: a job asks for a great many occurrences, all due long ago.
 	// Cause: each occurrence that is due is held with all of its tasks.
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	wide := oneTask()
 	wide.Count = 1000
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 1_000_000, 0, 0, wide)}}))
-	b.step(50 * time.Millisecond)
-	require.Len(t, b.e.jobs[testJob].occurrences, work.MaxTasks/wide.Count)
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 1_000_000, 0, 0, wide)}}))
+	h.step(50 * time.Millisecond)
+	require.Len(t, h.e.jobs[testJob].occurrences, work.MaxTasks/wide.Count)
 }
 
 func TestProgressOfManyOccurrencesStaysSmall(t *testing.T) {
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 300, 0, 20*time.Millisecond, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{})
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 300, 0, 20*time.Millisecond, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
 	number := int64(1)
 	for range 200 {
-		b.step(20 * time.Millisecond)
-		starts := b.starts()
-		b.report("w-a", done(number, starts...))
+		h.step(20 * time.Millisecond)
+		starts := h.starts()
+		h.report("w-a", done(number, starts...))
 		number += int64(len(starts))
 	}
 	require.Greater(t, number, int64(190))
-	j := b.e.jobs[testJob]
+	j := h.e.jobs[testJob]
 	require.Less(t, len(j.occurrences), 10)
 	data, err := work.EncodeProgress(j.progress())
 	require.NoError(t, err)
@@ -167,7 +167,7 @@
 // TestRandomTroubles; the workers check that no start comes early.
 func TestTimedJobsUnderRandomTroubles(t *testing.T) {
 	overSeeds(t, 3, func(t *testing.T, seed uint64) {
-		randomTroubles(t, seed, func(rng *rand.Rand) *work.Job {
+		randomFaults(t, seed, func(rng *rand.Rand) *work.Job {
 			if rng.IntN(3) > 0 {
 				return drawJob(rng, rng.IntN(2) == 0)
 			}
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -49,7 +49,7 @@
 	if j.spec.Account == "" {
 		return o.due
 	}
-	return e.fair.Turn(j.spec.Account, e.now, o.due, o.due-o.from, j.work)
+	return e.fair.Turn(j.spec.Account, e.now, o.due, o.due-o.from, j.coreSeconds)
 }
 
 // rankOf returns the first thing by which steps are ordered.
@@ -70,7 +70,7 @@
 // loses four fifths at once.
 func (e *Engine) lateRank(s *step) int {
 	if s.spec.Lasting {
-		return rankLasting
+		return rankLongRunning
 	}
 	ends := e.now + e.estimate(s)
 	rank := rankHopeless
@@ -80,8 +80,8 @@
 	case ends <= o.from+lateFactor*(o.due-o.from):
 		rank = rankLate
 	}
-	if s.job.beyond {
-		rank += rankBeyond
+	if s.job.overEntitled {
+		rank += rankOverEntitled
 	}
 	return rank
 }
@@ -90,8 +90,8 @@
 // accounts are entitled to: else the one that hands in several times its usual takes the
 // others' room.
 const (
-	rankInTime   = 0
-	rankLate     = 1
-	rankHopeless = 2
-	rankBeyond   = 3 // added to these
+	rankInTime       = 0
+	rankLate         = 1
+	rankHopeless     = 2
+	rankOverEntitled = 3 // added to these
 )
--- a/process/dispatch/partial.go
+++ b/process/dispatch/partial.go
@@ -16,16 +16,16 @@
 	partialSlow  = 2
 )
 
-// breakPartial stops gangs that were taken over without all of their members, and have
+// stopPartialGangs stops gangs that were taken over without all of their members, and have
 // not begun to work.
-func (e *Engine) breakPartial() {
+func (e *Engine) stopPartialGangs() {
 	wait := scale(e.o.Bounds.Gang, partialShare)
 	if e.unresolved > 0 {
 		wait *= partialSlow
 	}
 	for _, s := range e.ready {
 		if since, partial := s.partialSince(); partial && e.now-since >= wait {
-			e.breakGang(s, "members of it were never started")
+			e.stopGang(s, "members of it were never started")
 		}
 	}
 }
@@ -33,19 +33,19 @@
 // partialSince reports whether only some of a gang's members are there and none has
 // begun to work, which takes all of them, and since when.
 func (s *step) partialSince() (since time.Duration, partial bool) {
-	if !s.spec.Gang || s.gang.breaking || len(s.pending) == 0 {
+	if !s.spec.Gang || s.gang.stopping || len(s.pending) == 0 {
 		return 0, false
 	}
 	for i := range s.tasks {
-		p := s.tasks[i].place
-		if p == nil {
+		alloc := s.tasks[i].alloc
+		if alloc == nil {
 			continue
 		}
-		if p.percent > 0 {
+		if alloc.percent > 0 {
 			return 0, false
 		}
-		if !partial || p.sent < since {
-			since = p.sent
+		if !partial || alloc.sent < since {
+			since = alloc.sent
 		}
 		partial = true
 	}
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -18,16 +18,16 @@
 	// has not been answered yet: a store that answers in a few milliseconds then
 	// has one write at a time, one that takes 300 ms has all chains in use.
 	overlapDelay = 40 * time.Millisecond
-	// fleetChain is the chain for the list of workers: two lists on their way on
+	// fleetStream is the chain for the list of workers: two lists on their way on
 	// different chains could take effect in either order.
-	fleetChain = 0
+	fleetStream = 0
 )
 
-// batch is one write on its way to the store.
-type batch struct {
-	saves  []save
-	bundle *bundle // nil: every job is under a key of its own
-	fleet  []*worker
+// writeSet is one write on its way to the store.
+type writeSet struct {
+	saves []save
+	batch *batch // nil: every job is under a key of its own
+	fleet []*worker
 }
 
 // save is the progress of one job in a batch.
@@ -35,13 +35,13 @@
 	job     *job
 	version uint64
 	state   work.State
-	bundled bool
+	batched bool
 }
 
-// mark notes a change of a job that must last. While a write of the job is on its
+// markDirty notes a change of a job that must last. While a write of the job is on its
 // way the change waits for the answer: two writes on different chains take effect
 // in any order, and the older progress would stand for the newer one.
-func (e *Engine) mark(j *job, urgent bool) {
+func (e *Engine) markDirty(j *job, urgent bool) {
 	j.version++
 	if !j.writing {
 		e.queueWrite(j, urgent)
@@ -63,16 +63,16 @@
 // persist prepares the writes that are due, each on a free chain.
 func (e *Engine) persist() {
 	for {
-		chain, ok := e.freeChain()
-		if !ok || !e.writeDue(chain) {
+		stream, ok := e.freeStream()
+		if !ok || !e.writeDue(stream) {
 			return
 		}
-		e.write(chain)
+		e.write(stream)
 	}
 }
 
-// freeChain returns a chain for the next write.
-func (e *Engine) freeChain() (chain int, ok bool) {
+// freeStream returns a chain for the next write.
+func (e *Engine) freeStream() (stream int, ok bool) {
 	busy, first := 0, -1
 	for i := range e.writes[:e.o.Policy.WriteChains] {
 		switch {
@@ -88,45 +88,45 @@
 	return first, true
 }
 
-func (e *Engine) writeDue(chain int) bool {
+func (e *Engine) writeDue(stream int) bool {
 	switch {
-	case e.fleetDirty() && chain == fleetChain:
+	case e.fleetDirty() && stream == fleetStream:
 		return true
 	case len(e.dirty) > 0 && e.urgent:
 		return e.now-e.dirtyAt >= urgentDelay
 	case len(e.dirty) > 0:
 		return e.now-e.dirtyAt >= groupDelay
 	}
-	return (len(e.removals) > 0 || len(e.unbundle) > 0) && e.now-e.writtenAt >= tidyPause
+	return (len(e.removals) > 0 || len(e.unbatch) > 0) && e.now-e.writtenAt >= cleanupPause
 }
 
-// tidyPause is kept before a write that nobody waits for: of keys that are no
+// cleanupPause is kept before a write that nobody waits for: of keys that are no
 // longer needed, and of jobs that are moved out of bundles.
-const tidyPause = 100 * time.Millisecond
+const cleanupPause = 100 * time.Millisecond
 
 // write prepares one write. What does not fit under keys of its own goes into a
 // bundle, so that one write takes all that waits, however slow the store is.
-func (e *Engine) write(chain int) {
-	b := &batch{}
-	c := SendCommit{Chain: chain}
+func (e *Engine) write(stream int) {
+	ws := &writeSet{}
+	c := SendCommit{Chain: stream}
 	room := e.o.Policy.WriteKeys
-	if e.fleetDirty() && chain == fleetChain {
-		room -= e.addFleet(b, &c)
+	if e.fleetDirty() && stream == fleetStream {
+		room -= e.addFleet(ws, &c)
 	}
-	bundled := !e.o.Policy.NoBundles && e.dirtySize() > room
-	if bundled {
+	batched := !e.o.Policy.NoBundles && e.dirtySize() > room
+	if batched {
 		room--
 	}
-	room = e.addJobs(b, &c, room, true)
-	room = e.addJobs(b, &c, room, false)
-	if bundled {
-		e.addBundle(b, &c)
+	room = e.addJobs(ws, &c, room, true)
+	room = e.addJobs(ws, &c, room, false)
+	if batched {
+		e.addBatch(ws, &c)
 	}
-	room = e.addUnbundled(b, &c, room)
+	room = e.addUnbatched(ws, &c, room)
 	n := min(room, len(e.removals))
 	c.Deletes = append(c.Deletes, e.removals[:n]...)
 	e.removals = e.removals[n:]
-	e.writes[chain] = b
+	e.writes[stream] = ws
 	e.stats.Commits++
 	e.urgent = false
 	e.dirtyAt, e.writtenAt = e.now, e.now
@@ -136,7 +136,7 @@
 // keys is the number of keys that a write of the job under its own key changes.
 func (j *job) keys() int {
 	n := 1
-	if j.state.Final() && j.handedIn {
+	if j.state.Final() && j.submitted {
 		n++
 		if j.spec.Apart {
 			n++
@@ -159,7 +159,7 @@
 
 // addJobs moves queued jobs into the batch, either those that have ended or the
 // others, and returns the room that is left.
-func (e *Engine) addJobs(b *batch, c *SendCommit, room int, final bool) int {
+func (e *Engine) addJobs(ws *writeSet, c *SendCommit, room int, final bool) int {
 	kept := e.dirty[:0]
 	for _, j := range e.dirty {
 		if j.state.Final() != final || room < j.keys() {
@@ -167,7 +167,7 @@
 			continue
 		}
 		room -= j.keys()
-		e.addJob(b, c, j)
+		e.addJob(ws, c, j)
 	}
 	clear(e.dirty[len(kept):])
 	e.dirty = kept
@@ -175,14 +175,14 @@
 }
 
 // addJob writes a job under its own key.
-func (e *Engine) addJob(b *batch, c *SendCommit, j *job) {
+func (e *Engine) addJob(ws *writeSet, c *SendCommit, j *job) {
 	data, err := work.EncodeProgress(j.progress())
 	if err != nil {
 		e.violate("progress does not encode: "+err.Error(), work.TaskID{Job: j.id}, "")
 		return
 	}
 	c.Writes = append(c.Writes, store.Write{Key: KeyState(j.id), Value: data})
-	if j.state.Final() && j.handedIn {
+	if j.state.Final() && j.submitted {
 		c.Deletes = append(c.Deletes, KeyIn(j.id))
 		if j.spec.Apart {
 			c.Deletes = append(c.Deletes, KeySpec(j.id))
@@ -191,53 +191,53 @@
 	if j.state == work.Cancelled {
 		c.Deletes = append(c.Deletes, KeyCancel(j.id))
 	}
-	e.include(b, j, false)
+	e.include(ws, j, false)
 }
 
 // include notes that a batch holds a job's progress.
-func (e *Engine) include(b *batch, j *job, bundled bool) {
+func (e *Engine) include(ws *writeSet, j *job, batched bool) {
 	if j.writing {
 		e.violate("two writes of a job on their way", work.TaskID{Job: j.id}, "")
 	}
 	j.dirty, j.writing = false, true
-	b.saves = append(b.saves, save{job: j, version: j.version, state: j.state, bundled: bundled})
+	ws.saves = append(ws.saves, save{job: j, version: j.version, state: j.state, batched: batched})
 }
 
 // Committed tells that the SendCommit on a chain is in the store.
-func (e *Engine) Committed(now time.Duration, chain int) {
+func (e *Engine) Committed(now time.Duration, stream int) {
 	e.now = now
-	b := e.writes[chain]
-	if b == nil {
+	ws := e.writes[stream]
+	if ws == nil {
 		return
 	}
-	e.writes[chain] = nil
-	for i := range b.saves {
-		e.saved(b, &b.saves[i])
+	e.writes[stream] = nil
+	for i := range ws.saves {
+		e.saved(ws, &ws.saves[i])
 	}
-	for _, w := range b.fleet {
-		w.kept = true
+	for _, w := range ws.fleet {
+		w.recorded = true
 		w.nextRenew = now
 	}
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		e.acknowledge(w)
 		e.renew(w)
 	}
 }
 
 // saved notes that a job's progress is in the store.
-func (e *Engine) saved(b *batch, s *save) {
+func (e *Engine) saved(ws *writeSet, s *save) {
 	j := s.job
 	j.writing = false
 	j.saved = s.version
-	if s.bundled {
-		e.moveTo(j, b.bundle)
+	if s.batched {
+		e.moveTo(j, ws.batch)
 	} else {
 		e.moveTo(j, nil)
-		j.handedIn = j.handedIn && !s.state.Final()
+		j.submitted = j.submitted && !s.state.Final()
 	}
 	if s.state.Final() {
 		j.visible = s.state
-		e.shed(j)
+		e.trim(j)
 	}
 	e.sendTrials(j)
 	if j.version > j.saved {
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -17,21 +17,21 @@
 
 // slowStore applies an engine's writes, each answered some time after it went out.
 type slowStore struct {
-	b       *bench
-	answer  time.Duration
-	rev     store.Revision
-	entries map[string]store.Entry
-	onWay   []onWay
-	writes  int
+	h        *harness
+	answer   time.Duration
+	rev      store.Revision
+	entries  map[string]store.Entry
+	inFlight []pendingWrite
+	writes   int
 }
 
-type onWay struct {
+type pendingWrite struct {
 	due time.Duration
 	c   SendCommit
 }
 
-func newSlowStore(b *bench, answer time.Duration) *slowStore {
-	return &slowStore{b: b, answer: answer, entries: map[string]store.Entry{}}
+func newSlowStore(h *harness, answer time.Duration) *slowStore {
+	return &slowStore{h: h, answer: answer, entries: map[string]store.Entry{}}
 }
 
 func (s *slowStore) put(key string, value []byte) {
@@ -41,11 +41,11 @@
 
 // step moves the engine on by a tick and carries out what is due.
 func (s *slowStore) step() {
-	b := s.b
-	b.now += tickPeriod
-	kept := s.onWay[:0]
-	for _, w := range s.onWay {
-		if w.due > b.now {
+	h := s.h
+	h.now += tickPeriod
+	kept := s.inFlight[:0]
+	for _, w := range s.inFlight {
+		if w.due > h.now {
 			kept = append(kept, w)
 			continue
 		}
@@ -56,29 +56,29 @@
 		for _, key := range w.c.Deletes {
 			delete(s.entries, key)
 		}
-		b.e.Committed(b.now, w.c.Chain)
+		h.e.Committed(h.now, w.c.Chain)
 	}
-	s.onWay = kept
-	b.e.Tick(b.now)
-	for _, x := range b.e.Flush(b.now) {
+	s.inFlight = kept
+	h.e.Tick(h.now)
+	for _, x := range h.e.Flush(h.now) {
 		switch x := x.(type) {
 		case SendCommit:
 			s.writes++
-			s.onWay = append(s.onWay, onWay{b.now + s.answer, x})
+			s.inFlight = append(s.inFlight, pendingWrite{h.now + s.answer, x})
 		case SendStart:
-			b.e.Started(b.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
-			b.out = append(b.out, x)
+			h.e.Started(h.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
+			h.out = append(h.out, x)
 		}
 	}
 }
 
 func (s *slowStore) run(d time.Duration) {
-	for until := s.b.now + d; s.b.now < until; {
+	for until := s.h.now + d; s.h.now < until; {
 		s.step()
 	}
 }
 
-func (s *slowStore) under(prefix string) []store.Entry {
+func (s *slowStore) withPrefix(prefix string) []store.Entry {
 	var found []store.Entry
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
@@ -89,24 +89,24 @@
 }
 
 // runningJobs returns a bench with a slow store on which jobs of one task each run.
-func runningJobs(t *testing.T, jobs int, policy Policy, answer time.Duration) (*bench, *slowStore, []SendStart) {
-	b := newBench(t, 1)
-	b.e.o.Policy = policy.complete()
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: jobs * 1000, Memory: jobs * 100}})
-	s := newSlowStore(b, answer)
+func runningJobs(t *testing.T, jobs int, policy Policy, answer time.Duration) (*harness, *slowStore, []SendStart) {
+	h := newHarness(t, 1)
+	h.e.o.Policy = policy.complete()
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: jobs * 1000, Memory: jobs * 100}})
+	s := newSlowStore(h, answer)
 	for i := range jobs {
 		id := work.JobID(fmt.Sprintf("%016x", i))
 		entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) { j.Spec, j.Apart = "", true })
 		s.put(KeyIn(id), entry.Value)
 		s.put(KeySpec(id), []byte("x"))
 	}
-	require.NoError(t, b.e.Load(0, Saved{Accepted: s.under(PrefixJobs)}))
+	require.NoError(t, h.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs)}))
 	s.run(2*answer + 100*time.Millisecond)
-	b.e.Renewed(b.now, "w-a", runner.Report{Clock: b.now}, nil)
+	h.e.Renewed(h.now, "w-a", runner.Report{Clock: h.now}, nil)
 	s.run(time.Second)
-	starts := b.starts()
+	starts := h.starts()
 	require.Len(t, starts, jobs)
-	return b, s, starts
+	return h, s, starts
 }
 
 // endsOf lists ends of starts, numbered from the first's place among all.
@@ -127,21 +127,21 @@
 	//   a second.
 	const perTick, ticks = 5, 200
 	slowest := func(policy Policy) (slowest time.Duration, writes int) {
-		b, s, starts := runningJobs(t, perTick*ticks, policy, 300*time.Millisecond)
+		h, s, starts := runningJobs(t, perTick*ticks, policy, 300*time.Millisecond)
 		ended := map[work.JobID]time.Duration{}
 		before := s.writes
 		for i := 0; len(ended) > 0 || i < ticks; i++ {
 			if i < ticks {
 				some := starts[i*perTick : (i+1)*perTick]
-				b.e.Renewed(b.now, "w-a", endsOf(i*perTick, runner.Done, some...), nil)
+				h.e.Renewed(h.now, "w-a", endsOf(i*perTick, runner.Done, some...), nil)
 				for _, x := range some {
-					ended[x.Start.Task.Job] = b.now
+					ended[x.Start.Task.Job] = h.now
 				}
 			}
 			s.step()
 			for id, at := range ended {
-				if state, _ := b.e.State(id); state == work.Completed {
-					slowest = max(slowest, b.now-at)
+				if state, _ := h.e.State(id); state == work.Completed {
+					slowest = max(slowest, h.now-at)
 					delete(ended, id)
 				}
 			}
@@ -164,12 +164,12 @@
 	const jobs = 400
 	counts := map[int]int{}
 	for _, chains := range []int{1, 4} {
-		b, s, starts := runningJobs(t, jobs, Policy{WriteChains: chains}, 0)
+		h, s, starts := runningJobs(t, jobs, Policy{WriteChains: chains}, 0)
 		before := s.writes
 		for i := range jobs {
-			b.e.Renewed(b.now, "w-a", endsOf(i, runner.Done, starts[i]), nil)
+			h.e.Renewed(h.now, "w-a", endsOf(i, runner.Done, starts[i]), nil)
 			s.step()
-			require.LessOrEqual(t, len(s.onWay), 1)
+			require.LessOrEqual(t, len(s.inFlight), 1)
 		}
 		counts[chains] = s.writes - before
 	}
@@ -180,19 +180,19 @@
 	// Symptom looked for: bundles pile up in the store, or hand-ins of ended jobs
 	//   stay.
 	const jobs = 150
-	b, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
-	b.e.Renewed(b.now, "w-a", endsOf(0, runner.Done, starts...), nil)
+	h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
+	h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, starts...), nil)
 	s.run(400 * time.Millisecond)
-	require.NotEmpty(t, s.under(PrefixBundle), "a bundle took what had no room")
+	require.NotEmpty(t, s.withPrefix(PrefixBundle), "a bundle took what had no room")
 	for _, x := range starts {
-		state, _ := b.e.State(x.Start.Task.Job)
+		state, _ := h.e.State(x.Start.Task.Job)
 		require.Equal(t, work.Completed, state)
 	}
 	s.run(15 * time.Second)
-	require.Empty(t, s.under(PrefixBundle))
-	require.Empty(t, s.under(PrefixJobs))
-	require.Empty(t, s.under(prefixSpec), "specs go with their jobs")
-	require.Len(t, s.under(PrefixState), jobs)
+	require.Empty(t, s.withPrefix(PrefixBundle))
+	require.Empty(t, s.withPrefix(PrefixJobs))
+	require.Empty(t, s.withPrefix(prefixSpec), "specs go with their jobs")
+	require.Len(t, s.withPrefix(PrefixState), jobs)
 }
 
 func TestSuccessorReadsBundles(t *testing.T) {
@@ -203,14 +203,14 @@
 	//   and failed a second time.
 	const jobs = 100
 	for _, later := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
-		b, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
+		h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
 		done, failed := starts[:jobs/2], starts[jobs/2:]
-		b.e.Renewed(b.now, "w-a", endsOf(0, runner.Done, done...), nil)
-		b.e.Renewed(b.now, "w-a", endsOf(jobs/2, runner.Failed, failed...), nil)
+		h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, done...), nil)
+		h.e.Renewed(h.now, "w-a", endsOf(jobs/2, runner.Failed, failed...), nil)
 		s.run(later)
-		require.NotEmpty(t, s.under(PrefixBundle))
-		next := newBench(t, 2)
-		require.NoError(t, next.e.Load(0, Saved{Accepted: s.under(PrefixJobs), States: s.under(PrefixState), Bundles: s.under(PrefixBundle)}))
+		require.NotEmpty(t, s.withPrefix(PrefixBundle))
+		next := newHarness(t, 2)
+		require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Bundles: s.withPrefix(PrefixBundle)}))
 		for _, x := range done {
 			state, known := next.e.State(x.Start.Task.Job)
 			require.True(t, known)
@@ -224,8 +224,8 @@
 		took := newSlowStore(next, 0)
 		took.entries, took.rev = s.entries, s.rev
 		took.run(5 * time.Second)
-		require.Empty(t, took.under(PrefixBundle), "the successor moves jobs out of bundles as well")
-		require.Len(t, took.under(PrefixJobs), jobs/2)
+		require.Empty(t, took.withPrefix(PrefixBundle), "the successor moves jobs out of bundles as well")
+		require.Len(t, took.withPrefix(PrefixJobs), jobs/2)
 	}
 }
 
@@ -247,40 +247,40 @@
 		value, err := work.EncodeBundle([]work.JobProgress{{Job: testJob, Progress: bundled}})
 		require.NoError(t, err)
 		revs := map[bool]store.Revision{true: 9, false: 8}
-		b := newBench(t, 2)
-		require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 3, oneTask())},
+		h := newHarness(t, 2)
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 3, oneTask())},
 			States:  []store.Entry{{Key: KeyState(testJob), Value: state, Revision: revs[!inBundle]}},
 			Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: value, Revision: revs[inBundle]}}}))
-		require.Equal(t, []uint64{1, 2}, b.e.jobs[testJob].occurrences[0].steps[0].tasks[0].failed)
+		require.Equal(t, []uint64{1, 2}, h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].failed)
 	}
 }
 
 func TestBundleThatCanNotBeReadIsLeftAlone(t *testing.T) {
-	b := newBench(t, 2)
-	err := b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: []byte("?"), Revision: 1}}})
+	h := newHarness(t, 2)
+	err := h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: []byte("?"), Revision: 1}}})
 	require.ErrorContains(t, err, PrefixBundle+"x")
-	require.NotNil(t, b.e.jobs[testJob], "the others are taken")
-	s := newSlowStore(b, 0)
+	require.NotNil(t, h.e.jobs[testJob], "the others are taken")
+	s := newSlowStore(h, 0)
 	s.put(PrefixBundle+"x", nil)
 	s.run(time.Second)
-	require.Len(t, s.under(PrefixBundle), 1)
+	require.Len(t, s.withPrefix(PrefixBundle), 1)
 }
 
 // TestRandomTroublesOfASlowStore is TestRandomTroubles with a store that is slow
 // now and then and writes of a few keys, so that bundles are in use throughout.
 func TestRandomTroublesOfASlowStore(t *testing.T) {
 	first, seeds := seedsOfRun(t, 4)
-	bundles := uint64(0)
+	batches := uint64(0)
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(seedName(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCellOf(t, seed, 16, 3, Policy{WriteKeys: minWriteKeys, WriteChains: 2}, usual(0.05))
-				randomTroublesOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
-					c.troubleOf(0, 1, 2, 3, 4, 5, 6, 7, 9, 9, 9)
+				c := newCellOf(t, seed, 16, 3, Policy{WriteKeys: minWriteKeys, WriteChains: 2}, usualBehaviour(0.05))
+				randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
+					c.injectFaultOf(0, 1, 2, 3, 4, 5, 6, 7, 9, 9, 9)
 				})
-				bundles += c.bundles.Load()
+				batches += c.batches.Load()
 			})
 		})
 	}
-	require.Positive(t, bundles, "no bundle was written")
+	require.Positive(t, batches, "no bundle was written")
 }
--- a/process/dispatch/place.go
+++ b/process/dispatch/placement.go
@@ -10,36 +10,36 @@
 
 // Rounds of placement.
 const (
-	// crowded is how many waiting steps make a round costly; from then on
+	// busyBacklog is how many waiting steps make a round costly; from then on
 	// rounds are crowdedPause apart. A round over 500 steps takes some 100 µs.
-	crowded      = 50
-	crowdedPause = 4 * time.Millisecond
-	// restFactor: after a round the engine takes events only for that many times as
+	busyBacklog = 50
+	busyPause   = 4 * time.Millisecond
+	// idleFactor: after a round the engine takes events only for that many times as
 	// long as a round takes, and maxRest at the most.
 	//
 	// Load pattern: more waits than the leader's processor can place. What goes wrong
 	// without it: each event is followed by a round, rounds take all processor time,
 	// and reports and pings wait behind them until the leader looks dead.
-	restFactor = 2
-	maxRest    = 60 * time.Millisecond
+	idleFactor = 2
+	maxIdle    = 60 * time.Millisecond
 	// costDecay: a round's time enters the average with 1/costDecay.
 	costDecay = 4
 	// gangPause is between tries of one waiting gang, unless it has new advice:
 	// a try over the tickets for a hundred workers takes some 10 µs, and rounds
 	// come several hundred times a second.
 	gangPause = 10 * time.Millisecond
-	// maxPutOff doublings bound the pause of a gang for which no room is kept at
+	// maxBackoff doublings bound the pause of a gang for which no room is kept at
 	// 160 ms: 480 waiting gangs are then tried in turn, a dozen each 4 ms.
-	maxPutOff = 4
+	maxBackoff = 4
 	// maxTried and one in triedShare workers bound how many waiting gangs are
 	// tried in one round.
 	maxTried   = 12
 	triedShare = 10
 )
 
-// perWorkers returns a bound that grows with the workers: one for each share
+// scaledByWorkers returns a bound that grows with the workers: one for each share
 // of them, and at least a minimum.
-func (e *Engine) perWorkers(least, share int) int { return max(least, len(e.order)/share) }
+func (e *Engine) scaledByWorkers(least, share int) int { return max(least, len(e.workerList)/share) }
 
 // RoundTook tells how long the last Flush took, if it placed: the engine has no clock
 // of its own.
@@ -51,22 +51,22 @@
 
 // roundPause is kept between the beginnings of two rounds.
 func (e *Engine) roundPause() time.Duration {
-	pause := min((restFactor+1)*e.roundCost, maxRest)
-	if len(e.ready) >= crowded {
-		pause = max(pause, crowdedPause)
+	pause := min((idleFactor+1)*e.roundCost, maxIdle)
+	if len(e.ready) >= busyBacklog {
+		pause = max(pause, busyPause)
 	}
 	return pause
 }
 
 // round is what one round of placement has come to know.
 type round struct {
-	tight    []tightSize
+	full     []fullSize
 	tried    int // gangs
 	reserved int // gangs with room reserved
 }
 
-// tightSize is a size for which no worker of a service had room.
-type tightSize struct {
+// fullSize is a size for which no worker of a service had room.
+type fullSize struct {
 	service string
 	size    work.Resources
 }
@@ -79,13 +79,13 @@
 		e.planAt = e.now + planPeriod
 		e.clearReservations()
 	}
-	e.countLanes()
+	e.countProxies()
 	e.countUnseen()
 	e.ledger.ClearWants()
-	clear(e.heldUp)
+	clear(e.keptFree)
 	var r round
 	for _, s := range steps {
-		cause := e.heldUpBy(s)
+		cause := e.blockedBy(s)
 		switch {
 		case cause != waitNothing:
 		case s.spec.Gang:
@@ -97,31 +97,31 @@
 		}
 		e.noteWait(s, cause)
 	}
-	e.askAll(steps)
+	e.sendAdviceCalls(steps)
 }
 
 // tryGang places a gang, or keeps room for it.
 func (e *Engine) tryGang(s *step, r *round) {
-	if e.now >= s.retryAt && r.tried < e.perWorkers(maxTried, triedShare) && e.couldHold(s) {
+	if e.now >= s.retryAt && r.tried < e.scaledByWorkers(maxTried, triedShare) && e.gangFeasible(s) {
 		r.tried++
 		if e.placeGang(s) {
 			return
 		}
-		e.putOff(s)
+		e.backOff(s)
 	}
-	e.keepRoom(s, r)
+	e.reserveCapacity(s, r)
 }
 
-// putOff sets when a gang that found no room is tried again: soon if room is
+// backOff sets when a gang that found no room is tried again: soon if room is
 // kept for it, else later each time.
 //
 // What goes wrong without it: a round tries a bounded number of gangs, and the
 // first ones, which wait for workers that are taken, use it up in every round;
 // those behind them are never tried beside empty workers.
-func (e *Engine) putOff(s *step) {
+func (e *Engine) backOff(s *step) {
 	pause := gangPause
 	if !e.hasReserved(s) {
-		pause <<= min(s.misses, maxPutOff)
+		pause <<= min(s.misses, maxBackoff)
 		s.misses++
 	}
 	s.retryAt = e.now + pause
@@ -135,25 +135,25 @@
 	}
 	need := s.spec.Need()
 	service := s.job.spec.Queue.Service
-	if slices.ContainsFunc(r.tight, func(t tightSize) bool { return t.service == service && t.size.Fits(need) }) {
+	if slices.ContainsFunc(r.full, func(t fullSize) bool { return t.service == service && t.size.Fits(need) }) {
 		return
 	}
-	if e.roomFor(s, need) {
+	if e.anyCapacity(s, need) {
 		e.placeTasks(s)
-	} else if len(s.spec.Labels) == 0 && !s.spec.Fills && len(r.tight) < maxTight {
-		r.tight = append(r.tight, tightSize{service, need})
+	} else if len(s.spec.Labels) == 0 && !s.spec.Fills && len(r.full) < maxFullSizes {
+		r.full = append(r.full, fullSize{service, need})
 	}
 	if s.spec.Lasting && len(s.pending) > 0 {
-		e.keepRoom(s, r)
+		e.reserveCapacity(s, r)
 	}
 }
 
-// maxTight bounds the sizes remembered in a round.
-const maxTight = 8
+// maxFullSizes bounds the sizes remembered in a round.
+const maxFullSizes = 8
 
-// roomFor reports whether any worker has room for one task.
-func (e *Engine) roomFor(s *step, need work.Resources) bool {
-	for _, w := range e.order {
+// anyCapacity reports whether any worker has room for one task.
+func (e *Engine) anyCapacity(s *step, need work.Resources) bool {
+	for _, w := range e.workerList {
 		if need.Fits(w.free()) && e.eligible(s, w) {
 			return true
 		}
@@ -161,19 +161,19 @@
 	return false
 }
 
-// room returns how many of a step's tasks, at most limit, the step may place on a
+// capacityFor returns how many of a step's tasks, at most limit, the step may place on a
 // worker now. Most workers of a busy cell are full, which the first look tells.
-func (e *Engine) room(s *step, w *worker, need work.Resources, limit int) int {
+func (e *Engine) capacityFor(s *step, w *worker, need work.Resources, limit int) int {
 	if !need.Fits(w.free()) {
 		return 0
 	}
 	return need.Times(e.freeFor(s, w), limit)
 }
 
-// heldUpBy returns why no task of the step may start now at all, if so.
-func (e *Engine) heldUpBy(s *step) waitCause {
+// blockedBy returns why no task of the step may start now at all, if so.
+func (e *Engine) blockedBy(s *step) waitCause {
 	switch {
-	case s.gang.breaking || (s.spec.Gang && s.live() > 0):
+	case s.gang.stopping || (s.spec.Gang && s.live() > 0):
 		return waitMembers
 	case s.job.inherited && !e.accountedFor(s):
 		return waitTakeover
@@ -186,13 +186,13 @@
 
 // eligible reports whether a step may run on a worker, room and advice apart.
 func (e *Engine) eligible(s *step, w *worker) bool {
-	if s.spec.Gang && w.trial {
+	if s.spec.Gang && w.probation {
 		return false // one member that fails there takes the whole gang with it
 	}
 	if s.spec.Fills && w.hostsTarget() {
 		return false
 	}
-	if w.quiet.from(s, e.now) {
+	if w.isolated.excludes(s, e.now) {
 		return false
 	}
 	return w.usable(e.now) && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels)
@@ -212,8 +212,8 @@
 		return 0 // nobody asks
 	}
 	n := 0
-	for _, p := range w.places {
-		if p.s == s {
+	for _, alloc := range w.allocs {
+		if alloc.s == s {
 			n++
 		}
 	}
@@ -225,7 +225,7 @@
 	a := e.adviceOf(s)
 	missing := false
 	for _, i := range slices.Clone(s.pending) {
-		if e.unseen(s, i) {
+		if e.mayRunUnseen(s, i) {
 			continue
 		}
 		if !e.withinQuota(s) {
@@ -253,13 +253,13 @@
 
 // scored is a worker with its score for a task.
 type scored struct {
-	w     *worker
-	score float64
-	text  string // the ticket
+	w      *worker
+	score  float64
+	ticket string // the ticket
 }
 
-// offer takes the worker if it is better than the one so far.
-func (b *scored) offer(w *worker, score float64, text string) {
+// update takes the worker if it is better than the one so far.
+func (b *scored) update(w *worker, score float64, text string) {
 	if b.w == nil || score > b.score {
 		*b = scored{w, score, text}
 	}
@@ -273,10 +273,10 @@
 	consider := func(w *worker, text string) {
 		switch {
 		case !e.mayPlace(s, i, w):
-		case suspect && !e.quietFor(w, s):
-			later.offer(w, e.score(s, i, w), text)
+		case suspect && !e.noRecentStarts(w, s):
+			later.update(w, e.score(s, i, w), text)
 		default:
-			now.offer(w, e.score(s, i, w), text)
+			now.update(w, e.score(s, i, w), text)
 		}
 	}
 	if a != nil {
@@ -286,14 +286,14 @@
 			}
 		}
 	} else {
-		for _, w := range e.order {
+		for _, w := range e.workerList {
 			consider(w, "")
 		}
 	}
 	if now.w == nil && later.w != nil {
-		e.keepQuiet(s, later.w)
+		e.isolate(s, later.w)
 	}
-	return now.w, now.text
+	return now.w, now.ticket
 }
 
 // mayPlace reports whether a task may start on a worker now, advice apart.
@@ -309,16 +309,16 @@
 	return e.now >= t.avoidUntil || !slices.Contains(t.avoid, w.ID)
 }
 
-// avoidPatience is how long a task that failed on a worker waits for another
+// avoidTimeout is how long a task that failed on a worker waits for another
 // one: long enough to ask for advice on others, short against an objective.
 //
 // What goes wrong without it: the only ticket at hand is for the worker where
 // it has just failed, and a second try there ends a job whose queue allows two.
-const avoidPatience = time.Second
+const avoidTimeout = time.Second
 
-// shun keeps a task away from a worker where it failed or stood still.
-func (t *task) shun(id runner.WorkerID, now time.Duration) {
-	t.avoidUntil = now + avoidPatience
+// avoidWorker keeps a task away from a worker where it failed or stood still.
+func (t *task) avoidWorker(id runner.WorkerID, now time.Duration) {
+	t.avoidUntil = now + avoidTimeout
 	if !slices.Contains(t.avoid, id) {
 		t.avoid = append(t.avoid, id)
 	}
@@ -333,8 +333,8 @@
 	scoreSuspect = -2.5
 	// scoreNear: near its data a task takes a third of the time.
 	scoreNear = 20
-	// scorePace: a faster worker ends sooner; worth as much as perfect packing.
-	scorePace = 1.0
+	// scoreSpeed: a faster worker ends sooner; worth as much as perfect packing.
+	scoreSpeed = 1.0
 	// scoreFull: workers that are nearly full first, so that large tasks find
 	// workers with much room.
 	scoreFull = 1.0
@@ -346,7 +346,7 @@
 )
 
 func (e *Engine) score(s *step, i int, w *worker) float64 {
-	score := scorePace/w.pace + scoreSuspect*w.suspicion
+	score := scoreSpeed/w.slowdown + scoreSuspect*w.suspicion
 	if slices.Contains(s.tasks[i].avoid, w.ID) {
 		score += scoreAvoid
 	}
@@ -355,7 +355,7 @@
 	}
 	full := fullness(w, s.spec.Need())
 	if len(s.tasks[i].crashes) > 0 {
-		if e.crashedLately(w) {
+		if e.crashedRecently(w) {
 			score += scoreCrashed
 		}
 		return score + scoreAtRisk*full
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -33,36 +33,36 @@
 // headroom: the time between bursts of callers, and some times the length of quick jobs.
 const headroomTime = 5 * time.Second
 
-// kindKey names what one account runs for one priority.
-type kindKey struct {
+// usageKey names what one account runs for one priority.
+type usageKey struct {
 	account  *quota.Account
 	priority int
 }
 
-// kindUse is what an account runs for one priority.
-type kindUse struct {
+// usage is what an account runs for one priority.
+type usage struct {
 	held quota.Size
 	// peak is the most held of late, decaying since at.
 	peak quota.Size
 	at   time.Duration
 }
 
-// kindOf returns what the job's account runs for the job's priority.
-func (e *Engine) kindOf(j *job) *kindUse {
-	key := kindKey{j.account, j.spec.Queue.Priority}
-	k := e.kinds[key]
-	if k == nil {
-		k = &kindUse{}
-		e.kinds[key] = k
+// usageOf returns what the job's account runs for the job's priority.
+func (e *Engine) usageOf(j *job) *usage {
+	key := usageKey{j.account, j.spec.Queue.Priority}
+	u := e.usages[key]
+	if u == nil {
+		u = &usage{}
+		e.usages[key] = u
 		e.priorities[j.account] = insertSorted(e.priorities[j.account], key.priority)
 	}
-	return k
+	return u
 }
 
-// noteKind counts a change of what is held for the job's priority, where headroom is kept.
-func (e *Engine) noteKind(j *job, change quota.Size) {
+// noteUsage counts a change of what is held for the job's priority, where headroom is kept.
+func (e *Engine) noteUsage(j *job, change quota.Size) {
 	if e.o.Policy.QuotaHeadroom {
-		e.kindOf(j).note(e.now, change)
+		e.usageOf(j).note(e.now, change)
 	}
 }
 
@@ -79,16 +79,16 @@
 }
 
 // note counts a change of what is held.
-func (k *kindUse) note(now time.Duration, change quota.Size) {
-	k.peak, k.at = k.peakAt(now), now
-	k.held = k.held.Add(change)
-	k.peak = k.peak.Most(k.held)
+func (u *usage) note(now time.Duration, change quota.Size) {
+	u.peak, u.at = u.peakAt(now), now
+	u.held = u.held.Add(change)
+	u.peak = u.peak.Most(u.held)
 }
 
-func (k *kindUse) peakAt(now time.Duration) quota.Size {
-	left := math.Exp(-float64(now-k.at) / float64(headroomTime))
-	return k.held.Most(quota.Size{MilliCPU: int64(float64(k.peak.MilliCPU) * left), MemoryMB: int64(float64(k.peak.MemoryMB) * left),
-		Accelerators: int64(float64(k.peak.Accelerators) * left)})
+func (u *usage) peakAt(now time.Duration) quota.Size {
+	left := math.Exp(-float64(now-u.at) / float64(headroomTime))
+	return u.held.Most(quota.Size{MilliCPU: int64(float64(u.peak.MilliCPU) * left), MemoryMB: int64(float64(u.peak.MemoryMB) * left),
+		Accelerators: int64(float64(u.peak.Accelerators) * left)})
 }
 
 // headroom is what a job's account keeps free for queues that come before the job's.
@@ -97,8 +97,8 @@
 		if priority >= j.spec.Queue.Priority {
 			break
 		}
-		k := e.kinds[kindKey{j.account, priority}]
-		sum = sum.Add(k.peakAt(e.now).Sub(k.held))
+		u := e.usages[usageKey{j.account, priority}]
+		sum = sum.Add(u.peakAt(e.now).Sub(u.held))
 	}
 	return sum
 }
@@ -113,19 +113,19 @@
 	if a.Unbounded() {
 		return true
 	}
-	spare := e.heldUp[a]
+	spare := e.keptFree[a]
 	if e.o.Policy.QuotaHeadroom {
 		spare = spare.Add(e.headroom(s.job))
 	}
 	return a.FitsBeside(size, spare)
 }
 
-// holdUp keeps the room that a gang has waited for long free of what comes after it in this
+// keepFree keeps the room that a gang has waited for long free of what comes after it in this
 // round.
-func (e *Engine) holdUp(s *step) {
+func (e *Engine) keepFree(s *step) {
 	if e.o.Policy.NoQuotaTurns || !s.spec.Gang || e.now-s.openedAt < turnAfter {
 		return
 	}
 	a := s.job.account
-	e.heldUp[a] = e.heldUp[a].Most(s.charge().Times(s.startsTogether()))
+	e.keptFree[a] = e.keptFree[a].Most(s.charge().Times(s.startsTogether()))
 }
--- a/process/dispatch/quotaorder_test.go
+++ b/process/dispatch/quotaorder_test.go
@@ -22,31 +22,31 @@
 	//   that comes after; together they ask for more than its cap.
 	// Cause: the long tasks take whatever of the cap comes free, all of it.
 	for _, without := range []bool{false, true} {
-		b := readyBench(t, "w-1", "w-2")
-		b.e.o.Policy.QuotaHeadroom = !without
-		b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 10000}}))
+		h := readyHarness(t, "w-1", "w-2")
+		h.e.o.Policy.QuotaHeadroom = !without
+		h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 10000}}))
 		quick, long := work.JobID("00000000000000b1"), work.JobID("00000000000000b2")
-		require.NoError(t, b.e.Accepted(b.now, ofPriority(t, jobOf(t, "north", quick, 1, tasksOf(3, false)), 0)))
-		b.step(tickPeriod)
-		first := b.starts()
+		require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", quick, 1, tasksOf(3, false)), 0)))
+		h.step(tickPeriod)
+		first := h.starts()
 		require.Len(t, first, 3)
 		for i, s := range first {
-			b.report(s.To.ID, done(int64(i+1), s))
+			h.report(s.To.ID, done(int64(i+1), s))
 		}
-		require.NoError(t, b.e.Accepted(b.now, ofPriority(t, jobOf(t, "north", long, 1, tasksOf(40, false)), 2)))
-		b.step(tickPeriod)
-		left := 10 - len(b.starts())
-		require.NoError(t, b.e.Accepted(b.now, ofPriority(t, jobOf(t, "north", "00000000000000b3", 1, tasksOf(3, false)), 0)))
-		b.step(tickPeriod)
+		require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", long, 1, tasksOf(40, false)), 2)))
+		h.step(tickPeriod)
+		left := 10 - len(h.starts())
+		require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", "00000000000000b3", 1, tasksOf(3, false)), 0)))
+		h.step(tickPeriod)
 		if without {
 			require.Zero(t, left)
-			require.Empty(t, b.starts(), "no quick job starts until a long task ends")
+			require.Empty(t, h.starts(), "no quick job starts until a long task ends")
 			continue
 		}
 		require.Equal(t, 3, left, "as much as quick jobs used of late")
-		require.Len(t, b.starts(), 3)
-		b.step(4 * headroomTime) // none come any more
-		require.NotEmpty(t, b.starts(), "what nobody uses is given back")
+		require.Len(t, h.starts(), 3)
+		h.step(4 * headroomTime) // none come any more
+		require.NotEmpty(t, h.starts(), "what nobody uses is given back")
 	}
 }
 
@@ -54,32 +54,32 @@
 	// Symptom: a gang that needs most of its account's cap starts only when the account
 	//   hands in nothing else.
 	// Sequence: small tasks of a later queue end one by one, and others take their place.
-	b := readyBench(t, "w-1", "w-2")
-	b.e.SetAccounts(b.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 10000}}))
-	require.NoError(t, b.e.Accepted(b.now, ofPriority(t, jobOf(t, "north", firstJob, 1, tasksOf(60, false)), 2)))
-	b.step(tickPeriod)
-	running := b.starts()
+	h := readyHarness(t, "w-1", "w-2")
+	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 10000}}))
+	require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", firstJob, 1, tasksOf(60, false)), 2)))
+	h.step(tickPeriod)
+	running := h.starts()
 	require.Len(t, running, 10)
-	require.NoError(t, b.e.Accepted(b.now, ofPriority(t, jobOf(t, "north", secondJob, 1, tasksOf(8, true)), 1)))
+	require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", secondJob, 1, tasksOf(8, true)), 1)))
 	number := map[runner.WorkerID]int64{}
-	handedIn, after := b.now, 0
-	for b.now < handedIn+turnAfter+5*time.Second {
+	handedIn, after := h.now, 0
+	for h.now < handedIn+turnAfter+5*time.Second {
 		x := running[0]
 		number[x.To.ID]++
-		b.report(x.To.ID, done(number[x.To.ID], x))
-		b.step(300 * time.Millisecond)
-		held := b.now >= handedIn+turnAfter+300*time.Millisecond
-		if held {
+		h.report(x.To.ID, done(number[x.To.ID], x))
+		h.step(300 * time.Millisecond)
+		reserved := h.now >= handedIn+turnAfter+300*time.Millisecond
+		if reserved {
 			after++
 		}
-		starts := b.starts()
+		starts := h.starts()
 		running = append(running[1:], starts...)
 		if len(starts) > 0 && starts[0].Start.Task.Job == secondJob {
 			require.Len(t, starts, 8)
 			require.LessOrEqual(t, after, 8, "as soon as eight of ten are free")
 			return
 		}
-		if held {
+		if reserved {
 			require.Empty(t, starts, "small work leaves the gang's room free")
 		}
 	}
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -11,14 +11,14 @@
 
 // renew sends the next renewal when it is due.
 func (e *Engine) renew(w *worker) {
-	if w.renewing || e.now < w.nextRenew || !w.kept {
+	if w.renewing || e.now < w.nextRenew || !w.recorded {
 		return
 	}
 	r := runner.Renewal{Epoch: e.o.Epoch, Until: w.renewUntil(e.now, e.o.Bounds.Lease)}
-	if w.misses == 0 && e.now-w.answered <= sureOfLife {
-		r.Acknowledge = w.ack
+	if w.misses == 0 && e.now-w.answered <= ackFreshness {
+		r.Acknowledge = w.ackedCompletion
 	}
-	if w.fenced && w.misses == 0 && !w.unacknowledged() && !w.stopsAnswered() && len(w.strays) == 0 {
+	if w.fenced && w.misses == 0 && !w.unacknowledged() && !w.stopsAnswered() && len(w.untracked) == 0 {
 		r.Wait = renewWait
 	}
 	w.renewing, w.renewSent = true, e.now
@@ -27,12 +27,12 @@
 
 // unacknowledged reports whether the worker holds ends that the store does not
 // yet: a renewal that waits would be answered at once.
-func (w *worker) unacknowledged() bool { return w.seen > w.ack }
+func (w *worker) unacknowledged() bool { return w.lastCompletion > w.ackedCompletion }
 
 // stopsAnswered reports whether a report is awaited to free a stopped run.
 func (w *worker) stopsAnswered() bool {
-	for _, p := range w.places {
-		if p.state == stopping && p.stopped > 0 {
+	for _, alloc := range w.allocs {
+		if alloc.state == stopping && alloc.stopAckedAt > 0 {
 			return true
 		}
 	}
@@ -53,7 +53,7 @@
 	}
 	if w.fenced && report.Clock > 0 && report.Clock < w.clock-clockBack { // 0: not told
 		e.decide(Decision{What: "answer of another life", Worker: w.ID, Why: fmt.Sprintf("its clock went from %v back to %v", w.clock, report.Clock)})
-		e.workerGone(w, "its clock went back", true)
+		e.removeWorker(w, "its clock went back", true)
 		return
 	}
 	if w.misses > 0 {
@@ -61,22 +61,22 @@
 		e.scheduled = false
 	}
 	w.misses, w.answered = 0, now
-	w.noteHeard(now)
+	w.noteAlive(now)
 	w.clock, w.clockAt = report.Clock, now
 	if !w.fenced {
 		e.resolve(w)
 		w.fenced = true
 		e.scheduled = false
-		e.takeOutliving(w)
+		e.takeLateStarts(w)
 	}
-	e.reopen(w)
-	ends := e.takeEnds(w, report.Ended)
-	e.takeRunning(w, report.Running, len(report.Ended) < runner.MaxEnds)
+	e.uncordon(w)
+	ends := e.takeCompletions(w, report.Ended)
+	e.reconcileRunning(w, report.Running, len(report.Ended) < runner.MaxEnds)
 	e.settleCrashes(w, false)
 	w.nextRenew = now
 	switch {
-	case len(w.strays) > 0, ends == 0 && w.stopsAnswered():
-		w.nextRenew = now + strayPause // a stop takes a while; look again soon
+	case len(w.untracked) > 0, ends == 0 && w.stopsAnswered():
+		w.nextRenew = now + untrackedPause // a stop takes a while; look again soon
 	case w.unacknowledged():
 		w.renewPause = nextPause(w.renewPause, ends > 0)
 		w.nextRenew = now + w.renewPause
@@ -99,10 +99,10 @@
 		e.deposed = true
 		return
 	case errors.As(err, &other):
-		e.otherLife(w, other)
+		e.takeOtherIncarnation(w, other)
 		return
 	case errors.Is(err, runner.ErrGone):
-		e.workerGone(w, "another life answers at its address", true)
+		e.removeWorker(w, "another life answers at its address", true)
 		return
 	}
 	if w.misses == 0 {
@@ -110,53 +110,53 @@
 	}
 	w.misses++
 	w.nextRenew = e.now + probePause
-	if !w.listed && len(w.places) == 0 && w.fenced {
-		e.workerGone(w, "not listed and not answering", true)
+	if !w.listed && len(w.allocs) == 0 && w.fenced {
+		e.removeWorker(w, "not listed and not answering", true)
 	}
 }
 
-// takeRunning compares what a worker says it runs with what it should run.
+// reconcileRunning compares what a worker says it runs with what it should run.
 // complete tells that the report left no end out.
-func (e *Engine) takeRunning(w *worker, rows []runner.Live, complete bool) {
-	w.refundStrays()
+func (e *Engine) reconcileRunning(w *worker, rows []runner.Live, complete bool) {
+	w.refundUntracked()
 	present := make(map[work.TaskID]uint64, len(rows))
 	for i := range rows {
 		r := &rows[i]
 		present[r.Task] = r.Run
-		if p := w.places[r.Task]; p != nil && p.run == r.Run {
-			e.confirm(p)
-			e.takeRow(p, r)
+		if alloc := w.allocs[r.Task]; alloc != nil && alloc.run == r.Run {
+			e.confirm(alloc)
+			e.updateAlloc(alloc, r)
 			continue
 		}
-		e.unexpected(w, r)
+		e.handleUnexpected(w, r)
 	}
-	for _, p := range places(w) {
-		if run, ok := present[p.id()]; !ok || run != p.run {
-			e.absent(w, p, complete)
+	for _, alloc := range sortedAllocs(w) {
+		if run, ok := present[alloc.id()]; !ok || run != alloc.run {
+			e.handleMissing(w, alloc, complete)
 		}
 	}
 }
 
-func (e *Engine) takeRow(p *place, r *runner.Live) {
-	p.missing, p.listed = 0, true
-	e.noteSound(p)
-	if r.Checkpoint != "" && p.s.spec.Checkpoints {
-		p.s.keepCheckpoint(p.index, r.Checkpoint)
-	}
-	if r.Percent > p.percent {
-		if p.firstAt == 0 {
-			p.firstAt, p.firstPct = e.now, r.Percent
+func (e *Engine) updateAlloc(alloc *allocation, r *runner.Live) {
+	alloc.missingSince, alloc.reported = 0, true
+	e.noteHealthy(alloc)
+	if r.Checkpoint != "" && alloc.s.spec.Checkpoints {
+		alloc.s.keepCheckpoint(alloc.index, r.Checkpoint)
+	}
+	if r.Percent > alloc.percent {
+		if alloc.firstAt == 0 {
+			alloc.firstAt, alloc.firstPct = e.now, r.Percent
 		}
-		before := p.percent
-		p.percent, p.percentAt = r.Percent, e.now
-		p.noteServing(before)
+		before := alloc.percent
+		alloc.percent, alloc.percentAt = r.Percent, e.now
+		alloc.noteServing(before)
 	}
 }
 
-// unexpected deals with a run that this engine has not started, or has given
+// handleUnexpected deals with a run that this engine has not started, or has given
 // up: one of an earlier epoch is taken over if its task needs it, any other is
 // stopped.
-func (e *Engine) unexpected(w *worker, r *runner.Live) {
+func (e *Engine) handleUnexpected(w *worker, r *runner.Live) {
 	j := e.jobs[r.Task.Job]
 	s := j.step(r.Task)
 	if s != nil && j.active() && r.Run <= e.nextRun(0) && e.adopt(w, s, r) {
@@ -164,14 +164,14 @@
 	}
 	e.stats.Orphans++
 	e.decide(Decision{What: "stop unexpected run", Task: r.Task, Run: r.Run, Worker: w.ID})
-	e.chargeStray(w, r.Task)
+	e.chargeUntracked(w, r.Task)
 	e.out = append(e.out, SendStop{To: w.Ref, Task: r.Task, Run: r.Run})
 }
 
 // adopt takes over a run of an earlier epoch.
 func (e *Engine) adopt(w *worker, s *step, r *runner.Live) bool {
 	t := &s.tasks[r.Task.Index]
-	if t.done || t.place != nil || s.gang.breaking || (s.spec.Gang && s.gang.run > r.Run) {
+	if t.done || t.alloc != nil || s.gang.stopping || (s.spec.Gang && s.gang.run > r.Run) {
 		return false
 	}
 	if s.spec.Gang && s.gang.run < r.Run {
@@ -181,29 +181,29 @@
 		s.gang.run = r.Run
 	}
 	e.stats.Adopted++
-	p := &place{w: w, s: s, index: r.Task.Index, run: r.Run, need: s.spec.Need(), sent: e.now, tries: 1, state: running, begun: e.now, percentAt: e.now}
-	t.place = p
-	s.unqueue(p.index)
-	e.book(p)
-	s.job.begun = true
-	e.takeRow(p, r)
+	alloc := &allocation{w: w, s: s, index: r.Task.Index, run: r.Run, need: s.spec.Need(), sent: e.now, tries: 1, state: running, confirmedAt: e.now, percentAt: e.now}
+	t.alloc = alloc
+	s.unqueue(alloc.index)
+	e.book(alloc)
+	s.job.started = true
+	e.updateAlloc(alloc, r)
 	e.decide(Decision{What: "adopted", Task: r.Task, Run: r.Run, Worker: w.ID})
 	return true
 }
 
-// absent deals with a run that a report does not list.
-func (e *Engine) absent(w *worker, p *place, complete bool) {
+// handleMissing deals with a run that a report does not list.
+func (e *Engine) handleMissing(w *worker, alloc *allocation, complete bool) {
 	switch {
-	case p.state == stopping && p.stopped > 0 && p.stopped < w.renewSent && complete:
+	case alloc.state == stopping && alloc.stopAckedAt > 0 && alloc.stopAckedAt < w.renewSent && complete:
 		// Neither running nor ended, and the worker refuses it from now on.
-		e.release(p)
-	case p.state == running && p.begun < w.renewSent && complete:
-		if p.missing == 0 {
-			p.missing = e.now
+		e.release(alloc)
+	case alloc.state == running && alloc.confirmedAt < w.renewSent && complete:
+		if alloc.missingSince == 0 {
+			alloc.missingSince = e.now
 			return
 		}
-		e.decide(Decision{What: "run lost", Task: p.id(), Run: p.run, Worker: w.ID, Why: "neither running nor ended"})
+		e.decide(Decision{What: "run lost", Task: alloc.id(), Run: alloc.run, Worker: w.ID, Why: "neither running nor ended"})
 		e.stats.Lost++
-		e.release(p)
+		e.release(alloc)
 	}
 }
--- a/process/dispatch/reserve.go
+++ b/process/dispatch/reserve.go
@@ -31,13 +31,13 @@
 	return s.reservedAt > 0 && s.reservedAt >= e.planAt-planPeriod
 }
 
-// keepRoom reserves room for a step that found none, as long as the round may
+// reserveCapacity reserves room for a step that found none, as long as the round may
 // reserve for another one and the workers could hold it.
-func (e *Engine) keepRoom(s *step, r *round) {
+func (e *Engine) reserveCapacity(s *step, r *round) {
 	if e.o.Policy.FirstCome {
 		return
 	}
-	if r.reserved >= e.perWorkers(maxReserved, e.o.Policy.ReservedShare) || (s.spec.Gang && !e.couldHold(s)) {
+	if r.reserved >= e.scaledByWorkers(maxReserved, e.o.Policy.ReservedShare) || (s.spec.Gang && !e.gangFeasible(s)) {
 		return
 	}
 	if e.hasReserved(s) || e.reserveFor(s) {
@@ -45,8 +45,8 @@
 	}
 }
 
-// wanted is the number of tasks that a step needs room for: a gang's together.
-func (s *step) wanted() int {
+// tasksNeeded is the number of tasks that a step needs room for: a gang's together.
+func (s *step) tasksNeeded() int {
 	if s.spec.Gang {
 		return s.spec.Count
 	}
@@ -63,14 +63,14 @@
 func (e *Engine) reserveFor(s *step) bool {
 	s.reservedAt = e.now
 	a := e.adviceOf(s)
-	need, wanted := s.spec.Need(), s.wanted()
+	need, wanted := s.spec.Need(), s.tasksNeeded()
 	type opening struct {
 		at time.Duration
 		w  *worker
 	}
 	var openings []opening
-	for _, w := range e.order {
-		if !e.eligible(s, w) || (a != nil && a.of(w) != good) {
+	for _, w := range e.workerList {
+		if !e.eligible(s, w) || (a != nil && a.verdictOf(w) != good) {
 			continue
 		}
 		free, had := e.freeFor(s, w), 0
@@ -79,9 +79,9 @@
 			openings = append(openings, opening{e.now, w})
 			had++
 		}
-		for _, p := range e.byEnd(w) {
-			free = free.Add(p.need)
-			at := e.now + e.remaining(p)
+		for _, alloc := range e.byEnd(w) {
+			free = free.Add(alloc.need)
+			at := e.now + e.remaining(alloc)
 			for n := need.Times(free, limit); had < n; had++ {
 				openings = append(openings, opening{at, w})
 			}
@@ -106,16 +106,16 @@
 
 // ticketEnd returns when the step's ticket for a worker ends, 0 for none.
 func ticketEnd(a *advice, w *worker) time.Duration {
-	if t := a.find(w); t != nil {
+	if t := a.ticketFor(w); t != nil {
 		return t.expires
 	}
 	return 0
 }
 
 // byEnd returns a worker's runs, the one that is likely to end first at first.
-func (e *Engine) byEnd(w *worker) []*place {
-	all := places(w)
-	slices.SortStableFunc(all, func(x, y *place) int { return cmp.Compare(e.remaining(x), e.remaining(y)) })
+func (e *Engine) byEnd(w *worker) []*allocation {
+	all := sortedAllocs(w)
+	slices.SortStableFunc(all, func(x, y *allocation) int { return cmp.Compare(e.remaining(x), e.remaining(y)) })
 	return all
 }
 
@@ -124,9 +124,9 @@
 // it and start before its task would end.
 func (e *Engine) freeFor(s *step, w *worker) work.Resources {
 	free := w.free()
-	for i := range w.holds {
-		if w.holds[i].s != s {
-			free = free.Sub(w.holds[i].room)
+	for i := range w.gangReservations {
+		if w.gangReservations[i].s != s {
+			free = free.Sub(w.gangReservations[i].capacity)
 		}
 	}
 	if len(w.reserved) == 0 {
@@ -145,9 +145,9 @@
 	// What is to end before the reservation begins serves it as well.
 	later := free
 	from := w.reserved[0].from
-	for _, p := range w.places {
-		if e.now+e.remaining(p) <= from {
-			later = later.Add(p.need)
+	for _, alloc := range w.allocs {
+		if e.now+e.remaining(alloc) <= from {
+			later = later.Add(alloc.need)
 		}
 	}
 	rest := later.Sub(held)
@@ -157,14 +157,14 @@
 // clearReservations forgets the reservations of the last placement; each
 // placement makes its own.
 func (e *Engine) clearReservations() {
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		w.reserved = w.reserved[:0]
 	}
 }
 
 func (e *Engine) unreserve(s *step) {
-	e.dropHold(s)
-	for _, w := range e.order {
+	e.dropGangReservation(s)
+	for _, w := range e.workerList {
 		w.reserved = slices.DeleteFunc(w.reserved, func(r reservation) bool { return r.s == s })
 	}
 }
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -38,54 +38,54 @@
 }
 
 // start starts a task on a worker. The caller has checked that it fits.
-func (e *Engine) start(w *worker, s *step, i int, run uint64, ticket string) *place {
+func (e *Engine) start(w *worker, s *step, i int, run uint64, ticket string) *allocation {
 	t := &s.tasks[i]
-	p := &place{w: w, s: s, index: i, run: run, need: s.spec.Need(), ticket: ticket, sent: e.now}
-	if t.place != nil || t.done || !s.job.active() || !s.ready() || s.occurrence.opens > e.now {
-		e.violate("start of a task that must not start", p.id(), w.ID)
+	alloc := &allocation{w: w, s: s, index: i, run: run, need: s.spec.Need(), ticket: ticket, sent: e.now}
+	if t.alloc != nil || t.done || !s.job.active() || !s.ready() || s.occurrence.opens > e.now {
+		e.violate("start of a task that must not start", alloc.id(), w.ID)
 		return nil
 	}
-	if !p.need.Fits(w.free()) {
-		e.violate("start over the worker's capacity", p.id(), w.ID)
+	if !alloc.need.Fits(w.free()) {
+		e.violate("start over the worker's capacity", alloc.id(), w.ID)
 		return nil
 	}
 	if !s.job.account.Fits(s.charge()) {
-		e.violate("start over the account's quota", p.id(), w.ID)
+		e.violate("start over the account's quota", alloc.id(), w.ID)
 		return nil
 	}
-	e.giveWay(w, s)
-	t.place = p
+	e.stopBestEffort(w, s)
+	t.alloc = alloc
 	s.unqueue(i)
-	e.book(p)
+	e.book(alloc)
 	e.stats.Starts++
 	if t.crashes.Suspect() {
-		e.beginTrial(p)
-		return p
+		e.beginTrial(alloc)
+		return alloc
 	}
-	e.sendStart(p)
-	return p
+	e.sendStart(alloc)
+	return alloc
 }
 
-func (e *Engine) sendStart(p *place) {
-	if p.tries == 0 {
-		p.sent = e.now
+func (e *Engine) sendStart(alloc *allocation) {
+	if alloc.tries == 0 {
+		alloc.sent = e.now
 	}
-	p.tries++
-	j := p.s.job
-	e.out = append(e.out, SendStart{To: p.w.Ref, Start: runner.Start{
-		Task: p.id(), Run: p.run, Spec: j.spec.Spec, Home: j.spec.Home, Checkpoint: p.task().checkpoint, Ticket: p.ticket,
-		Epoch: e.o.Epoch, Until: p.w.renewUntil(e.now, e.o.Bounds.Lease),
+	alloc.tries++
+	j := alloc.s.job
+	e.out = append(e.out, SendStart{To: alloc.w.Ref, Start: runner.Start{
+		Task: alloc.id(), Run: alloc.run, Spec: j.spec.Spec, Home: j.spec.Home, Checkpoint: alloc.task().checkpoint, Ticket: alloc.ticket,
+		Epoch: e.o.Epoch, Until: alloc.w.renewUntil(e.now, e.o.Bounds.Lease),
 	}})
 }
 
-// placeOf finds a run on a worker.
-func (e *Engine) placeOf(id runner.WorkerID, task work.TaskID, run uint64) *place {
+// allocOf finds a run on a worker.
+func (e *Engine) allocOf(id runner.WorkerID, task work.TaskID, run uint64) *allocation {
 	w := e.workers[id]
 	if w == nil {
 		return nil
 	}
-	if p := w.places[task]; p != nil && p.run == run {
-		return p
+	if alloc := w.allocs[task]; alloc != nil && alloc.run == run {
+		return alloc
 	}
 	return nil
 }
@@ -99,153 +99,153 @@
 	}
 	w := e.workers[id]
 	if w != nil && errors.Is(err, runner.ErrGone) {
-		e.workerGone(w, "another life answers at its address", true)
+		e.removeWorker(w, "another life answers at its address", true)
 		return
 	}
-	p := e.placeOf(id, task, run)
-	if p == nil {
+	alloc := e.allocOf(id, task, run)
+	if alloc == nil {
 		return
 	}
 	switch {
 	case err == nil:
-		e.confirm(p)
-		e.startHeard(p)
+		e.confirm(alloc)
+		e.startAnswered(alloc)
 	case errors.Is(err, runner.ErrOld):
 		// It was stopped or has ended; a report will tell.
-		p.state, p.stopped = stopping, now
-		e.brokenStart(p, err)
-	case errors.Is(err, runner.ErrNotRun) && p.tries == 1:
-		e.refused(p, err)
+		alloc.state, alloc.stopAckedAt = stopping, now
+		e.memberNotStarted(alloc, err)
+	case errors.Is(err, runner.ErrNotRun) && alloc.tries == 1:
+		e.refused(alloc, err)
 	case errors.Is(err, runner.ErrNotRun):
 		// An earlier try had no answer and may start yet.
-		e.refusedBy(p, err)
-		e.stop(p, "refused after a try without an answer")
-		e.brokenStart(p, err)
-	case p.state == stopping:
-	case p.s.job.account.Over(p.s.charge()):
+		e.refusedBy(alloc, err)
+		e.stop(alloc, "refused after a try without an answer")
+		e.memberNotStarted(alloc, err)
+	case alloc.state == stopping:
+	case alloc.s.job.account.Over(alloc.s.charge()):
 		// Its cap was lowered since: it was within the quota then, and is not now.
-		e.stop(p, "no answer to the start, and its account is over its cap")
-		e.brokenStart(p, err)
+		e.stop(alloc, "no answer to the start, and its account is over its cap")
+		e.memberNotStarted(alloc, err)
 	case w.over():
-		e.stop(p, "no answer to the start, and its worker has become smaller")
-		e.brokenStart(p, err)
-	case p.tries < maxStarts && w.misses == 0:
-		p.state = doubtful
+		e.stop(alloc, "no answer to the start, and its worker has become smaller")
+		e.memberNotStarted(alloc, err)
+	case alloc.tries < maxStarts && w.misses == 0:
+		alloc.state = unconfirmed
 		e.stats.Resent++
-		e.sendStart(p)
+		e.sendStart(alloc)
 	default:
-		e.stop(p, "no answer to the start")
-		e.brokenStart(p, err)
+		e.stop(alloc, "no answer to the start")
+		e.memberNotStarted(alloc, err)
 	}
 }
 
 // confirm notes that a run is there.
-func (e *Engine) confirm(p *place) {
-	if p.state == stopping {
+func (e *Engine) confirm(alloc *allocation) {
+	if alloc.state == stopping {
 		return
 	}
-	if p.state != running {
-		p.state, p.begun = running, e.now
-		p.percentAt = e.now
+	if alloc.state != running {
+		alloc.state, alloc.confirmedAt = running, e.now
+		alloc.percentAt = e.now
 	}
-	e.begin(p)
+	e.noteStarted(alloc)
 }
 
-// begin notes that a job has begun: a run of it is there, or has been.
-func (e *Engine) begin(p *place) {
-	j := p.s.job
-	if j.begun {
+// noteStarted notes that a job has begun: a run of it is there, or has been.
+func (e *Engine) noteStarted(alloc *allocation) {
+	j := alloc.s.job
+	if j.started {
 		return
 	}
-	j.begun = true
+	j.started = true
 	e.took(SpanStart, j)
-	e.decide(Decision{What: "begun", Task: p.id(), Run: p.run, Worker: p.w.ID, Why: "the first of its tasks is there", Age: max(e.now-j.accepted, 0)})
+	e.decide(Decision{What: "begun", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: "the first of its tasks is there", Age: max(e.now-j.accepted, 0)})
 }
 
 // refused frees a run that certainly did not start.
-func (e *Engine) refused(p *place, err error) {
-	e.decide(Decision{What: "start refused", Task: p.id(), Run: p.run, Worker: p.w.ID, Why: err.Error(), Age: e.now - p.sent})
-	e.refusedBy(p, err)
-	e.release(p)
-	e.brokenStart(p, err)
+func (e *Engine) refused(alloc *allocation, err error) {
+	e.decide(Decision{What: "start refused", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: err.Error(), Age: e.now - alloc.sent})
+	e.refusedBy(alloc, err)
+	e.release(alloc)
+	e.memberNotStarted(alloc, err)
 }
 
 // refusedBy draws the conclusion on the worker.
-func (e *Engine) refusedBy(p *place, err error) {
-	w := p.w
+func (e *Engine) refusedBy(alloc *allocation, err error) {
+	w := alloc.w
 	switch {
 	case errors.Is(err, runner.ErrTicket):
-		if a := p.s.advice; a != nil {
+		if a := alloc.s.advice; a != nil {
 			a.expire(w)
 		}
 	case errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrNoRoom):
-		w.asideUntil = max(w.asideUntil, e.now+refusalAside)
+		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
 	case errors.Is(err, runner.ErrLate): // its clock is not where it was thought to be
-		w.asideUntil = max(w.asideUntil, e.now+refusalAside)
+		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
 		w.nextRenew = e.now
 	case errors.Is(err, runner.ErrNoConnection):
 		w.misses++
 		w.nextRenew = e.now
 	case errors.Is(err, runner.ErrBadOrder):
-		p.task().avoid = append(p.task().avoid, w.ID)
+		alloc.task().avoid = append(alloc.task().avoid, w.ID)
 	}
 }
 
-// brokenStart stops a gang of which a member did not start.
-func (e *Engine) brokenStart(p *place, err error) {
-	if p.s.spec.Gang {
-		e.breakGang(p.s, err.Error())
+// memberNotStarted stops a gang of which a member did not start.
+func (e *Engine) memberNotStarted(alloc *allocation, err error) {
+	if alloc.s.spec.Gang {
+		e.stopGang(alloc.s, err.Error())
 	}
 }
 
 // release frees a run that is known not to run, and lets its task start again.
-func (e *Engine) release(p *place) {
-	e.unbook(p)
-	if !p.blamed {
-		e.endTrial(p.s, p.index, p.run)
+func (e *Engine) release(alloc *allocation) {
+	e.unbook(alloc)
+	if !alloc.lossRecorded {
+		e.endTrial(alloc.s, alloc.index, alloc.run)
 	}
 	e.scheduled = false
-	t := p.task()
-	if t.place != p {
+	t := alloc.task()
+	if t.alloc != alloc {
 		return
 	}
-	t.place = nil
-	s := p.s
+	t.alloc = nil
+	s := alloc.s
 	if !t.done && s.job.active() {
-		s.requeue(p.index)
+		s.requeue(alloc.index)
 		e.open(s)
 	}
 	if s.spec.Gang && s.live() == 0 {
-		s.gang.breaking = false
+		s.gang.stopping = false
 	}
 }
 
 // stop ends a run. Its resources stay taken until it is known to have ended.
-func (e *Engine) stop(p *place, why string) {
-	if p.state == stopping {
+func (e *Engine) stop(alloc *allocation, why string) {
+	if alloc.state == stopping {
 		return
 	}
-	p.state = stopping
-	e.decide(Decision{What: "stop", Task: p.id(), Run: p.run, Worker: p.w.ID, Why: why, Age: e.now - p.sent})
-	e.sendStop(p)
+	alloc.state = stopping
+	e.decide(Decision{What: "stop", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: why, Age: e.now - alloc.sent})
+	e.sendStop(alloc)
 }
 
-func (e *Engine) sendStop(p *place) {
-	p.stopSent = e.now
+func (e *Engine) sendStop(alloc *allocation) {
+	alloc.stopSent = e.now
 	e.stats.Stops++
-	e.out = append(e.out, SendStop{To: p.w.Ref, Task: p.id(), Run: p.run})
+	e.out = append(e.out, SendStop{To: alloc.w.Ref, Task: alloc.id(), Run: alloc.run})
 }
 
-// breakGang stops every member of a gang.
-func (e *Engine) breakGang(s *step, why string) {
+// stopGang stops every member of a gang.
+func (e *Engine) stopGang(s *step, why string) {
 	if s.live() == 0 {
-		s.gang.breaking = false
+		s.gang.stopping = false
 		return
 	}
-	s.gang.breaking = true
+	s.gang.stopping = true
 	for i := range s.tasks {
-		if p := s.tasks[i].place; p != nil {
-			e.stop(p, why)
+		if alloc := s.tasks[i].alloc; alloc != nil {
+			e.stop(alloc, why)
 		}
 	}
 }
@@ -259,21 +259,21 @@
 		e.deposed = true
 		return
 	case w != nil && errors.Is(err, runner.ErrGone):
-		e.workerGone(w, "another life answers at its address", true)
+		e.removeWorker(w, "another life answers at its address", true)
 		return
 	}
-	p := e.placeOf(id, task, run)
-	if p == nil || p.state != stopping || err != nil {
+	alloc := e.allocOf(id, task, run)
+	if alloc == nil || alloc.state != stopping || err != nil {
 		return // an unanswered stop is sent again by time
 	}
-	p.stopped = now
+	alloc.stopAckedAt = now
 	w.nextRenew = min(w.nextRenew, now)
 }
 
-// tickPlace does what is due for one run.
-func (e *Engine) tickPlace(p *place) {
-	if p.state == stopping && p.stopped == 0 && e.now-p.stopSent >= stopRetry {
-		e.sendStop(p)
+// tickAlloc does what is due for one run.
+func (e *Engine) tickAlloc(alloc *allocation) {
+	if alloc.state == stopping && alloc.stopAckedAt == 0 && e.now-alloc.stopSent >= stopRetry {
+		e.sendStop(alloc)
 	}
-	e.watchStandstill(p)
+	e.checkStalled(alloc)
 }
--- a/process/dispatch/shrink_test.go
+++ b/process/dispatch/shrink_test.go
@@ -13,64 +13,64 @@
 )
 
 // resize tells the engine that a worker has another capacity.
-func (b *bench) resize(id runner.WorkerID, capacity work.Resources) {
-	b.e.WorkerSeen(b.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: capacity, Labels: []string{"a", "r"}})
+func (h *harness) resize(id runner.WorkerID, capacity work.Resources) {
+	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: capacity, Labels: []string{"a", "r"}})
 }
 
 // TestNothingStartsOnAWorkerThatHasBecomeTooSmall guards against starts over a room that
 // has shrunk.
 func TestNothingStartsOnAWorkerThatHasBecomeTooSmall(t *testing.T) {
-	b := newBench(t, 1, "w-a")
+	h := newHarness(t, 1, "w-a")
 	step := oneTask()
 	step.Count = 6
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	first := b.starts()
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	first := h.starts()
 	require.Len(t, first, 4)
-	b.resize("w-a", work.Resources{CPU: 2000, Memory: 4000})
-	b.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run}, {Number: 2, Task: first[1].Start.Task, Run: first[1].Start.Run}}})
-	require.Empty(t, b.starts(), "two run in room for two")
-	b.report("w-a", runner.Report{Clock: 3 * time.Second, Ended: []runner.End{{Number: 3, Task: first[2].Start.Task, Run: first[2].Start.Run}}})
-	require.Len(t, b.starts(), 1)
-	b.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
-	b.step(100 * time.Millisecond)
-	require.Len(t, b.starts(), 1, "it has grown again")
+	h.resize("w-a", work.Resources{CPU: 2000, Memory: 4000})
+	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run}, {Number: 2, Task: first[1].Start.Task, Run: first[1].Start.Run}}})
+	require.Empty(t, h.starts(), "two run in room for two")
+	h.report("w-a", runner.Report{Clock: 3 * time.Second, Ended: []runner.End{{Number: 3, Task: first[2].Start.Task, Run: first[2].Start.Run}}})
+	require.Len(t, h.starts(), 1)
+	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
+	h.step(100 * time.Millisecond)
+	require.Len(t, h.starts(), 1, "it has grown again")
 }
 
 // TestUnansweredStartIsNotSentAgainToAWorkerThatHasBecomeTooSmall guards against a start
 // that fitted when it was decided and arrives when it does not.
 func TestUnansweredStartIsNotSentAgainToAWorkerThatHasBecomeTooSmall(t *testing.T) {
-	b := newBench(t, 1, "w-a")
-	require.NoError(t, b.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
-	b.step(50 * time.Millisecond)
-	b.report("w-a", runner.Report{Clock: time.Second})
-	first := b.starts()
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{Clock: time.Second})
+	first := h.starts()
 	require.Len(t, first, 1)
-	b.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
-	b.now += tickPeriod
-	b.e.Started(b.now, "w-a", first[0].Start.Task, first[0].Start.Run, runner.ErrUnknown)
-	b.out = append(b.out, b.e.Flush(b.now)...)
+	h.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
+	h.now += tickPeriod
+	h.e.Started(h.now, "w-a", first[0].Start.Task, first[0].Start.Run, runner.ErrUnknown)
+	h.out = append(h.out, h.e.Flush(h.now)...)
 	stops := 0
-	for _, x := range b.out {
+	for _, x := range h.out {
 		if _, ok := x.(SendStop); ok {
 			stops++
 		}
 	}
-	require.Empty(t, b.starts())
+	require.Empty(t, h.starts())
 	require.Equal(t, 1, stops, "should it have arrived")
 }
 
 // TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall guards against a trial that waits for
 // its record longer than its room lasts.
 func TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall(t *testing.T) {
-	b := loadSuspect(t, twoDeaths, "w-a")
-	b.e.Renewed(b.now, "w-a", runner.Report{Clock: time.Second}, nil)
+	h := loadSuspect(t, twoCrashes, "w-a")
+	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second}, nil)
 	var chains []int
 	for range 10 { // the write of the trial's record takes long
-		b.now += tickPeriod
-		b.e.Tick(b.now)
-		for _, x := range b.e.Flush(b.now) {
+		h.now += tickPeriod
+		h.e.Tick(h.now)
+		for _, x := range h.e.Flush(h.now) {
 			switch x := x.(type) {
 			case SendCommit:
 				chains = append(chains, x.Chain)
@@ -80,32 +80,32 @@
 		}
 	}
 	require.NotEmpty(t, chains)
-	b.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
-	for _, chain := range chains {
-		b.e.Committed(b.now, chain)
+	h.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
+	for _, stream := range chains {
+		h.e.Committed(h.now, stream)
 	}
-	b.step(100 * time.Millisecond)
-	require.Empty(t, b.starts())
-	b.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
-	b.step(time.Second)
-	require.Len(t, b.starts(), 1)
+	h.step(100 * time.Millisecond)
+	require.Empty(t, h.starts())
+	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
+	h.step(time.Second)
+	require.Len(t, h.starts(), 1)
 }
 
 // TestSuccessorKnowsRoomsThatHaveShrunk guards against a leader that fills a worker to the
 // capacity that it had in its predecessor's time.
 func TestSuccessorKnowsRoomsThatHaveShrunk(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
-		c := newTestCell(t, seed, 16, 3, usual(0))
-		randomTroublesOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
+		c := newTestCell(t, seed, 16, 3, usualBehaviour(0))
+		randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
 			c.resizeSome()
-			c.troubleOf(0, 0, 1, 3, 4, 5, 9)
+			c.injectFaultOf(0, 0, 1, 3, 4, 5, 9)
 		})
 	})
 }
 
-// roomLag is how long a worker's capacity may be out of date: the directory is watched
+// capacityLag is how long a worker's capacity may be out of date: the directory is watched
 // with pauses, over a store that may answer late.
-const roomLag = 4500 * time.Millisecond
+const capacityLag = 4500 * time.Millisecond
 
 // resizeSome draws new capacities for workers, of which all get back what they had.
 func (c *cell) resizeSome() {
@@ -113,9 +113,9 @@
 		if c.rng.IntN(3) > 0 {
 			continue
 		}
-		c.fleet.Resize(id, work.Resources{CPU: 16000 + c.rng.IntN(40000), Memory: 40000 + c.rng.IntN(60000)}, roomLag)
+		c.fleet.Resize(id, work.Resources{CPU: 16000 + c.rng.IntN(40000), Memory: 40000 + c.rng.IntN(60000)}, capacityLag)
 		time.AfterFunc(time.Duration(2000+c.rng.IntN(6000))*time.Millisecond, func() {
-			c.fleet.Resize(id, work.Resources{CPU: 64000, Memory: 131072}, roomLag)
+			c.fleet.Resize(id, work.Resources{CPU: 64000, Memory: 131072}, capacityLag)
 		})
 	}
 }
--- a/process/dispatch/types.go
+++ b/process/dispatch/types.go
@@ -149,7 +149,7 @@
 	// closed.
 	prefixFleet = "fleet"
 	keyFleet    = prefixFleet
-	keyClosed   = "fleet/closed"
+	keyCordoned = "fleet/closed"
 )
 
 // KeyIn returns the key of an accepted job.
--- a/process/dispatch/wait.go
+++ b/process/dispatch/wait.go
@@ -15,11 +15,11 @@
 	waitMembers            // runs of its gang are being stopped
 	waitQuota              // its account's quota
 	waitAdvice             // an answer of the advice service
-	waitRoom               // room on workers that may run it
+	waitCapacity           // room on workers that may run it
 	waitCauses
 )
 
-var waitNames = [waitCauses]string{waitTakeover: "takeover", waitMembers: "members", waitQuota: "quota", waitAdvice: "advice", waitRoom: "room"}
+var waitNames = [waitCauses]string{waitTakeover: "takeover", waitMembers: "members", waitQuota: "quota", waitAdvice: "advice", waitCapacity: "room"}
 
 // String returns the cause's name.
 func (c waitCause) String() string { return waitNames[c] }
@@ -51,8 +51,8 @@
 	switch a := e.adviceOf(s); {
 	case len(s.pending) == 0:
 		return waitNothing
-	case a != nil && (a.asking > 0 || len(a.wanted) > 0 || !a.usable(e.now)):
+	case a != nil && (a.inFlight > 0 || len(a.toAsk) > 0 || !a.usable(e.now)):
 		return waitAdvice
 	}
-	return waitRoom
+	return waitCapacity
 }
--- a/process/dispatch/worker.go
+++ b/process/dispatch/worker.go
@@ -25,13 +25,13 @@
 	// end on the worker was seen 150 ms late in the mean.
 	renewPauseMin = 80 * time.Millisecond
 	renewPauseMax = 320 * time.Millisecond
-	// sureOfLife is how long after its answer a worker is taken to live on, as far as its
+	// ackFreshness is how long after its answer a worker is taken to live on, as far as its
 	// count of ends goes: longer than any pause between renewals, shorter than a crashed
 	// worker takes to be back under its name. What goes wrong without it: the next life
 	// forgets as many of its own ends, of which nobody has heard.
-	sureOfLife = 500 * time.Millisecond
-	// strayPause is between reports while runs are being stopped.
-	strayPause = 100 * time.Millisecond
+	ackFreshness = 500 * time.Millisecond
+	// untrackedPause is between reports while runs are being stopped.
+	untrackedPause = 100 * time.Millisecond
 	// clockBack is how far a worker's clock must have gone back to be another life's: it is
 	// steady, and reports of a life come one after the other.
 	clockBack = time.Second
@@ -41,12 +41,12 @@
 	driftMargin = 200 * time.Millisecond
 )
 
-// refusalAside is the pause after a worker refused as not healthy.
-const refusalAside = 500 * time.Millisecond
+// refusalQuarantine is the pause after a worker refused as not healthy.
+const refusalQuarantine = 500 * time.Millisecond
 
-// ackWait is an end that may be acknowledged once its job's progress is in the
+// pendingAck is an end that may be acknowledged once its job's progress is in the
 // store.
-type ackWait struct {
+type pendingAck struct {
 	number  int64
 	task    work.TaskID
 	job     *job // nil: nothing to wait for
@@ -56,15 +56,15 @@
 // worker is one life of a worker.
 type worker struct {
 	runner.Worker
-	slot   int  // its place in what steps know of workers
-	listed bool // its entry is in the directory
-	kept   bool // the store knows that it is used
-	fenced bool // it has answered this epoch
-	gone   bool // its life is over
-	fresh  bool // it began in this epoch, so that no other has called it
-	// closed: the list of workers in the store says, or is about to say, that
+	index      int  // its place in what steps know of workers
+	listed     bool // its entry is in the directory
+	recorded   bool // the store knows that it is used
+	fenced     bool // it has answered this epoch
+	removed    bool // its life is over
+	newInEpoch bool // it began in this epoch, so that no other has called it
+	// cordoned: the list of workers in the store says, or is about to say, that
 	// nothing is started here.
-	closed bool
+	cordoned bool
 	// mayRun are the tasks that may run there, of a closed worker that an earlier epoch
 	// used and that has not answered this one; unlisted: they are not known.
 	mayRun   []work.TaskID
@@ -76,38 +76,38 @@
 	rack      string
 
 	used   work.Resources
-	places map[work.TaskID]*place
+	allocs map[work.TaskID]*allocation
 
-	clock   time.Duration // its own, at the time clockAt
-	clockAt time.Duration
-	until   time.Duration // the latest lease end sent, on its clock
-	// lapse is when everything on it has ended for sure unless it was renewed
+	clock      time.Duration // its own, at the time clockAt
+	clockAt    time.Duration
+	leaseUntil time.Duration // the latest lease end sent, on its clock
+	// expiry is when everything on it has ended for sure unless it was renewed
 	// since, in engine time.
-	lapse time.Duration
+	expiry time.Duration
 
 	renewing  bool
 	renewSent time.Duration
 	nextRenew time.Duration
 	answered  time.Duration // when the last report came
-	heard     time.Duration // the latest time at which it is known to have lived
+	aliveAt   time.Duration // the latest time at which it is known to have lived
 	misses    int           // renewals in a row without an answer
 
-	// strays are the runs of the last report that are being stopped without a place:
+	// untracked are the runs of the last report that are being stopped without a place:
 	// the room they take is not booked, so nothing starts beside them.
-	strays []stray
+	untracked []untrackedRun
 
 	renewPause time.Duration // the last one while ends could not be acknowledged
 
-	seen    int64 // the highest end processed
-	ack     int64 // the highest end that may be acknowledged
-	waiting []ackWait
+	lastCompletion  int64 // the highest end processed
+	ackedCompletion int64 // the highest end that may be acknowledged
+	pendingAcks     []pendingAck
 
-	conduct
-	// pace is how fast it works against estimates, decaying; 1 is as estimated.
-	pace     float64
-	reserved []reservation
-	holds    []hold
-	quiet    quiet
+	health
+	// slowdown is how fast it works against estimates, decaying; 1 is as estimated.
+	slowdown         float64
+	reserved         []reservation
+	gangReservations []gangReservation
+	isolated         isolation
 }
 
 // free returns what is not taken.
@@ -120,11 +120,11 @@
 // usable reports whether new runs may be started on the worker.
 func (w *worker) usable(now time.Duration) bool {
 	switch {
-	case w.gone || !w.listed || !w.kept || !w.fenced || w.Draining || w.closed:
+	case w.removed || !w.listed || !w.recorded || !w.fenced || w.Draining || w.cordoned:
 		return false
-	case w.misses > 0 || now < w.asideUntil:
+	case w.misses > 0 || now < w.quarantinedUntil:
 		return false
-	case len(w.strays) > 0, w.trial && len(w.places) > 0:
+	case len(w.untracked) > 0, w.probation && len(w.allocs) > 0:
 		return false
 	}
 	return true
@@ -155,31 +155,31 @@
 		return 0
 	}
 	until := w.clockNow(now) + lease
-	if until > w.until {
-		w.until = until
-		w.lapse = max(w.lapse, now+ranOut(lease))
+	if until > w.leaseUntil {
+		w.leaseUntil = until
+		w.expiry = max(w.expiry, now+leaseBound(lease))
 	}
 	return until
 }
 
-// ranOut returns after how long a lease that a worker has been given has run out for sure, by
+// leaseBound returns after how long a lease that a worker has been given has run out for sure, by
 // whatever clock it has.
-func ranOut(lease time.Duration) time.Duration { return scale(lease, clockDrift) + driftMargin }
+func leaseBound(lease time.Duration) time.Duration { return scale(lease, clockDrift) + driftMargin }
 
 func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
 
 // take books a run's resources.
-func (w *worker) take(p *place) {
-	w.used = w.used.Add(p.need)
-	w.places[p.id()] = p
+func (w *worker) take(alloc *allocation) {
+	w.used = w.used.Add(alloc.need)
+	w.allocs[alloc.id()] = alloc
 }
 
 // drop frees a run's resources, unless they are free.
-func (w *worker) drop(p *place) bool {
-	if w.places[p.id()] != p {
+func (w *worker) drop(alloc *allocation) bool {
+	if w.allocs[alloc.id()] != alloc {
 		return false
 	}
-	w.used = w.used.Sub(p.need)
-	delete(w.places, p.id())
+	w.used = w.used.Sub(alloc.need)
+	delete(w.allocs, alloc.id())
 	return true
 }
