--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -1,17 +1,17 @@
-// Package crash judges tasks by the workers that died while they ran there: some tasks
-// crash every worker that starts them, and each crash takes all other work there with it.
+// Package crash decides which tasks crash the workers that run them. Such a task crashes every
+// worker that starts it, and each crash ends all other work there.
 //
-// Load pattern: a few such tasks among sound ones, and workers that die by themselves. A
-// worker's death speaks against the runs that had begun shortly before it, and against
-// none that had lived on. It speaks clearly against a task only if no other job had begun
-// a run there as recently; so a task under which workers have died before is tried where
-// nothing else has just begun. A sound task loses time by that, and is given up only if
-// workers die clearly under it again and again.
+// Workers also crash for other reasons. The crash of a worker therefore counts only against
+// the runs that had started shortly before it (Window), not against those that had been
+// running for longer. It is attributed to one task alone only if no other job had started a
+// run there as recently, so a suspect task, under which workers have crashed before, is tried
+// on a worker where nothing else has just started. A healthy task loses time by that, and is
+// given up only if workers crash under it again and again.
 //
-// Guarantees: a task is given up after maxLosses deaths at the latest, and after
-// soleLosses only if one of them speaks clearly against it. What is recorded is what a
-// successor reads; a trial is recorded before it begins, so that a death in a leader's
-// last moments counts as well. A task has maxRecords at the most.
+// Guarantees: a task is given up after maxLosses crashes at the latest, and after soleLosses
+// only if one of them is attributed to it alone. The records are stored for a successor; a
+// trial is recorded before it starts, so that a crash just before the leader fails counts as
+// well. A task has at most maxRecords records.
 package crash
 
 import (
@@ -21,32 +21,32 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Bounds of the judgement. A task may be started twice more after a third worker has
-// crashed under it.
+// Limits of crashes. A task may be started twice more after a third worker has crashed under
+// it.
 const (
 	// Window is how soon after its start a task crashes its worker, if it does.
 	Window = 500 * time.Millisecond
-	// SoundAfter is how long a run must have lived for the deaths before it to say
-	// nothing of its task any more.
-	SoundAfter = 10 * time.Second
+	// HealthyAfter is how long a run must have been running for earlier crashes no longer to
+	// count against its task.
+	HealthyAfter = 10 * time.Second
 
 	suspectLosses = 2
-	soleLosses    = 3 // of which one is of no other job
+	soleLosses    = 3 // of which at least one is attributed to the task alone
 	maxLosses     = 4
-	// maxRecords bounds those of workers that stay out of reach.
+	// maxRecords bounds the records of workers that stay unreachable.
 	maxRecords = 16
 )
 
-// Records are the deaths of workers under one task, and the trials under way.
+// Records are the crashes of workers under one task, and its open trials.
 type Records []work.Crash
 
-// Suspect reports whether the task is to be tried where nothing else begins.
+// Suspect reports whether the task may only be started where nothing else has just started.
 func (r Records) Suspect() bool {
 	return len(r) >= suspectLosses || slices.ContainsFunc(r, func(c work.Crash) bool { return c.Sole && !c.Open })
 }
 
-// Guilty reports whether the task is to be given up.
-func (r Records) Guilty() bool {
+// LimitReached reports whether the task is to be given up.
+func (r Records) LimitReached() bool {
 	losses, sole := 0, 0
 	for i := range r {
 		if r[i].Open {
@@ -60,19 +60,19 @@
 	return Guilty(losses, sole)
 }
 
-// Guilty reports whether a task is to be given up under which so many workers have died,
-// sole of them without another job's run that can be blamed.
+// Guilty reports whether a task is to be given up under which losses workers have crashed,
+// sole of them without a suspect run of another job.
 func Guilty(losses, sole int) bool {
 	return losses >= maxLosses || (losses >= soleLosses && sole > 0)
 }
 
-// Begin records a trial: a run of a suspect task that is about to start. sole tells that
-// nothing else has just begun there.
+// Begin records a trial: a run of a suspect task that is about to start. sole means that
+// nothing else has just started on the worker.
 func (r *Records) Begin(run uint64, worker string, sole bool) {
 	r.add(work.Crash{Run: run, Worker: worker, Sole: sole, Open: true})
 }
 
-// add appends a record, in place of the oldest of a worker out of reach if there are many.
+// add appends a record; if there are too many it replaces the oldest open one.
 func (r *Records) add(c work.Crash) {
 	if len(*r) >= maxRecords {
 		if i := slices.IndexFunc(*r, func(x work.Crash) bool { return x.Open }); i >= 0 {
@@ -82,10 +82,11 @@
 	*r = append(*r, c)
 }
 
-// Lose records that a run was lost with its worker. ended tells that the worker's life is
-// over; else it may only be out of reach, which Settle tells. A run that was on its way to one
-// life and may have been carried out by the next crashes one of them at most.
-func (r *Records) Lose(run uint64, worker string, sole, ended bool) {
+// AddLoss records that a run was lost with its worker. ended means that the worker's incarnation
+// has ended; otherwise it may only be unreachable, which Settle decides. A run that was in
+// flight to one incarnation and may have been started by the next one crashes at most one of
+// them.
+func (r *Records) AddLoss(run uint64, worker string, sole, ended bool) {
 	lost := work.Crash{Run: run, Worker: worker, Sole: sole, Open: !ended}
 	i := slices.IndexFunc(*r, func(c work.Crash) bool { return c.Run == run })
 	switch {
@@ -96,9 +97,9 @@
 	}
 }
 
-// Settle tells what became of a worker: its life has ended, or it lives, so that nothing
-// was lost by its death; only the run live may crash it yet. It reports whether anything
-// changed.
+// Settle closes or drops the records of a worker: its incarnation has ended, or it has
+// answered, so that it has not crashed and only the run live may still crash it. It reports
+// whether anything changed.
 func (r *Records) Settle(worker string, ended bool, live uint64) bool {
 	changed := false
 	if ended {
@@ -114,7 +115,7 @@
 	return len(*r) != before
 }
 
-// Drop forgets the trial of a run that has ended without its worker's death. It reports
+// Drop removes the trial of a run that has ended without a crash of its worker. It reports
 // whether there was one.
 func (r *Records) Drop(run uint64) bool {
 	before := len(*r)
@@ -122,7 +123,7 @@
 	return len(*r) != before
 }
 
-// OnTrial reports whether a run may crash its worker yet.
+// OnTrial reports whether the run is an open trial, which may still crash its worker.
 func (r Records) OnTrial(run uint64) bool {
 	return slices.ContainsFunc(r, func(c work.Crash) bool { return c.Open && c.Run == run })
 }
--- a/process/crash/crash_test.go
+++ b/process/crash/crash_test.go
@@ -23,23 +23,23 @@
 		lose := func(times int, sole, ended bool) {
 			for range times {
 				n++
-				r.Lose(uint64(n), fmt.Sprint("w-", n), sole, ended)
+				r.AddLoss(uint64(n), fmt.Sprint("w-", n), sole, ended)
 			}
 		}
 		lose(c.sole, true, true)
 		lose(c.shared, false, true)
 		lose(c.open, false, false)
-		require.Equal(t, c.guilty, r.Guilty(), "%+v", c)
+		require.Equal(t, c.guilty, r.LimitReached(), "%+v", c)
 	}
 }
 
 // TestWorkerThatLivesClearsItsRecords guards against cuts that are taken for crashes.
 func TestWorkerThatLivesClearsItsRecords(t *testing.T) {
 	var r Records
-	r.Lose(1, "w-1", true, false)
-	r.Lose(2, "w-1", true, true)
+	r.AddLoss(1, "w-1", true, false)
+	r.AddLoss(2, "w-1", true, true)
 	r.Begin(3, "w-1", true)
-	r.Lose(4, "w-2", true, true)
+	r.AddLoss(4, "w-2", true, true)
 	require.True(t, r.Settle("w-1", false, 3), "the run that is there stays on record")
 	require.Len(t, r, 2)
 	require.True(t, r.Drop(3))
@@ -50,9 +50,9 @@
 // TestRecordsAreBounded guards against records without end of workers that stay cut off.
 func TestRecordsAreBounded(t *testing.T) {
 	var r Records
-	r.Lose(1, "w-1", true, true)
+	r.AddLoss(1, "w-1", true, true)
 	for i := range 100 {
-		r.Lose(uint64(i+2), fmt.Sprint("w-", i+2), false, false)
+		r.AddLoss(uint64(i+2), fmt.Sprint("w-", i+2), false, false)
 	}
 	require.Len(t, r, maxRecords)
 	require.False(t, r[0].Open, "a death stays")
@@ -78,7 +78,7 @@
 				ended := rapid.Bool().Draw(t, "ended")
 				if !dead[w] {
 					run++
-					r.Lose(run, w, false, ended)
+					r.AddLoss(run, w, false, ended)
 					lost[w], dead[w] = lost[w] || ended, dead[w] || ended
 					if ended {
 						r.Settle(w, true, 0)
@@ -96,7 +96,7 @@
 			require.Equal(t, dead[c.Worker], !c.Open, "%+v", c)
 		}
 		if len(lost) == 0 {
-			require.False(t, r.Guilty())
+			require.False(t, r.LimitReached())
 		}
 	})
 }
@@ -105,13 +105,13 @@
 // it was on its way to the first, and may have been carried out by the second.
 func TestOneRunCrashesOneWorkerAtMost(t *testing.T) {
 	var r Records
-	r.Lose(1, "w-a", false, true)
-	r.Lose(2, "w-b@1", true, true)
-	r.Lose(2, "w-b@2", true, true)
+	r.AddLoss(1, "w-a", false, true)
+	r.AddLoss(2, "w-b@1", true, true)
+	r.AddLoss(2, "w-b@2", true, true)
 	require.Len(t, r, 2)
-	require.False(t, r.Guilty())
-	r.Lose(3, "w-c@1", true, false) // it may be out of reach only
-	r.Lose(3, "w-c@2", true, true)
+	require.False(t, r.LimitReached())
+	r.AddLoss(3, "w-c@1", true, false) // it may be out of reach only
+	r.AddLoss(3, "w-c@2", true, true)
 	require.Len(t, r, 3)
-	require.True(t, r.Guilty())
+	require.True(t, r.LimitReached())
 }
--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -7,14 +7,15 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Client accounts, and what they may have running.
+// Client accounts and their caps on running work.
 //
-// A run is charged to its job's account from the decision to start it until it is known
-// to have ended, so a start without an answer, which may be carried out seconds later,
-// counts all the while. What this epoch has not seen counts as well: see countUnseen.
+// A run is charged to its job's account from the decision to start it until it is known to
+// have ended. A start without an answer is charged all that time, because it may still be
+// carried out seconds later. Runs that earlier epochs may have started and that no worker has
+// reported yet are charged as well: see countUnseen.
 
-// SetAccounts takes the accounts of the configuration in force; nil where it knows none.
-// An account that it lists no more keeps the cap that it had: its jobs go on.
+// SetAccounts takes the accounts of the configuration in force; nil if it has none. An account
+// that is no longer listed keeps its last cap, since its jobs go on.
 func (e *Engine) SetAccounts(now time.Duration, accounts *work.Accounts) {
 	e.now = now
 	e.accountsKnown = true
@@ -25,7 +26,7 @@
 	e.scheduled = false
 }
 
-// SetShares takes the shares of the accounts' caps that the parts of the cell may use.
+// SetShares takes the shares of the accounts' caps that each shard of the cell may use.
 func (e *Engine) SetShares(now time.Duration, shares quota.Shares) {
 	e.now = now
 	if shares.Version <= e.capShares {
@@ -36,11 +37,12 @@
 	e.scheduled = false
 }
 
-// QuotaReport tells the owner of the shares what this part holds and wants of the
-// accounts that are asked for, and of those of which work waits.
+// QuotaReport returns what this shard uses and wants of the accounts asked for, and of those
+// with waiting work.
 //
-// No leader of an earlier epoch can act by older shares once every worker has answered
-// this one: the workers refuse its orders. Nothing is started on those that are closed.
+// Obeyed is set only once every worker has answered this epoch, because workers then reject
+// orders of earlier leaders, which may still act by older shares. Cordoned workers are not
+// waited for: nothing is started on them.
 func (e *Engine) QuotaReport(asked []string) quota.Report {
 	r := quota.Report{Part: e.o.Part, Epoch: e.o.Epoch, Uses: e.ledger.Uses(asked)}
 	if e.unresolvedUncordoned == 0 {
@@ -49,7 +51,7 @@
 	return r
 }
 
-// AccountRows returns the accounts as people are shown them.
+// AccountRows returns the accounts as they are shown to users.
 func (e *Engine) AccountRows() []quota.Row {
 	rows := e.ledger.Rows()
 	for i := range rows {
@@ -58,18 +60,19 @@
 	return rows
 }
 
-// capsKnown reports whether it is known what accounts may have running here.
+// capsKnown reports whether the accounts and this shard's shares of their caps have been
+// received.
 func (e *Engine) capsKnown() bool { return e.accountsKnown && (e.o.Parts <= 1 || e.capShares > 0) }
 
 func sizeOf(r work.Resources) quota.Size {
 	return quota.Size{MilliCPU: int64(r.CPU), MemoryMB: int64(r.Memory), Accelerators: int64(r.GPU)}
 }
 
-// charge is what a run of the step counts for its account: all that it asks for, also
-// where it fills.
+// charge is what a run of the step counts for its account: its full declared size, also for
+// best-effort work, which books no processors on its worker.
 func (s *step) charge() quota.Size { return sizeOf(s.spec.Size) }
 
-// startsTogether is how many of a step's tasks start at least, if any does.
+// startsTogether is the least number of the step's tasks that can start.
 func (s *step) startsTogether() int {
 	if s.spec.Gang {
 		return s.spec.Count
@@ -82,7 +85,7 @@
 	return e.mayUse(s, s.charge().Times(s.startsTogether()))
 }
 
-// awaitsQuota notes that a step waits for nothing but its account's quota.
+// awaitsQuota records that a step waits for nothing but its account's quota.
 func (e *Engine) awaitsQuota(s *step) {
 	s.job.account.Want(s.charge(), len(s.pending), s.startsTogether())
 	e.keepFree(s)
@@ -94,14 +97,14 @@
 	e.decide(Decision{What: "waits for its account's quota", Task: s.id(), Why: s.job.spec.Account})
 }
 
-// book counts a run on its worker and for its account.
+// book charges a run to its worker and its account.
 func (e *Engine) book(alloc *allocation) {
 	alloc.w.take(alloc)
 	alloc.s.job.account.Adopt(alloc.s.charge())
 	e.noteUsage(alloc.s.job, alloc.s.charge())
 }
 
-// unbook frees what a run takes, once it is known not to run any more.
+// unbook releases what a run uses, once it is known not to run any more.
 func (e *Engine) unbook(alloc *allocation) {
 	if !alloc.w.drop(alloc) {
 		return
@@ -115,16 +118,16 @@
 	}
 }
 
-// untrackedRun is a run without a place that is being stopped.
+// untrackedRun is a run that has no allocation and is being stopped.
 type untrackedRun struct {
 	task    work.TaskID
 	account *quota.Account
 	size    quota.Size
 }
 
-// chargeUntracked counts a run that is being stopped for its account until the next report
-// of its worker. A job whose end was read from the store has no steps: what it still ran
-// is in ending.
+// chargeUntracked charges an untracked run to its account until the next report of its worker.
+// A job whose final state was read from the store has no steps; what it was still running is
+// in endedHeld.
 func (e *Engine) chargeUntracked(w *worker, task work.TaskID) {
 	x := untrackedRun{task: task, account: e.ledger.Account("")}
 	if j := e.jobs[task.Job]; j != nil {
@@ -134,8 +137,8 @@
 	w.untracked = append(w.untracked, x)
 }
 
-// sizeOf returns what a task of a step counts for the job's account; nothing for a step
-// that is not known.
+// sizeOf returns what a task of a step counts for the job's account; nothing for an unknown
+// step.
 func (j *job) sizeOf(step int) quota.Size {
 	switch {
 	case step >= 0 && step < len(j.spec.Steps):
@@ -153,14 +156,14 @@
 	w.untracked = w.untracked[:0]
 }
 
-// countUnseen counts for the accounts what an earlier epoch may have started, as long as
-// workers have not told: the waiting tasks of jobs that it may have begun, at most as
-// much as those workers hold, or, of closed ones, what they may run; and what was being
-// stopped of jobs that had ended.
+// countUnseen charges the accounts for what an earlier epoch may have started, as long as
+// workers have not answered. These are the waiting tasks of jobs that it may have started,
+// bounded by the capacity of those workers or, for cordoned ones, by the tasks listed for
+// them; and the runs that were being stopped of jobs that had ended.
 //
-// What goes wrong without it: a leader is lost while an account is at its cap. Its
-// successor sees the account's runs only as the workers answer, takes it to hold
-// nothing, and starts its waiting work beside them.
+// Otherwise, if a leader fails while an account is at its cap, its successor sees the
+// account's runs only as the workers answer, takes the account to use nothing, and starts its
+// waiting work beside them.
 func (e *Engine) countUnseen() {
 	if e.unresolved == 0 && len(e.endedHeld) == 0 && !e.anyUnseen {
 		return
@@ -183,8 +186,8 @@
 	e.anyUnseen = len(unseen) > 0
 }
 
-// countInherited adds up, by account, the tasks that have no place and that an earlier
-// epoch may have started, also those of jobs that have been cancelled since.
+// countInherited adds up, by account, the tasks that have no allocation and that an earlier
+// epoch may have started, including those of jobs cancelled since.
 func (e *Engine) countInherited(unseen map[*quota.Account]quota.Size) {
 	for _, j := range e.jobs {
 		if !j.inherited {
@@ -198,7 +201,7 @@
 	}
 }
 
-// countListed adds up, by account, the tasks that closed workers may run.
+// countListed adds up, by account, the tasks that cordoned workers may run.
 func (e *Engine) countListed() map[*quota.Account]quota.Size {
 	listed := map[*quota.Account]quota.Size{}
 	for task := range e.mayRun {
@@ -210,9 +213,9 @@
 	return listed
 }
 
-// unresolvedCapacity is what the workers that have not answered this epoch, and of which
-// it is not listed what they may run, hold. One that the directory does not list any more
-// counts as the largest.
+// unresolvedCapacity is the capacity of the workers that have not answered this epoch and for
+// which the store does not list what they may run. One that the directory no longer lists
+// counts as large as the largest.
 func (e *Engine) unresolvedCapacity() quota.Size {
 	var all, largest quota.Size
 	unlisted := 0
@@ -239,8 +242,7 @@
 	return false
 }
 
-// noteEndedHeld remembers what a job that had ended was still running when that was
-// written.
+// noteEndedHeld records what an ended job was still running when its end was written.
 func (e *Engine) noteEndedHeld(p *work.Progress) {
 	if p.Held == (work.Resources{}) {
 		return
@@ -249,7 +251,7 @@
 	e.endedHeld[a] = e.endedHeld[a].Add(sizeOf(p.Held))
 }
 
-// held is what the runs of a job take for its account.
+// held is what the runs of a job use of its account's cap.
 func (j *job) held() (sum work.Resources) {
 	for s := range j.steps() {
 		sum = sum.Add(s.spec.Size.Scale(s.live()))
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -10,38 +10,38 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Asking for advice.
+// Limits and estimates of calls for advice.
 const (
 	// maxWorkersPerCall is how many workers one call may name.
 	maxWorkersPerCall = 100
-	// maxCalls is how many calls for one gang may be under way. Load pattern: gangs
-	// that need most of the workers that they are allowed, of several hundred; one
-	// call after the other took four seconds until all were known.
+	// maxCalls is how many calls for one gang may be in flight. For a gang that needs most of
+	// the workers it is allowed, of several hundred, one call after the other took four
+	// seconds until all verdicts were known.
 	maxCalls = 4
-	// initialGoodShare is the share of workers taken to be good for a step of a queue
-	// of which nothing has been learnt.
+	// initialGoodShare is the assumed share of workers that are good for a step of a queue
+	// without any answers yet.
 	initialGoodShare = 0.4
-	// goodShareDecay is the weight of the newest answer in the learnt share.
+	// goodShareDecay is the weight of the newest answer in the learned share.
 	goodShareDecay = 0.1
-	// askFactor is how many times the workers are named that would do if the
-	// share held exactly.
+	// askFactor is how many times as many workers are named as would be enough if the share
+	// were exact.
 	askFactor = 1.6
-	// ticketMargin is kept between a start and the end of its ticket: the way
-	// to the worker, and a second try.
+	// ticketMargin is kept between a start and the expiry of its ticket, for the way to the
+	// worker and a second attempt.
 	ticketMargin = 60 * time.Millisecond
-	// adviceGrace is added to a call's cost for its timeout. Calls of one
-	// daemon wait for each other, and the engine sends one at a time to each.
+	// adviceGrace is added to a call's cost to get its timeout. The calls of one daemon queue
+	// up, and the engine sends one at a time to each.
 	adviceGrace = 700 * time.Millisecond
-	// slowCall is the cost from which a call counts as slow. Slow calls never
-	// take every lane, so that a quick queue's step does not wait behind one.
+	// slowCall is the cost from which a call counts as slow. Slow calls never use every proxy,
+	// so that a step of a quick queue does not wait behind one.
 	slowCall       = 60 * time.Millisecond
 	slowProxyShare = 0.7
 	// advicePause is between calls for a step after one failed.
 	advicePause = 100 * time.Millisecond
 )
 
-// adviceProxy is a daemon through which advice is asked. Its calls are answered one
-// after the other, so it has one at a time.
+// adviceProxy is a daemon through which the advice service is called. It makes its calls one
+// after the other, so it is sent one at a time.
 type adviceProxy struct {
 	member  string
 	busy    *step // nil: idle
@@ -51,22 +51,22 @@
 	failed  time.Duration // when its last call failed
 }
 
-// advice is what a step knows of the workers that may run it.
+// advice is what a step has received about the workers that may run it.
 type advice struct {
-	// verdicts holds what is known of each worker, by its slot; which workers are
-	// good for a step never changes, only tickets age.
+	// verdicts holds the verdict on each worker, by worker.index. Which workers are good for a
+	// step never changes; only tickets expire.
 	verdicts []verdict
-	tickets  []ticket // those of the last calls
-	// ticketAt is one more than the place of a worker's ticket, by its slot; 0 for
-	// none.
+	tickets  []ticket // from the last calls
+	// ticketAt is one more than the index in tickets of a worker's ticket, by worker.index; 0
+	// for none.
 	ticketAt []int32
-	inFlight int               // calls on their way
-	toAsk    []runner.WorkerID // to be named by the next calls, maxNamed in each
-	reserve  gangReserveMode   // what is to be held during the call
-	next     time.Duration     // no call before
+	inFlight int               // calls
+	toAsk    []runner.WorkerID // to be named by the next calls, maxWorkersPerCall in each
+	reserve  gangReserveMode   // which gang reservation to make for the calls
+	next     time.Duration     // earliest next call
 }
 
-// verdict tells whether a worker may run a step.
+// verdict is the advice service's answer on whether a worker may run a step.
 type verdict uint8
 
 const (
@@ -75,7 +75,7 @@
 	bad
 )
 
-// at returns an element of a list that is as long as the highest slot needs.
+// at returns an element of a list that is only as long as the highest index set in it.
 func at[T any](list []T, slot int) (v T) {
 	if slot < len(list) {
 		return list[slot]
@@ -91,8 +91,8 @@
 	(*list)[slot] = v
 }
 
-// verdictOf returns what is known of a worker. Rounds of placement ask for every pair of a
-// waiting step and a worker, so it is one look into a list.
+// verdictOf returns the verdict on a worker. A round of placement asks for every pair of a
+// waiting step and a worker, so this is a single slice lookup.
 func (a *advice) verdictOf(w *worker) verdict { return at(a.verdicts, w.index) }
 
 func (a *advice) record(w *worker, v verdict) { set(&a.verdicts, w.index, v) }
@@ -116,16 +116,16 @@
 	}
 }
 
-// valid reports whether the ticket holds long enough for a start.
+// valid reports whether the ticket is valid long enough for a start.
 func (t *ticket) valid(now time.Duration) bool { return t.expires > now+ticketMargin }
 
-// hasTicket reports whether a worker's ticket holds long enough for a start.
+// hasTicket reports whether a worker has a ticket that is valid long enough for a start.
 func (a *advice) hasTicket(w *worker, now time.Duration) bool {
 	t := a.ticketFor(w)
 	return t != nil && t.valid(now)
 }
 
-// usable reports whether any ticket holds.
+// usable reports whether any ticket is valid.
 func (a *advice) usable(now time.Duration) bool {
 	for i := range a.tickets {
 		if a.tickets[i].valid(now) {
@@ -135,7 +135,7 @@
 	return false
 }
 
-// add takes a ticket in place of the worker's earlier one.
+// add stores a ticket, replacing the worker's earlier one.
 func (a *advice) add(t ticket) {
 	if old := a.ticketFor(t.w); old != nil {
 		*old = t
@@ -145,7 +145,7 @@
 	set(&a.ticketAt, t.w.index, int32(len(a.tickets)))
 }
 
-// Members tells the engine through which daemons advice can be asked.
+// Members sets the daemons through which advice can be requested.
 func (e *Engine) Members(now time.Duration, names []string) {
 	e.now = now
 	e.members = names
@@ -161,7 +161,7 @@
 	}
 }
 
-// requestAdvice asks for advice on workers for a step, through the next idle lanes, and
+// requestAdvice requests advice on workers for a step through the next idle proxies, and
 // reports whether there are any.
 func (e *Engine) requestAdvice(s *step, ids []runner.WorkerID) bool {
 	a := s.advice
@@ -182,28 +182,28 @@
 	return true
 }
 
-// callCost returns how long a call takes that names the first of n workers.
+// callCost returns how long a call takes that names n workers, or as many of them as one call
+// may name.
 func (s *step) callCost(n int) time.Duration {
 	return s.job.spec.Queue.Advice.Cost(min(n, maxWorkersPerCall))
 }
 
-// countProxies counts the lanes that are idle, and those of them that may take slow
-// calls.
+// countProxies counts the proxies that are idle, and how many of them may take slow calls.
 //
-// What goes wrong if both are one number: steps whose slow calls can not go out now
-// use it up in every round, and quick ones behind them are not asked for beside
-// idle lanes.
+// These are two counts because steps whose slow calls cannot be sent now would otherwise use
+// up the single count in every round, and quick steps behind them would not be asked for
+// although proxies are idle.
 func (e *Engine) countProxies() {
 	e.idleProxies = e.countIdleProxies()
 	e.idleForSlow = e.maxSlowProxies() - e.busyWithSlow()
 }
 
-// maxSlowProxies bounds the lanes with a slow call.
+// maxSlowProxies is how many proxies may have a slow call at a time.
 func (e *Engine) maxSlowProxies() int {
 	return max(1, int(math.Floor(float64(len(e.members))*slowProxyShare)))
 }
 
-// busyWithSlow counts the lanes with a slow call.
+// busyWithSlow counts the proxies with a slow call.
 func (e *Engine) busyWithSlow() int {
 	n := 0
 	for _, proxy := range e.proxies {
@@ -239,14 +239,13 @@
 	return s.advice
 }
 
-// askFor names workers for a step that needs slots more runs placed: known good
-// ones whose ticket is missing, and unknown ones as many as are likely to do.
+// askFor names workers to ask about for a step that needs n more tasks placed: those known to
+// be good whose ticket is missing, and as many unknown ones as are likely to be enough.
 //
-// Gangs name those with the most room first, other steps those with the least.
-// Load pattern: gangs of large tasks among many small ones. What goes wrong if small
-// tasks go where most is free: of all processors a quarter is free, and no worker
-// has room for a large task. Workers that are slow, or failed the last runs, come
-// last: what is slow is full.
+// Gangs name the workers with the most free capacity first, other steps those with the least:
+// if small tasks went where most is free, a quarter of all processors could be free while no
+// worker had room for a large task. Workers that are slow or failed their last runs come last,
+// since slow workers are usually full.
 func (e *Engine) askFor(s *step, slots int) {
 	a := s.advice
 	slots = s.job.account.Times(s.charge(), slots)
@@ -305,7 +304,7 @@
 	e.requestAdvice(s, ids)
 }
 
-// mayAsk reports whether a call for the step could go out in this round.
+// mayAsk reports whether a call for the step could be sent in this round.
 func (e *Engine) mayAsk(s *step) bool {
 	a := s.advice
 	if s.job.spec.Queue.Advice.Base >= slowCall && e.idleForSlow <= 0 {
@@ -321,7 +320,7 @@
 	return initialGoodShare
 }
 
-// retryAdvice gives up calls that were not answered.
+// retryAdvice gives up calls that were not answered in time.
 func (e *Engine) retryAdvice() {
 	for _, proxy := range e.proxies {
 		if proxy.busy != nil && e.now > proxy.until {
@@ -340,12 +339,12 @@
 	e.scheduled = false
 }
 
-// Advised takes the outcome of an AskAdvice.
+// Advised handles the outcome of an AskAdvice.
 func (e *Engine) Advised(now time.Duration, member string, id work.TaskID, allowed []runner.Ticket, err error) {
 	e.now = now
 	proxy := e.proxies[member]
 	if proxy == nil || proxy.busy == nil || proxy.busy.id() != id {
-		return // given up before
+		return // timed out before
 	}
 	if err != nil {
 		e.decide(Decision{What: "advice failed", Task: id, Why: member + ": " + err.Error(), Age: now - proxy.sent})
@@ -373,14 +372,14 @@
 	for _, t := range allowed {
 		w := e.workers[t.Worker]
 		if w == nil {
-			continue // its life is over
+			continue // its incarnation has ended
 		}
 		if a.verdictOf(w) != good {
 			freshGood++
 			a.record(w, good)
 		}
-		// The ticket holds from when the service gave it, which is when it
-		// answered; the answer has taken some milliseconds since.
+		// The ticket is valid from when the service issued it, which is when it answered; the
+		// answer took some milliseconds to get here.
 		a.add(ticket{w, t.Ticket, now + queue.Advice.Valid - ticketMargin})
 	}
 	if fresh > 0 {
@@ -389,7 +388,7 @@
 	}
 }
 
-// sendAdviceCalls hands what is wanted to idle lanes, in the order of the steps.
+// sendAdviceCalls assigns the requested calls to idle proxies, in the order of the steps.
 func (e *Engine) sendAdviceCalls(steps []*step) {
 	if len(e.members) == 0 {
 		return
@@ -402,7 +401,7 @@
 		}
 		cost := s.callCost(len(a.toAsk))
 		if a.reserve != reserveNone && !e.reserveGang(s, a, cost) {
-			a.toAsk = nil // others have taken the room in this round
+			a.toAsk = nil // other steps have taken the capacity in this round
 			continue
 		}
 		for len(a.toAsk) > 0 {
@@ -422,7 +421,7 @@
 	}
 }
 
-// sendAdviceCall hands the next call for a step to a lane.
+// sendAdviceCall sends the next call for a step through a proxy.
 func (e *Engine) sendAdviceCall(s *step, proxy *adviceProxy) {
 	a := s.advice
 	n := min(len(a.toAsk), maxWorkersPerCall)
@@ -437,8 +436,8 @@
 	return proxy.busy.job.spec.Queue.Advice.Cost(len(proxy.workers))
 }
 
-// pickProxy picks the lane for a call. Quick and slow calls start from opposite
-// ends of the members, so that slow ones rarely hold every lane.
+// pickProxy picks the proxy for a call. Quick and slow calls are taken from opposite ends of
+// the members, so that slow ones rarely occupy every proxy.
 func (e *Engine) pickProxy(slow bool) *adviceProxy {
 	var found *adviceProxy
 	for _, name := range e.members {
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -8,29 +8,28 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Bundles: the progress of many jobs in one value.
+// Batches: the progress of many jobs in one value of the store.
 //
-// Load pattern: the store answers in 300 ms, and jobs end at 40 to 200 a second.
-// One write holds 29 keys, two for each ended job under a key of its own: one write
-// at a time carries 48 ended jobs a second then. A bundle takes whatever waits in
-// one key, so what a write carries grows with what has come together while the
-// store was answering.
+// With a store that answers in 300 ms and 40 to 200 jobs ending per second, separate keys are
+// too slow: one write changes up to 29 keys, two for each ended job, so one write at a time
+// carries 48 ended jobs a second. A batch takes all waiting progress in one key, so what a
+// write carries grows with what has accumulated while the store was answering.
 //
-// Of the records of a job, the one with the highest revision stands: a job has
-// one write on its way at a time. Jobs are moved from bundles to their own keys
-// when there is room, and a bundle from which all have moved is removed.
+// Of several records of a job, the one with the highest revision counts; a job has one write
+// in flight at a time. Jobs are moved from batches to their own keys when a write has room,
+// and a batch from which all jobs have moved is removed.
 
-// maxBatch is the size of a bundle in bytes: a fraction of a second on a link
-// of 10 Mbit/s, and some thousand ended jobs.
+// maxBatch is the size of a batch in bytes: it takes a fraction of a second on a link of 10
+// Mbit/s, and holds several thousand ended jobs.
 const maxBatch = 128 << 10
 
 // batch is a value in the store that holds the newest progress of jobs.
 type batch struct {
 	key  string
-	jobs int // whose newest progress is in it
+	jobs int // jobs whose newest progress is in it
 }
 
-// addBatch writes the jobs that still wait as one value.
+// addBatch writes the jobs that are still waiting as one value.
 func (e *Engine) addBatch(ws *writeSet, c *SendCommit) {
 	var records []work.JobProgress
 	size := 0
@@ -46,7 +45,7 @@
 	}
 	data, err := work.EncodeBundle(records)
 	if err != nil {
-		e.violate("bundle does not encode: "+err.Error(), work.TaskID{Job: e.dirty[0].id}, "")
+		e.violate("batch does not encode: "+err.Error(), work.TaskID{Job: e.dirty[0].id}, "")
 		return
 	}
 	e.batchSeq++
@@ -59,8 +58,8 @@
 	e.stats.Bundles++
 }
 
-// addUnbatched moves jobs out of bundles as far as there is room, the oldest
-// first, and returns the room that is left.
+// addUnbatched moves jobs out of batches as far as the write has room, the oldest first, and
+// returns the room that is left.
 func (e *Engine) addUnbatched(ws *writeSet, c *SendCommit, room int) int {
 	kept := e.unbatch[:0]
 	for _, j := range e.unbatch {
@@ -72,7 +71,7 @@
 		default:
 			room -= j.keys()
 			e.addJob(ws, c, j)
-			kept = append(kept, j) // until the answer
+			kept = append(kept, j) // until the write is answered
 		}
 	}
 	clear(e.unbatch[len(kept):])
@@ -80,8 +79,8 @@
 	return room
 }
 
-// moveTo notes where a job's newest progress is: in a bundle, or, for nil, under
-// the job's own key.
+// moveTo records where a job's newest progress is: in a batch or, for nil, under the job's own
+// key.
 func (e *Engine) moveTo(j *job, to *batch) {
 	from := j.batch
 	j.batch = to
@@ -109,9 +108,8 @@
 	batch    *batch
 }
 
-// newest collects the newest progress of each job from the jobs' own keys and
-// from bundles. Entries that can not be read are left alone and returned as
-// errors.
+// newest collects the newest progress of each job from the jobs' own keys and from batches.
+// Entries that cannot be decoded are left as they are and returned as errors.
 func (e *Engine) newest(states, batches []store.Entry) (found map[work.JobID]stored, errs []error) {
 	found = make(map[work.JobID]stored, len(states))
 	take := func(s stored) {
@@ -152,9 +150,9 @@
 	return found, errs
 }
 
-// NewestProgress returns a job's progress among bundles, and whether one holds
-// any: a reader that finds a job handed in and not ended under its own key has
-// to look there.
+// NewestProgress returns a job's newest progress from a list of batches, and whether any of
+// them has it. A reader that finds a job submitted and not ended under its own key has to look
+// there.
 func NewestProgress(batches []store.Entry, id work.JobID) (*work.Progress, bool) {
 	var found *work.Progress
 	var revision store.Revision
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -8,9 +8,9 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Ends of runs: what they mean for their tasks, and when a worker may forget them.
+// Completions of runs: what they mean for their tasks, and when a worker may drop them.
 
-// takeCompletions processes the ends that are new and returns their number.
+// takeCompletions processes the completions that are new and returns their number.
 func (e *Engine) takeCompletions(w *worker, ends []runner.End) int {
 	n := 0
 	slices.SortFunc(ends, func(a, b runner.End) int { return int(a.Number - b.Number) })
@@ -32,18 +32,19 @@
 	return n
 }
 
-// noteMissedCompletions tells of ends that a worker has forgotten though nobody here has heard of
-// them: the numbers of a life follow each other, and ends are listed until they are
-// acknowledged. A life that an earlier epoch has called may have forgotten those it heard of.
+// noteMissedCompletions reports completions that a worker has dropped although this leader has
+// not received them: the numbers of an incarnation are consecutive, and completions are listed
+// until they are acknowledged. An incarnation that an earlier epoch has called may have
+// dropped those that were acknowledged to that epoch.
 func (e *Engine) noteMissedCompletions(w *worker, next int64) {
 	if missed := next - w.lastCompletion - 1; missed > 0 && (w.lastCompletion > 0 || w.newInEpoch) {
 		e.stats.EndsMissed += uint64(missed)
-		e.decide(Decision{What: "ends were forgotten unheard", Worker: w.ID, Why: fmt.Sprintf("%d before number %d", missed, next)})
+		e.decide(Decision{What: "completions dropped before they were received", Worker: w.ID, Why: fmt.Sprintf("%d before number %d", missed, next)})
 	}
 }
 
-// takeCompletion processes one end and returns the job whose progress has to be in
-// the store before the end is acknowledged, if any.
+// takeCompletion processes one completion and returns the job whose progress has to be stored
+// before it is acknowledged, if any.
 func (e *Engine) takeCompletion(w *worker, end *runner.End) *job {
 	alloc := w.allocs[end.Task]
 	if alloc != nil && alloc.run != end.Run {
@@ -52,7 +53,7 @@
 	j := e.jobs[end.Task.Job]
 	s := j.step(end.Task)
 	if s == nil {
-		return j // an occurrence that is done waits for the store as well
+		return j // for an occurrence that is done the store has to be waited for as well
 	}
 	t := &s.tasks[end.Task.Index]
 	ours := alloc != nil && t.alloc == alloc
@@ -63,7 +64,7 @@
 		e.scheduled = false
 	}
 	if ours {
-		t.alloc = nil // before the end is judged, which stops what the task still runs
+		t.alloc = nil // before the completion is processed, which stops the task's other runs
 	}
 	if end.Checkpoint != "" && s.spec.Checkpoints {
 		s.keepCheckpoint(end.Task.Index, end.Checkpoint)
@@ -88,11 +89,11 @@
 		return
 	}
 	for k := range s.tasks {
-		s.tasks[k].checkpoint = value // any member's is valid for all, and all carry the same
+		s.tasks[k].checkpoint = value // any member's checkpoint is valid for all, and all have the same one
 	}
 }
 
-// requeueEnded lets a task whose run ended start again, unless it is done.
+// requeueEnded makes a task whose run has ended eligible to start again, unless it is done.
 func (e *Engine) requeueEnded(s *step, i int) {
 	if s.spec.Gang && s.live() == 0 {
 		s.gang.stopping = false
@@ -115,7 +116,7 @@
 	}
 	e.stats.Done++
 	if s.spec.Lasting {
-		return // it is to start again, however it ended
+		return // a long-running task starts again however it ended
 	}
 	e.finish(s, end.Task.Index)
 	if s.spec.Gang {
@@ -147,11 +148,11 @@
 	e.decide(Decision{What: "failed", Task: end.Task, Run: end.Run, Worker: w.ID})
 	e.stats.Failed++
 	if alloc != nil && alloc.serves() {
-		return // a task that had come to work fails by its own doing
+		return // a task that reached serving fails by itself, not because of its worker
 	}
 	if alloc != nil && j.countsAgainst(w.ID) && w.noteFailure(e.now, j.id) {
 		e.stats.Aside++
-		e.decide(Decision{What: "worker set aside", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
+		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
 	}
 	t.avoidWorker(w.ID, e.now)
 	if t.done || !j.active() || s.spec.Lasting {
@@ -171,7 +172,7 @@
 	}
 }
 
-// acknowledge raises the number of ends that the worker may forget.
+// acknowledge raises the number up to which the worker may drop its completions.
 func (e *Engine) acknowledge(w *worker) {
 	for len(w.pendingAcks) > 0 {
 		a := w.pendingAcks[0]
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -11,14 +11,15 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Workers that die, and the tasks that may have caused it: package crash judges, this file
-// tells it what was lost where, and keeps suspect tasks apart from other work.
+// Workers that crash, and the tasks that may have caused it: package crash decides, this file
+// records there what was lost on which worker, and keeps suspect tasks apart from other work.
 
-// crashedFor is how long an address counts as one whose worker has crashed of late.
+// crashedFor is for how long after a crash an address counts as one whose worker crashed
+// recently.
 const crashedFor = 30 * time.Second
 
-// isolation keeps a worker for one step: nothing else is started there until then, so that a
-// death says which task caused it.
+// isolation reserves a worker for one step: no other step starts there until it expires, so
+// that a crash can be attributed to one task.
 type isolation struct {
 	s     *step
 	until time.Duration
@@ -26,14 +27,14 @@
 
 func (q isolation) excludes(s *step, now time.Duration) bool { return now < q.until && q.s != s }
 
-// pastCrashWindow reports whether a run is known to have begun and, if its worker lived at some
-// time, not to have crashed it.
+// pastCrashWindow reports whether a run is known to have started so long before at that, if
+// its worker was running at that time, the run has not crashed it.
 func (alloc *allocation) pastCrashWindow(at time.Duration) bool {
 	return alloc.confirmedAt > 0 && at >= alloc.confirmedAt+crash.Window
 }
 
-// noRecentStarts reports whether no run of another job has just begun on the worker, is about to, or
-// is on trial there.
+// noRecentStarts reports whether no run of another job has just started on the worker, is
+// about to, or is on trial there.
 func (e *Engine) noRecentStarts(w *worker, s *step) bool {
 	for _, alloc := range w.allocs {
 		if alloc.s.job != s.job && (!alloc.pastCrashWindow(e.now) || alloc.task().crashes.OnTrial(alloc.run)) {
@@ -43,8 +44,8 @@
 	return true
 }
 
-// isolate keeps a worker for a step with a suspect task until what has just begun there
-// has lived on, unless one is kept for the step.
+// isolate isolates a worker for a step with a suspect task until the runs that have just
+// started there are past the crash window, unless one is isolated for the step already.
 func (e *Engine) isolate(s *step, w *worker) {
 	if k := s.isolates; k != nil && k.isolated.s == s && e.now < k.isolated.until {
 		return
@@ -53,8 +54,8 @@
 	w.isolated = isolation{s, e.now + 2*crash.Window}
 }
 
-// isolateGang does so for the workers of a gang with a suspect task, and reports whether
-// the gang has to wait for that. It waits for a bounded time only.
+// isolateGang isolates the workers of a gang with a suspect task, and reports whether the gang
+// has to wait for that. It waits for a bounded time only.
 func (e *Engine) isolateGang(s *step, slots []gangSlots) (wait bool) {
 	if !slices.ContainsFunc(s.tasks, func(t task) bool { return t.crashes.Suspect() }) {
 		return false
@@ -71,23 +72,24 @@
 	return wait && e.now < s.isolationWait
 }
 
-// maxIsolationWait bounds how long a gang waits for workers on which nothing has just begun.
+// maxIsolationWait bounds how long a gang waits for workers without recent starts.
 const maxIsolationWait = 4 * crash.Window
 
-// noteAlive notes that the worker lived at some time.
+// noteAlive records that the worker was running at some time.
 func (w *worker) noteAlive(at time.Duration) { w.aliveAt = max(w.aliveAt, at) }
 
-// startAnswered notes that the worker lived when a start was sent that it has answered. What
-// had lived on by then is cleared at once: no renewal may follow before the worker dies, and
-// a successor takes a trial that is open for what crashed it.
+// startAnswered records that the worker was running when a start was sent that it has
+// answered. Runs that are past the crash window by then are cleared at once: no renewal may
+// follow before the worker crashes, and a successor takes an open trial for the cause of the
+// crash.
 func (e *Engine) startAnswered(alloc *allocation) {
 	alloc.w.noteAlive(alloc.sent)
 	e.settleCrashes(alloc.w, false)
 }
 
-// suspects returns the runs that may have crashed the worker, and whether they are of one
-// job: those that had not lived on when it was last heard of. Where there are none and
-// the worker's life is over, it is all.
+// suspects returns the runs that may have crashed the worker, and whether they are all of one
+// job: the runs that were not past the crash window when the worker was last known to be
+// running. If there are none and the incarnation has ended, all its runs are suspect.
 func (w *worker) suspects(ended bool) (all []*allocation, sole bool) {
 	for _, alloc := range sortedAllocs(w) {
 		if alloc.tries > 0 && !alloc.pastCrashWindow(w.aliveAt) {
@@ -101,7 +103,7 @@
 	return all, sole
 }
 
-// suspectRuns returns the same in the form that a successor reads.
+// suspectRuns returns the suspects in the form that is stored for a successor.
 func (w *worker) suspectRuns(ended bool) []suspectRun {
 	if w.Draining {
 		return nil // it leaves as planned
@@ -114,8 +116,9 @@
 	return all
 }
 
-// recordLosses records what was lost with a worker that did not leave as planned, and returns
-// the tasks that may have caused it. ended tells that its life is over.
+// recordLosses records the loss of a worker that did not leave as planned in the crash records
+// of the tasks that may have caused it, and returns their runs. ended means that the worker's
+// incarnation has ended.
 func (e *Engine) recordLosses(w *worker, ended bool) []suspectRun {
 	if ended && !w.Draining {
 		e.crashedAt[w.Address] = e.now
@@ -130,7 +133,7 @@
 		if alloc := t.alloc; alloc != nil && alloc.w == w {
 			alloc.lossRecorded = true
 		}
-		t.crashes.Lose(x.Run, string(w.ID), x.Sole, ended)
+		t.crashes.AddLoss(x.Run, string(w.ID), x.Sole, ended)
 		e.noteCrashRecord(w.ID, x.Task)
 		e.markDirty(s.job, false)
 		e.stats.Suspected++
@@ -140,29 +143,29 @@
 	return suspects
 }
 
-// noteCrashRecord remembers that a task has a record of a worker.
+// noteCrashRecord indexes a task by the worker that one of its crash records names.
 func (e *Engine) noteCrashRecord(id runner.WorkerID, task work.TaskID) {
 	if !slices.Contains(e.tasksByCrash[id], task) {
 		e.tasksByCrash[id] = append(e.tasksByCrash[id], task)
 	}
 }
 
-// failIfGuilty ends the job of a task that crashes its workers.
-func (e *Engine) failIfGuilty(id work.TaskID) {
+// failAtCrashLimit fails the job of a task that has reached the limit of crashed workers.
+func (e *Engine) failAtCrashLimit(id work.TaskID) {
 	s := e.jobs[id.Job].step(id)
 	if s == nil || !s.job.active() {
 		return
 	}
 	t := &s.tasks[id.Index]
-	if t.done || !t.crashes.Guilty() {
+	if t.done || !t.crashes.LimitReached() {
 		return
 	}
 	e.stats.GivenUp++
 	e.end(s.job, work.Failed, fmt.Sprintf("%d workers crashed under task %s", len(t.crashes), id))
 }
 
-// settleCrashes tells the tasks with records of a worker what has become of it: its life
-// has ended, or it has just answered.
+// settleCrashes updates the tasks with crash records of a worker: its incarnation has ended,
+// or it has just answered.
 func (e *Engine) settleCrashes(w *worker, ended bool) {
 	tasks := e.tasksByCrash[w.ID]
 	if len(tasks) == 0 {
@@ -181,22 +184,22 @@
 	e.tasksByCrash[w.ID] = kept
 }
 
-// settleCrash does so for one task, and reports whether a record of the worker is left.
+// settleCrash does this for one task, and reports whether a record of the worker remains.
 func (e *Engine) settleCrash(s *step, id work.TaskID, w *worker, ended bool) bool {
 	t := &s.tasks[id.Index]
-	var live uint64 // a trial that may crash the worker yet
+	var live uint64 // a trial that may still crash the worker
 	if alloc := t.alloc; alloc != nil && alloc.w == w && !alloc.pastCrashWindow(w.aliveAt) {
 		live = alloc.run
 	}
 	if t.crashes.Settle(string(w.ID), ended && !w.Draining, live) {
 		e.markDirty(s.job, false)
 	}
-	e.failIfGuilty(id)
+	e.failAtCrashLimit(id)
 	return slices.ContainsFunc(t.crashes, func(c work.Crash) bool { return c.Worker == string(w.ID) })
 }
 
-// loadCrashes takes over the records of a job's tasks. A worker that is not among those
-// in use was found to be gone by an earlier leader.
+// loadCrashes indexes the crash records of a job's tasks. A worker that is not among those in
+// use was removed by an earlier leader: its incarnation has ended.
 func (e *Engine) loadCrashes(j *job) {
 	if !j.active() {
 		return
@@ -208,14 +211,14 @@
 				e.noteCrashRecord(runner.WorkerID(c.Worker), id)
 				if e.workers[runner.WorkerID(c.Worker)] == nil && s.tasks[i].crashes.Settle(c.Worker, true, 0) {
 					e.markDirty(j, false)
-					e.failIfGuilty(id)
+					e.failAtCrashLimit(id)
 				}
 			}
 		}
 	}
 }
 
-// pruneCrashes drops what concerns jobs that have ended and crashes long past.
+// pruneCrashes drops the index of jobs that have ended, and crashes older than crashedFor.
 func (e *Engine) pruneCrashes() {
 	for id, tasks := range e.tasksByCrash {
 		tasks = slices.DeleteFunc(tasks, func(t work.TaskID) bool { return e.jobs[t.Job] == nil || !e.jobs[t.Job].active() })
@@ -235,8 +238,9 @@
 	return known && e.now-at <= crashedFor
 }
 
-// beginTrial records the start of a suspect task; it is sent once the store has that. A
-// successor that finds neither the run nor its end then knows of the worker's death.
+// beginTrial records the start of a suspect task; the start is sent once the record is stored.
+// A successor that finds neither the run nor its completion then has the record of the
+// worker's crash.
 func (e *Engine) beginTrial(alloc *allocation) {
 	sole := e.noRecentStarts(alloc.w, alloc.s)
 	alloc.task().crashes.Begin(alloc.run, string(alloc.w.ID), sole)
@@ -250,16 +254,16 @@
 }
 
 // errUnusable is why a trial is not sent.
-var errUnusable = errors.New("the worker can not be used any more")
+var errUnusable = errors.New("the worker cannot be used any more")
 
-// sendTrials sends the trials of a job that the store has on record.
+// sendTrials sends the trials of a job whose records are stored.
 func (e *Engine) sendTrials(j *job) {
 	waiting := j.trials
 	j.trials = nil
 	for _, alloc := range waiting {
 		w := alloc.w
 		switch {
-		case alloc.task().alloc != alloc || alloc.state != starting: // given up meanwhile
+		case alloc.task().alloc != alloc || alloc.state != starting: // released meanwhile
 		case alloc.awaitsVersion > j.saved:
 			j.trials = append(j.trials, alloc)
 		case w.Draining || w.cordoned || w.misses > 0 || w.over():
@@ -272,17 +276,18 @@
 	}
 }
 
-// endTrial forgets the trial of a run that was not lost with its worker.
+// endTrial drops the trial record of a run that was not lost with its worker.
 func (e *Engine) endTrial(s *step, i int, run uint64) {
 	if s.tasks[i].crashes.Drop(run) {
 		e.markDirty(s.job, false)
 	}
 }
 
-// noteHealthy forgets the crashes under a task of which a run has lived for long.
+// noteHealthy drops the crash records of a task of which a run has been running for
+// crash.HealthyAfter.
 func (e *Engine) noteHealthy(alloc *allocation) {
 	t := alloc.task()
-	if len(t.crashes) == 0 || alloc.state != running || e.now-alloc.confirmedAt < crash.SoundAfter {
+	if len(t.crashes) == 0 || alloc.state != running || e.now-alloc.confirmedAt < crash.HealthyAfter {
 		return
 	}
 	t.crashes = nil
--- a/process/dispatch/directory.go
+++ b/process/dispatch/directory.go
@@ -8,13 +8,13 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// WorkerSeen takes a worker's entry in the directory.
+// WorkerSeen handles a worker's entry in the directory.
 func (e *Engine) WorkerSeen(now time.Duration, seen runner.Worker) {
 	e.now = now
 	seen.ID = e.incarnationOf(seen.ID)
 	older, next := e.noteIncarnation(seen.ID)
 	if older {
-		return // an entry of an earlier life, which came late
+		return // a late entry of an earlier incarnation
 	}
 	w := e.workers[seen.ID]
 	if w == nil {
@@ -32,7 +32,7 @@
 	e.scheduled = false
 }
 
-// WorkersListed takes the directory as a whole.
+// WorkersListed handles a listing of the whole directory.
 func (e *Engine) WorkersListed(now time.Duration, workers []runner.Worker) {
 	listed := make(map[runner.WorkerID]bool, len(workers))
 	for i := range workers {
@@ -46,8 +46,7 @@
 	}
 }
 
-// rackOf returns the rack among a worker's labels: the last one, the first
-// being its kind.
+// rackOf returns the rack among a worker's labels: the last one, since the first is its kind.
 func rackOf(labels []string) string {
 	if len(labels) == 0 {
 		return ""
@@ -63,8 +62,8 @@
 	return w
 }
 
-// WorkerUnlisted takes the end of a worker's entry. The worker may still run
-// what it has.
+// WorkerUnlisted handles the removal of a worker's entry. The worker may still be running its
+// tasks.
 func (e *Engine) WorkerUnlisted(now time.Duration, id runner.WorkerID) {
 	e.now = now
 	w := e.workers[id]
@@ -79,13 +78,13 @@
 	}
 }
 
-// removeWorker gives a worker up: nothing of it runs any more. ended tells that its life is
-// over, as far as can be known.
+// removeWorker drops a worker on which nothing runs any more. ended means that its incarnation
+// has ended, as far as can be determined.
 func (e *Engine) removeWorker(w *worker, why string, ended bool) {
 	if w.removed {
 		return
 	}
-	e.decide(Decision{What: "worker gone", Worker: w.ID, Why: why, Age: e.now - w.answered})
+	e.decide(Decision{What: "worker removed", Worker: w.ID, Why: why, Age: e.now - w.answered})
 	w.removed = true
 	e.stats.Gone++
 	e.clearAllocs(w, why, ended)
@@ -99,7 +98,7 @@
 	w.pendingAcks = nil
 }
 
-// clearAllocs frees every run on a worker on which nothing runs any more.
+// clearAllocs releases every run on a worker on which nothing runs any more.
 func (e *Engine) clearAllocs(w *worker, why string, ended bool) {
 	w.refundUntracked()
 	suspects := e.recordLosses(w, ended)
@@ -118,7 +117,7 @@
 		}
 	}
 	for _, x := range suspects {
-		e.failIfGuilty(x.Task)
+		e.failAtCrashLimit(x.Task)
 	}
 }
 
@@ -137,12 +136,13 @@
 	return all
 }
 
-// leaseExpired is called when everything on a worker must have ended with its lease.
+// leaseExpired handles a worker whose lease has certainly expired, so that nothing runs there
+// any more.
 func (e *Engine) leaseExpired(w *worker) {
-	e.decide(Decision{What: "lease lapsed", Worker: w.ID, Why: "no answer until the lease had run out", Age: e.now - w.answered})
+	e.decide(Decision{What: "lease expired", Worker: w.ID, Why: "no answer until the lease had expired", Age: e.now - w.answered})
 	if !w.listed || !w.fenced {
-		e.removeWorker(w, "its lease has run out and it does not answer", !w.listed)
+		e.removeWorker(w, "its lease has expired and it does not answer", !w.listed)
 		return
 	}
-	e.clearAllocs(w, "its lease has run out", false)
+	e.clearAllocs(w, "its lease has expired", false)
 }
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -15,93 +15,94 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Engine schedules for one epoch. It is not safe for concurrent use.
+// Engine is the scheduler's state machine for one epoch. It is not safe for concurrent use.
 type Engine struct {
 	o   Options
 	now time.Duration
 	out []Effect
 
 	jobs map[work.JobID]*job
-	// cancels that ended no job, since its hand-in has not been seen yet or it
-	// had ended, and when they came.
+	// cancels are the cancellations that ended no job, because the submission has not been
+	// seen yet or the job had already ended, with the time at which they came in.
 	cancels     map[work.JobID]time.Duration
 	workers     map[runner.WorkerID]*worker
-	workerList  []*worker // the workers, in a fixed order
-	workerCount int       // used up by workers of this epoch, those that are gone included
-	// unresolved counts workers that an earlier epoch used and that have
-	// neither answered this one nor certainly ended; unresolvedOpen those of them
-	// that were not closed.
+	workerList  []*worker // in a fixed order
+	workerCount int       // that this epoch has had, removed ones included
+	// unresolved counts the workers that an earlier epoch used and that have neither answered
+	// this one nor certainly stopped running its tasks; unresolvedUncordoned counts those of
+	// them that were not cordoned.
 	unresolved, unresolvedUncordoned int
-	// cordonedUnlisted counts closed ones of which it is not known what they may run;
-	// what was handed in after closedAt does not run there.
+	// cordonedUnlisted counts the cordoned workers for which the store does not list what may
+	// run there. Jobs submitted after fleetRevision do not run on them.
 	cordonedUnlisted int
 	fleetRevision    store.Revision
-	// mayRun counts, by task, the closed workers on which it may run yet.
+	// mayRun counts, by task, the cordoned workers on which the task may still be running.
 	mayRun map[work.TaskID]int
 
 	ready []*step // steps with tasks to start
-	timed []*job  // with occurrences that have not come due
+	timed []*job  // with occurrences that are not due yet
 
-	ledger        *quota.Ledger // of this part of the cell
+	ledger        *quota.Ledger // for this shard of the cell
 	accountsKnown bool
-	capShares     uint64 // the version of the parts' shares that is obeyed; 0: none is known
-	// endedHeld is what jobs that had ended still ran when an earlier epoch wrote that.
+	capShares     uint64 // version of the shards' shares that is applied; 0: none is known
+	// endedHeld is what jobs that had ended were still running when an earlier epoch wrote
+	// their end.
 	endedHeld map[*quota.Account]quota.Size
 	fair      *fair.Book
 	usages    map[usageKey]*usage
-	// priorities lists those for which an account has run anything, rising.
+	// priorities lists, in rising order, those at which an account has run anything.
 	priorities map[*quota.Account][]int
-	keptFree   map[*quota.Account]quota.Size // kept free in this round
-	anyUnseen  bool                          // something counts for accounts that is not seen
+	keptFree   map[*quota.Account]quota.Size // reserved in this round
+	anyUnseen  bool                          // an account is charged for runs that no worker has reported yet
 
-	// tasksByCrash are the tasks with records of crashes, by worker, and crashedAt the
-	// addresses of the workers whose lives ended of late.
+	// tasksByCrash holds, by worker, the tasks with crash records of that worker; crashedAt,
+	// by address, when a worker's incarnation ended recently.
 	tasksByCrash map[runner.WorkerID][]work.TaskID
 	crashedAt    map[string]time.Duration
-	// latestStart are the latest ones by name, and outliving the runs that may be carried out
-	// by a later life.
-	latestStart map[string]int64
-	lateStarts  map[string][]*allocation
+	// latestStarts holds, by worker name, the start time of the latest incarnation; lateStarts
+	// the runs whose start order a later incarnation may still carry out.
+	latestStarts map[string]int64
+	lateStarts   map[string][]*allocation
 
 	members        []string
 	proxies        map[string]*adviceProxy
-	goodShares     map[string]float64  // of workers that are good, by queue
-	estimateRatios map[string]*float64 // run time against estimate, by queue
+	goodShares     map[string]float64  // share of workers that are good, by queue
+	estimateRatios map[string]*float64 // mean run time divided by the estimate, by queue
 
 	dirty          []*job
-	dirtyAt        time.Duration // since when something waits for a commit
+	dirtyAt        time.Duration // since when a change waits for a commit
 	urgent         bool
 	removals       []string
-	writes         [lead.Chains]*writeSet // on their way, by chain
-	writtenAt      time.Duration          // when the last one went out
-	unbatch        []*job                 // whose newest progress is in a bundle
+	writes         [lead.Chains]*writeSet // in flight, by write stream
+	writtenAt      time.Duration          // when the last one was sent
+	unbatch        []*job                 // whose newest progress is in a batch
 	batchSeq       uint64
 	fleetChanged   bool
-	cordonsChanged bool // the list of closed workers is to be written
+	cordonsChanged bool // the list of cordoned workers has to be written
 	pruneAt        time.Duration
-	scheduled      bool // nothing has changed since the last placement
-	// scheduledAt and planAt are when the last round was, and when room for
-	// waiting gangs is to be planned anew.
+	scheduled      bool // nothing has changed since the last round of placement
+	// scheduledAt is when the last round was; planAt is when capacity for waiting gangs is
+	// planned again.
 	scheduledAt, planAt time.Duration
-	roundCost           time.Duration // of a round of placement, decaying
+	roundCost           time.Duration // moving average of the time a round takes
 	idleProxies         int           // left in this round
-	idleForSlow         int           // of them for slow calls
+	idleForSlow         int           // how many of them may take slow calls
 
 	deposed bool
 	stats   Stats
 }
 
-// Stats counts what an engine did.
+// Stats holds the counters of an engine.
 type Stats struct {
 	Starts, Resent, Stops, Done, Failed, Back, Lost, Adopted, Orphans uint64
 	Commits, Bundles, Violations, Advised, Aside, Moved, Holds        uint64
-	// Gone counts workers whose life was over, and LostWithWorker the runs among Lost
-	// that a worker took with it.
+	// Gone counts workers whose incarnation ended or that left; LostWithWorker counts the runs
+	// among Lost that ended with their worker.
 	Gone, LostWithWorker uint64
-	// EndsMissed counts ends that workers had forgotten before they were heard of.
+	// EndsMissed counts completions that workers had dropped before any leader received them.
 	EndsMissed uint64
-	// Suspected counts runs that may have crashed their worker, Trials the starts of
-	// suspect tasks, and GivenUp the jobs that failed for crashing workers.
+	// Suspected counts runs that may have crashed their worker, Trials the starts of suspect
+	// tasks, GivenUp the jobs that failed because a task crashed its workers.
 	Suspected, Trials, GivenUp uint64
 	// OverQuota counts steps that waited for their account's quota.
 	OverQuota uint64
@@ -115,11 +116,12 @@
 	return &Engine{o: o, fair: fair.New(o.Policy.Shares, entitled), jobs: map[work.JobID]*job{}, cancels: map[work.JobID]time.Duration{},
 		workers: map[runner.WorkerID]*worker{}, proxies: map[string]*adviceProxy{}, ledger: quota.NewLedger(), endedHeld: map[*quota.Account]quota.Size{},
 		usages: map[usageKey]*usage{}, priorities: map[*quota.Account][]int{}, keptFree: map[*quota.Account]quota.Size{},
-		tasksByCrash: map[runner.WorkerID][]work.TaskID{}, crashedAt: map[string]time.Duration{}, latestStart: map[string]int64{}, lateStarts: map[string][]*allocation{},
+		tasksByCrash: map[runner.WorkerID][]work.TaskID{}, crashedAt: map[string]time.Duration{}, latestStarts: map[string]int64{}, lateStarts: map[string][]*allocation{},
 		mayRun: map[work.TaskID]int{}, goodShares: map[string]float64{}, estimateRatios: map[string]*float64{}}
 }
 
-// Deposed reports whether a worker was called with a higher epoch.
+// Deposed reports whether a worker has rejected a call because it has seen a higher epoch, or
+// the epoch has ended for another reason.
 func (e *Engine) Deposed() bool { return e.deposed }
 
 // Unwritten returns the number of jobs whose progress waits for a write.
@@ -128,7 +130,7 @@
 // Stats returns the counters.
 func (e *Engine) Stats() Stats { return e.stats }
 
-// Saved is what earlier epochs left in the store.
+// Saved is the state that earlier epochs left in the store.
 type Saved struct {
 	Accepted []store.Entry // under PrefixJobs
 	States   []store.Entry // under PrefixState
@@ -136,8 +138,8 @@
 	Fleet    []store.Entry // under prefixFleet
 }
 
-// Load takes over what earlier epochs left in the store. Entries that can not
-// be read are returned as an error; the others are taken.
+// Load restores what earlier epochs left in the store. Entries that cannot be decoded are
+// reported in the error; the others are loaded.
 func (e *Engine) Load(now time.Duration, saved Saved) error {
 	e.now = now
 	var errs []error
@@ -161,26 +163,26 @@
 	return errors.Join(errs...)
 }
 
-// loadState takes over the newest progress of a job.
+// loadState restores the newest progress of a job.
 func (e *Engine) loadState(s stored) {
 	j := e.jobs[s.job]
 	if j == nil && s.progress.State.Final() {
-		// Its hand-in was removed when it ended.
+		// The submission was removed when the job ended.
 		j = &job{id: s.job, spec: &work.Job{Account: s.progress.Account}, state: s.progress.State, visible: s.progress.State, endedAt: e.now, trimmed: true}
 		e.jobs[s.job] = j
 		e.noteEndedHeld(s.progress)
 	}
 	if j == nil {
-		return // its hand-in could not be read: its progress is left alone
+		return // its submission could not be decoded: its progress is left as it is
 	}
 	e.moveTo(j, s.batch)
 	if j.trimmed || (j.state == work.Cancelled && !s.progress.State.Final()) {
-		return // a cancellation that is not yet written as such stands
+		return // a cancellation that is not stored as the final state yet takes precedence
 	}
 	j.restore(s.progress)
 }
 
-// Accepted takes what an accepting daemon wrote: a job or a cancellation.
+// Accepted handles an entry that an accepting daemon wrote: a job or a cancellation.
 func (e *Engine) Accepted(now time.Duration, entry store.Entry) error {
 	e.now = now
 	if id, ok := strings.CutPrefix(entry.Key, prefixCancel); ok {
@@ -212,7 +214,7 @@
 	j.overEntitled = !e.fair.HandedIn(spec.Account, j.accepted)
 	if _, ok := e.cancels[id]; ok {
 		delete(e.cancels, id)
-		e.end(j, work.Cancelled, "cancelled before the hand-in was seen")
+		e.end(j, work.Cancelled, "cancelled before the submission was seen")
 		return
 	}
 	e.openDue(j)
@@ -221,12 +223,12 @@
 	}
 }
 
-// engineTime returns the engine's time at a time of day, in milliseconds since 1970.
+// engineTime converts a Unix time in milliseconds to the engine's time.
 func (e *Engine) engineTime(ms int64) time.Duration {
 	return time.Duration(ms-e.o.Today) * time.Millisecond
 }
 
-// open lists a step whose tasks may start.
+// open lists a step as ready if its tasks may start.
 func (e *Engine) open(s *step) {
 	if s.opened || !s.job.active() || !s.ready() || s.left == 0 || s.occurrence.opens > e.now {
 		return
@@ -240,13 +242,13 @@
 func (e *Engine) cancel(id work.JobID) {
 	j := e.jobs[id]
 	if j == nil || !j.active() {
-		e.cancels[id] = e.now // its key is removed by time
+		e.cancels[id] = e.now // its key is removed after Bounds.Keep
 		return
 	}
 	e.end(j, work.Cancelled, "the caller cancelled it")
 }
 
-// end gives a job its final state and stops what runs of it.
+// end gives a job its final state and stops its runs.
 func (e *Engine) end(j *job, state work.State, why string) {
 	j.state, j.endedAt = state, e.now
 	e.decide(Decision{What: state.String(), Task: work.TaskID{Job: j.id}, Why: why, Age: e.now - j.loadedAt, waits: &j.waits})
@@ -262,8 +264,8 @@
 	e.markDirty(j, true)
 }
 
-// settle ends a job whose occurrences have all come and are done. Tasks that
-// last are never done.
+// settle completes a job whose occurrences have all come due and are done. Long-running tasks
+// are never done.
 func (e *Engine) settle(j *job) {
 	if !j.active() {
 		return
@@ -279,8 +281,8 @@
 	e.end(j, work.Completed, "every task is done")
 }
 
-// State returns what callers may be shown of a job; false for a job that the
-// engine does not know.
+// State returns the state of a job that callers may see; false if the engine does not have the
+// job.
 func (e *Engine) State(id work.JobID) (work.State, bool) {
 	j := e.jobs[id]
 	if j == nil || j.visible == work.Refused {
@@ -292,7 +294,7 @@
 	return j.visible, true
 }
 
-// Owner returns the account of a job that the engine knows, "" for none.
+// Owner returns the client account of a job; "" if the job has none or is not known.
 func (e *Engine) Owner(id work.JobID) string {
 	if j := e.jobs[id]; j != nil {
 		return j.spec.Account
@@ -300,7 +302,7 @@
 	return ""
 }
 
-// Pending returns the number of a queue's jobs of which nothing has started.
+// Pending returns the number of a queue's jobs that have not started.
 func (e *Engine) Pending(queue string) int {
 	n := 0
 	for _, j := range e.jobs {
@@ -311,8 +313,8 @@
 	return n
 }
 
-// Flush places what can be placed, prepares the next write, and returns what
-// is to be done.
+// Flush runs a round of placement if one is due, prepares the next writes, and returns the
+// effects to execute.
 func (e *Engine) Flush(now time.Duration) []Effect {
 	e.now = now
 	if e.deposed {
@@ -328,7 +330,7 @@
 	return out
 }
 
-// Tick does what is due by time.
+// Tick handles everything that is due by time.
 func (e *Engine) Tick(now time.Duration) {
 	e.now = now
 	for _, w := range slices.Clone(e.workerList) {
@@ -363,7 +365,8 @@
 	e.renew(w)
 }
 
-// pruneJobs drops jobs that ended long ago, and lets the store drop them.
+// pruneJobs drops jobs that ended more than Bounds.Keep ago, and removes their keys from the
+// store.
 func (e *Engine) pruneJobs() {
 	if e.now < e.pruneAt {
 		return
@@ -389,10 +392,10 @@
 	}
 }
 
-// prunePause is between looks for jobs to forget.
+// prunePause is the time between two runs of pruneJobs.
 const prunePause = 2 * time.Second
 
-// took measures a span of a job that this engine has seen from its acceptance.
+// took reports the time since a job's acceptance, unless an earlier epoch may have started it.
 func (e *Engine) took(what Span, j *job) {
 	if e.o.Took != nil && !j.inherited && j.spec.Repeat == 0 {
 		e.o.Took(what, j.spec.Queue.Name, j.spec.Account, max(e.now-j.accepted, 0))
--- a/process/dispatch/estimate.go
+++ b/process/dispatch/estimate.go
@@ -2,12 +2,12 @@
 
 import "time"
 
-// Judging how work goes.
+// Estimates of run times.
 const (
-	// runTimeDecay is the weight of the newest run in a learnt pace.
+	// runTimeDecay is the weight of the newest run in a learned average.
 	runTimeDecay = 0.15
-	// minPercent: below this share of its work a run's own progress says
-	// less of its remaining time than its estimate.
+	// minPercent: below this progress a run's own speed is a worse predictor of its remaining
+	// time than its estimate.
 	minPercent = 8
 )
 
@@ -16,8 +16,9 @@
 	return scale(s.spec.Estimate, *s.job.estimateRatio)
 }
 
-// estimateRatioOf returns the learnt pace of a queue, which its jobs share: rounds of
-// placement ask for it once for each run of each worker.
+// estimateRatioOf returns the learned ratio of run time to estimate of a queue. It is a
+// pointer that the queue's jobs share, because rounds of placement need it once for each run
+// of each worker.
 func (e *Engine) estimateRatioOf(queue string) *float64 {
 	p := e.estimateRatios[queue]
 	if p == nil {
@@ -28,8 +29,8 @@
 	return p
 }
 
-// learnRunTime learns from a run that was done how long runs of the queue, and on
-// the worker, take against their estimates.
+// learnRunTime updates, from a run that was done, how long runs of the queue and on the worker
+// take relative to their estimates.
 func (e *Engine) learnRunTime(w *worker, s *step, alloc *allocation) {
 	if s.spec.Estimate <= 0 || alloc.state != running || s.spec.Lasting {
 		return
@@ -56,11 +57,11 @@
 	return max(whole-elapsed, minRemaining)
 }
 
-// minRemaining: a run past its estimate may end any time.
+// minRemaining is the estimate for a run that has exceeded its estimate and may end any time.
 const minRemaining = 100 * time.Millisecond
 
-// checkStalled stops a run that makes no progress while its worker answers,
-// so that it goes on elsewhere.
+// checkStalled stops a run that makes no progress while its worker answers, so that it
+// continues elsewhere.
 func (e *Engine) checkStalled(alloc *allocation) {
 	if alloc.state != running || alloc.percent >= nearlyDone {
 		return
@@ -68,7 +69,7 @@
 	still := e.now - max(alloc.percentAt, alloc.confirmedAt)
 	bound := max(stallTimeout, e.estimate(alloc.s)/2)
 	if alloc.s.spec.Lasting {
-		bound = stallTimeout // its estimate says nothing of how soon it is at work
+		bound = stallTimeout // its estimate says nothing about how soon it serves
 	}
 	if still < bound || alloc.w.answered < alloc.percentAt+stallTimeout {
 		return
@@ -77,7 +78,7 @@
 	w := alloc.w
 	alloc.task().avoidWorker(w.ID, e.now)
 	if w.noteFailure(e.now, alloc.s.job.id) {
-		e.decide(Decision{What: "worker set aside", Worker: w.ID, Why: "runs of different jobs stand still there", Age: w.quarantine})
+		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs stand still there", Age: w.quarantine})
 	}
 	if alloc.s.spec.Gang {
 		e.stopGang(alloc.s, "a member makes no progress")
@@ -86,10 +87,10 @@
 	e.stop(alloc, "no progress")
 }
 
-// nearlyDone is the progress from which a run is left alone: members of a gang
-// end together, and those on faster workers wait with all of their work done.
+// nearlyDone is the progress from which a run is not checked: members of a gang end together,
+// and those on faster workers wait with all of their work done.
 const nearlyDone = 97
 
-// stallTimeout is how long a run's progress may stay the same: reports come
-// at least every renewWait, and a run of ten seconds gains ten percent a second.
+// stallTimeout is how long a run's progress may stay the same: reports arrive at least every
+// renewWait, and a run of ten seconds gains ten percent a second.
 const stallTimeout = 2500 * time.Millisecond
--- a/process/dispatch/explain.go
+++ b/process/dispatch/explain.go
@@ -7,14 +7,14 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Explanation tells how far a job has come and what its steps wait for.
+// Explanation describes how far a job has come and what its steps wait for.
 type Explanation struct {
 	Job     work.JobID `cbor:"1,keyasint" json:"job"`
 	State   string     `cbor:"2,keyasint" json:"state"`
 	Account string     `cbor:"3,keyasint,omitempty" json:"account,omitempty"`
-	// Beyond: handed in beyond what its account is entitled to.
+	// Beyond: submitted beyond what its account is entitled to.
 	Beyond bool `cbor:"4,keyasint,omitempty" json:"beyond,omitempty"`
-	// Held and Cap are those of the account, in this part of the cell.
+	// Held and Cap are those of the account, in this shard of the cell.
 	Held quota.Size `cbor:"5,keyasint" json:"held"`
 	Cap  quota.Size `cbor:"6,keyasint" json:"cap"`
 	// Waited is how long its steps waited, by cause, in milliseconds.
@@ -29,21 +29,21 @@
 	Tasks      int `cbor:"3,keyasint" json:"tasks"`
 	Done       int `cbor:"4,keyasint" json:"done"`
 	Running    int `cbor:"5,keyasint" json:"running"`
-	// Bound is what holds the tasks up that do not run; "" for nothing.
+	// Bound is what the tasks that do not run are waiting for; "" for nothing.
 	Bound string `cbor:"6,keyasint,omitempty" json:"bound,omitempty"`
 	// OpenMS is for how long the step's tasks could have started, in milliseconds.
 	OpenMS int64 `cbor:"7,keyasint,omitempty" json:"open_ms,omitempty"`
-	// Suspects are tasks under which workers have died.
+	// Suspects are tasks under which workers have crashed.
 	Suspects []SuspectTask `cbor:"8,keyasint,omitempty" json:"suspects,omitempty"`
 }
 
-// SuspectTask is a task with the deaths on record.
+// SuspectTask is a task with its crash records.
 type SuspectTask struct {
 	Index   int          `cbor:"1,keyasint" json:"index"`
 	Crashes []work.Crash `cbor:"2,keyasint" json:"crashes"`
 }
 
-// Bounds beside the causes of waiting.
+// Values of StepExplanation.Bound in addition to the names of wait causes.
 const (
 	boundBefore = "steps before it"
 	boundTime   = "its time"
@@ -53,7 +53,7 @@
 // maxExplained bounds the steps that an explanation lists.
 const maxExplained = 100
 
-// Explain tells what holds a job up; false for a job that the engine does not know.
+// Explain describes what a job is waiting for; false for a job that the engine does not have.
 func (e *Engine) Explain(now time.Duration, id work.JobID) (Explanation, bool) {
 	e.now = now
 	j := e.jobs[id]
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -11,28 +11,28 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// What a successor knows of the workers: which were used, on which of them nothing was
-// started any more, and what those ran.
+// The list of workers that is kept for a successor: which ones were used, which of them are
+// cordoned, and which tasks may run on those.
 //
-// Load pattern: the leader changes while workers are gone, out of reach, or about to
-// leave. What goes wrong without it: whatever waits may run on one of them, so nothing of
-// it starts for the eight seconds after which a lease of theirs has certainly run out.
+// Without it, after a change of the leader while workers are removed, unreachable or draining,
+// any waiting task might run on one of them, so none could start for the eight seconds after
+// which their leases have certainly expired.
 
 // fleetRecord lists the workers that the leader may have started tasks on.
 type fleetRecord struct {
 	Workers []runner.Ref `cbor:"1,keyasint"`
-	// Cordoned is written by earlier versions, which do not tell what may run there.
+	// Cordoned is written by earlier versions, which do not list what may run there.
 	Cordoned []runner.WorkerID `cbor:"2,keyasint,omitempty"`
 }
 
-// cordonRecord lists the workers on which nothing is started until the list is written
-// again without them.
+// cordonRecord lists the cordoned workers: nothing is started on them until the list is
+// written again without them.
 type cordonRecord struct {
 	Workers []cordonedWorker `cbor:"1,keyasint"`
 }
 
-// cordonedWorker is a worker with all tasks that may run there, or have ended there without
-// that being written. Those that ended later stay listed.
+// cordonedWorker is a worker with all tasks that may run there, or have completed there
+// without that being stored. Those that complete later stay listed.
 type cordonedWorker struct {
 	ID    runner.WorkerID `cbor:"1,keyasint"`
 	Tasks []work.TaskID   `cbor:"2,keyasint,omitempty"`
@@ -44,12 +44,13 @@
 type suspectRun struct {
 	Task work.TaskID `cbor:"1,keyasint"`
 	Run  uint64      `cbor:"2,keyasint"`
-	Sole bool        `cbor:"3,keyasint,omitempty"` // no run of another job may
+	Sole bool        `cbor:"3,keyasint,omitempty"` // no run of another job is suspect
 }
 
-// closeAfter is how long a worker must have been silent to be closed: the longest
-// wait of a renewal and one more call, so that a lost answer closes none. closeMisses
-// calls in a row that fail, as they do at once where nobody listens, close it sooner.
+// cordonAfter is how long a worker must have been unresponsive to be cordoned: the longest
+// wait of a renewal and one more call, so that a single lost response cordons none. After
+// cordonMisses failed calls in a row it is cordoned sooner; calls fail at once where nothing
+// listens.
 const (
 	cordonAfter  = renewWait + 2*renewGrace
 	cordonMisses = 2
@@ -57,7 +58,7 @@
 
 func (e *Engine) fleetDirty() bool { return e.fleetChanged || e.cordonsChanged }
 
-// loadFleet takes over what is known of the workers.
+// loadFleet restores the list of workers.
 func (e *Engine) loadFleet(entries []store.Entry) error {
 	var f fleetRecord
 	var cordons cordonRecord
@@ -102,8 +103,8 @@
 	return errors.Join(errs...)
 }
 
-// resolve notes that nothing of an earlier epoch can start or run unseen on a
-// worker.
+// resolve records that nothing of an earlier epoch can start or run unreported on a worker any
+// more.
 func (e *Engine) resolve(w *worker) {
 	if !w.inherited {
 		return
@@ -125,9 +126,9 @@
 	w.unlisted, w.mayRun, w.inheritedSuspects = false, nil, nil
 }
 
-// accountedFor reports whether it is known of each inherited task of the step whether it
-// runs: every open worker that an earlier epoch used has answered or has certainly ended.
-// What the closed ones may run is in mayRun.
+// accountedFor reports whether it is known of each inherited task of the step whether it runs:
+// every worker that an earlier epoch used and that is not cordoned has answered or has
+// certainly ended. What the cordoned ones may run is in mayRun.
 func (e *Engine) accountedFor(s *step) bool {
 	if e.unresolvedUncordoned > 0 || (e.cordonedUnlisted > 0 && s.job.revision <= e.fleetRevision) {
 		return false
@@ -143,7 +144,7 @@
 	return true
 }
 
-// mayRunUnseen reports whether a task may run on a closed worker that has not answered.
+// mayRunUnseen reports whether a task may run on a cordoned worker that has not answered.
 func (e *Engine) mayRunUnseen(s *step, i int) bool {
 	if len(e.mayRun) == 0 {
 		return false
@@ -151,8 +152,8 @@
 	return e.mayRun[s.taskID(i)] > 0
 }
 
-// cordonUnresponsive closes a worker that has not answered for a while: nothing is
-// started there until the store knows that it is open again.
+// cordonUnresponsive cordons a worker that has not answered for a while: nothing is started
+// there until the stored list no longer has it as cordoned.
 func (e *Engine) cordonUnresponsive(w *worker) {
 	if w.misses == 0 || (w.misses < cordonMisses && e.now-w.answered < cordonAfter) {
 		return
@@ -160,7 +161,7 @@
 	e.cordon(w, "it does not answer")
 }
 
-// cordonDraining closes a worker that is about to leave: nothing is started there anyway.
+// cordonDraining cordons a worker that is about to leave: nothing is started there anyway.
 func (e *Engine) cordonDraining(w *worker) {
 	if w.Draining {
 		e.cordon(w, "it is leaving")
@@ -173,10 +174,10 @@
 	}
 	w.cordoned = true
 	e.cordonsChanged = true
-	e.decide(Decision{What: "worker closed", Worker: w.ID, Why: why, Age: e.now - w.answered})
+	e.decide(Decision{What: "worker cordoned", Worker: w.ID, Why: why, Age: e.now - w.answered})
 }
 
-// uncordon lets a closed worker that has answered be used once the store knows.
+// uncordon makes a cordoned worker that has answered usable, once the list is stored.
 func (e *Engine) uncordon(w *worker) {
 	if !w.cordoned || w.Draining {
 		return
@@ -185,8 +186,8 @@
 	e.cordonsChanged = true
 }
 
-// tasks lists what runs on the worker, or may, and what has ended there without that being
-// in the store.
+// tasks lists what runs on the worker or may run there, and what has completed there without
+// that being stored.
 func (w *worker) tasks() []work.TaskID {
 	var all []work.TaskID
 	for _, alloc := range sortedAllocs(w) {
@@ -201,16 +202,16 @@
 	return all
 }
 
-// addFleet writes the lists of workers that have changed, and returns their number. A
-// worker is used only once it is in the store, and is not closed there: a successor that
-// can not reach it has to know that something may run there.
+// addFleet writes the lists of workers that have changed, and returns their number. A worker
+// is used only once the stored lists have it, and not as cordoned: a successor that cannot
+// reach it has to be aware that something may run there.
 func (e *Engine) addFleet(ws *writeSet, c *SendCommit) (keys int) {
 	var f fleetRecord
 	var cordoned cordonRecord
 	for _, w := range e.workerList {
 		f.Workers = append(f.Workers, runner.Ref{ID: w.ID, Address: w.Address})
 		switch {
-		case w.cordoned && w.unlisted: // stays open for a successor, which waits
+		case w.cordoned && w.unlisted: // not listed as cordoned, so that a successor waits for it
 		case w.cordoned:
 			cordoned.Workers = append(cordoned.Workers, cordonedWorker{ID: w.ID, Tasks: append(w.tasks(), w.mayRun...), Suspects: w.suspectRuns(false)})
 		case !w.recorded:
@@ -236,7 +237,7 @@
 	return keys
 }
 
-// supersedeTime is how long after a takeover an earlier leader may still renew a
-// worker that the new one does not reach: it renews every worker at least this
-// often, and the first one that the new leader has called tells it to stop.
+// supersedeTime is how long after a takeover an earlier leader may still renew a worker that
+// the new one does not reach: it renews every worker at least this often, and the first of
+// them that the new leader has called rejects its epoch, which stops it.
 const supersedeTime = 2 * time.Second
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -9,27 +9,27 @@
 	"fennelshunt.example/fennelshunt/connection/runner"
 )
 
-// Waiting of gangs.
+// Timing and margins of waiting gangs.
 const (
-	// feasiblePeriod is how long it is remembered whether a gang could be held:
-	// workers come and go slowly, and verdicts come a few a second.
+	// feasiblePeriod is how long the result of gangFeasible is kept: workers are added and
+	// removed slowly, and verdicts arrive a few times per second.
 	feasiblePeriod = 250 * time.Millisecond
-	// refreshAhead is kept between the end of a call for tickets and the end of
-	// those that are to hold as well.
+	// refreshAhead is kept between the end of a call for tickets and the expiry of the tickets
+	// that have to be valid together with the new ones.
 	refreshAhead = 200 * time.Millisecond
-	// ticketSpare is how many more seats than needed a gang asks tickets for,
-	// as a factor: others may take some during the call.
+	// ticketSpare is for how many times the needed slots a gang asks for tickets: other steps
+	// may take some during the call.
 	ticketSpare = 1.4
 )
 
-// gangSlots is room for some of a gang's tasks on a worker.
+// gangSlots are free slots for a gang's tasks on one worker.
 type gangSlots struct {
 	w      *worker
 	n      int
-	ticket string // the ticket
+	ticket string
 }
 
-// placeGang starts all of a gang's tasks if there is room for all now.
+// placeGang starts all of a gang's tasks if there is capacity for all of them now.
 func (e *Engine) placeGang(s *step) bool {
 	a := e.adviceOf(s)
 	slots, ok := e.chooseSlots(s, e.freeSlots(s, a))
@@ -59,8 +59,8 @@
 	return true
 }
 
-// freeSlots returns the room for a gang's tasks now, on workers with a ticket
-// where the queue needs one.
+// freeSlots returns the slots that are free for a gang's tasks now, on workers with a ticket
+// if the queue needs one.
 func (e *Engine) freeSlots(s *step, a *advice) []gangSlots {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	var all []gangSlots
@@ -85,8 +85,8 @@
 	return all
 }
 
-// chooseSlots picks room for every task of a gang, on one rack if it asks for that
-// and any could hold it.
+// chooseSlots picks a slot for every task of a gang, on one rack if it asks for that and any
+// rack could run it.
 func (e *Engine) chooseSlots(s *step, all []gangSlots) ([]gangSlots, bool) {
 	total := 0
 	for _, x := range all {
@@ -106,8 +106,7 @@
 	return pick(s, all, s.spec.Count), true
 }
 
-// pick takes seats for n tasks: near the data, on fast workers, with the least
-// workers used.
+// pick takes slots for n tasks: near the data, on fast workers, on as few workers as possible.
 func pick(s *step, all []gangSlots, n int) []gangSlots {
 	score := func(x gangSlots) float64 {
 		v := float64(x.n)/float64(n) - x.w.slowdown + scoreSuspect*x.w.suspicion
@@ -160,7 +159,7 @@
 	return picked, true
 }
 
-// rackFeasible reports whether an empty rack would hold the whole gang.
+// rackFeasible reports whether a rack, if it were empty, could run the whole gang.
 func (e *Engine) rackFeasible(s *step) bool {
 	room := map[string]int{}
 	for _, w := range e.workerList {
@@ -177,7 +176,7 @@
 	return false
 }
 
-// goodFor reports whether the worker is not known to be bad for the step.
+// goodFor reports whether there is no bad verdict on the worker for the step.
 func (w *worker) goodFor(s *step) bool {
 	if s.advice == nil {
 		return true
@@ -185,13 +184,13 @@
 	return s.advice.verdictOf(w) != bad
 }
 
-// askForGang asks for the workers on which a gang can start: known good ones
-// with room now, unknown ones if these do not do, and, while there is no room,
-// those on which room is reserved, in time for when it is there.
+// askForGang requests tickets for the workers on which a gang can start: those known to be
+// good with free capacity now; unknown ones if these are not enough; and, while there is no
+// capacity, those on which capacity is reserved, in time for when it becomes free.
 //
-// What goes wrong if part of the tickets holds and the rest is not asked for
-// until they have run out: there is never a moment at which enough of them
-// hold, and the gang waits beside free workers.
+// All missing tickets are requested while the others are still valid. Otherwise there would
+// never be a moment at which enough of them are valid, and the gang would wait beside idle
+// workers.
 func (e *Engine) askForGang(s *step, a *advice) {
 	if !e.mayAsk(s) {
 		return
@@ -219,12 +218,11 @@
 	}
 }
 
-// askAhead asks for tickets for reserved seats of which most are open, so that the
-// tickets come with the last seat; the open ones are held meanwhile.
+// askAhead requests tickets for reserved slots most of which are free, so that the tickets
+// arrive when the last slot becomes free; the free ones are reserved for the gang meanwhile.
 //
-// Load pattern: as for holds, with gangs that need half of the workers they are
-// allowed. A gang that asks only when its last seat is open keeps all of them empty
-// for the length of a call.
+// A gang that needs half of the workers it is allowed and asked only once its last slot is
+// free would keep all slots empty for the duration of a call.
 func (e *Engine) askAhead(s *step, a *advice) {
 	if s.gangReserved {
 		return
@@ -259,25 +257,25 @@
 }
 
 const (
-	// aheadShare of a gang's seats must be open for its tickets to be asked for.
+	// aheadShare of a gang's slots must be free for its tickets to be requested.
 	aheadShare = 0.7
-	// aheadTicket is how long a ticket at hand must hold to be left as it is.
+	// aheadTicket is how long a ticket must still be valid not to be requested again.
 	aheadTicket = 700 * time.Millisecond
 )
 
-// candidate is a worker that is good for a gang, with the number of its tasks
-// that fit there now.
+// candidate is a worker that is good for a gang, with the number of the gang's tasks that fit
+// there now.
 type candidate struct {
 	w    *worker
 	fits int
 }
 
-// gangFeasible reports whether the workers that may be good for a gang would hold
-// it if they were empty.
+// gangFeasible reports whether the workers that may be good for a gang could run it if they
+// were empty.
 //
-// What goes wrong without it: gangs too wide for the workers that their advice
-// allows wait for good, come first since they are the oldest, and take the
-// places of those that a round tries and reserves room for.
+// Gangs too wide for the workers that their advice allows wait forever. They come first since
+// they are the oldest, and without this check would use up the gangs that a round tries and
+// reserves capacity for.
 func (e *Engine) gangFeasible(s *step) bool {
 	if e.now < s.feasibleUntil {
 		return s.feasible
@@ -293,8 +291,8 @@
 	return s.feasible
 }
 
-// gangCandidates counts the seats on workers whose tickets outlast a call, and
-// returns the other good workers, those with most room first.
+// gangCandidates counts the slots on workers whose tickets outlast a call, and returns the
+// other good workers, those with the most free capacity first.
 func (e *Engine) gangCandidates(s *step, a *advice) (have int, rest []candidate) {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	until := e.now + s.job.spec.Queue.Advice.Cost(0) + refreshAhead
@@ -313,8 +311,7 @@
 	return have, rest
 }
 
-// anyUnknown reports whether a worker that could run the step has not been
-// asked about.
+// anyUnknown reports whether there is no verdict yet on a worker that could run the step.
 func (e *Engine) anyUnknown(s *step, a *advice) bool {
 	return slices.ContainsFunc(e.workerList, func(w *worker) bool {
 		return a.verdictOf(w) == unknown && e.eligible(s, w)
--- a/process/dispatch/gangreserve.go
+++ b/process/dispatch/gangreserve.go
@@ -7,44 +7,44 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Holding seats for a gang while its tickets are asked for.
+// Gang reservations: capacity reserved for a gang while its tickets are requested.
 //
-// Load pattern: many gangs wait, each allowed on a quarter of the workers, and a
-// call for tickets takes half a second and more. There is room for a gang, but
-// when its tickets come others have taken part of it; it asks again for what is
-// missing, and so on until the load ends, beside a quarter of the processors idle.
-// A hold keeps the room from everybody else for the length of the call.
+// When many gangs wait, each allowed on a quarter of the workers, and a call for tickets takes
+// half a second or more, other steps take part of a gang's capacity before its tickets arrive.
+// It asks again for what is missing, and so on until the load ends, while a quarter of the
+// processors is idle. A gang reservation keeps the capacity from all other steps for the
+// duration of the call.
 
 const (
-	// gangReserveSpare is how many more seats than needed are held, as a factor: a worker
-	// may drain or stop answering during the call.
+	// gangReserveSpare is how many times the needed slots are reserved: a worker may drain or
+	// stop answering during the call.
 	gangReserveSpare = 1.05
-	// gangReserveGrace is kept after the end of a call: the way to the daemon that makes
-	// it and back, and a round of placement.
+	// gangReserveGrace is added to the duration of a call, for the way to the daemon that
+	// makes it and back, and a round of placement.
 	gangReserveGrace = 150 * time.Millisecond
-	// reserveAheadGrace is kept as well where seats were not all open when the call began:
-	// less than a ticket is valid for.
+	// reserveAheadGrace is added as well if not all slots were free when the call began: less
+	// than a ticket is valid for.
 	reserveAheadGrace = 500 * time.Millisecond
 )
 
-// gangReserveMode tells what is held during a call for a gang's tickets.
+// gangReserveMode is what to reserve during a call for a gang's tickets.
 type gangReserveMode uint8
 
 const (
 	reserveNone  gangReserveMode = iota
-	reserveAll                   // there must be room for every task
-	reserveAhead                 // what is open; the rest is about to open
+	reserveAll                   // there must be capacity for every task
+	reserveAhead                 // what is free; the rest is about to become free
 )
 
-// gangReservation is room on a worker that only one step may take.
+// gangReservation is capacity on a worker that only one step may use.
 type gangReservation struct {
 	s        *step
 	capacity work.Resources
 }
 
-// reserveGang holds room for a gang on workers with a ticket that outlasts the call,
-// and on those that are to be named in it. It returns false, and holds nothing, if
-// there has to be room for all tasks and is not.
+// reserveGang reserves capacity for a gang on workers with a ticket that outlasts the call,
+// and on those that the call is going to name. It returns false, and reserves nothing, if
+// there has to be capacity for all tasks and is not.
 func (e *Engine) reserveGang(s *step, a *advice, cost time.Duration) bool {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	want := int(float64(s.spec.Count) * gangReserveSpare)
@@ -84,7 +84,7 @@
 	return true
 }
 
-// dropGangReservation frees what is held for a step.
+// dropGangReservation releases what is reserved for a step.
 func (e *Engine) dropGangReservation(s *step) {
 	if !s.gangReserved {
 		return
@@ -96,8 +96,8 @@
 	e.scheduled = false
 }
 
-// expireGangReservations frees what is held for steps whose call has not brought what they
-// need in time.
+// expireGangReservations releases the reservations of steps whose call has not brought enough
+// tickets in time.
 func (e *Engine) expireGangReservations() {
 	for _, s := range e.ready {
 		if s.gangReserved && e.now > s.gangReservedUntil {
--- a/process/dispatch/health.go
+++ b/process/dispatch/health.go
@@ -8,37 +8,37 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Judging workers by how runs end there.
+// Health of workers, judged by how runs end there.
 //
-// Load pattern: some workers fail all that they start, and so take more than their share
-// of it; others fail a third of it, which breaks a gang with three members there more often
-// than not; and of the jobs themselves one in thirty fails wherever it runs.
+// Some workers fail all that they start, and so take more than their share of the starts;
+// others fail a third of it, which makes a gang with three members there fail more often than
+// not. Of the jobs themselves, one in thirty fails wherever it runs.
 const (
-	// quarantineFailures is how many runs of different jobs in a row must fail before a
-	// worker is set aside: with one failure in fifty as the normal share, two in
-	// a row are one in 2,500.
+	// quarantineFailures is how many runs of different jobs in a row must fail before a worker
+	// is quarantined: with one failure in fifty as the normal rate, two in a row are one in
+	// 2,500.
 	quarantineFailures = 2
 	quarantineMin      = 2 * time.Second
 	quarantineMax      = 12 * time.Second
-	// suspicionFail is added for a failed run, suspicionDone taken for one that is done, and
-	// suspicionAside sets a worker aside: the logarithms of how much likelier the one and
-	// the other are where two runs in five fail than where one in twenty does, and of one in
-	// 150 for a worker that is well.
+	// suspicionFail is added for a failed run and suspicionDone subtracted for one that is
+	// done; suspicionLimit quarantines the worker. They are logarithms of likelihood ratios:
+	// between a worker that fails two runs in five and one that fails one in twenty for the
+	// first two, and one in 150 false alarms on a healthy worker for the limit.
 	suspicionFail  = 2.0
 	suspicionDone  = 0.5
 	suspicionLimit = 5.0
 )
 
-// health is what is known of a worker by its runs.
+// health is the state of a worker as judged by its runs.
 type health struct {
-	failJobs         []work.JobID // jobs whose runs failed here, none done since
-	suspicion        float64      // grows with failed runs, and falls with those that are done
+	failJobs         []work.JobID // jobs whose runs failed here since the last run that was done
+	suspicion        float64      // rises with failed runs, falls with runs that are done
 	quarantinedUntil time.Duration
 	quarantine       time.Duration
-	probation        bool // set aside before; one run at a time until one is done
+	probation        bool // was quarantined; gets one run at a time until one is done
 }
 
-// noteFailure judges the worker by a failed run, and reports whether it is set aside.
+// noteFailure records a failed run, and reports whether the worker is quarantined.
 func (h *health) noteFailure(now time.Duration, id work.JobID) (quarantined bool) {
 	if !slices.Contains(h.failJobs, id) {
 		h.failJobs = append(h.failJobs, id)
@@ -54,7 +54,7 @@
 	return true
 }
 
-// noteSuccess judges the worker by a run that was done.
+// noteSuccess records a run that was done.
 func (h *health) noteSuccess() {
 	h.failJobs = nil
 	h.probation = false
@@ -64,8 +64,8 @@
 	}
 }
 
-// weakSlowdown is how much slower than usual a worker counts as weak: three times the
-// spread of healthy ones.
+// weakSlowdown is the slowdown from which a worker counts as weak: three times the spread of
+// healthy workers.
 const weakSlowdown = 1.35
 
 // weak is 1 for a worker that is slow or under suspicion, else 0.
@@ -76,12 +76,11 @@
 	return 0
 }
 
-// countsAgainst reports whether a failed run of the job speaks against the worker: not if a run
-// of the job has failed on another one before.
+// countsAgainst reports whether a failed run of the job counts against the worker. It does not
+// if a run of the job has failed on another worker before.
 //
-// What goes wrong without it: jobs that fail wherever they run make up most of the failures,
-// and a few times a second two of them meet on a worker that is well, which then stands
-// empty for two seconds.
+// Jobs that fail wherever they run make up most of the failures. If they counted, two of them
+// would meet on a healthy worker a few times a second and leave it idle for two seconds.
 func (j *job) countsAgainst(id runner.WorkerID) bool {
 	if j.firstFailedOn == "" {
 		j.firstFailedOn = id
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -16,19 +16,18 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Times of a host.
+// Times and sizes of a host.
 const (
 	tickPeriod = 25 * time.Millisecond
 	// publishPeriod is between publications of the counters.
 	publishPeriod = time.Second
-	// eventBuffer holds what came in while the engine was busy.
+	// eventBuffer is how many events are buffered while the engine is busy.
 	eventBuffer = 1024
-	// maxDrain bounds the events handled before effects go out.
+	// maxDrain bounds the events handled before effects are executed.
 	maxDrain = 64
-	// jobsPause and workersPause are between watches: accepted jobs reach the
-	// leader by a direct call, the watch only catches what was lost; workers
-	// write every second or two, and each watch costs one call however many
-	// events it returns.
+	// jobsPause and workersPause are between watches. Accepted jobs reach the leader by a
+	// direct call, and the watch only catches those that were lost; workers write every second
+	// or two; and each watch costs one call however many events it returns.
 	jobsPause    = 250 * time.Millisecond
 	workersPause = 200 * time.Millisecond
 	watchWait    = 2 * time.Second
@@ -37,42 +36,43 @@
 	// stopTimeout is how long a stop may go without an answer.
 	stopTimeout    = 300 * time.Millisecond
 	maxStopTimeout = time.Second
-	// maxRenewGrace bounds renewGrace where answers are slow: four tries fit into a
-	// worker's lease of 6 s.
+	// maxRenewGrace bounds renewGrace when answers are slow: four attempts fit into a worker's
+	// lease of 6 s.
 	maxRenewGrace = 1500 * time.Millisecond
 )
 
-// HostOptions of a Host.
+// HostOptions are the options of a Host.
 type HostOptions struct {
 	Store     store.Transactor
 	Patience  *store.Patience
 	Runner    runner.Runner
 	Directory runner.Directory
 	View      *lead.View // of the cell's daemons
-	// Members returns the daemons through which advice is asked; nil: all of View.
+	// Members returns the daemons through which advice is requested; nil: all of View.
 	Members func() []lead.Member
-	// Advise asks a member's adviser.
+	// Advise calls the advice service through a member.
 	Advise func(ctx context.Context, member, step string, workers []runner.WorkerID) ([]runner.Ticket, error)
-	// Accounts returns the client accounts of the configuration in force, and whether
-	// they are known; nil: there are none.
+	// Accounts returns the client accounts of the configuration in force, and whether there is
+	// one; nil: there are no accounts.
 	Accounts func() (*work.Accounts, bool)
-	// Part of so many Parts, as in Options.
+	// Part and Parts are as in Options.
 	Part, Parts int
 	Bounds      Bounds
 	Policy      Policy
 	Log         zerolog.Logger
-	// Count is told the counters at the end of a term and now and then.
+	// Count is called with the counters every publishPeriod and at the end of a term.
 	Count func(Stats)
-	// ShowAccounts is told, as often, how the client accounts stand; may be nil.
+	// ShowAccounts is called every publishPeriod with the state of the client accounts; may be
+	// nil.
 	ShowAccounts func([]quota.Row)
-	// Violation is told each broken invariant.
+	// Violation is called for each broken invariant.
 	Violation func(what string)
-	// Took is told how long parts of jobs' lives took; may be nil.
+	// Took is called with how long each measured span of a job took; may be nil.
 	Took func(what Span, queue, account string, d time.Duration)
 }
 
-// Host runs an engine for one term of leadership: one goroutine owns the
-// engine, others make its calls.
+// Host runs an engine for one term of leadership: one goroutine owns the engine, other
+// goroutines make its calls.
 type Host struct {
 	o      HostOptions
 	term   *lead.Term
@@ -85,7 +85,7 @@
 	published   time.Duration
 	responses   responseTimes
 	accounts    *work.Accounts // those that the engine has
-	accountsSet bool           // it has any
+	accountsSet bool           // the engine has been given accounts
 }
 
 // NewHost returns a host for a term.
@@ -104,8 +104,8 @@
 	})
 	var tasks sync.WaitGroup
 	defer tasks.Wait()
-	// The workers' entries are read beside the state: with a slow store that is one
-	// answer less until the first start.
+	// The workers' entries are read in parallel with the state: with a slow store this saves
+	// one round trip until the first start.
 	tasks.Go(func() { h.watchWorkers(ctx) })
 	rev, err := h.load(ctx)
 	if err != nil {
@@ -121,8 +121,8 @@
 	}
 }
 
-// load reads what earlier epochs left. It must be complete before the first
-// worker is called: a run whose job is not known would be stopped.
+// load reads what earlier epochs left. It must be complete before the first worker is called:
+// a run whose job is not known would be stopped.
 func (h *Host) load(ctx context.Context) (store.Revision, error) {
 	began := time.Now()
 	bound := store.ReadBound{First: loadTimeout}
@@ -135,7 +135,7 @@
 		})
 		if err == nil {
 			if bad := h.engine.Load(h.now(), saved); bad != nil {
-				h.o.Log.Error().Err(bad).Msg("entries of the store can not be read and are left alone")
+				h.o.Log.Error().Err(bad).Msg("entries of the store cannot be decoded and are left as they are")
 			}
 			h.o.Log.Info().Int("accepted", len(saved.Accepted)).Int("states", len(saved.States)).Int("bundles", len(saved.Bundles)).Dur("took_ms", time.Since(began)).Msg("state loaded")
 			return rev, nil
@@ -158,7 +158,7 @@
 	return rev, saved, errors.Join(jobsErr, statesErr, bundlesErr, fleetErr)
 }
 
-// list reads a prefix, again if the reading was lost.
+// list reads a prefix, again if the response was lost.
 func (h *Host) list(ctx context.Context, prefix string) (entries []store.Entry, rev store.Revision, err error) {
 	for {
 		err = h.o.Patience.Read(ctx, func(ctx context.Context) (err error) {
@@ -168,11 +168,11 @@
 		if !errors.Is(err, store.ErrOvertaken) {
 			return entries, rev, err
 		}
-		h.o.Log.Info().Str("prefix", prefix).Msg("reading was lost, reading again")
+		h.o.Log.Info().Str("prefix", prefix).Msg("response was lost, reading again")
 	}
 }
 
-// Fresh reports whether nothing has been handed in to a cell and no worker been used.
+// Fresh reports whether no job has been submitted to a cell and no worker has been used.
 func Fresh(ctx context.Context, s store.Transactor) (bool, error) {
 	for _, prefix := range []string{PrefixJobs, PrefixState, PrefixBundle, prefixFleet} {
 		entries, _, err := s.List(ctx, prefix)
@@ -183,7 +183,7 @@
 	return true, nil
 }
 
-// loadTimeout bounds the first reading of the whole state.
+// loadTimeout is the timeout of the first attempt to read the whole state.
 const loadTimeout = 3 * time.Second
 
 // loop owns the engine.
@@ -216,7 +216,7 @@
 	}
 }
 
-// updateAccounts tells the engine the accounts in force when they are new.
+// updateAccounts passes the accounts in force to the engine when they have changed.
 func (h *Host) updateAccounts() {
 	if h.o.Accounts == nil {
 		if !h.accountsSet {
@@ -232,7 +232,7 @@
 	}
 }
 
-// publish hands out the counters now and then.
+// publish reports the counters every publishPeriod.
 func (h *Host) publish() {
 	if now := h.now(); h.o.Count != nil && now-h.published >= publishPeriod {
 		h.published = now
@@ -254,7 +254,7 @@
 	}
 }
 
-// post hands an event to the engine's goroutine, unless the term is over.
+// post sends an event to the engine's goroutine, unless the term has ended.
 func (h *Host) post(f func(*Engine, time.Duration)) {
 	select {
 	case h.events <- f:
@@ -286,7 +286,7 @@
 	}
 }
 
-// Shown is what a job's callers are shown, and whose they are.
+// Shown is what a job's callers are shown, and the account that the job belongs to.
 type Shown struct {
 	State   work.State
 	Account string
@@ -301,38 +301,38 @@
 	return shown, known, err
 }
 
-// Explain tells what holds a job up.
+// Explain describes what a job is waiting for.
 func (h *Host) Explain(ctx context.Context, id work.JobID) (x Explanation, known bool, err error) {
 	err = h.do(ctx, func(e *Engine, now time.Duration) { x, known = e.Explain(now, id) })
 	return x, known, err
 }
 
-// Pending returns the number of a queue's jobs that have not begun.
+// Pending returns the number of a queue's jobs that have not started.
 func (h *Host) Pending(ctx context.Context, queue string) (n int, err error) {
 	err = h.do(ctx, func(e *Engine, _ time.Duration) { n = e.Pending(queue) })
 	return n, err
 }
 
-// SetShares tells which shares of the accounts' caps the parts may use.
+// SetShares sets the shares of the accounts' caps that each shard may use.
 func (h *Host) SetShares(shares quota.Shares) {
 	h.post(func(e *Engine, now time.Duration) { e.SetShares(now, shares) })
 }
 
-// QuotaReport returns what this part holds and wants of accounts.
+// QuotaReport returns what this shard uses and wants of accounts.
 func (h *Host) QuotaReport(ctx context.Context, asked []string) (r quota.Report, err error) {
 	err = h.do(ctx, func(e *Engine, _ time.Duration) { r = e.QuotaReport(asked) })
 	return r, err
 }
 
-// Offer hands over an entry that an accepting daemon has just written. What is
-// lost on the way comes with the next watch.
+// Offer passes on an entry that an accepting daemon has just written. An entry that is lost on
+// the way comes with the next watch.
 func (h *Host) Offer(entry store.Entry) {
 	h.post(func(e *Engine, now time.Duration) { h.accept(e, now, entry) })
 }
 
 func (h *Host) accept(e *Engine, now time.Duration, entry store.Entry) {
 	if err := e.Accepted(now, entry); err != nil {
-		h.o.Log.Error().Err(err).Msg("accepted entry can not be read and is left alone")
+		h.o.Log.Error().Err(err).Msg("accepted entry cannot be decoded and is left as it is")
 	}
 }
 
@@ -381,7 +381,7 @@
 	err := h.term.Commit(ctx, x.Chain, x.Writes, x.Deletes)
 	if err != nil {
 		if ctx.Err() == nil {
-			h.o.Log.Error().Err(err).Msg("progress not written, the term ends")
+			h.o.Log.Error().Err(err).Msg("progress not written, ending the term")
 			h.term.End(err)
 		}
 		return
@@ -434,7 +434,7 @@
 	t.Run(ctx)
 }
 
-// listWorkers takes what could be read, also beside an error on some entries.
+// listWorkers takes the entries that could be read, also if there is an error on others.
 func (h *Host) listWorkers(ctx context.Context) (store.Revision, error) {
 	workers, rev, err := h.o.Directory.List(ctx)
 	if rev == 0 {
@@ -468,7 +468,7 @@
 	return h.o.View.Members()
 }
 
-// watchMembers tells the engine which daemons there are.
+// watchMembers passes the list of daemons to the engine.
 func (h *Host) watchMembers(ctx context.Context) {
 	for {
 		changed := h.o.View.Changed()
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -7,43 +7,43 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Workers that begin another life under the name that they had.
+// Incarnations: workers that restart under the same name.
 //
-// Load pattern: workers crash and are back after seconds, while starts are on their way
-// to them. What goes wrong without it: an order that was meant for the earlier life is
-// carried out by the later one, which has its name; the task, taken for lost with the
-// earlier life, runs twice.
+// Workers crash and are back after seconds, while start orders are in flight to them. An order
+// that was sent to the earlier incarnation can then be carried out by the later one, which has
+// its name; if the task counted as lost with the earlier incarnation, it would run twice.
 
-// maxOrderDelay is how long after it was sent an order without an answer may be carried out.
+// maxOrderDelay is how long after it was sent an unanswered order may still be carried out.
 const maxOrderDelay = 12 * time.Second
 
-// noteIncarnation takes the birth of a life that is seen, and gives its earlier life up. It
-// reports whether a later one of that name is known, or an earlier one.
+// noteIncarnation handles the sight of an incarnation, and removes an earlier one of the same
+// name. It reports whether the incarnation is older than the latest known one, or succeeds an
+// earlier one.
 func (e *Engine) noteIncarnation(id runner.WorkerID) (older, next bool) {
 	name, startTime := id.Life()
 	if startTime == 0 {
 		return false, false
 	}
-	before, known := e.latestStart[name]
+	before, known := e.latestStarts[name]
 	if known && startTime <= before {
 		return startTime < before, false
 	}
-	e.latestStart[name] = startTime
+	e.latestStarts[name] = startTime
 	if w := e.workers[runner.LifeID(name, before)]; known && w != nil {
-		e.removeWorker(w, "it is listed with a later birth", true)
+		e.removeWorker(w, "it is listed with a later start time", true)
 	}
 	return false, known
 }
 
-// takeOtherIncarnation takes the answer of another life to a renewal that was meant for a worker. It
-// is what lives under the name now, whichever birth is the higher one: the answer is to a
-// call that was sent after the worker was last heard of.
+// takeOtherIncarnation handles the answer of another incarnation to a renewal that was sent to
+// w. The one that answered is the current one, whichever start time is higher, because the
+// call was sent after w last answered.
 //
-// What goes wrong if only the end of the earlier life is taken from it: starts that were
-// meant for that one and that the other has carried out count as lost, and are made again
-// beside the runs that are there, or after they have ended.
+// The runs that it reports are taken over from w. If w were only removed, starts that were
+// sent to w and carried out by the other incarnation would count as lost, and be repeated
+// beside the runs that exist, or after these have ended.
 func (e *Engine) takeOtherIncarnation(w *worker, x *runner.OtherLife) {
-	e.decide(Decision{What: "answer of another life", Worker: w.ID, Why: x.Error(), Age: e.now - w.answered})
+	e.decide(Decision{What: "answer of another incarnation", Worker: w.ID, Why: x.Error(), Age: e.now - w.answered})
 	next := e.workers[x.ID]
 	if next == nil {
 		seen := w.Worker
@@ -53,16 +53,17 @@
 		e.fleetChanged = true
 	}
 	name, startTime := x.ID.Life()
-	e.latestStart[name] = startTime
-	// The lease of what runs there was given by orders to the other life, by whose clock
-	// it says nothing.
+	e.latestStarts[name] = startTime
+	// The runs there got their lease from orders to the other incarnation, whose clock says
+	// nothing about when it ends.
 	next.expiry = max(next.expiry, e.now+leaseBound(e.o.Bounds.MaxLease))
 	moveReported(next, w, &x.Report)
-	e.removeWorker(w, "another life answers at its address", true)
+	e.removeWorker(w, "another incarnation answers at its address", true)
 	e.Renewed(e.now, next.ID, x.Report, nil)
 }
 
-// moveReported books on a life what it lists of the runs that were ordered from an earlier one.
+// moveReported moves to an incarnation the runs in its report that were ordered from an
+// earlier one.
 func moveReported(next, w *worker, r *runner.Report) {
 	move := func(task work.TaskID, run uint64) {
 		if alloc := w.allocs[task]; alloc != nil && alloc.run == run {
@@ -84,24 +85,26 @@
 	w.take(alloc)
 }
 
-// mayStartLate reports whether an order to start a run may be carried out, or have been, by
-// the next life under its worker's name. Where that life is known and can tell, an answer to
-// the start does not say which of them gave it.
+// mayStartLate reports whether a start order of the run may still be, or may have been,
+// carried out by the next incarnation under its worker's name. If that incarnation has been
+// seen, an answer to the start does not say which of the two gave it.
 func (e *Engine) mayStartLate(alloc *allocation) bool {
 	name, startTime := alloc.w.ID.Life()
-	followed := e.latestStart[name] != startTime
+	followed := e.latestStarts[name] != startTime
 	return startTime != 0 && alloc.tries > 0 && (alloc.confirmedAt == 0 || (followed && !alloc.reported))
 }
 
-// addLateStart keeps a run in doubt that was on its way to a worker whose life has ended.
+// addLateStart keeps an unconfirmed run that was in flight to a worker whose incarnation has
+// ended.
 func (e *Engine) addLateStart(w *worker, alloc *allocation) {
 	alloc.state, alloc.orphanedAt = stopping, e.now
 	name := w.ID.Name()
 	e.lateStarts[name] = append(e.lateStarts[name], alloc)
 }
 
-// takeLateStarts books on a worker that has answered what may have been carried out there
-// for an earlier life, and stops it: the answer says whether it can still begin.
+// takeLateStarts books on a worker that has answered the runs that it may have started from
+// orders to an earlier incarnation, and stops them: the answer to the stop says whether the
+// run can still start.
 func (e *Engine) takeLateStarts(w *worker) {
 	if len(e.lateStarts) == 0 {
 		return
@@ -117,8 +120,8 @@
 	delete(e.lateStarts, name)
 }
 
-// expireLateStarts releases runs in doubt of workers that do not come back: whatever was
-// carried out late has ended with its lease.
+// expireLateStarts releases late starts of workers that do not come back: a run that was
+// started late has ended with its lease.
 func (e *Engine) expireLateStarts() {
 	for name, all := range e.lateStarts {
 		kept := all[:0]
@@ -135,20 +138,20 @@
 	}
 }
 
-// incarnationOf returns the id of the life that an entry names: where it tells no birth, the life
-// under its name that is known.
+// incarnationOf returns the id of the incarnation that an entry names: without a start time,
+// the latest known one of that name.
 func (e *Engine) incarnationOf(id runner.WorkerID) runner.WorkerID {
 	name, startTime := id.Life()
 	if startTime != 0 {
 		return id
 	}
-	return runner.LifeID(name, e.latestStart[name])
+	return runner.LifeID(name, e.latestStarts[name])
 }
 
-// unlistedByName takes the end of the entry of whichever life has a name.
+// unlistedByName handles the removal of a directory entry that names no incarnation.
 func (e *Engine) unlistedByName(now time.Duration, id runner.WorkerID) {
 	name, startTime := id.Life()
-	if latest, known := e.latestStart[name]; known && startTime == 0 {
+	if latest, known := e.latestStarts[name]; known && startTime == 0 {
 		e.WorkerUnlisted(now, runner.LifeID(name, latest))
 	}
 }
--- a/process/dispatch/job.go
+++ b/process/dispatch/job.go
@@ -11,46 +11,46 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// job is an accepted job as the engine knows it.
+// job is an accepted job.
 type job struct {
 	id   work.JobID
 	spec *work.Job
-	// accepted is when a daemon took the job, and start when its first occurrence
-	// is due, both in engine time.
+	// accepted is when a daemon accepted the job, start when its first occurrence is due, both
+	// in engine time.
 	accepted, start time.Duration
-	estimateRatio   *float64 // learnt, of its queue
+	estimateRatio   *float64 // learned for its queue
 	account         *quota.Account
-	sizes           []quota.Size // of its tasks by step, once the rest is dropped
-	// state as decided; callers see it once it is in the store.
+	sizes           []quota.Size // of its tasks, by step; set once the spec is dropped
+	// state as decided; visible is the one that is in the store and that callers see.
 	state   work.State
 	visible work.State
 	started bool // a task has started
-	// loadedAt: when the engine took the job over.
+	// loadedAt is when the engine took the job over.
 	loadedAt time.Duration
-	// inherited: an earlier epoch may have started tasks of it.
+	// inherited: an earlier epoch may have started tasks of the job.
 	inherited bool
 	trimmed   bool // it has ended, and only its state is kept
 
-	occurrences []*occurrence // held, by number
-	nextDue     int           // the lowest occurrence that has not come due
-	doneBefore  int           // every occurrence below is done
+	occurrences []*occurrence // in memory, by number
+	nextDue     int           // the lowest occurrence that is not due yet
+	doneBefore  int           // every occurrence below this one is done
 
-	version uint64 // of the progress, raised by each change that must last
+	version uint64 // of the progress, raised by each change that must be stored
 	saved   uint64 // the highest version in the store
 	dirty   bool   // queued for writing
-	writing bool   // a write of it is on its way
-	// revision of its hand-in; 0 if it was taken from an accepting daemon.
+	writing bool   // a write of it is in flight
+	// revision of its submission; 0 if it was received directly from an accepting daemon.
 	revision store.Revision
-	// submitted: its hand-in is in the store; removed with the write of its end.
+	// submitted: its submission is in the store; it is removed by the write of the job's end.
 	submitted     bool
 	batch         *batch // that holds its newest progress; nil: its own key does
-	unbatching    bool   // queued to be moved out of its bundle
+	unbatching    bool   // queued to be moved out of its batch
 	endedAt       time.Duration
 	firstFailedOn runner.WorkerID // the first worker on which a run failed
 	waits         waits
-	trials        []*allocation // that wait to be on record
-	coreSeconds   float64       // core-seconds, as declared
-	overEntitled  bool          // handed in beyond what its account is entitled to
+	trials        []*allocation // waiting until their record is stored
+	coreSeconds   float64       // as declared
+	overEntitled  bool          // submitted beyond what its account is entitled to
 }
 
 // step is one step of a job.
@@ -62,40 +62,40 @@
 	after      []*step // steps that this one follows
 	next       []*step // steps that follow this one
 	tasks      []task
-	pending    []int // indexes that wait for a start, in order
+	pending    []int // indexes of the tasks to start, in order
 	left       int   // tasks that are not done
 	opened     bool  // listed as ready
 	openedAt   time.Duration
-	rank       int           // lateness, as of the round of placement
-	turn       time.Duration // by which it is ordered in its rank and priority
-	turnUntil  time.Duration // when that is looked at again
+	rank       int           // lateness rank, as of the last round of placement
+	turn       time.Duration // orders it within its rank and priority
+	turnUntil  time.Duration // when turn is computed again
 	overQuota  bool          // it has waited for its account's quota
 	waitsFor   waitCause
 	waitSince  time.Duration
-	// reservedAt is when room was last reserved for the step.
+	// reservedAt is when capacity was last reserved for the step.
 	reservedAt time.Duration
 
-	retryAt time.Duration // a gang is not tried before
-	misses  int           // tries in a row that found no room for a gang
-	// feasible tells whether the workers could hold a gang at all, as of some time
-	// before heldUntil.
+	retryAt time.Duration // earliest next attempt to place a gang
+	misses  int           // attempts in a row that found no capacity for a gang
+	// feasible tells whether the workers, if they were empty, could run the gang; it is
+	// computed again after feasibleUntil.
 	feasible      bool
 	feasibleUntil time.Duration
 
-	// gangReserved: room is held for the step until holdUntil.
+	// gangReserved: the step has a gang reservation, until gangReservedUntil.
 	gangReserved      bool
 	gangReservedUntil time.Duration
 
-	isolates *worker // kept quiet for a suspect task of the step
-	// isolationWait is how long a gang with a suspect task waits for quiet workers.
+	isolates *worker // isolated for a suspect task of the step
+	// isolationWait is until when a gang with a suspect task waits for workers without recent
+	// starts.
 	isolationWait time.Duration
 
 	advice *advice
 	gang   gangState
 }
 
-// task is one task of a step. Its place is nil while nothing of it can be
-// running.
+// task is one task of a step. Its alloc is nil while no run of it can exist.
 type task struct {
 	alloc      *allocation
 	done       bool
@@ -104,29 +104,29 @@
 	checkpoint string
 	crashes    crash.Records
 	avoid      []runner.WorkerID // where it failed
-	avoidUntil time.Duration     // no start there before
+	avoidUntil time.Duration     // no start on these before
 }
 
-// gangState is what a gang's tasks share.
+// gangState is the state that a gang's tasks share.
 type gangState struct {
-	run      uint64 // the highest run used
+	run      uint64 // the highest run number used
 	runs     uint64 // started in this epoch
 	failed   []uint64
 	stopping bool // its members are being stopped
 }
 
-// allocState says what is known of a run on a worker.
+// allocState is the state of a run on a worker, as far as the leader has it.
 type allocState uint8
 
 const (
 	starting    allocState = iota // sent, no answer yet
-	unconfirmed                   // no answer; may start yet
+	unconfirmed                   // no answer; may still start
 	running                       // the worker confirmed it
-	stopping                      // a stop is wanted
+	stopping                      // to be stopped
 )
 
-// allocation is one run on one worker. It holds its resources until the worker
-// lists the end, the run can no longer start, or the worker's life is over.
+// allocation is one run on one worker. It holds its resources until the worker reports the
+// completion, the run can no longer start, or the worker's incarnation has ended.
 type allocation struct {
 	w     *worker
 	s     *step
@@ -136,18 +136,18 @@
 	state allocState
 
 	ticket      string
-	sent        time.Duration // the first start
-	tries       int           // starts sent
-	confirmedAt time.Duration // confirmed
-	reported    bool          // by a report of the worker's life
-
-	stopSent     time.Duration // the last stop
-	stopAckedAt  time.Duration // when a stop was answered, 0 if none was
-	missingSince time.Duration // when a report first lacked it
-	// awaitsVersion is the version of its job that must be in the store before a trial is sent.
+	sent        time.Duration // when the first start order was sent
+	tries       int           // start orders sent
+	confirmedAt time.Duration // when the worker confirmed it
+	reported    bool          // listed in a report of the worker's incarnation
+
+	stopSent     time.Duration // when the last stop order was sent
+	stopAckedAt  time.Duration // when a stop order was answered, 0 if none was
+	missingSince time.Duration // since when reports have not listed it
+	// awaitsVersion is the version of its job that must be stored before a trial is sent.
 	awaitsVersion uint64
-	lossRecorded  bool          // its loss is on record
-	orphanedAt    time.Duration // when the life that it was sent to had ended
+	lossRecorded  bool          // its loss is in the task's crash records
+	orphanedAt    time.Duration // when the incarnation that it was sent to had ended
 
 	percent   float64
 	percentAt time.Duration // when percent last rose
@@ -157,12 +157,12 @@
 
 func (alloc *allocation) id() work.TaskID { return alloc.s.taskID(alloc.index) }
 
-// id names the step as its first task is named.
+// id identifies the step by the id of its first task.
 func (s *step) id() work.TaskID {
 	return work.TaskID{Job: s.job.id, Occurrence: s.occurrence.number, Step: s.number}
 }
 
-// taskID names one of the step's tasks.
+// taskID returns the id of one of the step's tasks.
 func (s *step) taskID(i int) work.TaskID {
 	id := s.id()
 	id.Index = i
@@ -179,7 +179,7 @@
 	return !slices.ContainsFunc(s.after, func(a *step) bool { return a.left > 0 })
 }
 
-// live returns how many tasks have a place.
+// live returns how many tasks have an allocation.
 func (s *step) live() int {
 	n := 0
 	for i := range s.tasks {
@@ -190,7 +190,7 @@
 	return n
 }
 
-// progress returns what must last of the job.
+// progress returns the job's state as it is to be stored.
 func (j *job) progress() *work.Progress {
 	p := &work.Progress{State: j.state}
 	if j.state == work.Queued && j.started {
@@ -236,7 +236,7 @@
 	return e, len(e.Done)+len(e.Failed)+len(e.Crashes) > 0
 }
 
-// restore applies what the store holds of the job's progress.
+// restore applies the job's progress as read from the store.
 func (j *job) restore(p *work.Progress) {
 	j.state, j.visible = p.State, p.State
 	if p.State == work.Running {
@@ -314,7 +314,7 @@
 	}
 }
 
-// requeue lets a task start again, before the tasks that never ran.
+// requeue makes a task eligible to start again, ahead of the tasks that never ran.
 func (s *step) requeue(i int) {
 	if !s.tasks[i].done && !slices.Contains(s.pending, i) {
 		s.pending = slices.Insert(s.pending, 0, i)
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -33,14 +33,14 @@
 	return s.Transactor.List(ctx, prefix)
 }
 
-// emptyDirectory is a directory without workers.
-type emptyDirectory struct{}
+// noWorkers is a directory without workers.
+type noWorkers struct{}
 
-func (emptyDirectory) List(context.Context) ([]runner.Worker, store.Revision, error) {
+func (noWorkers) List(context.Context) ([]runner.Worker, store.Revision, error) {
 	return nil, 1, nil
 }
 
-func (emptyDirectory) Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]runner.Change, store.Revision, error) {
+func (noWorkers) Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]runner.Change, store.Revision, error) {
 	return nil, after, sleep.For(ctx, wait)
 }
 
@@ -68,7 +68,7 @@
 	var took atomic.Int64 // written by a goroutine of each term
 	var e *lead.Elector
 	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, Patience: patience, Log: zerolog.Nop(), Lead: func(term *lead.Term) {
-		h := NewHost(HostOptions{Store: lists, Patience: patience, Directory: emptyDirectory{}, View: e.View(), Log: zerolog.Nop(),
+		h := NewHost(HostOptions{Store: lists, Patience: patience, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
 			Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Gang: 3 * time.Second, Keep: time.Minute}}, term)
 		go func() {
 			if _, _, err := h.State(ctx, testJob); err == nil {
--- a/process/dispatch/longrunning.go
+++ b/process/dispatch/longrunning.go
@@ -6,35 +6,34 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Tasks that last run until their job is cancelled, and start again however
-// they end. The engine never stops one that is at work, so that what a step may
-// miss is left to ends that it has no part in.
+// Long-running tasks run until their job is cancelled, and start again however they end. The
+// engine never stops one that is serving, so that the number of tasks that a step may miss is
+// left to failures that the engine does not cause.
 
-// servingPercent is the progress of a lasting task that serves.
+// servingPercent is the progress of a long-running task that serves.
 const servingPercent = 100
 
-// rankLongRunning puts tasks that last before all work that ends.
+// rankLongRunning puts long-running tasks ahead of all other work.
 const rankLongRunning = -1
 
-// serves reports whether the run is of a lasting task that is at work.
+// serves reports whether the run is of a long-running task that is serving.
 func (alloc *allocation) serves() bool {
 	return alloc.s.spec.Lasting && alloc.percent >= servingPercent
 }
 
-// noteServing judges the worker by a lasting task that has come to work there:
-// such tasks never end as done, which is the sign that other work gives.
+// noteServing counts a long-running task that starts to serve as a success of its worker: such
+// tasks never end as done, which is what counts for other work.
 func (alloc *allocation) noteServing(before float64) {
 	if alloc.serves() && before < servingPercent {
 		alloc.w.noteSuccess()
 	}
 }
 
-// hasTarget reports whether the step's tasks last and are bound to a response
-// time, which work that fills beside them can spoil.
+// hasTarget reports whether the step's tasks are long-running and have a response time target,
+// which best-effort work beside them can spoil.
 func hasTarget(s *work.Step) bool { return s.Lasting && s.Target > 0 }
 
-// hostsTarget reports whether a task with a bound on its response time runs on
-// the worker.
+// hostsTarget reports whether a task with a response time target runs on the worker.
 func (w *worker) hostsTarget() bool {
 	for _, alloc := range w.allocs {
 		if hasTarget(alloc.s.spec) {
@@ -44,22 +43,19 @@
 	return false
 }
 
-// stopBestEffort stops what fills on a worker, for a task with a bound on its response
-// time.
-//
-// What goes wrong without it: work that fills takes the processors' shared
-// parts, the task beside it answers too late, and nothing here slows the other
-// down, since it counts for no processors.
+// stopBestEffort stops the best-effort work on a worker before a task with a response time
+// target starts there. Best-effort work uses the processors' shared resources and would make
+// that task answer too late, and nothing here slows it down, since it books no processors.
 func (e *Engine) stopBestEffort(w *worker, s *step) {
 	if !hasTarget(s.spec) {
 		return
 	}
 	for _, alloc := range sortedAllocs(w) {
 		if alloc.s.spec.Fills {
-			e.stop(alloc, "it fills, and a task that serves starts beside it")
+			e.stop(alloc, "best-effort work makes way for a task with a response time target")
 		}
 	}
 }
 
-// forever is how long a lasting task is taken to go on.
+// forever is how long a long-running task is assumed to go on.
 const forever = 365 * 24 * time.Hour
--- a/process/dispatch/occurrence.go
+++ b/process/dispatch/occurrence.go
@@ -8,18 +8,18 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// occurrence is one occurrence of a job: each of its steps, once. A job without
-// times has one.
+// occurrence is one occurrence of a job: each of its steps, once. A job that is not timed has
+// one.
 type occurrence struct {
 	job    *job
 	number int
-	// opens is when its tasks may start, from when its objective is counted from
-	// and due when that ends; all in engine time.
+	// opens is when its tasks may start, from is when its objective starts to count, and due
+	// is when the objective ends; all in engine time.
 	opens, from, due time.Duration
 	steps            []*step
 }
 
-// repeat is how often the job's steps run.
+// repeat returns how often the job's steps run.
 func (j *job) repeat() int { return max(1, j.spec.Repeat) }
 
 // newOccurrence returns the occurrence with that number, with nothing done.
@@ -51,13 +51,12 @@
 	return s
 }
 
-// occurrence returns an occurrence; nil for one that is done and forgotten, or that
-// the job does not have.
+// occurrence returns an occurrence; nil for one that is done and pruned, or that the job does
+// not have.
 //
-// One that is not due yet is made: a run of it that a worker reports was
-// started by an earlier leader whose time of day was ahead. What goes wrong
-// otherwise: its end is taken for a stray's and acknowledged, and the task runs
-// a second time when it comes due here.
+// One that is not due yet is created: a run of it that a worker reports was started by an
+// earlier leader whose time of day was ahead. Otherwise its completion would be acknowledged
+// as that of an untracked run, and the task would run a second time when it comes due here.
 func (j *job) occurrence(number int) *occurrence {
 	if j.trimmed || number < j.doneBefore || number >= j.repeat() {
 		return nil
@@ -69,7 +68,7 @@
 	return j.occurrences[i]
 }
 
-// steps lists the steps of every occurrence that is held.
+// steps iterates over the steps of every occurrence in memory.
 func (j *job) steps() iter.Seq[*step] {
 	return func(yield func(*step) bool) {
 		for _, o := range j.occurrences {
@@ -82,8 +81,7 @@
 	}
 }
 
-// step finds a task's step; nil for a job, occurrence, step or task that is not
-// known.
+// step finds a task's step; nil for an unknown job, occurrence, step or task.
 func (j *job) step(id work.TaskID) *step {
 	if j == nil {
 		return nil
@@ -100,13 +98,13 @@
 	return !slices.ContainsFunc(o.steps, func(s *step) bool { return s.left > 0 })
 }
 
-// idle reports whether nothing of the occurrence holds a worker's resources.
+// idle reports whether no run of the occurrence uses a worker's resources.
 func (o *occurrence) idle() bool {
 	return !slices.ContainsFunc(o.steps, func(s *step) bool { return s.live() > 0 })
 }
 
-// prune forgets the occurrences that are done, up to the first that is not, so
-// that a job of many occurrences stays small, here and in the store.
+// prune drops the occurrences that are done, up to the first that is not, so that a job with
+// many occurrences stays small, in memory and in the store.
 func (j *job) prune() {
 	for len(j.occurrences) > 0 && j.occurrences[0].number == j.doneBefore && j.occurrences[0].done() && j.occurrences[0].idle() {
 		j.occurrences = slices.Delete(j.occurrences, 0, 1)
@@ -115,10 +113,10 @@
 	j.nextDue = max(j.nextDue, j.doneBefore)
 }
 
-// trim drops all of a job whose end is in the store but what is needed to answer
-// for its state and to count runs of it that turn up yet, once none of its runs holds a
-// worker's resources and none can be unseen: the text and the tasks of a job are some
-// kilobytes.
+// trim drops everything of a job whose end is stored except what is needed to answer queries
+// of its state and to charge runs of it that are still reported. It waits until none of its
+// runs uses a worker's resources and none can be unreported. The text and the tasks of a job
+// are some kilobytes.
 func (e *Engine) trim(j *job) {
 	if j.trimmed || (j.inherited && e.unresolved > 0) || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.idle() }) {
 		return
@@ -131,8 +129,8 @@
 	j.spec = &work.Job{Queue: j.spec.Queue, Account: j.spec.Account, Apart: j.spec.Apart}
 }
 
-// mayOpen reports whether the job may hold one more occurrence. Each is held
-// with all of its tasks; the bound is that of the tasks of one occurrence.
+// mayOpen reports whether the job may have one more occurrence in memory. Each has all of its
+// tasks; the bound is that of the tasks of one occurrence.
 func (j *job) mayOpen() bool {
 	return len(j.occurrences) == 0 || (len(j.occurrences)+1)*j.spec.Tasks() <= work.MaxTasks
 }
@@ -156,7 +154,8 @@
 	return j.start + time.Duration(number)*j.spec.Interval
 }
 
-// openTimed opens what has come due, and forgets jobs with no time to come.
+// openTimed opens the occurrences that have come due, and drops jobs without further ones from
+// the list of timed jobs.
 func (e *Engine) openTimed() {
 	e.timed = slices.DeleteFunc(e.timed, func(j *job) bool {
 		if !j.active() {
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -6,12 +6,12 @@
 	"time"
 )
 
-// The order in which waiting steps are served: by rank, then by their queue's priority,
-// then by their turn.
+// The order in which waiting steps are served: by rank, then by their queue's priority, then
+// by their turn.
 
-// waiting returns the steps with tasks to start, in the order in which they
-// are served: those that can still end within their objective first, and among
-// these the queue's priority and the end of the objective.
+// waiting returns the steps with tasks to start, in the order in which they are served: those
+// that can still end within their objective first, and among these by the queue's priority and
+// the end of the objective.
 func (e *Engine) waiting() []*step {
 	kept := e.ready[:0]
 	for _, s := range e.ready {
@@ -29,7 +29,7 @@
 			st.turn, st.turnUntil = e.turnOf(st), e.now+turnPeriod
 		}
 	}
-	slices.SortStableFunc(e.ready, compareSteps) // nearly sorted from the round before
+	slices.SortStableFunc(e.ready, compareSteps) // nearly sorted from the previous round
 	return slices.Clone(e.ready)
 }
 
@@ -39,11 +39,11 @@
 		cmp.Compare(a.turn, b.turn), cmp.Compare(x.id, y.id))
 }
 
-// turnPeriod is how long a step's turn stands: what an account would lose changes over
-// tens of seconds, and a round over 500 steps of 1,200 accounts takes a tenth less.
+// turnPeriod is how long a computed turn is kept: the loss of an account changes over tens of
+// seconds, and a round over 500 steps of 1,200 accounts takes a tenth less time.
 const turnPeriod = 250 * time.Millisecond
 
-// turnOf returns when the step's turn is among those of its rank and priority.
+// turnOf returns the step's turn, by which it is ordered within its rank and priority.
 func (e *Engine) turnOf(s *step) time.Duration {
 	o, j := s.occurrence, s.job
 	if j.spec.Account == "" {
@@ -52,7 +52,7 @@
 	return e.fair.Turn(j.spec.Account, e.now, o.due, o.due-o.from, j.coreSeconds)
 }
 
-// rankOf returns the first thing by which steps are ordered.
+// rankOf returns the step's rank, by which steps are ordered first.
 func (e *Engine) rankOf(s *step) int {
 	if e.o.Policy.FirstCome {
 		return int(s.occurrence.from / time.Millisecond)
@@ -60,14 +60,12 @@
 	return e.lateRank(s)
 }
 
-// lateFactor is how many objectives after its acceptance a job has lost all of
-// its worth.
+// lateFactor is how many objectives after its acceptance a job has lost all of its value.
 const lateFactor = 3
 
-// lateRank puts jobs that will miss their objective behind those that will
-// not, and those that are too late for any worth behind both: a late job keeps
-// a fifth of its worth until lateFactor objectives have passed, one in time
-// loses four fifths at once.
+// lateRank puts jobs that will miss their objective behind those that will not, and those that
+// are too late to be of any value behind both: a late job keeps a fifth of its value until
+// lateFactor objectives have passed; one in time would lose four fifths at once.
 func (e *Engine) lateRank(s *step) int {
 	if s.spec.Lasting {
 		return rankLongRunning
@@ -86,12 +84,12 @@
 	return rank
 }
 
-// Ranks of steps. What an account hands in beyond its entitlement comes after all that
-// accounts are entitled to: else the one that hands in several times its usual takes the
-// others' room.
+// Ranks of steps. What an account submits beyond its entitlement comes after everything that
+// accounts are entitled to; otherwise an account that submits several times its usual load
+// would take the capacity of the others.
 const (
 	rankInTime       = 0
 	rankLate         = 1
 	rankHopeless     = 2
-	rankOverEntitled = 3 // added to these
+	rankOverEntitled = 3 // added to the ranks above
 )
--- a/process/dispatch/partial.go
+++ b/process/dispatch/partial.go
@@ -2,22 +2,22 @@
 
 import "time"
 
-// Gangs of which an earlier leader started a part only.
+// Gangs of which an earlier leader started only some members.
 //
-// Load pattern: a leader is lost, or replaced because it falls behind, between the
-// starts of a gang's members. What goes wrong without it: those that are there wait for
-// the others until the workers end them, with their room taken, and the gang begins
-// seconds later than it could.
+// This happens when a leader fails, or is replaced because it falls behind, between the starts
+// of a gang's members. If the successor left them alone, they would wait for the others until
+// their workers end them, would use their capacity meanwhile, and the gang would start seconds
+// later than it could.
 const (
-	// partialShare of the time for which members wait for each other may pass until a
-	// gang that lacks members is stopped: they may be on workers that have not
-	// answered yet, which takes partialSlow as long while some have not.
+	// partialShare is the share of Bounds.Gang after which a gang that lacks members is
+	// stopped: the missing ones may be on workers that have not answered yet. As long as there
+	// are such workers it takes partialSlow times as long.
 	partialShare = 0.2
 	partialSlow  = 2
 )
 
-// stopPartialGangs stops gangs that were taken over without all of their members, and have
-// not begun to work.
+// stopPartialGangs stops gangs that were taken over without all of their members and have not
+// made progress.
 func (e *Engine) stopPartialGangs() {
 	wait := scale(e.o.Bounds.Gang, partialShare)
 	if e.unresolved > 0 {
@@ -25,13 +25,13 @@
 	}
 	for _, s := range e.ready {
 		if since, partial := s.partialSince(); partial && e.now-since >= wait {
-			e.stopGang(s, "members of it were never started")
+			e.stopGang(s, "some of its members were never started")
 		}
 	}
 }
 
-// partialSince reports whether only some of a gang's members are there and none has
-// begun to work, which takes all of them, and since when.
+// partialSince reports whether only some of a gang's members have an allocation and none has
+// made progress, which takes all of them, and since when.
 func (s *step) partialSince() (since time.Duration, partial bool) {
 	if !s.spec.Gang || s.gang.stopping || len(s.pending) == 0 {
 		return 0, false
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -9,28 +9,28 @@
 
 // Grouping of writes.
 const (
-	// groupDelay is how long a change that nobody waits for may wait for others
-	// to be written with.
+	// groupDelay is how long a change that no caller waits for may be delayed to be written
+	// together with others.
 	groupDelay = 40 * time.Millisecond
-	// urgentDelay groups the ends of jobs, for which callers wait.
+	// urgentDelay is the same for the ends of jobs, for which callers wait.
 	urgentDelay = 25 * time.Millisecond
-	// overlapDelay is kept between the beginnings of two writes of which the first
-	// has not been answered yet: a store that answers in a few milliseconds then
-	// has one write at a time, one that takes 300 ms has all chains in use.
+	// overlapDelay is the least time between the starts of two writes if the first has not
+	// been answered yet: a store that answers in a few milliseconds then has one write at a
+	// time, one that takes 300 ms has all write streams in use.
 	overlapDelay = 40 * time.Millisecond
-	// fleetStream is the chain for the list of workers: two lists on their way on
-	// different chains could take effect in either order.
+	// fleetStream is the write stream for the lists of workers: two lists in flight on
+	// different streams could take effect in either order.
 	fleetStream = 0
 )
 
-// writeSet is one write on its way to the store.
+// writeSet is one write that is in flight to the store.
 type writeSet struct {
 	saves []save
 	batch *batch // nil: every job is under a key of its own
 	fleet []*worker
 }
 
-// save is the progress of one job in a batch.
+// save is the progress of one job in a write set.
 type save struct {
 	job     *job
 	version uint64
@@ -38,9 +38,9 @@
 	batched bool
 }
 
-// markDirty notes a change of a job that must last. While a write of the job is on its
-// way the change waits for the answer: two writes on different chains take effect
-// in any order, and the older progress would stand for the newer one.
+// markDirty records a change of a job that must be stored. While a write of the job is in
+// flight the change waits for the answer: two writes on different streams take effect in
+// either order, and older progress could replace newer.
 func (e *Engine) markDirty(j *job, urgent bool) {
 	j.version++
 	if !j.writing {
@@ -60,7 +60,7 @@
 	}
 }
 
-// persist prepares the writes that are due, each on a free chain.
+// persist prepares the writes that are due, each on a free write stream.
 func (e *Engine) persist() {
 	for {
 		stream, ok := e.freeStream()
@@ -71,7 +71,7 @@
 	}
 }
 
-// freeStream returns a chain for the next write.
+// freeStream returns a write stream for the next write.
 func (e *Engine) freeStream() (stream int, ok bool) {
 	busy, first := 0, -1
 	for i := range e.writes[:e.o.Policy.WriteChains] {
@@ -100,12 +100,12 @@
 	return (len(e.removals) > 0 || len(e.unbatch) > 0) && e.now-e.writtenAt >= cleanupPause
 }
 
-// cleanupPause is kept before a write that nobody waits for: of keys that are no
-// longer needed, and of jobs that are moved out of bundles.
+// cleanupPause is kept before a write that no caller waits for: deletes of keys that are no
+// longer needed, and jobs that are moved out of batches.
 const cleanupPause = 100 * time.Millisecond
 
-// write prepares one write. What does not fit under keys of its own goes into a
-// bundle, so that one write takes all that waits, however slow the store is.
+// write prepares one write. What does not fit under separate keys goes into a batch, so that
+// one write takes everything that waits, however slow the store is.
 func (e *Engine) write(stream int) {
 	ws := &writeSet{}
 	c := SendCommit{Chain: stream}
@@ -148,7 +148,7 @@
 	return n
 }
 
-// dirtySize is the number of keys that all that waits would change.
+// dirtySize is the number of keys that all waiting jobs would change.
 func (e *Engine) dirtySize() int {
 	n := 0
 	for _, j := range e.dirty {
@@ -157,8 +157,8 @@
 	return n
 }
 
-// addJobs moves queued jobs into the batch, either those that have ended or the
-// others, and returns the room that is left.
+// addJobs moves queued jobs into the write set, either those that have ended or the others,
+// and returns the room that is left.
 func (e *Engine) addJobs(ws *writeSet, c *SendCommit, room int, final bool) int {
 	kept := e.dirty[:0]
 	for _, j := range e.dirty {
@@ -194,16 +194,16 @@
 	e.include(ws, j, false)
 }
 
-// include notes that a batch holds a job's progress.
+// include records that a write set has a job's progress.
 func (e *Engine) include(ws *writeSet, j *job, batched bool) {
 	if j.writing {
-		e.violate("two writes of a job on their way", work.TaskID{Job: j.id}, "")
+		e.violate("two writes of a job in flight", work.TaskID{Job: j.id}, "")
 	}
 	j.dirty, j.writing = false, true
 	ws.saves = append(ws.saves, save{job: j, version: j.version, state: j.state, batched: batched})
 }
 
-// Committed tells that the SendCommit on a chain is in the store.
+// Committed handles the answer that the SendCommit on a write stream is stored.
 func (e *Engine) Committed(now time.Duration, stream int) {
 	e.now = now
 	ws := e.writes[stream]
@@ -224,7 +224,7 @@
 	}
 }
 
-// saved notes that a job's progress is in the store.
+// saved records that a job's progress is stored.
 func (e *Engine) saved(ws *writeSet, s *save) {
 	j := s.job
 	j.writing = false
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -8,48 +8,48 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Rounds of placement.
+// Timing and limits of rounds of placement.
 const (
-	// busyBacklog is how many waiting steps make a round costly; from then on
-	// rounds are crowdedPause apart. A round over 500 steps takes some 100 µs.
+	// busyBacklog is the number of waiting steps from which a round is costly; rounds are then
+	// busyPause apart. A round over 500 steps takes some 100 µs.
 	busyBacklog = 50
 	busyPause   = 4 * time.Millisecond
-	// idleFactor: after a round the engine takes events only for that many times as
-	// long as a round takes, and maxRest at the most.
+	// idleFactor: after a round the engine only takes events for idleFactor times as long as
+	// the round took, at most maxIdle.
 	//
-	// Load pattern: more waits than the leader's processor can place. What goes wrong
-	// without it: each event is followed by a round, rounds take all processor time,
-	// and reports and pings wait behind them until the leader looks dead.
+	// When more steps wait than the leader's processor can place, a round after each event
+	// would take all processor time, and reports and pings would queue behind rounds until the
+	// leader looks failed.
 	idleFactor = 2
 	maxIdle    = 60 * time.Millisecond
-	// costDecay: a round's time enters the average with 1/costDecay.
+	// costDecay: a round's time enters the average with weight 1/costDecay.
 	costDecay = 4
-	// gangPause is between tries of one waiting gang, unless it has new advice:
-	// a try over the tickets for a hundred workers takes some 10 µs, and rounds
-	// come several hundred times a second.
+	// gangPause is between attempts to place one waiting gang, unless it has new advice: an
+	// attempt over the tickets for a hundred workers takes some 10 µs, and there are several
+	// hundred rounds per second.
 	gangPause = 10 * time.Millisecond
-	// maxBackoff doublings bound the pause of a gang for which no room is kept at
-	// 160 ms: 480 waiting gangs are then tried in turn, a dozen each 4 ms.
+	// maxBackoff doublings bound the pause of a gang without reserved capacity at 160 ms: 480
+	// waiting gangs are then tried in turn, a dozen every 4 ms.
 	maxBackoff = 4
-	// maxTried and one in triedShare workers bound how many waiting gangs are
-	// tried in one round.
+	// maxTried, or one in triedShare workers if that is more, bounds how many waiting gangs
+	// are tried in one round.
 	maxTried   = 12
 	triedShare = 10
 )
 
-// scaledByWorkers returns a bound that grows with the workers: one for each share
-// of them, and at least a minimum.
+// scaledByWorkers returns a bound that grows with the number of workers: one for each share of
+// them, and at least a minimum.
 func (e *Engine) scaledByWorkers(least, share int) int { return max(least, len(e.workerList)/share) }
 
-// RoundTook tells how long the last Flush took, if it placed: the engine has no clock
-// of its own.
+// RoundTook reports how long the last Flush took, for the case that it ran a round: the engine
+// has no clock of its own.
 func (e *Engine) RoundTook(at, d time.Duration) {
 	if e.scheduledAt == at {
 		e.roundCost += (d - e.roundCost) / costDecay
 	}
 }
 
-// roundPause is kept between the beginnings of two rounds.
+// roundPause is kept between the starts of two rounds.
 func (e *Engine) roundPause() time.Duration {
 	pause := min((idleFactor+1)*e.roundCost, maxIdle)
 	if len(e.ready) >= busyBacklog {
@@ -58,20 +58,20 @@
 	return pause
 }
 
-// round is what one round of placement has come to know.
+// round is the state of one round of placement.
 type round struct {
 	full     []fullSize
 	tried    int // gangs
-	reserved int // gangs with room reserved
+	reserved int // gangs with reserved capacity
 }
 
-// fullSize is a size for which no worker of a service had room.
+// fullSize is a size for which no worker of a service had capacity.
 type fullSize struct {
 	service string
 	size    work.Resources
 }
 
-// schedule places what can be placed.
+// schedule runs a round of placement.
 func (e *Engine) schedule() {
 	e.scheduledAt = e.now
 	steps := e.waiting()
@@ -100,7 +100,7 @@
 	e.sendAdviceCalls(steps)
 }
 
-// tryGang places a gang, or keeps room for it.
+// tryGang places a gang, or reserves capacity for it.
 func (e *Engine) tryGang(s *step, r *round) {
 	if e.now >= s.retryAt && r.tried < e.scaledByWorkers(maxTried, triedShare) && e.gangFeasible(s) {
 		r.tried++
@@ -112,12 +112,12 @@
 	e.reserveCapacity(s, r)
 }
 
-// backOff sets when a gang that found no room is tried again: soon if room is
-// kept for it, else later each time.
+// backOff sets when a gang that found no capacity is tried again: soon if capacity is reserved
+// for it, else later each time.
 //
-// What goes wrong without it: a round tries a bounded number of gangs, and the
-// first ones, which wait for workers that are taken, use it up in every round;
-// those behind them are never tried beside empty workers.
+// A round tries a bounded number of gangs. Without the backoff the first ones, which wait for
+// busy workers, would use up that number in every round, and those behind them would never be
+// tried although there are idle workers.
 func (e *Engine) backOff(s *step) {
 	pause := gangPause
 	if !e.hasReserved(s) {
@@ -127,11 +127,10 @@
 	s.retryAt = e.now + pause
 }
 
-// tryTasks places tasks of a step one by one, unless that is known to be in
-// vain.
+// tryTasks places tasks of a step one by one, unless there is certainly no capacity for them.
 func (e *Engine) tryTasks(s *step, r *round) {
 	if a := e.adviceOf(s); a != nil && !e.mayAsk(s) && !a.usable(e.now) {
-		return // nothing to go by, and nobody to ask now
+		return // no tickets to use, and no call possible now
 	}
 	need := s.spec.Need()
 	service := s.job.spec.Queue.Service
@@ -148,10 +147,10 @@
 	}
 }
 
-// maxFullSizes bounds the sizes remembered in a round.
+// maxFullSizes bounds the sizes recorded in a round.
 const maxFullSizes = 8
 
-// anyCapacity reports whether any worker has room for one task.
+// anyCapacity reports whether any worker has capacity for one task.
 func (e *Engine) anyCapacity(s *step, need work.Resources) bool {
 	for _, w := range e.workerList {
 		if need.Fits(w.free()) && e.eligible(s, w) {
@@ -162,7 +161,7 @@
 }
 
 // capacityFor returns how many of a step's tasks, at most limit, the step may place on a
-// worker now. Most workers of a busy cell are full, which the first look tells.
+// worker now. Most workers of a busy cell are full, which the first check finds.
 func (e *Engine) capacityFor(s *step, w *worker, need work.Resources, limit int) int {
 	if !need.Fits(w.free()) {
 		return 0
@@ -184,10 +183,10 @@
 	return waitNothing
 }
 
-// eligible reports whether a step may run on a worker, room and advice apart.
+// eligible reports whether a step may run on a worker, apart from capacity and advice.
 func (e *Engine) eligible(s *step, w *worker) bool {
 	if s.spec.Gang && w.probation {
-		return false // one member that fails there takes the whole gang with it
+		return false // one member that fails there stops the whole gang
 	}
 	if s.spec.Fills && w.hostsTarget() {
 		return false
@@ -209,7 +208,7 @@
 // liveOn returns the step's runs on a worker.
 func (s *step) liveOn(w *worker) int {
 	if s.spec.MaxPerWorker == 0 {
-		return 0 // nobody asks
+		return 0 // not needed
 	}
 	n := 0
 	for _, alloc := range w.allocs {
@@ -236,7 +235,7 @@
 		if w == nil {
 			missing = true
 			if s.tasks[i].crashes.Suspect() {
-				continue // it waits for a quiet worker, the others need not
+				continue // it waits for a worker without recent starts, the others need not
 			}
 			break
 		}
@@ -255,18 +254,18 @@
 type scored struct {
 	w      *worker
 	score  float64
-	ticket string // the ticket
+	ticket string
 }
 
-// update takes the worker if it is better than the one so far.
+// update takes the worker if it is better than the best one so far.
 func (b *scored) update(w *worker, score float64, text string) {
 	if b.w == nil || score > b.score {
 		*b = scored{w, score, text}
 	}
 }
 
-// bestWorker filters the workers and takes the one with the best score. A suspect task
-// waits for one on which nothing has just begun.
+// bestWorker filters the workers and returns the one with the best score, with its ticket. A
+// suspect task waits for a worker without recent starts.
 func (e *Engine) bestWorker(s *step, i int, a *advice) (best *worker, text string) {
 	suspect := s.tasks[i].crashes.Suspect()
 	var now, later scored
@@ -296,7 +295,7 @@
 	return now.w, now.ticket
 }
 
-// mayPlace reports whether a task may start on a worker now, advice apart.
+// mayPlace reports whether a task may start on a worker now, apart from advice.
 func (e *Engine) mayPlace(s *step, i int, w *worker) bool {
 	need := s.spec.Need()
 	if !need.Fits(w.free()) || !e.eligible(s, w) || !need.Fits(e.freeFor(s, w)) {
@@ -309,14 +308,13 @@
 	return e.now >= t.avoidUntil || !slices.Contains(t.avoid, w.ID)
 }
 
-// avoidTimeout is how long a task that failed on a worker waits for another
-// one: long enough to ask for advice on others, short against an objective.
-//
-// What goes wrong without it: the only ticket at hand is for the worker where
-// it has just failed, and a second try there ends a job whose queue allows two.
+// avoidTimeout is how long a task that failed on a worker waits for another one: long enough
+// to request advice on others, short relative to an objective. Otherwise, if the only ticket
+// is for the worker where it has just failed, a second attempt there would fail a job whose
+// queue allows two.
 const avoidTimeout = time.Second
 
-// avoidWorker keeps a task away from a worker where it failed or stood still.
+// avoidWorker keeps a task away from a worker where it failed or stalled.
 func (t *task) avoidWorker(id runner.WorkerID, now time.Duration) {
 	t.avoidUntil = now + avoidTimeout
 	if !slices.Contains(t.avoid, id) {
@@ -326,22 +324,22 @@
 
 // Weights of a worker's score for a task.
 const (
-	// scoreAvoid: a task that failed on a worker goes to any other first.
+	// scoreAvoid: a task that failed on a worker goes to any other worker first.
 	scoreAvoid = -100
-	// scoreSuspect: a worker on which runs failed of late comes after those on
-	// which they did not; it counts for each point of suspicion.
+	// scoreSuspect: workers on which runs failed recently come after those on which none did;
+	// it counts for each point of suspicion.
 	scoreSuspect = -2.5
 	// scoreNear: near its data a task takes a third of the time.
 	scoreNear = 20
-	// scoreSpeed: a faster worker ends sooner; worth as much as perfect packing.
+	// scoreSpeed: a faster worker completes sooner; worth as much as perfect packing.
 	scoreSpeed = 1.0
-	// scoreFull: workers that are nearly full first, so that large tasks find
-	// workers with much room.
+	// scoreFull: workers that are nearly full come first, so that large tasks find workers
+	// with much free capacity.
 	scoreFull = 1.0
-	// scoreCrashed: a task under which workers crashed goes to others than those that
-	// crashed of late, whatever the cause.
+	// scoreCrashed: a task under which workers crashed avoids workers that crashed recently,
+	// whatever the cause.
 	scoreCrashed = -50
-	// scoreAtRisk: such a task goes where the least is lost if another worker crashes.
+	// scoreAtRisk: such a task goes where the least other work is lost if the worker crashes.
 	scoreAtRisk = -10
 )
 
@@ -363,8 +361,7 @@
 	return score + scoreFull*full
 }
 
-// fullness is the share of the worker's scarcest resource that is taken once
-// need is placed there.
+// fullness is the used share of the worker's scarcest resource once need is placed there.
 func fullness(w *worker, need work.Resources) float64 {
 	used := w.used.Add(need)
 	return max(ratio(used.CPU, w.Capacity.CPU), ratio(used.Memory, w.Capacity.Memory))
--- a/process/dispatch/policy.go
+++ b/process/dispatch/policy.go
@@ -8,43 +8,43 @@
 	"fennelshunt.example/fennelshunt/process/lead"
 )
 
-// Policy holds a switch or a figure for each mechanism that a cell can do
-// without, so that what one is worth can be measured by a settings file alone.
-// The zero value of a field stands for its default.
+// Policy has a switch or a value for each mechanism that a cell can do without, so that the
+// benefit of each can be measured by changing a settings file. The zero value of a field
+// stands for its default.
 type Policy struct {
-	// WriteChains is how many writes to the store may be under way at once, 1 to
-	// lead.Chains. Load pattern: a store that answers slowly.
+	// WriteChains is how many writes to the store may be in flight at once, 1 to lead.Chains.
+	// It matters with a store that answers slowly.
 	WriteChains int `json:"write_chains,omitempty"`
-	// NoBundles keeps each job's progress under its own key, however many jobs
-	// wait to be written. Load pattern: as above, with a burst.
+	// NoBundles keeps each job's progress under its own key, however many jobs wait to be
+	// written. Batches matter with a slow store and bursts of jobs.
 	NoBundles bool `json:"no_bundles,omitempty"`
-	// WriteKeys is how many keys one write may change, minWriteKeys to
-	// lead.MaxCommit.
+	// WriteKeys is how many keys one write may change, minWriteKeys to lead.MaxCommit.
 	WriteKeys int `json:"write_keys,omitempty"`
-	// NoHolds lets others take the room of a gang while its tickets are asked for.
-	// Load pattern: many wide gangs, and slow advice.
+	// NoHolds turns off gang reservations: other steps may use the capacity of a gang while
+	// its tickets are requested. Reservations matter with many wide gangs and slow advice.
 	NoHolds bool `json:"no_holds,omitempty"`
-	// NoPacking lets small tasks go where most room is. Load pattern: as above.
+	// NoPacking lets small tasks go where most capacity is free. Packing matters with many
+	// wide gangs and slow advice.
 	NoPacking bool `json:"no_packing,omitempty"`
-	// NoParallelAdvice asks for a gang by one call after the other. Load pattern:
-	// gangs that need advice on more workers than one call may name.
+	// NoParallelAdvice requests advice for a gang by one call after the other. Parallel calls
+	// matter for gangs that need advice on more workers than one call may name.
 	NoParallelAdvice bool `json:"no_parallel_advice,omitempty"`
 	// Shares is how accounts take turns; see package fair.
 	Shares fair.Way `json:"shares,omitempty"`
-	// NoQuotaTurns lets small work take what a gang waits for of its account's cap. Load
-	// pattern: accounts that hand in more than their caps let run.
+	// NoQuotaTurns lets small work use the part of its account's cap that a gang waits for. It
+	// matters for accounts that submit more than their caps allow to run.
 	NoQuotaTurns bool `json:"no_quota_turns,omitempty"`
-	// QuotaHeadroom keeps room in an account's cap for its queues that come first. Load
-	// pattern: accounts whose quick work matters more than their gangs.
+	// QuotaHeadroom keeps room in an account's cap for its queues of higher priority. It
+	// matters for accounts whose quick work is more important than their gangs.
 	QuotaHeadroom bool `json:"quota_headroom,omitempty"`
-	// FirstCome starts what was handed in first, and keeps no room: a baseline.
+	// FirstCome starts jobs in the order of their submission and reserves nothing: a baseline.
 	FirstCome bool `json:"first_come,omitempty"`
-	// ReservedShare: room is reserved for one waiting step in so many workers at a
-	// time, at least for maxReserved. Load pattern: more gangs than fit.
+	// ReservedShare: capacity is reserved for one waiting step per so many workers at a time,
+	// but for at least maxReserved. It matters when more gangs wait than fit.
 	ReservedShare int `json:"reserved_share,omitempty"`
 }
 
-// minWriteKeys: the list of workers, a bundle and the keys of one cancelled job.
+// minWriteKeys is the list of workers, a batch and the keys of one cancelled job.
 const minWriteKeys = 5
 
 // Check returns an error for each field that is out of its bounds.
@@ -57,7 +57,7 @@
 	)
 }
 
-// named puts the field's name before an error.
+// named prefixes an error with the field's name.
 func named(field string, err error) error {
 	if err == nil {
 		return nil
@@ -65,7 +65,7 @@
 	return fmt.Errorf("%s: %w", field, err)
 }
 
-// inBounds checks a figure of which 0 stands for the default.
+// inBounds checks a value of which 0 stands for the default.
 func inBounds(field string, v, least, most int) error {
 	if v == 0 || (v >= least && v <= most) {
 		return nil
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -9,45 +9,46 @@
 
 // The order in which an account's own work uses its cap.
 //
-// Load pattern: an account hands in more than its cap lets run, of several kinds. What
-// goes wrong if whatever comes first takes what is free: long tasks of its least urgent
-// queue fill the cap, its quick jobs wait seconds for one of them to end, beside free
-// workers; and its gangs, which need a third of the cap at once, wait until the small work
-// runs out.
+// It matters when an account submits more work, of several kinds, than its cap allows to run.
+// If whatever comes first took what is free, long tasks of its least urgent queue would fill
+// the cap; its quick jobs would wait seconds for one of them to end although workers are idle;
+// and its gangs, which need a third of the cap at once, would wait until there is no more
+// small work.
 //
-// Two rules, both within one account, so that no other one gains or loses by them:
-//   - turns: a gang that has waited for turnAfter, and that its account's cap holds up, keeps
-//     the room that it needs free of what comes after it. Without the wait the rule costs
-//     more than it brings: the cap stands half empty each time a gang waits for the last of
-//     its room (mean worth of four days and two seeds 0.721 with both rules, 0.753 so);
-//   - headroom, if the policy asks for it: work leaves room in the cap for the queues that
-//     come before its own, as much as these used of late. It serves quick work better and
-//     long work worse (0.740).
+// There are two rules, both within one account, so that no other account gains or loses by
+// them:
+//   - turns: a gang that has waited for turnAfter, and that only its account's cap blocks, keeps
+//     the room that it needs free of the work after it. Without turnAfter the rule costs more than
+//     it gains, because the cap is half empty each time a gang waits for the last of its room
+//     (mean value over four days and two seeds 0.721 with both rules, 0.753 with turnAfter);
+//   - headroom, if the policy asks for it: work leaves room in the cap for the queues of higher
+//     priority, as much as these used recently. It serves quick work better and long work worse
+//     (0.740).
 
-// turnAfter is longer than a gang waits for room in a cell that is busy, and short against
-// what its callers bear: without it a gang that needs most of its account's cap starts only
-// once the account hands in nothing else.
+// turnAfter is longer than a gang waits for capacity in a busy cell, and short relative to the
+// wait that callers accept. Without the rule, a gang that needs most of its account's cap
+// would start only once the account submits nothing else.
 const turnAfter = 3 * time.Second
 
-// headroomTime is how long it takes until a third of what a queue once used is left of its
-// headroom: the time between bursts of callers, and some times the length of quick jobs.
+// headroomTime is the time constant of the decay of a queue's headroom, to about a third: the
+// time between bursts of callers, and several times the length of quick jobs.
 const headroomTime = 5 * time.Second
 
-// usageKey names what one account runs for one priority.
+// usageKey identifies an account's work of one priority.
 type usageKey struct {
 	account  *quota.Account
 	priority int
 }
 
-// usage is what an account runs for one priority.
+// usage is what an account runs at one priority.
 type usage struct {
 	held quota.Size
-	// peak is the most held of late, decaying since at.
+	// peak is the highest recent value of held, decaying since at.
 	peak quota.Size
 	at   time.Duration
 }
 
-// usageOf returns what the job's account runs for the job's priority.
+// usageOf returns the usage of the job's account at the job's priority.
 func (e *Engine) usageOf(j *job) *usage {
 	key := usageKey{j.account, j.spec.Queue.Priority}
 	u := e.usages[key]
@@ -59,14 +60,14 @@
 	return u
 }
 
-// noteUsage counts a change of what is held for the job's priority, where headroom is kept.
+// noteUsage records a change of what the job's priority uses, if headroom is kept.
 func (e *Engine) noteUsage(j *job, change quota.Size) {
 	if e.o.Policy.QuotaHeadroom {
 		e.usageOf(j).note(e.now, change)
 	}
 }
 
-// insertSorted adds a number to a sorted list that lacks it.
+// insertSorted adds a number to a sorted list that does not have it.
 func insertSorted(list []int, n int) []int {
 	i := 0
 	for i < len(list) && list[i] < n {
@@ -78,7 +79,7 @@
 	return list
 }
 
-// note counts a change of what is held.
+// note records a change of what is used.
 func (u *usage) note(now time.Duration, change quota.Size) {
 	u.peak, u.at = u.peakAt(now), now
 	u.held = u.held.Add(change)
@@ -91,7 +92,7 @@
 		Accelerators: int64(float64(u.peak.Accelerators) * left)})
 }
 
-// headroom is what a job's account keeps free for queues that come before the job's.
+// headroom is what a job's account keeps free for queues of higher priority than the job's.
 func (e *Engine) headroom(j *job) (sum quota.Size) {
 	for _, priority := range e.priorities[j.account] {
 		if priority >= j.spec.Queue.Priority {
@@ -103,8 +104,8 @@
 	return sum
 }
 
-// mayUse reports whether the step's account may have so much more of it running, with the
-// room that it has to leave.
+// mayUse reports whether the step's account may have size more of it running, given the room
+// that it has to leave free.
 func (e *Engine) mayUse(s *step, size quota.Size) bool {
 	a := s.job.account
 	if !a.Fits(size) {
@@ -120,7 +121,7 @@
 	return a.FitsBeside(size, spare)
 }
 
-// keepFree keeps the room that a gang has waited for long free of what comes after it in this
+// keepFree keeps the room that a gang has waited for long free of the work after it, in this
 // round.
 func (e *Engine) keepFree(s *step) {
 	if e.o.Policy.NoQuotaTurns || !s.spec.Gang || e.now-s.openedAt < turnAfter {
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -25,11 +25,11 @@
 	e.out = append(e.out, SendRenew{To: w.Ref, Renewal: r, Timeout: r.Wait + renewGrace})
 }
 
-// unacknowledged reports whether the worker holds ends that the store does not
-// yet: a renewal that waits would be answered at once.
+// unacknowledged reports whether the worker has completions that are not stored yet: a renewal
+// that waits would be answered at once.
 func (w *worker) unacknowledged() bool { return w.lastCompletion > w.ackedCompletion }
 
-// stopsAnswered reports whether a report is awaited to free a stopped run.
+// stopsAnswered reports whether a stopped run waits for the next report to be released.
 func (w *worker) stopsAnswered() bool {
 	for _, alloc := range w.allocs {
 		if alloc.state == stopping && alloc.stopAckedAt > 0 {
@@ -39,7 +39,7 @@
 	return false
 }
 
-// Renewed takes the outcome of a SendRenew.
+// Renewed handles the outcome of a SendRenew.
 func (e *Engine) Renewed(now time.Duration, id runner.WorkerID, report runner.Report, err error) {
 	e.now = now
 	w := e.workers[id]
@@ -51,8 +51,8 @@
 		e.notRenewed(w, err)
 		return
 	}
-	if w.fenced && report.Clock > 0 && report.Clock < w.clock-clockBack { // 0: not told
-		e.decide(Decision{What: "answer of another life", Worker: w.ID, Why: fmt.Sprintf("its clock went from %v back to %v", w.clock, report.Clock)})
+	if w.fenced && report.Clock > 0 && report.Clock < w.clock-clockBack { // 0: not reported
+		e.decide(Decision{What: "answer of another incarnation", Worker: w.ID, Why: fmt.Sprintf("its clock went from %v back to %v", w.clock, report.Clock)})
 		e.removeWorker(w, "its clock went back", true)
 		return
 	}
@@ -76,15 +76,15 @@
 	w.nextRenew = now
 	switch {
 	case len(w.untracked) > 0, ends == 0 && w.stopsAnswered():
-		w.nextRenew = now + untrackedPause // a stop takes a while; look again soon
+		w.nextRenew = now + untrackedPause // a stop takes a while
 	case w.unacknowledged():
 		w.renewPause = nextPause(w.renewPause, ends > 0)
 		w.nextRenew = now + w.renewPause
 	}
 }
 
-// nextPause returns the pause before the next look at a worker whose ends can not
-// be acknowledged yet.
+// nextPause returns the pause before the next renewal of a worker whose completions cannot be
+// acknowledged yet.
 func nextPause(last time.Duration, news bool) time.Duration {
 	if news {
 		return renewPauseMin
@@ -102,7 +102,7 @@
 		e.takeOtherIncarnation(w, other)
 		return
 	case errors.Is(err, runner.ErrGone):
-		e.removeWorker(w, "another life answers at its address", true)
+		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
 	if w.misses == 0 {
@@ -115,8 +115,8 @@
 	}
 }
 
-// reconcileRunning compares what a worker says it runs with what it should run.
-// complete tells that the report left no end out.
+// reconcileRunning compares the runs that a worker reports with the runs booked on it.
+// complete means that the report lists every completion.
 func (e *Engine) reconcileRunning(w *worker, rows []runner.Live, complete bool) {
 	w.refundUntracked()
 	present := make(map[work.TaskID]uint64, len(rows))
@@ -153,9 +153,8 @@
 	}
 }
 
-// handleUnexpected deals with a run that this engine has not started, or has given
-// up: one of an earlier epoch is taken over if its task needs it, any other is
-// stopped.
+// handleUnexpected handles a run that this engine has not started or has released: one of an
+// earlier epoch is adopted if its task needs it, any other is stopped.
 func (e *Engine) handleUnexpected(w *worker, r *runner.Live) {
 	j := e.jobs[r.Task.Job]
 	s := j.step(r.Task)
@@ -176,7 +175,7 @@
 	}
 	if s.spec.Gang && s.gang.run < r.Run {
 		if s.live() > 0 {
-			return false // members of two runs: let the first end, then start anew
+			return false // members of two runs: this one has to end before the gang starts again
 		}
 		s.gang.run = r.Run
 	}
@@ -191,11 +190,11 @@
 	return true
 }
 
-// handleMissing deals with a run that a report does not list.
+// handleMissing handles a run that a report does not list.
 func (e *Engine) handleMissing(w *worker, alloc *allocation, complete bool) {
 	switch {
 	case alloc.state == stopping && alloc.stopAckedAt > 0 && alloc.stopAckedAt < w.renewSent && complete:
-		// Neither running nor ended, and the worker refuses it from now on.
+		// Neither running nor completed, and the worker rejects it from now on.
 		e.release(alloc)
 	case alloc.state == running && alloc.confirmedAt < w.renewSent && complete:
 		if alloc.missingSince == 0 {
--- a/process/dispatch/reserve.go
+++ b/process/dispatch/reserve.go
@@ -8,31 +8,31 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Keeping room for steps that wait: gangs, and tasks that last.
+// Capacity reserved ahead of time for waiting steps: gangs, and long-running tasks.
 const (
-	// planPeriod is how long reservations are kept before they are planned anew.
+	// planPeriod is how long reservations are kept before they are planned again.
 	planPeriod = 100 * time.Millisecond
-	// maxReserved and one in defaultReservedShare workers bound how many steps that
-	// wait have room reserved at a time.
+	// maxReserved, or one in defaultReservedShare workers if that is more, bounds how many
+	// waiting steps have reservations at a time.
 	maxReserved          = 3
 	defaultReservedShare = 30
 )
 
-// reservation keeps room on a worker for a task of a step from a time on.
+// reservation reserves capacity on a worker for a task of a step from some time on.
 type reservation struct {
 	s    *step
 	need work.Resources
-	from time.Duration // when the step's tasks are likely to start
+	from time.Duration // when the step's tasks are expected to start
 }
 
-// hasReserved reports whether a step's reservation of an earlier round stands:
-// it was made since all were last cleared.
+// hasReserved reports whether a step's reservation of an earlier round is still there: it was
+// made after all were last cleared.
 func (e *Engine) hasReserved(s *step) bool {
 	return s.reservedAt > 0 && s.reservedAt >= e.planAt-planPeriod
 }
 
-// reserveCapacity reserves room for a step that found none, as long as the round may
-// reserve for another one and the workers could hold it.
+// reserveCapacity reserves capacity for a step that found none, if the round may reserve for
+// another one and the workers could run it.
 func (e *Engine) reserveCapacity(s *step, r *round) {
 	if e.o.Policy.FirstCome {
 		return
@@ -45,7 +45,7 @@
 	}
 }
 
-// tasksNeeded is the number of tasks that a step needs room for: a gang's together.
+// tasksNeeded is the number of tasks that a step needs capacity for: for a gang all of them.
 func (s *step) tasksNeeded() int {
 	if s.spec.Gang {
 		return s.spec.Count
@@ -53,13 +53,13 @@
 	return len(s.pending)
 }
 
-// reserveFor keeps room for a gang that waits, or for tasks that last: on the
-// workers where it can start the soonest, work of lower standing starts only if
-// it ends before that or leaves room.
+// reserveFor reserves capacity for a waiting gang or for long-running tasks, on the workers
+// where it can start the soonest. There, steps that come after it start only if they end
+// before that time or leave enough capacity.
 //
-// What goes wrong without it: small tasks fill every gap as it opens, and a
-// gang, which needs many gaps at once, or a large task that lasts waits until
-// the small work runs out.
+// Without reservations small tasks would fill every gap as it opens, and a gang, which needs
+// many gaps at once, or a large long-running task would wait until there is no more small
+// work.
 func (e *Engine) reserveFor(s *step) bool {
 	s.reservedAt = e.now
 	a := e.adviceOf(s)
@@ -104,7 +104,7 @@
 	return true
 }
 
-// ticketEnd returns when the step's ticket for a worker ends, 0 for none.
+// ticketEnd returns when the step's ticket for a worker expires, 0 for none.
 func ticketEnd(a *advice, w *worker) time.Duration {
 	if t := a.ticketFor(w); t != nil {
 		return t.expires
@@ -112,16 +112,16 @@
 	return 0
 }
 
-// byEnd returns a worker's runs, the one that is likely to end first at first.
+// byEnd returns a worker's runs, ordered by when they are expected to end.
 func (e *Engine) byEnd(w *worker) []*allocation {
 	all := sortedAllocs(w)
 	slices.SortStableFunc(all, func(x, y *allocation) int { return cmp.Compare(e.remaining(x), e.remaining(y)) })
 	return all
 }
 
-// freeFor returns the room on a worker that a step may take now: what is free
-// less what is held for others, and what is reserved for others that stand before
-// it and start before its task would end.
+// freeFor returns the capacity of a worker that a step may use now: what is free, less gang
+// reservations of other steps, and less reservations of steps that come before it and are to
+// start before its task would end.
 func (e *Engine) freeFor(s *step, w *worker) work.Resources {
 	free := w.free()
 	for i := range w.gangReservations {
@@ -142,7 +142,7 @@
 	if held == (work.Resources{}) {
 		return free
 	}
-	// What is to end before the reservation begins serves it as well.
+	// What ends before the reservation starts is available to it as well.
 	later := free
 	from := w.reserved[0].from
 	for _, alloc := range w.allocs {
@@ -154,8 +154,7 @@
 	return work.Resources{CPU: min(free.CPU, rest.CPU), Memory: min(free.Memory, rest.Memory), GPU: min(free.GPU, rest.GPU)}
 }
 
-// clearReservations forgets the reservations of the last placement; each
-// placement makes its own.
+// clearReservations drops all reservations before they are planned again.
 func (e *Engine) clearReservations() {
 	for _, w := range e.workerList {
 		w.reserved = w.reserved[:0]
--- a/process/dispatch/responsetimes.go
+++ b/process/dispatch/responsetimes.go
@@ -5,12 +5,11 @@
 	"time"
 )
 
-// responseTimes learns how long workers take to answer, the way there and back included.
+// responseTimes tracks the average round trip of calls to workers, to set their timeouts.
 //
-// Load pattern: the link or the processor of the leader or of a relay is full, and
-// calls wait for each other. What goes wrong with fixed timeouts: a call is given up
-// just before its answer and made again, which makes more calls, and workers that
-// are well are taken for silent.
+// When the link or the processor of the leader or of a relay is saturated, calls queue up.
+// With fixed timeouts a call would be abandoned just before its answer and sent again, which
+// adds load, and healthy workers would count as unresponsive.
 type responseTimes struct {
 	mu      sync.Mutex
 	average time.Duration
@@ -19,7 +18,7 @@
 const (
 	// responseFactor times the average is how long a call may take.
 	responseFactor = 6
-	// responseDecay: a new answer enters the average with 1/answerDecay.
+	// responseDecay: a new response time enters the average with weight 1/responseDecay.
 	responseDecay = 32
 )
 
@@ -29,7 +28,7 @@
 	r.average += (d - r.average) / responseDecay
 }
 
-// timeout returns the bound for the next call.
+// timeout returns the timeout of the next call.
 func (r *responseTimes) timeout(least, most time.Duration) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -8,28 +8,28 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Bounds of orders to workers.
+// Limits of orders to workers.
 const (
-	// StartTimeout is the longest that a start goes without an answer; a worker
-	// answers in a few milliseconds.
+	// StartTimeout is the longest that a start goes without an answer; a worker answers in a
+	// few milliseconds.
 	StartTimeout = 350 * time.Millisecond
 	maxStarts    = 3
-	// stopRetry is between stops that were not answered.
+	// stopRetry is between stop orders that were not answered.
 	stopRetry = 300 * time.Millisecond
-	// runBits is how many runs of a task one epoch can number. Runs of a later
-	// epoch are higher than all of an earlier one.
+	// runBits is the number of bits of a run number that count the runs of a task within one
+	// epoch. Runs of a later epoch have higher numbers than all of an earlier one.
 	runBits = 16
 )
 
-// nextRun numbers a run; n counts the epoch's runs of the task, from 1 on.
+// nextRun returns the number of a run; n counts the epoch's runs of the task, from 1 on.
 func (e *Engine) nextRun(n uint64) uint64 { return (e.o.Epoch-1)<<runBits + n }
 
-// newRun gives the next run of the epoch its number; count is how many there
-// were. An epoch that has used up its numbers ends: its next run's number would
-// be one of the next epoch's, which could then not start the task again.
+// newRun returns the number of the epoch's next run; count is how many there were. An epoch
+// that has used up its numbers ends: the number of its next run would belong to the next
+// epoch, which could then not start the task again.
 func (e *Engine) newRun(count *uint64, id work.TaskID, on runner.WorkerID) (run uint64, ok bool) {
 	if *count+1 >= 1<<runBits {
-		e.decide(Decision{What: "epoch ends", Task: id, Worker: on, Why: "it has no more numbers for runs of this task"})
+		e.decide(Decision{What: "epoch ends", Task: id, Worker: on, Why: "it has used up its run numbers for this task"})
 		e.deposed = true
 		return 0, false
 	}
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Started takes the outcome of a SendStart.
+// Started handles the outcome of a SendStart.
 func (e *Engine) Started(now time.Duration, id runner.WorkerID, task work.TaskID, run uint64, err error) {
 	e.now = now
 	if errors.Is(err, runner.ErrFenced) {
@@ -99,7 +99,7 @@
 	}
 	w := e.workers[id]
 	if w != nil && errors.Is(err, runner.ErrGone) {
-		e.removeWorker(w, "another life answers at its address", true)
+		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
 	alloc := e.allocOf(id, task, run)
@@ -111,23 +111,23 @@
 		e.confirm(alloc)
 		e.startAnswered(alloc)
 	case errors.Is(err, runner.ErrOld):
-		// It was stopped or has ended; a report will tell.
+		// It was stopped or has completed; a report will tell which.
 		alloc.state, alloc.stopAckedAt = stopping, now
 		e.memberNotStarted(alloc, err)
 	case errors.Is(err, runner.ErrNotRun) && alloc.tries == 1:
 		e.refused(alloc, err)
 	case errors.Is(err, runner.ErrNotRun):
-		// An earlier try had no answer and may start yet.
+		// An earlier attempt had no answer and may still start.
 		e.refusedBy(alloc, err)
 		e.stop(alloc, "refused after a try without an answer")
 		e.memberNotStarted(alloc, err)
 	case alloc.state == stopping:
 	case alloc.s.job.account.Over(alloc.s.charge()):
-		// Its cap was lowered since: it was within the quota then, and is not now.
+		// Its cap was lowered since it was started.
 		e.stop(alloc, "no answer to the start, and its account is over its cap")
 		e.memberNotStarted(alloc, err)
 	case w.over():
-		e.stop(alloc, "no answer to the start, and its worker has become smaller")
+		e.stop(alloc, "no answer to the start, and its worker's capacity has shrunk")
 		e.memberNotStarted(alloc, err)
 	case alloc.tries < maxStarts && w.misses == 0:
 		alloc.state = unconfirmed
@@ -139,7 +139,7 @@
 	}
 }
 
-// confirm notes that a run is there.
+// confirm records that the worker has the run.
 func (e *Engine) confirm(alloc *allocation) {
 	if alloc.state == stopping {
 		return
@@ -151,7 +151,7 @@
 	e.noteStarted(alloc)
 }
 
-// noteStarted notes that a job has begun: a run of it is there, or has been.
+// noteStarted records that a job has started: its worker has, or had, a run of it.
 func (e *Engine) noteStarted(alloc *allocation) {
 	j := alloc.s.job
 	if j.started {
@@ -159,10 +159,10 @@
 	}
 	j.started = true
 	e.took(SpanStart, j)
-	e.decide(Decision{What: "begun", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: "the first of its tasks is there", Age: max(e.now-j.accepted, 0)})
+	e.decide(Decision{What: "begun", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: "its first task runs", Age: max(e.now-j.accepted, 0)})
 }
 
-// refused frees a run that certainly did not start.
+// refused releases a run that certainly did not start.
 func (e *Engine) refused(alloc *allocation, err error) {
 	e.decide(Decision{What: "start refused", Task: alloc.id(), Run: alloc.run, Worker: alloc.w.ID, Why: err.Error(), Age: e.now - alloc.sent})
 	e.refusedBy(alloc, err)
@@ -170,7 +170,7 @@
 	e.memberNotStarted(alloc, err)
 }
 
-// refusedBy draws the conclusion on the worker.
+// refusedBy updates the worker's state after it refused a start.
 func (e *Engine) refusedBy(alloc *allocation, err error) {
 	w := alloc.w
 	switch {
@@ -180,7 +180,7 @@
 		}
 	case errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrNoRoom):
 		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
-	case errors.Is(err, runner.ErrLate): // its clock is not where it was thought to be
+	case errors.Is(err, runner.ErrLate): // the estimate of its clock is wrong
 		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
 		w.nextRenew = e.now
 	case errors.Is(err, runner.ErrNoConnection):
@@ -198,7 +198,7 @@
 	}
 }
 
-// release frees a run that is known not to run, and lets its task start again.
+// release frees a run that is known not to run, and makes its task eligible to start again.
 func (e *Engine) release(alloc *allocation) {
 	e.unbook(alloc)
 	if !alloc.lossRecorded {
@@ -220,7 +220,7 @@
 	}
 }
 
-// stop ends a run. Its resources stay taken until it is known to have ended.
+// stop orders a run to stop. Its resources stay booked until it is known to have ended.
 func (e *Engine) stop(alloc *allocation, why string) {
 	if alloc.state == stopping {
 		return
@@ -250,7 +250,7 @@
 	}
 }
 
-// StopAnswered takes the outcome of a SendStop.
+// StopAnswered handles the outcome of a SendStop.
 func (e *Engine) StopAnswered(now time.Duration, id runner.WorkerID, task work.TaskID, run uint64, err error) {
 	e.now = now
 	w := e.workers[id]
@@ -259,18 +259,18 @@
 		e.deposed = true
 		return
 	case w != nil && errors.Is(err, runner.ErrGone):
-		e.removeWorker(w, "another life answers at its address", true)
+		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
 	alloc := e.allocOf(id, task, run)
 	if alloc == nil || alloc.state != stopping || err != nil {
-		return // an unanswered stop is sent again by time
+		return // an unanswered stop is sent again by tickAlloc
 	}
 	alloc.stopAckedAt = now
 	w.nextRenew = min(w.nextRenew, now)
 }
 
-// tickAlloc does what is due for one run.
+// tickAlloc handles what is due by time for one run.
 func (e *Engine) tickAlloc(alloc *allocation) {
 	if alloc.state == stopping && alloc.stopAckedAt == 0 && e.now-alloc.stopSent >= stopRetry {
 		e.sendStop(alloc)
--- a/process/dispatch/wait.go
+++ b/process/dispatch/wait.go
@@ -6,16 +6,16 @@
 	"github.com/rs/zerolog"
 )
 
-// waitCause tells what a step with tasks to start waits for, as of a round of placement.
+// waitCause is what a step with tasks to start waits for, as of the last round of placement.
 type waitCause uint8
 
 const (
 	waitNothing  waitCause = iota
 	waitTakeover           // it is not known yet what an earlier leader started
 	waitMembers            // runs of its gang are being stopped
-	waitQuota              // its account's quota
+	waitQuota              // quota of its account
 	waitAdvice             // an answer of the advice service
-	waitCapacity           // room on workers that may run it
+	waitCapacity           // capacity on workers that may run it
 	waitCauses
 )
 
@@ -24,8 +24,8 @@
 // String returns the cause's name.
 func (c waitCause) String() string { return waitNames[c] }
 
-// waits is how long a job's steps have waited, by cause; of steps that wait at the same
-// time each counts.
+// waits is how long a job's steps have waited, by cause. Steps that wait at the same time are
+// added up.
 type waits [waitCauses]time.Duration
 
 // MarshalZerologObject writes the causes that took any time, in milliseconds.
@@ -37,8 +37,8 @@
 	}
 }
 
-// noteWait counts the time since the last round for what the step waited for then, and
-// notes what it waits for now.
+// noteWait adds the time since the last round to the cause that the step waited for then, and
+// records the cause that it waits for now.
 func (e *Engine) noteWait(s *step, now waitCause) {
 	if s.waitsFor != waitNothing {
 		s.job.waits[s.waitsFor] += e.now - s.waitSince
@@ -46,7 +46,8 @@
 	s.waitsFor, s.waitSince = now, e.now
 }
 
-// causeOf tells what a step waits for that was tried and still has tasks to start.
+// causeOf returns the cause that a step waits for which was tried and still has tasks to
+// start.
 func (e *Engine) causeOf(s *step) waitCause {
 	switch a := e.adviceOf(s); {
 	case len(s.pending) == 0:
