--- a/process/dispatch/worker.go
+++ b/process/dispatch/worker.go
@@ -8,44 +8,42 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Times of calls to workers.
+// Timing of calls to workers.
 const (
-	// renewWait is how long a renewal's answer may wait for an end.
+	// renewWait is how long the answer to a renewal may wait for a completion.
 	renewWait = time.Second
-	// renewGrace is how long after its wait a renewal may be answered: a worker
-	// answers in a few milliseconds, over a slow link in some tens.
+	// renewGrace is how long after renewWait a renewal may be answered: a worker answers in a
+	// few milliseconds, over a slow link in some tens.
 	renewGrace = 500 * time.Millisecond
 	// probePause is between renewals to a worker that did not answer.
 	probePause = 150 * time.Millisecond
-	// renewPauseMin and renewPauseMax bound the pause between a report with ends
-	// and the next renewal while these can not be acknowledged yet, since the
-	// worker would answer at once. Each report without a new end doubles it.
-	//
-	// Load pattern: a store that answers in 300 ms. With a pause of 300 ms the next
-	// end on the worker was seen 150 ms late in the mean.
+	// renewPauseMin and renewPauseMax bound the pause between a report with completions and
+	// the next renewal while these cannot be acknowledged yet, since the worker would answer
+	// at once. Each report without a new completion doubles the pause. If the store answers in
+	// 300 ms and the pause were 300 ms too, the next completion would be seen 150 ms late on
+	// average.
 	renewPauseMin = 80 * time.Millisecond
 	renewPauseMax = 320 * time.Millisecond
-	// ackFreshness is how long after its answer a worker is taken to live on, as far as its
-	// count of ends goes: longer than any pause between renewals, shorter than a crashed
-	// worker takes to be back under its name. What goes wrong without it: the next life
-	// forgets as many of its own ends, of which nobody has heard.
+	// ackFreshness is for how long after its last answer the worker's completions are
+	// acknowledged: longer than any pause between renewals, shorter than a crashed worker
+	// takes to be back under its name. Otherwise its next incarnation would take the count for
+	// its own and drop as many of its completions, which no leader has received.
 	ackFreshness = 500 * time.Millisecond
-	// untrackedPause is between reports while runs are being stopped.
+	// untrackedPause is between reports while untracked runs are being stopped.
 	untrackedPause = 100 * time.Millisecond
-	// clockBack is how far a worker's clock must have gone back to be another life's: it is
-	// steady, and reports of a life come one after the other.
+	// clockBack is how far a worker's clock must have gone back to belong to another
+	// incarnation: the clock is monotonic, and reports of one incarnation arrive in order.
 	clockBack = time.Second
-	// clockDrift is how much slower a worker's clock may be, with a reserve.
+	// clockDrift is by what factor a worker's clock may run slower, with a margin.
 	clockDrift = 1.03
-	// driftMargin is added to bounds that were converted between clocks.
+	// driftMargin is added to times that were converted between clocks.
 	driftMargin = 200 * time.Millisecond
 )
 
-// refusalQuarantine is the pause after a worker refused as not healthy.
+// refusalQuarantine is how long a worker is not used after it refused a start as unhealthy.
 const refusalQuarantine = 500 * time.Millisecond
 
-// pendingAck is an end that may be acknowledged once its job's progress is in the
-// store.
+// pendingAck is a completion that may be acknowledged once its job's progress is in the store.
 type pendingAck struct {
 	number  int64
 	task    work.TaskID
@@ -53,23 +51,22 @@
 	version uint64
 }
 
-// worker is one life of a worker.
+// worker is one incarnation of a worker.
 type worker struct {
 	runner.Worker
-	index      int  // its place in what steps know of workers
+	index      int  // in the advice of steps
 	listed     bool // its entry is in the directory
-	recorded   bool // the store knows that it is used
-	fenced     bool // it has answered this epoch
-	removed    bool // its life is over
-	newInEpoch bool // it began in this epoch, so that no other has called it
-	// cordoned: the list of workers in the store says, or is about to say, that
-	// nothing is started here.
+	recorded   bool // the list of workers in the store has it
+	fenced     bool // it has answered this epoch, and so rejects earlier ones
+	removed    bool // its incarnation has ended
+	newInEpoch bool // it started in this epoch, so no earlier one has called it
+	// cordoned: the list in the store says, or is about to say, that nothing is started here.
 	cordoned bool
-	// mayRun are the tasks that may run there, of a closed worker that an earlier epoch
-	// used and that has not answered this one; unlisted: they are not known.
+	// mayRun are the tasks that may run on a cordoned worker that an earlier epoch used and
+	// that has not answered this one; unlisted: these tasks are not known.
 	mayRun   []work.TaskID
 	unlisted bool
-	// inheritedSuspects may have crashed it, as an earlier epoch wrote.
+	// inheritedSuspects are the runs that may have crashed it, as written by an earlier epoch.
 	inheritedSuspects []suspectRun
 	// inherited: an earlier epoch used it, and it has not answered this one.
 	inherited bool
@@ -78,43 +75,42 @@
 	used   work.Resources
 	allocs map[work.TaskID]*allocation
 
-	clock      time.Duration // its own, at the time clockAt
+	clock      time.Duration // its own, as of clockAt
 	clockAt    time.Duration
-	leaseUntil time.Duration // the latest lease end sent, on its clock
-	// expiry is when everything on it has ended for sure unless it was renewed
+	leaseUntil time.Duration // latest lease end sent, on its clock
+	// expiry is when everything on the worker has certainly ended unless its lease was renewed
 	// since, in engine time.
 	expiry time.Duration
 
 	renewing  bool
 	renewSent time.Duration
 	nextRenew time.Duration
-	answered  time.Duration // when the last report came
-	aliveAt   time.Duration // the latest time at which it is known to have lived
+	answered  time.Duration // when the last report came in
+	aliveAt   time.Duration // latest time at which it is known to have been running
 	misses    int           // renewals in a row without an answer
 
-	// untracked are the runs of the last report that are being stopped without a place:
-	// the room they take is not booked, so nothing starts beside them.
+	// untracked are the runs of the last report that have no allocation and are being stopped:
+	// the capacity they use is not booked, so nothing is started beside them.
 	untracked []untrackedRun
 
-	renewPause time.Duration // the last one while ends could not be acknowledged
+	renewPause time.Duration // last pause while completions could not be acknowledged
 
-	lastCompletion  int64 // the highest end processed
-	ackedCompletion int64 // the highest end that may be acknowledged
+	lastCompletion  int64 // highest completion number processed
+	ackedCompletion int64 // highest completion number that may be acknowledged
 	pendingAcks     []pendingAck
 
 	health
-	// slowdown is how fast it works against estimates, decaying; 1 is as estimated.
+	// slowdown is the moving average of run time divided by estimate; 1 is as estimated.
 	slowdown         float64
 	reserved         []reservation
 	gangReservations []gangReservation
 	isolated         isolation
 }
 
-// free returns what is not taken.
+// free returns the capacity that is not booked.
 func (w *worker) free() work.Resources { return w.Capacity.Sub(w.used) }
 
-// over reports whether more is booked on the worker than it has room for: it has become
-// smaller since.
+// over reports whether more is booked than the worker's capacity, which may have shrunk since.
 func (w *worker) over() bool { return !work.Resources{}.Fits(w.free()) }
 
 // usable reports whether new runs may be started on the worker.
@@ -143,13 +139,12 @@
 // clockNow estimates the worker's clock.
 func (w *worker) clockNow(now time.Duration) time.Duration { return w.clock + now - w.clockAt }
 
-// renewUntil returns the lease end to send now, on the worker's clock; 0 renews
-// nothing.
+// renewUntil returns the lease end to send now, on the worker's clock; 0 does not renew the
+// lease.
 //
-// A worker that does not answer is only asked, not renewed. What goes wrong
-// otherwise: each call without an answer may still arrive, so the time at which
-// everything there has ended for sure moves on with each, and the tasks of a
-// worker that has crashed never start elsewhere.
+// A worker that does not answer is called without renewing its lease: each call without an
+// answer may still arrive and would postpone the time at which everything there has certainly
+// ended, so the tasks of a crashed worker would never start elsewhere.
 func (w *worker) renewUntil(now time.Duration, lease time.Duration) time.Duration {
 	if !w.fenced || w.misses > 0 {
 		return 0
@@ -162,8 +157,8 @@
 	return until
 }
 
-// leaseBound returns after how long a lease that a worker has been given has run out for sure, by
-// whatever clock it has.
+// leaseBound returns after how long a lease that a worker was given has certainly expired,
+// whatever its clock.
 func leaseBound(lease time.Duration) time.Duration { return scale(lease, clockDrift) + driftMargin }
 
 func scale(d time.Duration, f float64) time.Duration { return time.Duration(float64(d) * f) }
@@ -174,7 +169,7 @@
 	w.allocs[alloc.id()] = alloc
 }
 
-// drop frees a run's resources, unless they are free.
+// drop frees a run's resources; false if they are not booked.
 func (w *worker) drop(alloc *allocation) bool {
 	if w.allocs[alloc.id()] != alloc {
 		return false
