--- a/process/crash/crash_test.go
+++ b/process/crash/crash_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestGivenUpOnlyOnClearDeaths guards against a sound task that is given up for workers
-// that died beside it.
-func TestGivenUpOnlyOnClearDeaths(t *testing.T) {
+// TestGivenUpOnlyOnAttributedCrashes guards against a healthy task that is given up because workers
+// crashed while other work ran there as well.
+func TestGivenUpOnlyOnAttributedCrashes(t *testing.T) {
 	for _, c := range []struct {
 		sole, shared, open int
 		guilty             bool
@@ -33,21 +33,21 @@
 	}
 }
 
-// TestWorkerThatLivesClearsItsRecords guards against cuts that are taken for crashes.
-func TestWorkerThatLivesClearsItsRecords(t *testing.T) {
+// TestWorkerThatAnswersClearsItsRecords guards against network cuts that count as crashes.
+func TestWorkerThatAnswersClearsItsRecords(t *testing.T) {
 	var r Records
 	r.AddLoss(1, "w-1", true, false)
 	r.AddLoss(2, "w-1", true, true)
 	r.Begin(3, "w-1", true)
 	r.AddLoss(4, "w-2", true, true)
-	require.True(t, r.Settle("w-1", false, 3), "the run that is there stays on record")
+	require.True(t, r.Settle("w-1", false, 3), "the run that exists stays on record")
 	require.Len(t, r, 2)
 	require.True(t, r.Drop(3))
-	require.False(t, r.Drop(4), "a death stays on record")
+	require.False(t, r.Drop(4), "a crash stays on record")
 	require.False(t, r.Settle("w-1", true, 0))
 }
 
-// TestRecordsAreBounded guards against records without end of workers that stay cut off.
+// TestRecordsAreBounded guards against unbounded records of workers that stay unreachable.
 func TestRecordsAreBounded(t *testing.T) {
 	var r Records
 	r.AddLoss(1, "w-1", true, true)
@@ -55,37 +55,37 @@
 		r.AddLoss(uint64(i+2), fmt.Sprint("w-", i+2), false, false)
 	}
 	require.Len(t, r, maxRecords)
-	require.False(t, r[0].Open, "a death stays")
+	require.False(t, r[0].Open, "a crash stays")
 }
 
-// TestRecordsUnderAnyOrder holds the records against a plain list of what happened: no
-// order of news makes a death count twice, or makes one of a worker that lives count.
+// TestRecordsUnderAnyOrder compares the records with a plain list of what happened: in no
+// order of events does a crash count twice, or count for a worker that still runs.
 func TestRecordsUnderAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Records
-		dead := map[string]bool{}
+		crashed := map[string]bool{}
 		lost := map[string]bool{}
 		run := uint64(0)
 		for range rapid.IntRange(1, 30).Draw(t, "steps") {
 			w := fmt.Sprint("w-", rapid.IntRange(0, 3).Draw(t, "worker"))
 			switch rapid.IntRange(0, 4).Draw(t, "what") {
 			case 0:
-				if !dead[w] {
+				if !crashed[w] {
 					run++
 					r.Begin(run, w, rapid.Bool().Draw(t, "sole"))
 				}
 			case 1, 2:
 				ended := rapid.Bool().Draw(t, "ended")
-				if !dead[w] {
+				if !crashed[w] {
 					run++
 					r.AddLoss(run, w, false, ended)
-					lost[w], dead[w] = lost[w] || ended, dead[w] || ended
+					lost[w], crashed[w] = lost[w] || ended, crashed[w] || ended
 					if ended {
 						r.Settle(w, true, 0)
 					}
 				}
 			case 3:
-				if !dead[w] {
+				if !crashed[w] {
 					r.Settle(w, false, 0)
 				}
 			case 4:
@@ -93,7 +93,7 @@
 			}
 		}
 		for _, c := range r {
-			require.Equal(t, dead[c.Worker], !c.Open, "%+v", c)
+			require.Equal(t, crashed[c.Worker], !c.Open, "%+v", c)
 		}
 		if len(lost) == 0 {
 			require.False(t, r.LimitReached())
@@ -101,8 +101,9 @@
 	})
 }
 
-// Guards against a job that is given up for one run that was lost with two lives of a worker:
-// it was on its way to the first, and may have been carried out by the second.
+// TestOneRunCrashesOneWorkerAtMost guards against a job that is given up for one run that was
+// lost with two incarnations of a worker: it was in flight to the first, and may have been
+// started by the second.
 func TestOneRunCrashesOneWorkerAtMost(t *testing.T) {
 	var r Records
 	r.AddLoss(1, "w-a", false, true)
@@ -110,7 +111,7 @@
 	r.AddLoss(2, "w-b@2", true, true)
 	require.Len(t, r, 2)
 	require.False(t, r.LimitReached())
-	r.AddLoss(3, "w-c@1", true, false) // it may be out of reach only
+	r.AddLoss(3, "w-c@1", true, false) // it may only be unreachable
 	r.AddLoss(3, "w-c@2", true, true)
 	require.Len(t, r, 3)
 	require.True(t, r.LimitReached())
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -22,14 +22,14 @@
 	return a
 }
 
-// jobOf is a job of an account.
+// jobOf returns the submission of a job of an account.
 func jobOf(t *testing.T, account string, id work.JobID, epoch uint64, steps ...work.Step) store.Entry {
 	e := changed(t, jobEntry(t, epoch, 4, steps...), func(j *work.Job) { j.Account = account })
 	e.Key = KeyIn(id)
 	return e
 }
 
-// readyHarness is an engine with workers of 64 cores that have answered.
+// readyHarness returns an engine with workers of 64 cores that have answered.
 func readyHarness(t *testing.T, ids ...runner.WorkerID) *harness {
 	h := newHarness(t, 1)
 	h.largeWorkers(ids...)
@@ -50,8 +50,8 @@
 	}
 }
 
-// successor is an engine of the second epoch over what the first one left, with two
-// workers of 64 cores that it used.
+// successor returns an engine of the second epoch over the state that the first one left, with
+// two workers of 64 cores that the first one used.
 func successor(t *testing.T, saved Saved, accounts ...work.Account) *harness {
 	h := newHarness(t, 2)
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-1"}, {ID: "w-2"}}})
@@ -68,15 +68,14 @@
 	secondJob = work.JobID("00000000000000a2")
 )
 
-// tasksOf is a step of tasks of 1,000 thousandths and 100 MB.
+// tasksOf returns a step of tasks of one core (1,000 milli-CPU) and 100 MB each.
 func tasksOf(n int, gang bool) work.Step {
 	return work.Step{Count: n, Size: work.Resources{CPU: 1000, Memory: 100}, Estimate: time.Second, Gang: gang}
 }
 
 func TestAccountStaysWithinItsCap(t *testing.T) {
-	// Symptom: an account runs a tenth and more above its cap.
-	// Sequence: it hands in more than the cap lets run, on a cell with room for all.
-	// Cause: nothing counted what an account holds.
+	// An account that submits more than its cap allows ran a tenth and more above the cap on a
+	// cell with capacity for everything, because its running tasks were not counted.
 	h := readyHarness(t, "w-1", "w-2")
 	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 5000, Memory: 10000}}))
 	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(8, false))))
@@ -94,14 +93,14 @@
 	require.Equal(t, 5, count(firstJob), "its cap is five tasks")
 	require.Equal(t, 8, count(secondJob), "an account that is not configured has no cap")
 
-	// A start without an answer may be carried out yet, and counts.
+	// A start without an answer may still be carried out, and counts.
 	first := starts[0]
 	h.e.Started(h.now, first.To.ID, first.Start.Task, first.Start.Run, runner.ErrUnknown)
 	h.step(100 * time.Millisecond)
 	for _, s := range h.starts() {
-		require.Equal(t, first.Start.Run, s.Start.Run, "the same run again, nothing new")
+		require.Equal(t, first.Start.Run, s.Start.Run, "the same run again, no new one")
 	}
-	// A known end makes room for one.
+	// A known completion frees room for one.
 	var other SendStart
 	for _, s := range starts[1:] {
 		if s.Start.Task.Job == firstJob {
@@ -125,7 +124,7 @@
 	require.Equal(t, uint64(1), h.e.Stats().OverQuota)
 	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 6000}}))
 	h.step(tickPeriod)
-	require.Len(t, h.starts(), 3, "a cap that is raised holds at once")
+	require.Len(t, h.starts(), 3, "a raised cap applies at once")
 }
 
 func TestCapLoweredBelowWhatRunsStopsNothingAndStartsNothing(t *testing.T) {
@@ -153,14 +152,14 @@
 }
 
 func TestJobsOfAccountsWaitUntilCapsAreKnown(t *testing.T) {
-	// Symptom: a leader that has just begun runs an account over its cap.
-	// Sequence: it has read the jobs, and no configuration yet.
+	// A new leader that has read the jobs, but has no configuration yet, must not run an
+	// account over its cap.
 	h := readyHarness(t, "w-1")
 	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(2, false))))
 	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "", secondJob, 1, tasksOf(2, false))))
 	h.step(tickPeriod)
 	for _, s := range h.starts() {
-		require.Equal(t, secondJob, s.Start.Task.Job, "of no account")
+		require.Equal(t, secondJob, s.Start.Task.Job, "the job without an account")
 	}
 	h.e.SetAccounts(h.now, nil)
 	h.step(tickPeriod)
@@ -168,10 +167,9 @@
 }
 
 func TestSuccessorCountsWhatMayRunUnseen(t *testing.T) {
-	// Symptom: an account runs twice its cap after a takeover.
-	// Sequence: a leader starts work up to the cap and is lost; one of the workers does
-	//   not answer its successor; new work of the account is handed in.
-	// Cause: the successor counted only the runs that it had been told of.
+	// A successor that counts only reported runs lets an account run twice its cap: a leader
+	// starts work up to the cap and fails, one of the workers does not answer the successor,
+	// and the account submits more work.
 	old := jobOf(t, "north", firstJob, 1, tasksOf(5, false))
 	h := successor(t, Saved{Accepted: []store.Entry{old}}, work.Account{Name: "north", Cap: work.Resources{CPU: 5000}})
 	h.answer("w-1")
@@ -185,9 +183,9 @@
 }
 
 func TestWhatMayRunUnseenIsBoundedByItsWorkers(t *testing.T) {
-	// Symptom: after a takeover an account starts nothing for as long as one worker out
-	//   of reach may hold a lease.
-	// Cause: all of its waiting work was taken to run there, more than it can hold.
+	// After a takeover an account started nothing for as long as one unreachable worker might
+	// hold a lease, because all of its waiting work was assumed to run there, more than the
+	// worker can run.
 	h := successor(t, Saved{Accepted: []store.Entry{jobOf(t, "north", firstJob, 1, tasksOf(500, false))}}, work.Account{Name: "north", Cap: work.Resources{CPU: 66000}})
 	h.answer("w-1")
 	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
@@ -196,10 +194,9 @@
 }
 
 func TestRunsOfEndedJobsCountOverATakeover(t *testing.T) {
-	// Symptom: an account runs over its cap after a takeover.
-	// Sequence: its job is cancelled, the leader writes that and is lost before the stops
-	//   are carried out; the successor has the job's end, not its tasks.
-	// Cause: what an ended job still ran was not written with its end.
+	// What an ended job was still running has to be stored with its end. Otherwise an account
+	// runs over its cap if a leader fails after a cancelled job's state is written and before
+	// the stops are carried out: the successor has the job's final state, but not its tasks.
 	h := readyHarness(t, "w-1")
 	h.e.SetAccounts(h.now, nil)
 	require.NoError(t, h.e.Accepted(h.now, jobOf(t, "north", firstJob, 1, tasksOf(4, false))))
@@ -227,8 +224,8 @@
 	require.Len(t, next.starts(), 2)
 }
 
-// TestChargesEqualWhatIsPlaced compares the accounts with a recount after each step of
-// random cells; see also the workers' own count in the random tests.
+// TestChargesEqualWhatIsPlaced compares the charges of accounts with a recount after each step
+// of random cells. The workers' own count in the random tests checks the same.
 func TestChargesEqualWhatIsPlaced(t *testing.T) {
 	h := readyHarness(t, "w-1", "w-2", "w-3")
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -263,8 +260,8 @@
 	}
 }
 
-// TestAccountsUnderRandomTroubles is TestRandomTroubles with accounts whose caps are
-// tight and change. The workers count what runs of each.
+// TestAccountsUnderRandomTroubles is TestRandomTroubles with accounts whose caps are tight and
+// change. The workers count the runs of each account.
 func TestAccountsUnderRandomTroubles(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
 		c := newTestCell(t, seed, 16, 3, usualBehaviour(0.05))
@@ -284,10 +281,8 @@
 }
 
 func TestHotAccountDoesNotTakeTheRoomOfOthers(t *testing.T) {
-	// Symptom: while one account hands in several times its usual, the others' jobs wait
-	//   behind it and are late.
-	// Sequence: it hands in twice what it is entitled to; another hands in one job later.
-	// Cause: jobs were ordered by the time at which they should be done alone.
+	// An account that submits twice what it is entitled to made the jobs of others late,
+	// because jobs were ordered by their due time alone.
 	h := newHarness(t, 1)
 	h.e = NewEngine(Options{Epoch: 1, Bounds: Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: time.Minute,
 		Entitled: fair.Entitlement{Window: 2 * time.Second, Slack: 10}},
@@ -296,7 +291,7 @@
 	h.answer("w-1")
 	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "hot", Weight: 10}, work.Account{Name: "calm", Weight: 10}))
 	full := tasksOf(1, false)
-	full.Size.CPU = 64000 // a worker's whole room
+	full.Size.CPU = 64000 // a worker's whole capacity
 	var all []store.Entry
 	for i := range 60 {
 		all = append(all, jobOf(t, "hot", work.JobID(fmt.Sprintf("%016x", i+1)), 1, full))
--- a/process/dispatch/bench_test.go
+++ b/process/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// BenchmarkRound measures one round of placement over a backlog, with every
-// worker full: the usual state under overload.
+// BenchmarkRound measures one round of placement over a backlog when every worker is full,
+// which is the usual state under overload.
 func BenchmarkRound(b *testing.B) {
 	for _, backlog := range []int{50, 500, 2000} {
 		b.Run(fmt.Sprint(backlog), func(b *testing.B) { rounds(b, backlog, 0) })
@@ -25,7 +25,7 @@
 	}
 }
 
-// rounds measures rounds over a backlog of jobs of so many accounts.
+// rounds measures rounds over a backlog of jobs of that many accounts.
 func rounds(b *testing.B, backlog, accounts int) {
 	e := NewEngine(Options{Epoch: 1, Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Keep: time.Minute}})
 	for i := range 48 {
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -27,7 +27,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// cell is a store, workers and daemons in virtual time.
+// cell is a test cell in virtual time: a store, workers and daemons.
 type cell struct {
 	t      *testing.T
 	kv     *kv.Memory
@@ -40,10 +40,10 @@
 	mu     sync.Mutex
 	rng    *rand.Rand
 	policy Policy
-	// accounts of the configuration; nil for none.
+	// accounts are those of the configuration; nil for none.
 	accounts               atomic.Pointer[work.Accounts]
 	capsDrawn, capsApplied int
-	// batches is the number of bundles that one term wrote, at the most.
+	// batches is the highest number of batches that one term wrote.
 	batches atomic.Uint64
 }
 
@@ -56,7 +56,7 @@
 	done    chan struct{}
 }
 
-// adviser is the advice service: each member's calls are served in turn.
+// adviser is a stand-in for the advice service.
 type adviser struct {
 	mu      sync.Mutex
 	members map[string]*sync.Mutex
@@ -106,7 +106,7 @@
 	return c
 }
 
-// restartingCell is a cell of workers that come back after a crash, as the options say.
+// restartingCell returns a cell of workers that restart after a crash, as the options say.
 func restartingCell(t *testing.T, workers, daemons int, o epochworker.Options) *cell {
 	c := newTestCell(t, o.Seed, 0, 0, usualBehaviour(0))
 	o.Lease, o.Gang, o.Stop, o.Delay, o.Attempts = testLease, 3*time.Second, 200*time.Millisecond, time.Millisecond, 4
@@ -161,14 +161,14 @@
 	return n
 }
 
-// kill ends a daemon and its calls at once; another takes its place.
+// kill stops a daemon and its calls at once, and starts another one under its name.
 func (c *cell) kill(i int) {
 	c.nodes[i].cancel()
 	<-c.nodes[i].done
 	c.nodes[i] = c.startNode(c.nodes[i].name)
 }
 
-// killLeader ends the daemon that leads, if any does.
+// killLeader kills the daemon that leads, if there is one.
 func (c *cell) killLeader() {
 	for i, n := range c.nodes {
 		if n.host.Load() != nil {
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// nextID is the id of the next job that is submitted.
+// nextID returns the id of the next job that is submitted.
 func (c *cell) nextID() work.JobID { return work.JobID(fmt.Sprintf("%016x", len(c.order)+1)) }
 
 // submit writes a job as an accepting daemon does.
@@ -209,7 +209,7 @@
 	return id
 }
 
-// write retries until the store has it; a conflict means that it has.
+// write retries until the write is stored; a conflict means that it already is.
 func (c *cell) write(t store.Txn) {
 	for {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
@@ -270,8 +270,8 @@
 	}
 }
 
-// TestCalmCellServesEveryJob is the main job: everything that is handed in is
-// completed, each task once.
+// TestCalmCellServesEveryJob checks that without faults every submitted job is completed, each
+// task once.
 func TestCalmCellServesEveryJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCell(t, 1, 16, 3, usualBehaviour(0))
@@ -290,7 +290,7 @@
 	})
 }
 
-// TestProfile writes a profile of a busy cell's processor time.
+// TestProfile writes a CPU profile of a busy cell.
 func TestProfile(t *testing.T) {
 	path := os.Getenv("FENNEL_PROFILE")
 	if path == "" {
@@ -313,10 +313,10 @@
 	require.NoError(t, f.Close())
 }
 
-// injectFault is one random disturbance of a cell.
+// injectFault injects one random fault.
 func (c *cell) injectFault() { c.injectFaultOf(0, 1, 2, 3, 4, 5, 6, 7, 8) }
 
-// injectFaultOf is one of these disturbances.
+// injectFaultOf injects one random fault of these kinds.
 func (c *cell) injectFaultOf(kinds ...int) {
 	workers := c.fleet.IDs()
 	id := workers[c.rng.IntN(len(workers))]
@@ -354,10 +354,10 @@
 	}
 }
 
-// capLag is how long the daemons of a test may take to hear of a cap.
+// capLag is the longest time until the daemons of a test receive a new cap.
 const capLag = time.Second
 
-// changeCaps draws new caps for accounts, of which the daemons hear late.
+// changeCaps draws new caps for accounts, which the daemons receive late.
 func (c *cell) changeCaps() {
 	var list []work.Account
 	for _, name := range []string{"north", "south", "east"} {
@@ -375,24 +375,24 @@
 	time.AfterFunc(time.Duration(c.rng.Int64N(int64(capLag))), func() {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		if version > c.capsApplied { // never back to an older version
+		if version > c.capsApplied { // do not go back to an older version
 			c.capsApplied = version
 			c.accounts.Store(accounts)
 		}
 	})
 }
 
-// TestRandomTroubles hands jobs in while daemons are killed, the store fails
-// in every way, and workers are cut, crash and carry orders out late. The
-// workers count runs and check every start.
+// TestRandomTroubles submits jobs while daemons are killed, the store fails in every way, and
+// workers are cut off, crash and carry orders out late. The workers count runs and check every
+// start.
 func TestRandomTroubles(t *testing.T) {
 	overSeeds(t, 4, func(t *testing.T, seed uint64) {
 		randomFaults(t, seed, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) })
 	})
 }
 
-// seedsOfRun returns the seeds that a random test plays: the usual number,
-// many more with FENNEL_LONG=1, or the one that FENNEL_SEED names.
+// seedsOfRun returns the seeds of a random test: the usual number, many more with
+// FENNEL_LONG=1, or the one in FENNEL_SEED.
 func seedsOfRun(t *testing.T, usual uint64) (first, seeds uint64) {
 	if text := os.Getenv("FENNEL_SEED"); text != "" {
 		_, err := fmt.Sscan(text, &first)
@@ -405,7 +405,7 @@
 	return 0, usual
 }
 
-// overSeeds plays each seed of the run in virtual time.
+// overSeeds runs a test with each seed in virtual time.
 func overSeeds(t *testing.T, usual uint64, play func(t *testing.T, seed uint64)) {
 	first, seeds := seedsOfRun(t, usual)
 	for seed := first; seed < first+seeds; seed++ {
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -22,8 +22,8 @@
 // crashSoon is how soon after its start a task crashes its worker.
 const crashSoon = 10 * time.Millisecond
 
-// crashingCell is a cell whose workers come back after a crash, and in which the first
-// task of some jobs crashes them.
+// crashingCell returns a cell whose workers restart after a crash, in which the first task of
+// some jobs crashes its worker.
 func crashingCell(t *testing.T, seed uint64, sameName bool) *cell {
 	draw := rand.New(rand.NewPCG(seed, 5))
 	return restartingCell(t, 16, 3, epochworker.Options{Seed: seed, Restart: 3 * time.Second, SameName: sameName,
@@ -36,14 +36,14 @@
 		}})
 }
 
-// crashStep is a step of count tasks.
+// crashStep returns a job with a step of count tasks.
 func crashStep(count int, gang bool) *work.Job {
 	return &work.Job{Queue: work.Queue{Name: "q", Service: "s", Attempts: 4, Slack: 2, Allowance: time.Second}, Spec: "x",
 		Steps: []work.Step{{Count: count, Size: work.Resources{CPU: 4000, Memory: 4000}, Estimate: time.Second, Gang: gang, Checkpoints: true}}}
 }
 
-// TestTasksThatCrashTheirWorkersAreGivenUp guards against a task that takes down one
-// worker after another, without end, and the sound work beside it.
+// TestTasksThatCrashTheirWorkersAreGivenUp guards against a task that crashes one worker after
+// another without limit, and the healthy work beside it.
 func TestTasksThatCrashTheirWorkersAreGivenUp(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		for seed := range uint64(4) {
@@ -54,8 +54,8 @@
 	}
 }
 
-// TestCrashesCountOverTakeovers guards against a leader that does not know which workers
-// have crashed under a task in its predecessor's time.
+// TestCrashesCountOverTakeovers guards against a leader that does not count the workers that
+// crashed under a task before it took over.
 func TestCrashesCountOverTakeovers(t *testing.T) {
 	for seed := range uint64(8) {
 		t.Run(seedName(seed), func(t *testing.T) {
@@ -64,15 +64,15 @@
 	}
 }
 
-// crashes reports whether a job is one of which the first task crashes its workers.
+// crashes reports whether the first task of a job crashes its workers.
 func crashes(id work.JobID) bool {
 	var n int
 	_, err := fmt.Sscanf(string(id), "%x", &n)
 	return err == nil && n%60 == 20
 }
 
-// tasksThatCrash hands in sound jobs and a few of which a task crashes its workers, while
-// the daemon that leads is killed takeovers times.
+// tasksThatCrash submits healthy jobs and a few with a task that crashes its workers, while
+// the leading daemon is killed takeovers times.
 func tasksThatCrash(t *testing.T, seed uint64, gang bool, takeovers int) {
 	c := crashingCell(t, seed, seed%2 == 1)
 	time.Sleep(3 * time.Second)
@@ -93,7 +93,8 @@
 	require.Empty(t, c.broken)
 }
 
-// checkGivenUp holds the ends of all jobs that were not cancelled against what they do.
+// checkGivenUp compares the final states of all jobs that were not cancelled with the expected
+// ones.
 func (c *cell) checkGivenUp() {
 	for _, id := range c.order {
 		want := work.Completed
@@ -106,8 +107,8 @@
 	}
 }
 
-// TestSoundJobsAreNotGivenUpUnderTroubles guards against sound jobs that pay for workers
-// that crash, are cut off or flap, beside tasks that do crash their workers.
+// TestSoundJobsAreNotGivenUpUnderTroubles guards against healthy jobs that are given up
+// because workers crash, are cut off or flap, beside tasks that do crash their workers.
 func TestSoundJobsAreNotGivenUpUnderTroubles(t *testing.T) {
 	overSeeds(t, 6, crashesUnderFaults)
 }
@@ -118,7 +119,7 @@
 	c.checkGivenUp()
 }
 
-// suspectHarness is an engine with a task under which workers have died, as the store has it.
+// suspectHarness returns an engine with a task that has crash records in the store.
 func suspectHarness(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *harness {
 	h := loadSuspect(t, crashes, workers...)
 	for _, id := range workers {
@@ -128,7 +129,7 @@
 	return h
 }
 
-// loadSuspect is the same before any worker has answered.
+// loadSuspect is suspectHarness before any worker has answered.
 func loadSuspect(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *harness {
 	h := newHarness(t, 2, workers...)
 	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Crashes: crashes}}})
@@ -138,11 +139,11 @@
 	return h
 }
 
-// twoCrashes make a task suspect.
+// twoCrashes are records that make a task suspect.
 var twoCrashes = []work.Crash{{Run: 1, Worker: "x"}, {Run: 2, Worker: "y"}}
 
-// TestTrialIsRecordedBeforeItStarts guards against a trial that nobody knows of once its
-// leader and its worker have died together.
+// TestTrialIsRecordedBeforeItStarts guards against a trial that no successor has a record of
+// if its leader and its worker fail together.
 func TestTrialIsRecordedBeforeItStarts(t *testing.T) {
 	h := loadSuspect(t, twoCrashes, "w-a")
 	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second}, nil)
@@ -171,8 +172,8 @@
 	t.Fatal("never started")
 }
 
-// TestTrialOfADeadLeaderCounts guards against a death of the trial's worker that falls
-// between two leaders.
+// TestTrialOfADeadLeaderCounts guards against a crash of the trial's worker that goes
+// uncounted because it happens between two leaders.
 func TestTrialOfADeadLeaderCounts(t *testing.T) {
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Open: true}}, "w-a")
 	state, known := h.e.State(testJob)
@@ -181,8 +182,8 @@
 	require.Empty(t, h.starts())
 }
 
-// TestWorkerThatAnswersAgainHasNotCrashed guards against a sound task that is given up for
-// workers that were cut off.
+// TestWorkerThatAnswersAgainHasNotCrashed guards against a healthy task that is given up
+// because workers were cut off.
 func TestWorkerThatAnswersAgainHasNotCrashed(t *testing.T) {
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a", "w-b")
 	first := h.starts()
@@ -191,22 +192,23 @@
 	h.now += tickPeriod
 	h.e.Started(h.now, on, first[0].Start.Task, first[0].Start.Run, nil)
 	other := map[runner.WorkerID]runner.WorkerID{"w-a": "w-b", "w-b": "w-a"}[on]
-	for range 16 { // until its lease has run out
+	for range 16 { // until its lease has expired
 		h.e.Renewed(h.now, on, runner.Report{}, runner.ErrUnknown)
 		h.report(other, runner.Report{Clock: time.Second})
 		h.step(500 * time.Millisecond)
 	}
 	state, _ := h.e.State(testJob)
-	require.Equal(t, work.Running, state, "its death is not known")
+	require.Equal(t, work.Running, state, "it is not known whether the worker crashed")
 	require.Len(t, h.starts(), 1, "it starts elsewhere")
 	h.report(on, runner.Report{Clock: 20 * time.Second})
 	s := h.e.jobs[testJob].step(first[0].Start.Task)
-	require.Len(t, s.tasks[0].crashes, 3, "the two deaths, and the trial that runs")
+	require.Len(t, s.tasks[0].crashes, 3, "the two crashes, and the trial that runs")
 	require.NotContains(t, s.tasks[0].crashes, work.Crash{Run: first[0].Start.Run, Worker: string(on), Sole: true, Open: true})
 }
 
-// TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver guards against a sound task that is given up
-// for the death of its trial's worker, though a later start was answered there meanwhile.
+// TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver guards against a healthy task that is given
+// up because its trial's worker crashes later, although a later start was answered there
+// meanwhile.
 func TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver(t *testing.T) {
 	h := suspectHarness(t, twoCrashes, "w-a")
 	trial := h.starts()
@@ -222,11 +224,11 @@
 	require.Len(t, later, 1)
 	h.e.Started(h.now, "w-a", later[0].Start.Task, later[0].Start.Run, nil)
 	records := h.e.jobs[testJob].step(trial[0].Start.Task).tasks[0].crashes
-	require.False(t, records.OnTrial(trial[0].Start.Run), "a successor takes what is open for the trial's death: %+v", records)
+	require.False(t, records.OnTrial(trial[0].Start.Run), "a successor takes an open trial for a crash: %+v", records)
 }
 
-// TestTaskThatHasLivedOnIsNoSuspect guards against deaths over days that add up against a
-// task that lasts.
+// TestTaskThatHasLivedOnIsNoSuspect guards against crashes that add up against a long-running
+// task over days.
 func TestTaskThatHasLivedOnIsNoSuspect(t *testing.T) {
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a")
 	first := h.starts()
@@ -240,8 +242,8 @@
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
-// TestRunsOnAWorkerThatLeavesAreNotSuspect guards against planned departures that are
-// taken for crashes.
+// TestRunsOnAWorkerThatLeavesAreNotSuspect guards against counting planned departures as
+// crashes.
 func TestRunsOnAWorkerThatLeavesAreNotSuspect(t *testing.T) {
 	h := suspectHarness(t, nil, "w-a")
 	first := h.starts()
@@ -251,8 +253,8 @@
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
-// TestLateStartAtTheNextLifeDoesNotRunBesideAnother guards against a start that is carried
-// out by the next life under a worker's name, while the task runs elsewhere.
+// TestLateStartAtTheNextLifeDoesNotRunBesideAnother guards against a start that is carried out
+// by a worker's next incarnation while the task runs elsewhere.
 func TestLateStartAtTheNextLifeDoesNotRunBesideAnother(t *testing.T) {
 	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
 	h := newHarness(t, 1, first, "w-b")
@@ -264,16 +266,16 @@
 	h.resize(next, work.Resources{CPU: 4000, Memory: 4000})
 	h.step(50 * time.Millisecond)
 	h.report("w-b", runner.Report{Clock: time.Second})
-	require.Empty(t, h.starts(), "it may run at the next life")
+	require.Empty(t, h.starts(), "it may run on the next incarnation")
 	h.report(next, runner.Report{Clock: time.Second, Running: []runner.Live{{Task: start.Task, Run: start.Run}}})
 	h.report("w-b", runner.Report{Clock: time.Second})
-	require.Empty(t, h.starts(), "it runs at the next life")
+	require.Empty(t, h.starts(), "it runs on the next incarnation")
 	h.report(next, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run, How: runner.Stopped}}})
-	h.step(200 * time.Millisecond) // it is a suspect now, and its trial is written first
+	h.step(200 * time.Millisecond) // it is suspect now, and its trial is recorded first
 	require.Len(t, h.starts(), 1)
 }
 
-// TestEndsOfTheNextLifeCount guards against a later life under a worker's name whose ends
+// TestEndsOfTheNextLifeCount guards against completions of a worker's next incarnation that
 // are taken for those of the earlier one.
 func TestEndsOfTheNextLifeCount(t *testing.T) {
 	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
@@ -288,9 +290,9 @@
 		ends = append(ends, runner.End{Number: int64(i + 1), Task: s.Start.Task, Run: s.Start.Run})
 	}
 	h.report(first, runner.Report{Clock: time.Second, Ended: ends})
-	h.resize(next, work.Resources{CPU: 4000, Memory: 4000}) // listed with a later birth
+	h.resize(next, work.Resources{CPU: 4000, Memory: 4000}) // listed with a later start time
 	h.step(50 * time.Millisecond)
-	h.resize(first, work.Resources{CPU: 4000, Memory: 4000}) // an entry that comes late
+	h.resize(first, work.Resources{CPU: 4000, Memory: 4000}) // a late entry of the earlier incarnation
 	require.Nil(t, h.e.workers[first])
 	h.report(next, runner.Report{Clock: time.Second})
 	h.step(30 * time.Second)
@@ -304,8 +306,8 @@
 	require.Equal(t, work.Completed, state)
 }
 
-// TestCrashingTasksInAFullCellWithAdvice guards against suspect tasks that never find a
-// quiet worker where all are full and only some may run them.
+// TestCrashingTasksInAFullCellWithAdvice guards against suspect tasks that never find a worker
+// without recent starts if all workers are full and only some may run them.
 func TestCrashingTasksInAFullCellWithAdvice(t *testing.T) {
 	for seed := uint64(1); seed < 3; seed++ {
 		t.Run(seedName(seed), func(t *testing.T) {
@@ -350,8 +352,8 @@
 	t.Logf("%d workers crashed by %d jobs, the slowest given up after %v", c.fleet.Crashes(), len(c.order)/60, slowest)
 }
 
-// TestDeathThatIsKnownLateCounts guards against a crash that is forgotten because the
-// worker's entry outlasts its lease.
+// TestDeathThatIsKnownLateCounts guards against a crash that is not counted because the
+// worker's directory entry outlasts its lease.
 func TestDeathThatIsKnownLateCounts(t *testing.T) {
 	h := newHarness(t, 2)
 	task := work.TaskID{Job: testJob}
@@ -367,14 +369,14 @@
 		h.step(500 * time.Millisecond)
 	}
 	crashes := func() crash.Records { return h.e.jobs[testJob].step(task).tasks[0].crashes }
-	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has run out")
+	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has expired")
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
 	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrGone)
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true}}, crashes())
 }
 
-// TestSuspectTaskDoesNotHoldUpItsSiblings guards against sound tasks that wait behind one
-// for which no quiet worker is there.
+// TestSuspectTaskDoesNotHoldUpItsSiblings guards against healthy tasks that wait behind a
+// suspect one for which there is no worker without recent starts.
 func TestSuspectTaskDoesNotHoldUpItsSiblings(t *testing.T) {
 	h := newHarness(t, 2, "w-a")
 	first := jobEntry(t, 1, 4, oneTask())
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -15,7 +15,7 @@
 
 const testJob = work.JobID("00000000000000aa")
 
-// harness is an engine whose calls a test answers by hand.
+// harness drives an engine; the test answers its calls.
 type harness struct {
 	t   *testing.T
 	e   *Engine
@@ -32,7 +32,7 @@
 	return h
 }
 
-// step moves time on and carries commits out at once; other effects are kept.
+// step advances the time and executes commits at once; other effects are kept.
 func (h *harness) step(d time.Duration) {
 	for until := h.now + d; h.now < until; {
 		h.now += tickPeriod
@@ -47,14 +47,14 @@
 	}
 }
 
-// report answers a worker's renewal.
+// report answers a worker's renewal with a report.
 func (h *harness) report(id runner.WorkerID, r runner.Report) {
 	h.now += time.Millisecond
 	h.e.Renewed(h.now, id, r, nil)
 	h.step(tickPeriod)
 }
 
-// sent returns the effects of one kind, and forgets all.
+// sent returns the kept effects of one type, and drops all kept effects.
 func sent[T Effect](h *harness) []T {
 	var all []T
 	for _, x := range h.out {
@@ -66,7 +66,7 @@
 	return all
 }
 
-// starts returns and forgets the starts that were sent.
+// starts returns the start orders that were sent, and drops all kept effects.
 func (h *harness) starts() []SendStart { return sent[SendStart](h) }
 
 func jobEntry(t *testing.T, epoch uint64, attempts int, steps ...work.Step) store.Entry {
@@ -91,13 +91,10 @@
 }
 
 func TestFailuresReportedOutOfOrderAllCount(t *testing.T) {
-	// Symptom: a task is started again after it failed as often as its queue
-	//   allows.
-	// Sequence: a leader that the store turns away can not write two failures
-	//   down; its successor hears of the second run's end first, since that
-	//   worker answers first, and then of the first run's.
-	// Cause: only the highest counted run was kept, and the lower one taken for
-	//   one that had been counted.
+	// A task was started again after it failed as often as its queue allows. A leader that
+	// cannot write to the store does not store two failures; its successor receives that of
+	// the second run first, since that worker answers first, and then that of the first run.
+	// Only the highest counted run was kept, so that the lower one was taken for counted.
 	h := newHarness(t, 2, "w-a", "w-b")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -111,10 +108,9 @@
 }
 
 func TestFailureReportedAgainCountsOnce(t *testing.T) {
-	// Symptom: a job is shown as failed though its task may still be tried.
-	// Sequence: a failure is in the store and not yet acknowledged when the
-	//   leader is lost; the successor reads it and hears of it again.
-	// Cause: an end is told apart from another one only by its run's number.
+	// A failure that is stored but not yet acknowledged when the leader fails is reported to
+	// the successor again. It must count once; otherwise the job is shown as failed though its
+	// task may still be tried. Completions are distinguished only by the number of their run.
 	h := newHarness(t, 2, "w-a")
 	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: []uint64{1}}}}}})
 	require.NoError(t, err)
@@ -128,10 +124,8 @@
 }
 
 func TestTasksOfASilentWorkerStartElsewhere(t *testing.T) {
-	// Symptom: tasks that ran on a worker that lost its power never start again.
-	// Sequence: the worker stops answering; the leader goes on asking it.
-	// Cause: each renewal without an answer put off the time at which everything
-	//   there has ended for sure.
+	// Tasks of a worker that had lost its power never started again, because each renewal
+	// without an answer postponed the time at which everything there has certainly ended.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -182,10 +176,9 @@
 }
 
 func TestUnansweredStartKeepsItsRoomUntilItIsResolved(t *testing.T) {
-	// Symptom looked for: a start that was carried out late finds its room given
-	//   to another task, or its task running elsewhere.
-	// Sequence: three tries of a start are not answered, nor is the first stop;
-	//   then the stop is answered, and a report lists neither run nor end.
+	// A start that is carried out late must not find its capacity given to another task, or
+	// its task running elsewhere: three attempts of a start are not answered, nor is the first
+	// stop; then the stop is answered, and a report lists neither run nor completion.
 	h := newHarness(t, 1, "w-a", "w-b")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -200,12 +193,12 @@
 	w := h.e.workers[to]
 	h.step(2 * time.Second)
 	require.Empty(t, h.otherStarts(to, run))
-	h.out = nil // the tries
+	h.out = nil // the attempts
 	require.Equal(t, 1000, w.used.CPU)
 	h.e.StopAnswered(h.now, to, task, run, nil)
 	h.step(time.Second)
-	require.Equal(t, 1000, w.used.CPU, "the report was not asked for after the stop yet")
-	h.e.Renewed(h.now, to, runner.Report{}, runner.ErrUnknown) // the one on its way
+	require.Equal(t, 1000, w.used.CPU, "no report has been requested since the stop")
+	h.e.Renewed(h.now, to, runner.Report{}, runner.ErrUnknown) // the renewal in flight
 	h.step(time.Second)
 	h.report(to, runner.Report{Clock: 4 * time.Second})
 	h.step(time.Second)
@@ -214,7 +207,7 @@
 	require.Greater(t, again[0].Start.Run, run)
 }
 
-// otherStarts returns the starts sent but for one run.
+// otherStarts returns the start orders that were sent, except those of one run.
 func (h *harness) otherStarts(to runner.WorkerID, run uint64) []SendStart {
 	var all []SendStart
 	for _, x := range h.out {
@@ -226,9 +219,8 @@
 }
 
 func TestTakeoverWaitsForWorkersOutOfReach(t *testing.T) {
-	// Symptom looked for: a task runs twice after the loss of all memory.
-	// Sequence: an earlier epoch has started a task on a worker that the new
-	//   leader does not reach; the store does not say which tasks have started.
+	// A task must not run twice after a takeover: an earlier epoch has started it on a worker
+	// that the new leader does not reach, and the store does not say which tasks have started.
 	ref := runner.Ref{ID: "w-far"}
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{ref}})
 	require.NoError(t, err)
@@ -262,7 +254,7 @@
 	h.e.Started(h.now, "w-a", s.Start.Task, s.Start.Run, nil)
 	h.e.Flush(h.now)
 	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Done}}}, nil)
-	for range 40 { // the store does not take the write
+	for range 40 { // the store does not answer the write
 		h.now += tickPeriod
 		h.e.Tick(h.now)
 		for _, x := range h.e.Flush(h.now) {
@@ -281,9 +273,8 @@
 }
 
 func TestFailedTaskGoesToAnotherWorker(t *testing.T) {
-	// Symptom: a job fails though only one worker fails what it starts.
-	// Sequence: the task fails there; its ticket for that worker is the only one
-	//   at hand, and it is tried there again at once.
+	// A job failed although only one worker fails what it starts: the only ticket after the
+	// failure was for that worker, and the task was tried there again at once.
 	h := newHarness(t, 1, "w-a", "w-b")
 	entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) {
 		j.Queue.Advice = &work.Advice{Base: 5 * time.Millisecond, Valid: 2 * time.Second}
@@ -316,9 +307,8 @@
 }
 
 func TestLateCancellationIsRemovedFromTheStore(t *testing.T) {
-	// Symptom looked for: keys of cancellations stay in the store for good.
-	// Sequence: a cancellation is written just before the leader writes its
-	//   job's end, and reaches the leader after it.
+	// Keys of cancellations must not stay in the store forever: a cancellation is written just
+	// before the leader writes its job's end, and reaches the leader after it.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -343,10 +333,9 @@
 }
 
 func TestEndedJobsKeepTheirStateOnly(t *testing.T) {
-	// Symptom: the leader's memory grows to half of a small VM's in a minute.
-	// Sequence: thousands of jobs end; each is kept for two minutes, to answer
-	//   for its state.
-	// Cause: it was kept with its text, its steps and tasks.
+	// The leader's memory grew to half of a small VM's in a minute: thousands of jobs end,
+	// each is kept for two minutes to answer queries of its state, and was kept with its text,
+	// its steps and tasks.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -375,11 +364,9 @@
 }
 
 func TestQuickStepsAreAskedForBesideSlowOnes(t *testing.T) {
-	// Symptom: a hundred quick jobs wait beside idle daemons and free workers.
-	// Sequence: many steps with slow calls for advice wait for one of the daemons
-	//   that take such calls; a quick step comes after them.
-	// Cause: each round they used up the count of idle daemons, though their calls
-	//   could not go out.
+	// A hundred quick jobs waited beside idle daemons and workers: many steps with slow calls
+	// for advice wait for one of the daemons that take such calls, and used up the count of
+	// idle daemons in each round, although their calls could not be sent.
 	h := newHarness(t, 1, "w-a", "w-b")
 	h.e.Members(h.now, []string{"d-1", "d-2", "d-3", "d-4"})
 	var entries []store.Entry
--- a/process/dispatch/explain_test.go
+++ b/process/dispatch/explain_test.go
@@ -11,8 +11,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// TestExplanationNamesTheBound guards against a waiting job of which nobody can say what
-// it waits for.
+// TestExplanationNamesTheBound guards against a waiting job for which no cause is shown.
 func TestExplanationNamesTheBound(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	second := oneTask()
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -12,8 +12,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// successorOf is an engine of the next epoch over a store, with the same workers, of which
-// none has answered.
+// successorOf returns an engine of the next epoch over a store, with the same workers, none of
+// which has answered.
 func successorOf(t *testing.T, s *slowStore, ids ...runner.WorkerID) *harness {
 	next := newHarness(t, 2)
 	require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Bundles: s.withPrefix(PrefixBundle), Fleet: s.withPrefix(prefixFleet)}))
@@ -25,7 +25,7 @@
 	return next
 }
 
-// putJob hands a job in; the engine hears of it.
+// putJob submits a job and passes it to the engine.
 func (s *slowStore) putJob(id work.JobID, steps ...work.Step) {
 	entry := jobEntry(s.h.t, s.h.e.o.Epoch, 2, steps...)
 	entry.Key = KeyIn(id)
@@ -41,12 +41,10 @@
 }
 
 func TestSuccessorNeedNotWaitForAClosedWorker(t *testing.T) {
-	// Symptom: after a change of the leader everything that waits stands for eight
-	//   seconds.
-	// Sequence: a worker loses its power; a while later the leader is lost before it has
-	//   started what waits, some of which was handed in before the silence.
-	// Cause: its successor can not tell what runs on the silent worker, and waits until
-	//   its lease has run out for certain.
+	// After a change of the leader all waiting work stood still for eight seconds: a worker
+	// loses its power; a while later the leader fails, with jobs waiting that were submitted
+	// before the worker became unresponsive. Its successor could not tell what runs on that
+	// worker, and waited until its lease had certainly expired.
 	h := newHarness(t, 1, "w-a", "w-b")
 	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
@@ -57,7 +55,7 @@
 	s.run(50 * time.Millisecond)
 	running := h.starts()
 	require.Len(t, running, 4, "two on each worker")
-	s.putJob("00000000000000a2", oneTask()) // there is no room for it
+	s.putJob("00000000000000a2", oneTask()) // there is no capacity for it
 	var near runner.Report
 	for _, x := range running {
 		h.e.Started(h.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
@@ -76,18 +74,18 @@
 
 	next := successorOf(t, s, "w-a", "w-b")
 	next.e.WorkerSeen(next.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 64000, Memory: 64000}})
-	next.report("w-a", runner.Report{Clock: time.Second}) // what it ran was lost there
+	next.report("w-a", runner.Report{Clock: time.Second}) // it has lost its runs
 	next.step(time.Second)
 	starts := next.starts()
 	require.Len(t, starts, 4)
 	for _, x := range starts {
 		if x.Start.Task.Job == "00000000000000a1" {
-			require.Contains(t, []int{near.Running[0].Task.Index, near.Running[1].Task.Index}, x.Start.Task.Index, "the others may run on the silent worker")
+			require.Contains(t, []int{near.Running[0].Task.Index, near.Running[1].Task.Index}, x.Start.Task.Index, "the others may run on the unresponsive worker")
 		}
 	}
 	require.ElementsMatch(t, []work.JobID{"00000000000000a1", "00000000000000a1", "00000000000000a2", "00000000000000a3"}, startedJobs(starts))
 
-	// The tasks of the silent worker start when its lease has run out.
+	// The tasks of the unresponsive worker start when its lease has expired.
 	for next.e.workers["w-b"] != nil {
 		require.Empty(t, next.starts())
 		var rows []runner.Live
@@ -101,10 +99,10 @@
 	require.Len(t, next.starts(), 2)
 }
 
-func TestWorkerThatIsLeavingIsClosed(t *testing.T) {
-	// Symptom: after a change of the leader what waits stands for eight seconds.
-	// Sequence: workers are taken away at short notice; the leader is lost in the moment
-	//   in which they go, so nobody has seen them silent.
+func TestDrainingWorkerIsCordoned(t *testing.T) {
+	// After a change of the leader waiting work stood still for eight seconds: workers leave
+	// at short notice and the leader fails at the same moment, so that it has never seen them
+	// unresponsive.
 	h := newHarness(t, 1, "w-a", "w-b")
 	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
@@ -115,7 +113,7 @@
 	s.run(100 * time.Millisecond)
 	h.report("w-b", runner.Report{Clock: time.Second + h.now})
 	s.run(100 * time.Millisecond)
-	require.True(t, h.e.workers["w-b"].cordoned, "an answer does not open it again")
+	require.True(t, h.e.workers["w-b"].cordoned, "an answer does not uncordon it")
 	s.putJob("00000000000000a2", oneTask())
 	next := successorOf(t, s, "w-a")
 	next.report("w-a", runner.Report{Clock: time.Second})
@@ -123,10 +121,10 @@
 	require.ElementsMatch(t, []work.JobID{"00000000000000a1", "00000000000000a2"}, startedJobs(next.starts()))
 }
 
-func TestEndsThatAreNotWrittenStayWithTheirWorker(t *testing.T) {
-	// Symptom looked for: a task runs a second time.
-	// Sequence: it ends on a worker, whose report the leader has read; before that is
-	//   written the worker is silent and closed, and the leader lost.
+func TestUnstoredCompletionsStayWithTheirWorker(t *testing.T) {
+	// A task must not run a second time if its worker has reported its completion, but the
+	// worker becomes unresponsive and is cordoned, and the leader fails, before that is
+	// stored.
 	h := newHarness(t, 1, "w-a", "w-b")
 	s := newSlowStore(h, 0)
 	s.run(100 * time.Millisecond)
@@ -140,10 +138,10 @@
 	require.Contains(t, h.e.workers["w-b"].tasks(), starts[0].Start.Task)
 }
 
-func TestClosedWorkersOfAnEarlierVersionAreWaitedFor(t *testing.T) {
-	// Symptom looked for: a task runs twice after an upgrade.
-	// Sequence: a leader of the version before, which tells only that workers are closed
-	//   and not what they run, is followed by one of this version, and that by another.
+func TestCordonedWorkersOfAnEarlierVersionAreWaitedFor(t *testing.T) {
+	// A task must not run twice after an upgrade: a leader of the previous version, which
+	// lists only the cordoned workers and not what they run, is followed by one of this
+	// version, and that by another.
 	value, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}, {ID: "w-b"}}, Cordoned: []runner.WorkerID{"w-b"}})
 	require.NoError(t, err)
 	h := newHarness(t, 2)
@@ -156,18 +154,18 @@
 	s.run(50 * time.Millisecond)
 	h.report("w-a", runner.Report{Clock: time.Second})
 	s.run(time.Second)
-	require.Empty(t, h.starts(), "handed in before the list was written")
+	require.Empty(t, h.starts(), "submitted before the list was written")
 	h.e.cordonsChanged = true
 	s.run(100 * time.Millisecond)
 	require.Equal(t, 1, h.e.cordonedUnlisted)
 	next := newHarness(t, 3)
 	require.NoError(t, next.e.Load(0, Saved{Fleet: s.withPrefix(prefixFleet)}))
-	require.False(t, next.e.workers["w-b"].cordoned && !next.e.workers["w-b"].unlisted, "no list of what it runs is made up")
+	require.False(t, next.e.workers["w-b"].cordoned && !next.e.workers["w-b"].unlisted, "it must not be written with an empty list of what it runs")
 }
 
 func TestClosedWorkerIsUsedAgainOnceTheStoreKnows(t *testing.T) {
-	// Symptom looked for: a task starts on a worker that the store still says is
-	//   closed, and a successor starts it a second time.
+	// A task must not start on a worker that the store still lists as cordoned, since a
+	// successor would start it a second time.
 	h := newHarness(t, 1, "w-a")
 	s := newSlowStore(h, 300*time.Millisecond)
 	s.run(time.Second)
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -13,11 +13,10 @@
 )
 
 func TestReservationsHaveNoGaps(t *testing.T) {
-	// Symptom: gangs wait longer than the room kept for them would need.
-	// Sequence: a gang begins to wait between two plannings; all reservations
-	//   are cleared, and for as long as its own was young it is not renewed.
-	// Cause: a reservation counted as standing for a whole period from when it
-	//   was made, also after it had been cleared.
+	// Gangs waited longer than their reservations should have needed. A gang begins to wait
+	// between two plannings; all reservations are cleared, and its own was not renewed,
+	// because a reservation counted as current for a whole period after it was made, even
+	// after it had been cleared.
 	for phase := range planPeriod / tickPeriod {
 		h := newHarness(t, 1, "w-a")
 		small := oneTask()
@@ -40,12 +39,9 @@
 }
 
 func TestGangAsksForTheTicketsThatAreMissing(t *testing.T) {
-	// Symptom: gangs wait for tens of seconds beside free workers once several
-	//   of them wait.
-	// Sequence: part of the workers that are good for a gang have tickets that
-	//   hold for another second, the others' have run out.
-	// Cause: nothing was asked for while some tickets held, and then the same
-	//   part was asked for again.
+	// Gangs waited for tens of seconds beside idle workers once several of them waited. While
+	// the tickets for a part of a gang's workers were valid for another second, those of the
+	// others, which had expired, were not requested; then the same part was requested again.
 	gang := work.Step{Count: 3, Size: work.Resources{CPU: 3000, Memory: 100}, Estimate: time.Second, Gang: true}
 	h := newHarness(t, 1, "w-a", "w-b", "w-c")
 	entry := changed(t, jobEntry(t, 1, 2, gang), func(j *work.Job) {
@@ -82,11 +78,8 @@
 }
 
 func TestGangsThatNothingHoldsDoNotHoldUpOthers(t *testing.T) {
-	// Symptom: late in the day gangs wait beside free workers.
-	// Sequence: one after the other gangs are handed in that are wider than the
-	//   workers can hold; then one comes that is not.
-	// Cause: a round tries a number of gangs, the oldest first, and those that
-	//   can never start were counted.
+	// Gangs that are wider than the workers can run must not count among the gangs that a
+	// round tries, oldest first; otherwise later gangs wait beside idle workers.
 	h := newHarness(t, 1, "w-a")
 	wide := work.Step{Count: 5, Size: work.Resources{CPU: 1000, Memory: 100}, Estimate: time.Second, Gang: true}
 	entries := make([]store.Entry, 0, maxTried+1)
@@ -105,12 +98,9 @@
 }
 
 func TestMembersThatWaitForTheirGangAreLeftAlone(t *testing.T) {
-	// Symptom: gangs are stopped shortly before their end, and their work is
-	//   thrown away.
-	// Sequence: a member on a fast worker has all of its work done and waits for
-	//   one on a slow worker.
-	// Cause: its progress does not rise any more, which was taken for standing
-	//   still.
+	// Gangs were stopped shortly before their end, and their work was lost: a member on a fast
+	// worker has all of its work done and waits for one on a slow worker. Its progress no
+	// longer rises, which was taken for a stall.
 	gang := work.Step{Count: 2, Size: work.Resources{CPU: 3000, Memory: 100}, Estimate: time.Second, Gang: true}
 	for _, percent := range []float64{100, 50} {
 		h := newHarness(t, 1, "w-a", "w-b")
@@ -145,11 +135,9 @@
 }
 
 func TestGangsBehindBlockedOnesAreTried(t *testing.T) {
-	// Symptom: gangs wait for minutes beside empty workers.
-	// Sequence: a dozen gangs that need a rare kind of worker wait for the one
-	//   there is; others, which any worker could hold, wait behind them.
-	// Cause: a round tries a bounded number of gangs, and those that wait for
-	//   what is taken used it up in every round.
+	// Gangs waited for minutes beside idle workers. A dozen gangs that need a rare kind of
+	// worker wait for the only one; others that fit any worker wait behind them, and the
+	// blocked ones used up the number of gangs that a round tries in every round.
 	h := newHarness(t, 1, "w-a", "w-b")
 	rare := oneTask()
 	rare.Gang, rare.Count, rare.Size.CPU, rare.Labels = true, 1, 4000, []string{"rare"}
@@ -166,7 +154,7 @@
 	require.NoError(t, h.e.Load(0, Saved{Accepted: entries}))
 	h.step(50 * time.Millisecond)
 	h.report("w-a", runner.Report{})
-	require.Len(t, h.starts(), 1, "one on the rare worker")
+	require.Len(t, h.starts(), 1, "one on the worker of the rare kind")
 	h.report("w-b", runner.Report{})
 	h.step(2 * time.Second)
 	starts := h.starts()
@@ -174,8 +162,8 @@
 	require.Equal(t, testJob, starts[0].Start.Task.Job)
 }
 
-// advisedGang returns a bench with a gang of that many tasks of a whole worker each,
-// for which every worker is known to be good, and other steps of one such task.
+// advisedGang returns a harness with a gang of that many tasks, each as large as a worker, for
+// which every worker has a good verdict.
 func advisedGang(t *testing.T, policy Policy, tasks int) (*harness, *step) {
 	h := newHarness(t, 1, "w-a", "w-b", "w-c")
 	h.e.o.Policy = policy.complete()
@@ -200,10 +188,9 @@
 }
 
 func TestSeatsOfAGangAreHeldWhileItAsks(t *testing.T) {
-	// Symptom: gangs wait beside enough room for them until the load ends.
-	// Sequence: there is room for a gang; it asks for tickets; before they come, a
-	//   quick job takes a part of the room.
-	// Cause: nothing kept the room for the length of the call.
+	// Gangs waited beside sufficient capacity until the load ended: a gang requests tickets;
+	// before they arrive, a quick job takes a part of its capacity, because it was not
+	// reserved for the duration of the call.
 	for _, reserved := range []bool{true, false} {
 		h, s := advisedGang(t, Policy{NoHolds: !reserved}, 3)
 		require.Equal(t, reserved, s.gangReserved)
@@ -227,11 +214,10 @@
 }
 
 func TestHeldSeatsAreFreedWithoutAnAnswer(t *testing.T) {
-	// Symptom looked for: workers stay empty for a gang whose call for tickets is
-	//   lost.
+	// Workers must not stay idle for a gang whose call for tickets is lost.
 	h, s := advisedGang(t, Policy{}, 3)
 	require.True(t, s.gangReserved)
-	h.e.Members(h.now, nil) // nobody to ask again
+	h.e.Members(h.now, nil) // no further calls possible
 	quick := jobEntry(t, 1, 2, oneTask())
 	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
 	h.step(2 * time.Second)
@@ -250,10 +236,9 @@
 }
 
 func TestGangOfWhichOnlySomeWereStartedIsStopped(t *testing.T) {
-	// Symptom: a member of a gang waits for the others until its worker ends it.
-	// Sequence: the leader is replaced between the starts of the members; its successor
-	//   finds one of them, and no trace of the other.
-	// Cause: the successor took the one over and started nothing beside it.
+	// A successor finds one member of a gang and no trace of the other, because its
+	// predecessor was replaced between the two starts. It must not adopt the one and wait: the
+	// member would wait for the other until its worker ends it.
 	h := newHarness(t, 2, "w-a", "w-b")
 	gang := oneTask()
 	gang.Count, gang.Gang = 2, true
@@ -263,14 +248,14 @@
 	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{member}})
 	h.report("w-b", runner.Report{Clock: time.Second})
 	h.step(300 * time.Millisecond)
-	require.Empty(t, h.stops(), "the other may come yet")
+	require.Empty(t, h.stops(), "the other may still be reported")
 	h.step(400 * time.Millisecond)
 	require.Equal(t, []SendStop{{To: runner.Ref{ID: "w-a"}, Task: member.Task, Run: 1}}, h.stops())
 }
 
-func TestGangThatWorksIsNotStoppedForAMemberOutOfSight(t *testing.T) {
-	// Symptom looked for: a gang at work is stopped since one of its workers does not
-	//   answer the new leader.
+func TestWorkingGangIsNotStoppedForAnUnreportedMember(t *testing.T) {
+	// A gang that makes progress must not be stopped because one of its workers does not
+	// answer the new leader.
 	h := newHarness(t, 2, "w-a")
 	gang := oneTask()
 	gang.Count, gang.Gang = 2, true
@@ -281,5 +266,5 @@
 	require.Empty(t, h.stops())
 }
 
-// stops returns and forgets the stops that were sent.
+// stops returns and removes the stop orders that were sent.
 func (h *harness) stops() []SendStop { return sent[SendStop](h) }
--- a/process/dispatch/health_test.go
+++ b/process/dispatch/health_test.go
@@ -11,8 +11,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// outcomes hands one job after the other in, each a task for every worker, and tells how
-// each run ends, by the job's number, until every job has ended.
+// outcomes submits one job after the other, each with a task for every worker, and reports
+// every run as done or failed, depending on the job's number.
 func outcomes(t *testing.T, h *harness, jobs, workers int, fails func(job int) bool) {
 	t.Helper()
 	wide := tasksOf(workers, false)
@@ -25,7 +25,7 @@
 		require.NoError(t, h.e.Accepted(h.now, jobOf(t, "", id, 1, wide)))
 		h.step(tickPeriod)
 		for range 2 * maxAttemptsOfTest {
-			h.step(200 * time.Millisecond) // longer than the pause before another try
+			h.step(200 * time.Millisecond) // longer than the pause before another attempt
 			for _, s := range h.starts() {
 				h.e.Started(h.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
 				number[s.To.ID]++
@@ -39,15 +39,13 @@
 	}
 }
 
-// maxAttemptsOfTest is what jobOf allows.
+// maxAttemptsOfTest is the number of attempts that jobOf allows.
 const maxAttemptsOfTest = 4
 
 func TestJobsThatFailEverywhereDoNotSetWorkersAside(t *testing.T) {
-	// Symptom: workers that are well stand empty for two seconds, a few times a second.
-	// Sequence: two jobs, one after the other, fail wherever they run, each of their tries
-	//   on another worker.
-	// Cause: the second failed run of different jobs set a worker aside, though each of
-	//   the jobs had failed on others before.
+	// Healthy workers were idle for two seconds, a few times a second: two jobs that fail
+	// wherever they run had runs on the same worker one after the other, and the second
+	// failure quarantined it, although each job had failed on other workers before.
 	workers := []runner.WorkerID{"w-1", "w-2", "w-3", "w-4"}
 	h := readyHarness(t, workers...)
 	outcomes(t, h, 40, len(workers), func(job int) bool { return job%8 < 2 })
@@ -56,9 +54,8 @@
 }
 
 func TestWorkerThatFailsAPartOfItsRunsIsSetAside(t *testing.T) {
-	// Symptom: gangs with a member on one of a few workers fail again and again.
-	// Sequence: the worker fails one run in two, never two in a row.
-	// Cause: only failures in a row set a worker aside.
+	// A worker that fails one run in two, but never two in a row, has to be quarantined as
+	// well; otherwise gangs with a member there fail again and again.
 	var h health
 	for i := range 2 {
 		require.False(t, h.noteFailure(0, work.JobID(fmt.Sprint(i))))
@@ -66,7 +63,7 @@
 	}
 	require.True(t, h.noteFailure(time.Minute, "2"))
 	require.Equal(t, time.Minute+quarantineMin, h.quarantinedUntil)
-	require.True(t, h.noteFailure(2*time.Minute, "3"), "on trial it may not fail")
+	require.True(t, h.noteFailure(2*time.Minute, "3"), "no failure is allowed on probation")
 	require.Equal(t, 2*time.Minute+2*quarantineMin, h.quarantinedUntil)
 }
 
@@ -80,5 +77,5 @@
 	}
 	require.Zero(t, h.suspicion)
 	require.False(t, h.noteFailure(0, "x"))
-	require.NotZero(t, h.suspicion, "but runs that may choose avoid it")
+	require.NotZero(t, h.suspicion, "but it has a lower score")
 }
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -15,14 +15,16 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Guards against what is kept under a worker's name and held against its next life: tasks run
-// twice, or again after their end was acknowledged.
+// TestWorkersThatComeBackUnderTheirName guards against state of a worker that is applied to
+// its next incarnation, so that tasks run twice, or again after their completion was
+// acknowledged.
 func TestWorkersThatComeBackUnderTheirName(t *testing.T) {
 	overSeeds(t, 10, restartsUnderOneName)
 }
 
-// restartsUnderOneName hands jobs in while workers crash and are back under their names soon,
-// long before their entries tell; orders are late, answers are lost and leaders are killed.
+// restartsUnderOneName submits jobs while workers crash and restart under their names long
+// before their directory entries change; orders are late, responses are lost and leaders are
+// killed.
 func restartsUnderOneName(t *testing.T, seed uint64) {
 	draw := rand.New(rand.NewPCG(seed, 5))
 	lag := time.Duration(draw.IntN(3)) * 2 * time.Second
@@ -52,15 +54,15 @@
 	require.Empty(t, c.broken)
 	for _, id := range c.order {
 		if crash.Guilty(c.fleet.MostDeaths(id), 1) {
-			continue // as many workers died under a task of it as may
+			continue // as many workers crashed under a task of it as are allowed
 		}
 		require.Equal(t, work.Completed, c.state(id), "%s: %v", id, c.fleet.NotDone(id))
 	}
 }
 
-// crashBehindCut runs jobs on two workers, one of which crashes behind a cut that the leader does
-// not notice, and hands another job in that may start at its next life, of which no entry
-// tells yet. Its tasks take as long as given.
+// crashBehindCut runs jobs on two workers, one of which crashes behind a network cut that the
+// leader does not notice, and submits another job that may start on its next incarnation
+// before any directory entry shows that. Its tasks take as long as given.
 func crashBehindCut(t *testing.T, takes time.Duration) {
 	c := restartingCell(t, 0, 1, epochworker.Options{Seed: 1, Restart: 500 * time.Millisecond, SameName: true, EntryLag: 4 * time.Second,
 		Work: func(work.TaskID, uint64, runner.WorkerID) epochworker.Behaviour {
@@ -73,13 +75,13 @@
 	crashes := runner.LifeID("w-a", 1)
 	c.addWorker(crashes, "w-a", "r")
 	time.Sleep(3 * time.Second)
-	c.submit(tasks()) // ends that are acknowledged
+	c.submit(tasks()) // completions that are acknowledged
 	time.Sleep(10 * time.Second)
 	_, before := c.fleet.Counts()
 	for renews := before; renews == before; _, renews = c.fleet.Counts() {
 		time.Sleep(time.Millisecond)
 	}
-	c.fleet.Cut(crashes, true) // a renewal has just been sent, and waits for an end
+	c.fleet.Cut(crashes, true) // a renewal has just been sent, and waits for a completion
 	c.fleet.Crash(crashes)
 	time.Sleep(700 * time.Millisecond)
 	c.submit(tasks())
@@ -94,20 +96,23 @@
 	}
 }
 
-// Guards against a start that was answered by a worker's next life, counts as lost with the
-// life before, and is made again beside the run that is there.
+// TestRunsAtTheNextLifeAreNotStartedBesideThem guards against a start that a worker's next
+// incarnation has answered, that counts as lost with the previous incarnation, and that is
+// repeated beside the run that exists.
 func TestRunsAtTheNextLifeAreNotStartedBesideThem(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 5*time.Second) })
 }
 
-// Guards against ends of a worker's next life that are acknowledged unheard, with the number
-// that the life before had reached, and whose tasks start again.
+// TestEndsOfTheNextLifeAreNotAcknowledgedUnheard guards against completions of a worker's next
+// incarnation that are acknowledged before they are received, with the number that the
+// previous incarnation had reached, and whose tasks start again.
 func TestEndsOfTheNextLifeAreNotAcknowledgedUnheard(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 200*time.Millisecond) })
 }
 
-// Guards against the count of ends of one life that is told to the next, which forgets as many
-// ends that nobody has heard of.
+// TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds guards against a count of completions
+// of one incarnation that is sent to the next one, which would drop as many completions that
+// no leader has received.
 func TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds(t *testing.T) {
 	id := runner.LifeID("w-a", 1)
 	h := newHarness(t, 1, id)
@@ -117,7 +122,7 @@
 	start := h.starts()[0].Start
 	h.report(id, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
 	last := func() (r runner.Renewal) {
-		h.step(400 * time.Millisecond) // over the pauses between renewals
+		h.step(400 * time.Millisecond) // longer than the pauses between renewals
 		for _, x := range h.out {
 			if x, ok := x.(SendRenew); ok {
 				r = x.Renewal
@@ -127,16 +132,16 @@
 	}
 	require.Equal(t, int64(1), last().Acknowledge)
 	h.e.Renewed(h.now, id, runner.Report{}, runner.ErrUnknown)
-	require.Zero(t, last().Acknowledge, "another life may answer")
+	require.Zero(t, last().Acknowledge, "another incarnation may answer")
 	h.report(id, runner.Report{Clock: 2 * time.Second})
 	require.Equal(t, int64(1), last().Acknowledge, "it has answered")
 	h.e.Renewed(h.now, id, runner.Report{Clock: 2 * time.Second}, nil)
-	h.now += 3 * time.Second // the leader stood still
-	require.Zero(t, last().Acknowledge, "another life may have begun meanwhile")
+	h.now += 3 * time.Second // the leader was paused
+	require.Zero(t, last().Acknowledge, "another incarnation may have started meanwhile")
 }
 
-// Guards against starts by the hundred at a worker whose clock is not where it was thought to
-// be, and which refuses each.
+// TestWorkerThatRefusesAsLateIsAskedFirst guards against hundreds of starts on a worker that
+// refuses each of them because the estimate of its clock is wrong.
 func TestWorkerThatRefusesAsLateIsAskedFirst(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
@@ -150,11 +155,12 @@
 	h.step(time.Second)
 	all := h.starts()
 	require.Len(t, all, 1)
-	require.Greater(t, all[0].Start.Until, time.Hour, "by its clock as it is")
+	require.Greater(t, all[0].Start.Until, time.Hour, "by its actual clock")
 }
 
-// Guards against a worker that is back under its name, without a word of its birth: its ends
-// are taken for those of before, acknowledged unheard, and their tasks start again.
+// TestClockThatGoesBackIsAnotherLifes guards against a worker that restarts under its name
+// without a start time in its id: its completions would count as those of before, be
+// acknowledged before they are received, and their tasks start again.
 func TestClockThatGoesBackIsAnotherLifes(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	step := oneTask()
@@ -168,10 +174,11 @@
 	require.Nil(t, h.e.workers["w-a"])
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // its next heartbeat
 	h.step(50 * time.Millisecond)
-	require.Zero(t, h.e.workers["w-a"].lastCompletion, "its ends count from 1 again")
+	require.Zero(t, h.e.workers["w-a"].lastCompletion, "its completions count from 1 again")
 }
 
-// Guards against a life whose entry tells no birth and that is taken for another worker.
+// TestEntryWithoutABirthNamesTheLifeThatIsKnown guards against an entry without a start time
+// that is taken for another worker.
 func TestEntryWithoutABirthNamesTheLifeThatIsKnown(t *testing.T) {
 	id := runner.LifeID("w-a", 7)
 	h := newHarness(t, 1, id)
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -19,7 +19,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// slowListing is a store whose listings take a while, as a long one does over a small link.
+// slowListing is a store whose listings are slow, as long ones are over a slow link.
 type slowListing struct {
 	store.Transactor
 	takes time.Duration
@@ -58,8 +58,8 @@
 	return s.Transactor.List(ctx, prefix)
 }
 
-// leadOnce runs a daemon that leads over a store, and returns how long after its start a
-// state could be asked of it.
+// leadOnce runs a daemon that leads over a store, and returns how long after its start it
+// answered a query of a job's state.
 func leadOnce(t *testing.T, lists store.Transactor, m *kv.Memory, most time.Duration) (loaded time.Duration, ok bool) {
 	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), most)
@@ -77,12 +77,12 @@
 		}()
 		h.Run()
 	}})
-	_ = e.Run(ctx) // ends with its time
+	_ = e.Run(ctx) // ends with its context
 	return time.Duration(took.Load()), took.Load() > 0
 }
 
-// Guards against a new leader that waits for a reading which an outage has swallowed, while
-// nothing is scheduled.
+// TestStateThatWasLostIsReadAgainSoon guards against a new leader that waits for a read whose
+// response an outage has lost, while nothing is scheduled.
 func TestStateThatWasLostIsReadAgainSoon(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -93,10 +93,8 @@
 }
 
 func TestLargeStateIsReadInTheEnd(t *testing.T) {
-	// Symptom: a new leader reads the state for as long as its term lasts, and nothing is
-	//   served.
-	// Sequence: the state takes four seconds over a small link.
-	// Cause: each reading is given up after three, and begun anew.
+	// A new leader read the state for the whole of its term without success: a read takes four
+	// seconds over a slow link, and each attempt was abandoned after three and started again.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		_, ok := leadOnce(t, slowListing{m, 4 * time.Second}, m, 30*time.Second)
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -20,7 +20,7 @@
 	return s
 }
 
-// live reports runs as they were started.
+// live reports the started runs as running.
 func live(percent float64, starts ...SendStart) []runner.Live {
 	var all []runner.Live
 	for _, s := range starts {
@@ -51,11 +51,10 @@
 }
 
 func TestFailureOfATaskThatServedSaysNothingOfItsWorker(t *testing.T) {
-	// Symptom: services leave good workers unused for seconds.
-	// Sequence: tasks of two jobs that last fail on one worker after hours at
-	//   work; the worker is set aside, and then tried with one run at a time.
-	// Cause: such an end was taken for a sign against the worker, and only an
-	//   end as done for a sign for it, which these tasks never give.
+	// Services left good workers unused for seconds. Tasks of two long-running jobs fail on
+	// one worker after hours of serving; the worker was quarantined, and then got one run at a
+	// time, because only completions as done counted in its favour, which these tasks never
+	// have.
 	w := &worker{}
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
@@ -65,19 +64,18 @@
 	w = h.e.workers["w-a"]
 	w.probation, w.failJobs = true, []work.JobID{"another"}
 	h.report("w-a", runner.Report{Running: live(100, s)})
-	require.False(t, w.probation, "a task at work there")
+	require.False(t, w.probation, "a task serves there")
 	require.Empty(t, w.failJobs)
 	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Failed}}})
 	require.Empty(t, w.failJobs)
-	require.Len(t, h.starts(), 1, "at once, at the same place")
+	require.Len(t, h.starts(), 1, "at once, on the same worker")
 }
 
 func TestRoomIsKeptForATaskThatLasts(t *testing.T) {
-	// Symptom: a service's task is not started for as long as small work comes.
-	// Sequence: it needs most of a worker; each small task that ends there is
-	//   followed by another, which fits the gap.
-	// Cause: room was kept for gangs only, and work that is late for its
-	//   objective came before it.
+	// A service's task that needs most of a worker was not started as long as small tasks kept
+	// coming, because each small task that ended was followed by another one that fits the
+	// gap: capacity was reserved for gangs only, and work that is late for its objective came
+	// first.
 	h := newHarness(t, 1, "w-a")
 	small := oneTask()
 	small.Count = 40
@@ -100,20 +98,19 @@
 		h.step(150 * time.Millisecond)
 		for _, s := range h.starts() {
 			if s.Start.Task.Job == "00000000000000bb" {
-				require.EqualValues(t, 4, number, "as soon as there is room")
+				require.EqualValues(t, 4, number, "as soon as there is capacity")
 				return
 			}
-			require.Failf(t, "small work took the room", "%s", s.Start.Task)
+			require.Failf(t, "small work took the capacity", "%s", s.Start.Task)
 		}
 	}
 	require.Fail(t, "never started")
 }
 
 func TestEpochEndsWhenItsRunNumbersDo(t *testing.T) {
-	// Symptom: after weeks a service's task is refused by every worker.
-	// Sequence: it fails at once wherever it starts, tens of thousands of times
-	//   in one epoch; then there is another leader.
-	// Cause: the numbers of an epoch's runs had run into those of the next.
+	// After weeks a service's task was refused by every worker. It fails at once wherever it
+	// starts, tens of thousands of times in one epoch, so that the epoch's run numbers had run
+	// into those of the next epoch when another leader took over.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
 	h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].runs = 1<<runBits - 1
@@ -123,14 +120,13 @@
 	require.Empty(t, h.starts())
 }
 
-func TestWorkThatFillsKeepsAwayFromWhatServes(t *testing.T) {
-	// Symptom: a service answers too late while work that fills runs beside it.
-	// Sequence: a worker has a task that serves; work that fills counts for no
-	//   processors, so that it fits there; or the other way round.
-	// Cause: neither was looked at when the other was placed.
+func TestBestEffortWorkAvoidsServingTasks(t *testing.T) {
+	// A service answered too late while best-effort work ran beside it. Best-effort work books
+	// no processors, so that it fits on a worker with a serving task, and neither was
+	// considered when the other was placed.
 	fill := oneTask()
 	fill.Fills, fill.Count, fill.Size.CPU = true, 3, 4000
-	t.Run("fills come second", func(t *testing.T) {
+	t.Run("best-effort work comes second", func(t *testing.T) {
 		h := newHarness(t, 1, "w-a", "w-b")
 		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
 		h.step(50 * time.Millisecond)
@@ -147,7 +143,7 @@
 			require.NotEqual(t, serves, s.To.ID)
 		}
 	})
-	t.Run("what serves comes second", func(t *testing.T) {
+	t.Run("serving task comes second", func(t *testing.T) {
 		h := newHarness(t, 1, "w-a")
 		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, fill)}}))
 		h.step(50 * time.Millisecond)
@@ -163,14 +159,14 @@
 				stops++
 			}
 		}
-		require.Equal(t, 3, stops, "what fills there gives way")
+		require.Equal(t, 3, stops, "best-effort work there is stopped")
 		require.Len(t, h.starts(), 1)
 	})
 }
 
-// TestLastingJobsUnderRandomTroubles keeps services running while daemons are
-// killed and the store fails; nobody troubles the workers, so that the system
-// itself must not take a task away.
+// TestLastingJobsUnderRandomTroubles keeps services running while daemons are killed and the
+// store fails. No faults are injected into the workers, so the system itself must not stop a
+// task.
 func TestLastingJobsUnderRandomTroubles(t *testing.T) {
 	overSeeds(t, 3, longRunningUnderFaults)
 }
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// timedEntry is an accepted job of one task, due at the engine's times from,
+// timedEntry returns the submission of a job that is due at the engine's times from,
 // from+interval and so on.
 func timedEntry(t *testing.T, repeat int, from, interval time.Duration, steps ...work.Step) store.Entry {
 	j := &work.Job{Queue: work.Queue{Name: "q", Service: "s", Attempts: 2, Slack: 2}, Spec: "x", Steps: steps, Epoch: 1,
@@ -22,7 +22,7 @@
 	return store.Entry{Key: KeyIn(testJob), Value: value}
 }
 
-// done lists the ends of the runs that were started.
+// done reports the started runs as done.
 func done(number int64, starts ...SendStart) runner.Report {
 	var r runner.Report
 	for _, s := range starts {
@@ -33,15 +33,14 @@
 }
 
 func TestOccurrencesStartWhenTheyAreDue(t *testing.T) {
-	// Symptom: a job that is to run at given times runs at once, and only once.
-	// Sequence: it is handed in ahead of its first time.
-	// Cause: its times were kept and not looked at.
+	// A timed job that is submitted ahead of its first time ran at once, and only once,
+	// because its times were stored but not used.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, 500*time.Millisecond, oneTask())}}))
 	h.step(50 * time.Millisecond)
 	h.report("w-a", runner.Report{})
 	h.step(900 * time.Millisecond)
-	require.Empty(t, h.starts(), "before the first time")
+	require.Empty(t, h.starts(), "before the first occurrence is due")
 	h.step(100 * time.Millisecond)
 	first := h.starts()
 	require.Len(t, first, 1)
@@ -49,7 +48,7 @@
 	h.report("w-a", done(1, first...))
 	h.step(300 * time.Millisecond)
 	state, _ := h.e.State(testJob)
-	require.Equal(t, work.Running, state, "one time is to come")
+	require.Equal(t, work.Running, state, "one occurrence is still to come")
 	h.step(200 * time.Millisecond)
 	second := h.starts()
 	require.Len(t, second, 1)
@@ -69,19 +68,18 @@
 	h.report("w-a", runner.Report{})
 	h.step(300 * time.Millisecond)
 	all := h.starts()
-	require.Len(t, all, 3, "each time's first step")
+	require.Len(t, all, 3, "each occurrence's first step")
 	h.report("w-a", done(1, all[1]))
 	next := h.starts()
-	require.Len(t, next, 1, "of the time whose first step is done")
+	require.Len(t, next, 1, "of the occurrence whose first step is done")
 	require.Equal(t, work.TaskID{Job: testJob, Occurrence: 1, Step: 1}, next[0].Start.Task)
 }
 
 func TestRunOfALaterOccurrenceIsTakenOver(t *testing.T) {
-	// Symptom: a task of a timed job runs twice after a takeover.
-	// Sequence: a leader starts an occurrence as it comes due and is lost; its
-	//   successor's time of day is a little behind, and a worker reports the run
-	//   or its end before the occurrence is due there.
-	// Cause: a run of an occurrence that is not due was taken for a stray.
+	// A task of a timed job ran twice after a takeover: a leader starts an occurrence when it
+	// comes due and fails; its successor's time of day is a little behind, so that a worker
+	// reports the run or its completion before the occurrence is due there. The run was taken
+	// for an untracked one.
 	for name, ended := range map[string]bool{"runs": false, "ended": true} {
 		t.Run(name, func(t *testing.T) {
 			h := newHarness(t, 2, "w-a")
@@ -124,9 +122,8 @@
 }
 
 func TestOpenOccurrencesAreBounded(t *testing.T) {
-	// Symptom: the leader's memory runs out over one small hand-in.
-	// Sequence: a job asks for a great many occurrences, all due long ago.
-	// Cause: each occurrence that is due is held with all of its tasks.
+	// A small submission used up the leader's memory: a job with a great many occurrences, all
+	// due long ago, each of which is kept in memory with all of its tasks.
 	h := newHarness(t, 1, "w-a")
 	wide := oneTask()
 	wide.Count = 1000
@@ -163,8 +160,8 @@
 	return j
 }
 
-// TestTimedJobsUnderRandomTroubles hands timed jobs in under the troubles of
-// TestRandomTroubles; the workers check that no start comes early.
+// TestTimedJobsUnderRandomTroubles submits timed jobs under the faults of TestRandomTroubles;
+// the workers check that no start comes early.
 func TestTimedJobsUnderRandomTroubles(t *testing.T) {
 	overSeeds(t, 3, func(t *testing.T, seed uint64) {
 		randomFaults(t, seed, func(rng *rand.Rand) *work.Job {
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// slowStore applies an engine's writes, each answered some time after it went out.
+// slowStore applies an engine's writes and answers each one some time after it was sent.
 type slowStore struct {
 	h        *harness
 	answer   time.Duration
@@ -39,7 +39,7 @@
 	s.entries[key] = store.Entry{Key: key, Value: value, Revision: s.rev}
 }
 
-// step moves the engine on by a tick and carries out what is due.
+// step advances the engine by a tick and executes what is due.
 func (s *slowStore) step() {
 	h := s.h
 	h.now += tickPeriod
@@ -88,7 +88,7 @@
 	return found
 }
 
-// runningJobs returns a bench with a slow store on which jobs of one task each run.
+// runningJobs returns a harness with a slow store on which jobs of one task each run.
 func runningJobs(t *testing.T, jobs int, policy Policy, answer time.Duration) (*harness, *slowStore, []SendStart) {
 	h := newHarness(t, 1)
 	h.e.o.Policy = policy.complete()
@@ -109,7 +109,7 @@
 	return h, s, starts
 }
 
-// endsOf lists ends of starts, numbered from the first's place among all.
+// endsOf reports completions of starts, numbered from first+1 on.
 func endsOf(first int, how runner.How, starts ...SendStart) runner.Report {
 	var r runner.Report
 	for i, x := range starts {
@@ -119,12 +119,9 @@
 }
 
 func TestEndsAreShownSoonWhileTheStoreIsSlow(t *testing.T) {
-	// Symptom: jobs are not shown as completed until long after a slow store is
-	//   quick again.
-	// Sequence: the store answers in 300 ms; for five seconds 200 jobs a second
-	//   end.
-	// Cause: one write at a time, with two keys for each ended job, carries 48 jobs
-	//   a second.
+	// Jobs were shown as completed only long after a slow store was fast again. The store
+	// answers in 300 ms and 200 jobs a second end for five seconds, but one write at a time,
+	// with two keys for each ended job, carries 48 jobs a second.
 	const perTick, ticks = 5, 200
 	slowest := func(policy Policy) (slowest time.Duration, writes int) {
 		h, s, starts := runningJobs(t, perTick*ticks, policy, 300*time.Millisecond)
@@ -152,15 +149,15 @@
 	one, _ := slowest(Policy{WriteChains: 1, NoBundles: true})
 	bundles, _ := slowest(Policy{WriteChains: 1})
 	all, writes := slowest(Policy{})
-	t.Logf("slowest end shown after %v with one write at a time, %v with bundles, %v with chains as well", one, bundles, all)
+	t.Logf("slowest end shown after %v with one write at a time, %v with batches, %v with write streams as well", one, bundles, all)
 	require.Greater(t, one, 5*time.Second)
 	require.LessOrEqual(t, bundles, 700*time.Millisecond, "an answer for the write before, and one for its own")
 	require.LessOrEqual(t, all, 450*time.Millisecond)
-	require.Less(t, writes, 120, "no more than one each overlapDelay")
+	require.Less(t, writes, 120, "at most one per overlapDelay")
 }
 
 func TestQuickStoreHasOneWriteAtATime(t *testing.T) {
-	// Symptom looked for: chains cost calls when they gain nothing.
+	// With a fast store, several write streams must not cost more writes than one.
 	const jobs = 400
 	counts := map[int]int{}
 	for _, chains := range []int{1, 4} {
@@ -177,13 +174,12 @@
 }
 
 func TestJobsMoveOutOfBundles(t *testing.T) {
-	// Symptom looked for: bundles pile up in the store, or hand-ins of ended jobs
-	//   stay.
+	// Batches must not accumulate in the store, nor submissions of ended jobs remain.
 	const jobs = 150
 	h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
 	h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, starts...), nil)
 	s.run(400 * time.Millisecond)
-	require.NotEmpty(t, s.withPrefix(PrefixBundle), "a bundle took what had no room")
+	require.NotEmpty(t, s.withPrefix(PrefixBundle), "a batch has what did not fit under separate keys")
 	for _, x := range starts {
 		state, _ := h.e.State(x.Start.Task.Job)
 		require.Equal(t, work.Completed, state)
@@ -191,16 +187,15 @@
 	s.run(15 * time.Second)
 	require.Empty(t, s.withPrefix(PrefixBundle))
 	require.Empty(t, s.withPrefix(PrefixJobs))
-	require.Empty(t, s.withPrefix(prefixSpec), "specs go with their jobs")
+	require.Empty(t, s.withPrefix(prefixSpec), "specs are removed with their jobs")
 	require.Len(t, s.withPrefix(PrefixState), jobs)
 }
 
 func TestSuccessorReadsBundles(t *testing.T) {
-	// Symptom looked for: ends that the store has only in a bundle are lost with
-	//   the leader, and their tasks run again after the end was acknowledged.
-	// Sequence: half of many jobs end as done, the others fail once; the leader is
-	//   lost right after the write, or after some jobs have moved to their own keys
-	//   and failed a second time.
+	// Completions that the store has only in a batch must not be lost with the leader, or
+	// their tasks would run again after the completion was acknowledged. Half of many jobs end
+	// as done, the others fail once; the leader fails right after the write, or after some
+	// jobs have moved to their own keys and failed a second time.
 	const jobs = 100
 	for _, later := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
 		h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
@@ -224,15 +219,14 @@
 		took := newSlowStore(next, 0)
 		took.entries, took.rev = s.entries, s.rev
 		took.run(5 * time.Second)
-		require.Empty(t, took.withPrefix(PrefixBundle), "the successor moves jobs out of bundles as well")
+		require.Empty(t, took.withPrefix(PrefixBundle), "the successor moves jobs out of batches as well")
 		require.Len(t, took.withPrefix(PrefixJobs), jobs/2)
 	}
 }
 
 func TestNewestProgressStands(t *testing.T) {
-	// Symptom looked for: a job that failed twice is tried as if it had failed
-	//   once, since its own key holds older progress than a bundle, or a bundle
-	//   older progress than its own key.
+	// A job that failed twice must not be tried as if it had failed once, whether its own key
+	// has older progress than a batch, or a batch older progress than its own key.
 	failedRuns := func(runs ...uint64) work.Progress {
 		return work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: runs}}}}}
 	}
@@ -259,15 +253,15 @@
 	h := newHarness(t, 2)
 	err := h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: []byte("?"), Revision: 1}}})
 	require.ErrorContains(t, err, PrefixBundle+"x")
-	require.NotNil(t, h.e.jobs[testJob], "the others are taken")
+	require.NotNil(t, h.e.jobs[testJob], "the other entries are loaded")
 	s := newSlowStore(h, 0)
 	s.put(PrefixBundle+"x", nil)
 	s.run(time.Second)
 	require.Len(t, s.withPrefix(PrefixBundle), 1)
 }
 
-// TestRandomTroublesOfASlowStore is TestRandomTroubles with a store that is slow
-// now and then and writes of a few keys, so that bundles are in use throughout.
+// TestRandomTroublesOfASlowStore is TestRandomTroubles with a store that is sometimes slow and
+// writes of few keys, so that batches are in use all the time.
 func TestRandomTroublesOfASlowStore(t *testing.T) {
 	first, seeds := seedsOfRun(t, 4)
 	batches := uint64(0)
@@ -282,5 +276,5 @@
 			})
 		})
 	}
-	require.Positive(t, batches, "no bundle was written")
+	require.Positive(t, batches, "no batch was written")
 }
--- a/process/dispatch/quotaorder_test.go
+++ b/process/dispatch/quotaorder_test.go
@@ -11,16 +11,15 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// ofPriority is an entry whose queue has a priority.
+// ofPriority returns an entry whose queue has a priority.
 func ofPriority(t *testing.T, e store.Entry, priority int) store.Entry {
 	return changed(t, e, func(j *work.Job) { j.Queue.Priority = priority })
 }
 
 func TestQuickWorkFindsRoomUnderItsAccountsCap(t *testing.T) {
-	// Symptom: an account's quick jobs wait for seconds beside free workers.
-	// Sequence: it hands in quick jobs all the time, and a wave of long tasks of a queue
-	//   that comes after; together they ask for more than its cap.
-	// Cause: the long tasks take whatever of the cap comes free, all of it.
+	// An account's quick jobs waited for seconds beside idle workers: it submits quick jobs
+	// all the time, and a burst of long tasks of a queue of lower priority; together they need
+	// more than its cap, and the long tasks took all of the cap that became free.
 	for _, without := range []bool{false, true} {
 		h := readyHarness(t, "w-1", "w-2")
 		h.e.o.Policy.QuotaHeadroom = !without
@@ -43,17 +42,17 @@
 			require.Empty(t, h.starts(), "no quick job starts until a long task ends")
 			continue
 		}
-		require.Equal(t, 3, left, "as much as quick jobs used of late")
+		require.Equal(t, 3, left, "as much as quick jobs used recently")
 		require.Len(t, h.starts(), 3)
-		h.step(4 * headroomTime) // none come any more
-		require.NotEmpty(t, h.starts(), "what nobody uses is given back")
+		h.step(4 * headroomTime) // no more quick jobs are submitted
+		require.NotEmpty(t, h.starts(), "unused headroom is released")
 	}
 }
 
 func TestGangOfMostOfACapIsNotStarvedByItsAccountsSmallWork(t *testing.T) {
-	// Symptom: a gang that needs most of its account's cap starts only when the account
-	//   hands in nothing else.
-	// Sequence: small tasks of a later queue end one by one, and others take their place.
+	// A gang that needs most of its account's cap started only when the account submitted
+	// nothing else: small tasks of a lower-priority queue end one by one, and others take
+	// their place.
 	h := readyHarness(t, "w-1", "w-2")
 	h.e.SetAccounts(h.now, accountsOf(t, work.Account{Name: "north", Cap: work.Resources{CPU: 10000}}))
 	require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", firstJob, 1, tasksOf(60, false)), 2)))
@@ -80,7 +79,7 @@
 			return
 		}
 		if reserved {
-			require.Empty(t, starts, "small work leaves the gang's room free")
+			require.Empty(t, starts, "small work leaves the gang's share of the cap free")
 		}
 	}
 	t.Fatal("the gang has not started")
--- a/process/dispatch/shrink_test.go
+++ b/process/dispatch/shrink_test.go
@@ -12,12 +12,12 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// resize tells the engine that a worker has another capacity.
+// resize reports a worker with another capacity to the engine.
 func (h *harness) resize(id runner.WorkerID, capacity work.Resources) {
 	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: capacity, Labels: []string{"a", "r"}})
 }
 
-// TestNothingStartsOnAWorkerThatHasBecomeTooSmall guards against starts over a room that
+// TestNothingStartsOnAWorkerThatHasBecomeTooSmall guards against starts beyond a capacity that
 // has shrunk.
 func TestNothingStartsOnAWorkerThatHasBecomeTooSmall(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
@@ -30,7 +30,7 @@
 	require.Len(t, first, 4)
 	h.resize("w-a", work.Resources{CPU: 2000, Memory: 4000})
 	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run}, {Number: 2, Task: first[1].Start.Task, Run: first[1].Start.Run}}})
-	require.Empty(t, h.starts(), "two run in room for two")
+	require.Empty(t, h.starts(), "two run, and there is capacity for two")
 	h.report("w-a", runner.Report{Clock: 3 * time.Second, Ended: []runner.End{{Number: 3, Task: first[2].Start.Task, Run: first[2].Start.Run}}})
 	require.Len(t, h.starts(), 1)
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
@@ -38,8 +38,8 @@
 	require.Len(t, h.starts(), 1, "it has grown again")
 }
 
-// TestUnansweredStartIsNotSentAgainToAWorkerThatHasBecomeTooSmall guards against a start
-// that fitted when it was decided and arrives when it does not.
+// TestUnansweredStartIsNotSentAgainToAWorkerThatHasBecomeTooSmall guards against a start that
+// fitted when it was decided but not when it arrives.
 func TestUnansweredStartIsNotSentAgainToAWorkerThatHasBecomeTooSmall(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
@@ -58,16 +58,16 @@
 		}
 	}
 	require.Empty(t, h.starts())
-	require.Equal(t, 1, stops, "should it have arrived")
+	require.Equal(t, 1, stops, "in case it has arrived")
 }
 
-// TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall guards against a trial that waits for
-// its record longer than its room lasts.
+// TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall guards against a trial whose worker shrinks
+// while the trial waits to be recorded.
 func TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall(t *testing.T) {
 	h := loadSuspect(t, twoCrashes, "w-a")
 	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second}, nil)
 	var chains []int
-	for range 10 { // the write of the trial's record takes long
+	for range 10 { // the write of the trial's record is slow
 		h.now += tickPeriod
 		h.e.Tick(h.now)
 		for _, x := range h.e.Flush(h.now) {
@@ -91,8 +91,8 @@
 	require.Len(t, h.starts(), 1)
 }
 
-// TestSuccessorKnowsRoomsThatHaveShrunk guards against a leader that fills a worker to the
-// capacity that it had in its predecessor's time.
+// TestSuccessorKnowsRoomsThatHaveShrunk guards against a leader that fills a worker up to the
+// capacity that it had before the takeover.
 func TestSuccessorKnowsRoomsThatHaveShrunk(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
 		c := newTestCell(t, seed, 16, 3, usualBehaviour(0))
@@ -103,11 +103,11 @@
 	})
 }
 
-// capacityLag is how long a worker's capacity may be out of date: the directory is watched
-// with pauses, over a store that may answer late.
+// capacityLag is how long the engine's record of a worker's capacity may be out of date: the
+// directory is watched with pauses, over a store that may answer late.
 const capacityLag = 4500 * time.Millisecond
 
-// resizeSome draws new capacities for workers, of which all get back what they had.
+// resizeSome draws new capacities for some workers, and restores each after a while.
 func (c *cell) resizeSome() {
 	for _, id := range c.fleet.IDs() {
 		if c.rng.IntN(3) > 0 {
