--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -12,7 +12,7 @@
 // A run is charged to its job's account from the decision to start it until it is known to
 // have ended. A start without an answer is charged all that time, because it may still be
 // carried out seconds later. Runs that earlier epochs may have started and that no worker has
-// reported yet are charged as well: see countUnseen.
+// reported yet are charged as well: see countUnconfirmed.
 
 // SetAccounts takes the accounts of the configuration in force; nil if it has none. An account
 // that is no longer listed keeps its last cap, since its jobs go on.
@@ -156,7 +156,7 @@
 	w.untracked = w.untracked[:0]
 }
 
-// countUnseen charges the accounts for what an earlier epoch may have started, as long as
+// countUnconfirmed charges the accounts for what an earlier epoch may have started, as long as
 // workers have not answered. These are the waiting tasks of jobs that it may have started,
 // bounded by the capacity of those workers or, for cordoned ones, by the tasks listed for
 // them; and the runs that were being stopped of jobs that had ended.
@@ -164,38 +164,38 @@
 // Otherwise, if a leader fails while an account is at its cap, its successor sees the
 // account's runs only as the workers answer, takes the account to use nothing, and starts its
 // waiting work beside them.
-func (e *Engine) countUnseen() {
-	if e.unresolved == 0 && len(e.endedHeld) == 0 && !e.anyUnseen {
+func (e *Engine) countUnconfirmed() {
+	if e.unresolved == 0 && len(e.endedHeld) == 0 && !e.anyUnconfirmed {
 		return
 	}
-	unseen := map[*quota.Account]quota.Size{}
+	sums := map[*quota.Account]quota.Size{}
 	if e.unresolved > 0 {
-		e.countInherited(unseen)
+		e.countInherited(sums)
 		most, listed := e.unresolvedCapacity(), e.countListed()
-		for a, size := range unseen {
-			unseen[a] = size.Least(most.Add(listed[a]))
+		for a, size := range sums {
+			sums[a] = size.Least(most.Add(listed[a]))
 		}
 	}
 	if e.unresolved == 0 && !e.anyUntracked() {
 		clear(e.endedHeld)
 	}
 	for a, size := range e.endedHeld {
-		unseen[a] = unseen[a].Add(size)
+		sums[a] = sums[a].Add(size)
 	}
-	e.ledger.Each(func(a *quota.Account) { a.SetUnseen(unseen[a]) })
-	e.anyUnseen = len(unseen) > 0
+	e.ledger.Each(func(a *quota.Account) { a.SetUnseen(sums[a]) })
+	e.anyUnconfirmed = len(sums) > 0
 }
 
 // countInherited adds up, by account, the tasks that have no allocation and that an earlier
 // epoch may have started, including those of jobs cancelled since.
-func (e *Engine) countInherited(unseen map[*quota.Account]quota.Size) {
+func (e *Engine) countInherited(sums map[*quota.Account]quota.Size) {
 	for _, j := range e.jobs {
 		if !j.inherited {
 			continue
 		}
 		for s := range j.steps() {
 			if n := len(s.pending); n > 0 && s.ready() {
-				unseen[j.account] = unseen[j.account].Add(s.charge().Times(n))
+				sums[j.account] = sums[j.account].Add(s.charge().Times(n))
 			}
 		}
 	}
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -214,11 +214,11 @@
 	require.NoError(t, next.e.Accepted(next.now, jobOf(t, "north", secondJob, 2, tasksOf(3, false))))
 	next.answer("w-2")
 	require.Len(t, next.starts(), 1, "four may run on the other worker")
-	strays := runner.Report{Clock: time.Second + next.now}
+	untracked := runner.Report{Clock: time.Second + next.now}
 	for _, s := range starts {
-		strays.Running = append(strays.Running, runner.Live{Task: s.Start.Task, Run: s.Start.Run})
+		untracked.Running = append(untracked.Running, runner.Live{Task: s.Start.Task, Run: s.Start.Run})
 	}
-	next.report("w-1", strays)
+	next.report("w-1", untracked)
 	require.Empty(t, next.starts(), "they run there, and are being stopped")
 	next.answer("w-1")
 	require.Len(t, next.starts(), 2)
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -429,7 +429,7 @@
 	a.inFlight++
 	proxy.busy, proxy.workers, proxy.sent, proxy.until = s, a.toAsk[:n:n], e.now, e.now+cost+adviceGrace
 	a.toAsk = a.toAsk[n:]
-	e.out = append(e.out, AskAdvice{Member: proxy.member, Step: s.id(), Workers: proxy.workers, Timeout: cost + adviceGrace})
+	e.effects = append(e.effects, AskAdvice{Member: proxy.member, Step: s.id(), Workers: proxy.workers, Timeout: cost + adviceGrace})
 }
 
 func (proxy *adviceProxy) cost() time.Duration {
--- a/process/dispatch/bench_test.go
+++ b/process/dispatch/bench_test.go
@@ -59,6 +59,6 @@
 	for i := range b.N {
 		e.now = time.Duration(i) * 5 * time.Millisecond
 		e.schedule()
-		e.out = nil
+		e.effects = nil
 	}
 }
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -65,10 +65,10 @@
 
 func (a *adviser) ask(ctx context.Context, member, step string, workers []runner.WorkerID) ([]runner.Ticket, error) {
 	a.mu.Lock()
-	lane := a.members[member]
-	if lane == nil {
-		lane = &sync.Mutex{}
-		a.members[member] = lane
+	memberMu := a.members[member]
+	if memberMu == nil {
+		memberMu = &sync.Mutex{}
+		a.members[member] = memberMu
 	}
 	a.mu.Unlock()
 	if err := sleep.For(ctx, 5*time.Millisecond+time.Duration(len(workers))*200*time.Microsecond); err != nil {
@@ -421,7 +421,7 @@
 	randomFaultsOf(t, newTestCell(t, seed, 16, 3, usualBehaviour(0.05)), draw, (*cell).injectFault)
 }
 
-func randomFaultsOf(t *testing.T, c *cell, draw func(*rand.Rand) *work.Job, trouble func(*cell)) {
+func randomFaultsOf(t *testing.T, c *cell, draw func(*rand.Rand) *work.Job, inject func(*cell)) {
 	time.Sleep(2 * time.Second)
 	next := time.Now().Add(2 * time.Second)
 	for i := range 120 {
@@ -431,7 +431,7 @@
 		}
 		time.Sleep(time.Duration(c.rng.IntN(300)) * time.Millisecond)
 		if i < 100 && time.Now().After(next) {
-			trouble(c)
+			inject(c)
 			next = time.Now().Add(time.Duration(500+c.rng.IntN(3000)) * time.Millisecond)
 		}
 	}
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -359,10 +359,10 @@
 	task := work.TaskID{Job: testJob}
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}}})
 	require.NoError(t, err)
-	closed, err := peer.Marshal(cordonRecord{Workers: []cordonedWorker{{ID: "w-a", Tasks: []work.TaskID{task}, Suspects: []suspectRun{{Task: task, Run: 1, Sole: true}}}}})
+	cordoned, err := peer.Marshal(cordonRecord{Workers: []cordonedWorker{{ID: "w-a", Tasks: []work.TaskID{task}, Suspects: []suspectRun{{Task: task, Run: 1, Sole: true}}}}})
 	require.NoError(t, err)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())},
-		Fleet: []store.Entry{{Key: keyFleet, Value: fleet}, {Key: keyCordoned, Value: closed}}}))
+		Fleet: []store.Entry{{Key: keyFleet, Value: fleet}, {Key: keyCordoned, Value: cordoned}}}))
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // listed
 	for range 24 {
 		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -17,9 +17,9 @@
 
 // Engine is the scheduler's state machine for one epoch. It is not safe for concurrent use.
 type Engine struct {
-	o   Options
-	now time.Duration
-	out []Effect
+	o       Options
+	now     time.Duration
+	effects []Effect
 
 	jobs map[work.JobID]*job
 	// cancels are the cancellations that ended no job, because the submission has not been
@@ -51,9 +51,9 @@
 	fair      *fair.Book
 	usages    map[usageKey]*usage
 	// priorities lists, in rising order, those at which an account has run anything.
-	priorities map[*quota.Account][]int
-	keptFree   map[*quota.Account]quota.Size // reserved in this round
-	anyUnseen  bool                          // an account is charged for runs that no worker has reported yet
+	priorities     map[*quota.Account][]int
+	keptFree       map[*quota.Account]quota.Size // reserved in this round
+	anyUnconfirmed bool                          // an account is charged for runs that no worker has reported yet
 
 	// tasksByCrash holds, by worker, the tasks with crash records of that worker; crashedAt,
 	// by address, when a worker's incarnation ended recently.
@@ -294,8 +294,8 @@
 	return j.visible, true
 }
 
-// Owner returns the client account of a job; "" if the job has none or is not known.
-func (e *Engine) Owner(id work.JobID) string {
+// AccountOf returns the client account of a job; "" if the job has none or is not known.
+func (e *Engine) AccountOf(id work.JobID) string {
 	if j := e.jobs[id]; j != nil {
 		return j.spec.Account
 	}
@@ -325,8 +325,8 @@
 		e.schedule()
 	}
 	e.persist()
-	out := e.out
-	e.out = nil
+	out := e.effects
+	e.effects = nil
 	return out
 }
 
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -17,10 +17,10 @@
 
 // harness drives an engine; the test answers its calls.
 type harness struct {
-	t   *testing.T
-	e   *Engine
-	now time.Duration
-	out []Effect
+	t       *testing.T
+	e       *Engine
+	now     time.Duration
+	effects []Effect
 }
 
 func newHarness(t *testing.T, epoch uint64, workers ...runner.WorkerID) *harness {
@@ -42,7 +42,7 @@
 				h.e.Committed(h.now, c.Chain)
 				continue
 			}
-			h.out = append(h.out, x)
+			h.effects = append(h.effects, x)
 		}
 	}
 }
@@ -57,12 +57,12 @@
 // sent returns the kept effects of one type, and drops all kept effects.
 func sent[T Effect](h *harness) []T {
 	var all []T
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if s, ok := x.(T); ok {
 			all = append(all, s)
 		}
 	}
-	h.out = nil
+	h.effects = nil
 	return all
 }
 
@@ -139,14 +139,14 @@
 	for range 60 {
 		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
 		h.e.Renewed(h.now, "w-b", runner.Report{Clock: time.Second + h.now}, nil)
-		for _, x := range h.out {
+		for _, x := range h.effects {
 			if s, ok := x.(SendStart); ok {
 				require.Equal(t, runner.WorkerID("w-b"), s.To.ID)
 				require.Greater(t, h.now, testLease, "before the lease has run out")
 				return
 			}
 		}
-		h.out = nil
+		h.effects = nil
 		h.step(200 * time.Millisecond)
 	}
 	t.Fatal("the task never started again")
@@ -193,7 +193,7 @@
 	w := h.e.workers[to]
 	h.step(2 * time.Second)
 	require.Empty(t, h.otherStarts(to, run))
-	h.out = nil // the attempts
+	h.effects = nil // the attempts
 	require.Equal(t, 1000, w.used.CPU)
 	h.e.StopAnswered(h.now, to, task, run, nil)
 	h.step(time.Second)
@@ -210,7 +210,7 @@
 // otherStarts returns the start orders that were sent, except those of one run.
 func (h *harness) otherStarts(to runner.WorkerID, run uint64) []SendStart {
 	var all []SendStart
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if s, ok := x.(SendStart); ok && (s.To.ID != to || s.Start.Run != run) {
 			all = append(all, s)
 		}
@@ -297,7 +297,7 @@
 	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run, How: runner.Failed}}})
 	h.step(50 * time.Millisecond)
 	var asked []runner.WorkerID
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if a, ok := x.(AskAdvice); ok {
 			asked = append(asked, a.Workers...)
 		}
@@ -353,7 +353,7 @@
 	task := starts[0].Start.Task
 	h.report("w-a", runner.Report{Running: []runner.Live{{Task: task, Run: 9}}})
 	var stopped []SendStop
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if s, ok := x.(SendStop); ok {
 			stopped = append(stopped, s)
 		}
@@ -387,7 +387,7 @@
 	h.report("w-a", runner.Report{})
 	h.report("w-b", runner.Report{})
 	asked := map[work.JobID]bool{}
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if a, ok := x.(AskAdvice); ok {
 			asked[a.Step.Job] = true
 		}
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -137,15 +137,15 @@
 		return true
 	}
 	for i := range s.tasks {
-		if e.mayRunUnseen(s, i) {
+		if e.mayRunUnreported(s, i) {
 			return false
 		}
 	}
 	return true
 }
 
-// mayRunUnseen reports whether a task may run on a cordoned worker that has not answered.
-func (e *Engine) mayRunUnseen(s *step, i int) bool {
+// mayRunUnreported reports whether a task may run on a cordoned worker that has not answered.
+func (e *Engine) mayRunUnreported(s *step, i int) bool {
 	if len(e.mayRun) == 0 {
 		return false
 	}
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -175,19 +175,19 @@
 		h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrUnknown)
 		s.step()
 	}
-	closed := func() []cordonedWorker {
+	cordoned := func() []cordonedWorker {
 		var cordons cordonRecord
 		require.NoError(t, peer.Unmarshal(s.entries[keyCordoned].Value, &cordons))
 		return cordons.Workers
 	}
-	require.Len(t, closed(), 1)
+	require.Len(t, cordoned(), 1)
 	require.NoError(t, h.e.Accepted(h.now, jobEntry(t, 1, 2, oneTask())))
-	h.out = nil
+	h.effects = nil
 	for range 40 {
 		h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second + h.now}, nil)
 		s.step()
 		if len(h.starts()) > 0 {
-			require.Empty(t, closed())
+			require.Empty(t, cordoned())
 			return
 		}
 	}
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -60,11 +60,11 @@
 	for _, id := range []runner.WorkerID{"w-a", "w-b"} {
 		s.advice.add(ticket{h.e.workers[id], "t", h.now + 1500*time.Millisecond})
 	}
-	h.out = nil
+	h.effects = nil
 	h.e.Members(h.now, []string{"d"})
 	h.step(50 * time.Millisecond)
 	var asked []AskAdvice
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if a, ok := x.(AskAdvice); ok {
 			asked = append(asked, a)
 		}
@@ -72,7 +72,7 @@
 	require.Len(t, asked, 1)
 	require.Equal(t, []runner.WorkerID{"w-c"}, asked[0].Workers)
 	h.e.Advised(h.now, "d", asked[0].Step, []runner.Ticket{{Worker: "w-c", Ticket: "t"}}, nil)
-	h.out = nil
+	h.effects = nil
 	h.step(50 * time.Millisecond)
 	require.Len(t, h.starts(), 3)
 }
@@ -123,12 +123,12 @@
 				h.report(s.To.ID, runner.Report{Clock: time.Second + h.now, Running: []runner.Live{row}})
 			}
 			h.step(500 * time.Millisecond)
-			for _, x := range h.out {
+			for _, x := range h.effects {
 				if _, ok := x.(SendStop); ok {
 					stops++
 				}
 			}
-			h.out = nil
+			h.effects = nil
 		}
 		require.Equal(t, percent < nearlyDone, stops > 0, "at %v percent", percent)
 	}
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -149,13 +149,13 @@
 
 func (h *Host) readAll(ctx context.Context) (rev store.Revision, saved Saved, err error) {
 	var wg sync.WaitGroup
-	var jobsErr, statesErr, bundlesErr, fleetErr error
+	var jobsErr, statesErr, batchesErr, fleetErr error
 	wg.Go(func() { saved.Accepted, rev, jobsErr = h.list(ctx, PrefixJobs) })
 	wg.Go(func() { saved.States, _, statesErr = h.list(ctx, PrefixState) })
-	wg.Go(func() { saved.Bundles, _, bundlesErr = h.list(ctx, PrefixBundle) })
+	wg.Go(func() { saved.Bundles, _, batchesErr = h.list(ctx, PrefixBundle) })
 	wg.Go(func() { saved.Fleet, _, fleetErr = h.list(ctx, prefixFleet) })
 	wg.Wait()
-	return rev, saved, errors.Join(jobsErr, statesErr, bundlesErr, fleetErr)
+	return rev, saved, errors.Join(jobsErr, statesErr, batchesErr, fleetErr)
 }
 
 // list reads a prefix, again if the response was lost.
@@ -296,7 +296,7 @@
 func (h *Host) State(ctx context.Context, id work.JobID) (shown Shown, known bool, err error) {
 	err = h.do(ctx, func(e *Engine, _ time.Duration) {
 		shown.State, known = e.State(id)
-		shown.Account = e.Owner(id)
+		shown.Account = e.AccountOf(id)
 	})
 	return shown, known, err
 }
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -123,7 +123,7 @@
 	h.report(id, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
 	last := func() (r runner.Renewal) {
 		h.step(400 * time.Millisecond) // longer than the pauses between renewals
-		for _, x := range h.out {
+		for _, x := range h.effects {
 			if x, ok := x.(SendRenew); ok {
 				r = x.Renewal
 			}
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -36,9 +36,7 @@
 // noWorkers is a directory without workers.
 type noWorkers struct{}
 
-func (noWorkers) List(context.Context) ([]runner.Worker, store.Revision, error) {
-	return nil, 1, nil
-}
+func (noWorkers) List(context.Context) ([]runner.Worker, store.Revision, error) { return nil, 1, nil }
 
 func (noWorkers) Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]runner.Change, store.Revision, error) {
 	return nil, after, sleep.For(ctx, wait)
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -154,7 +154,7 @@
 		require.NoError(t, h.e.Accepted(h.now, service))
 		h.step(50 * time.Millisecond)
 		stops := 0
-		for _, x := range h.out {
+		for _, x := range h.effects {
 			if _, ok := x.(SendStop); ok {
 				stops++
 			}
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -92,7 +92,7 @@
 			}
 			h.report("w-a", r)
 			h.step(3 * time.Second)
-			for _, x := range h.out {
+			for _, x := range h.effects {
 				_, stop := x.(SendStop)
 				require.False(t, stop, "stopped")
 			}
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -130,7 +130,7 @@
 	e.stats.Commits++
 	e.urgent = false
 	e.dirtyAt, e.writtenAt = e.now, e.now
-	e.out = append(e.out, c)
+	e.effects = append(e.effects, c)
 }
 
 // keys is the number of keys that a write of the job under its own key changes.
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -67,7 +67,7 @@
 			s.inFlight = append(s.inFlight, pendingWrite{h.now + s.answer, x})
 		case SendStart:
 			h.e.Started(h.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
-			h.out = append(h.out, x)
+			h.effects = append(h.effects, x)
 		}
 	}
 }
@@ -147,11 +147,11 @@
 		return slowest, s.writes - before
 	}
 	one, _ := slowest(Policy{WriteChains: 1, NoBundles: true})
-	bundles, _ := slowest(Policy{WriteChains: 1})
+	batches, _ := slowest(Policy{WriteChains: 1})
 	all, writes := slowest(Policy{})
-	t.Logf("slowest end shown after %v with one write at a time, %v with batches, %v with write streams as well", one, bundles, all)
+	t.Logf("slowest end shown after %v with one write at a time, %v with batches, %v with write streams as well", one, batches, all)
 	require.Greater(t, one, 5*time.Second)
-	require.LessOrEqual(t, bundles, 700*time.Millisecond, "an answer for the write before, and one for its own")
+	require.LessOrEqual(t, batches, 700*time.Millisecond, "an answer for the write before, and one for its own")
 	require.LessOrEqual(t, all, 450*time.Millisecond)
 	require.Less(t, writes, 120, "at most one per overlapDelay")
 }
@@ -160,15 +160,15 @@
 	// With a fast store, several write streams must not cost more writes than one.
 	const jobs = 400
 	counts := map[int]int{}
-	for _, chains := range []int{1, 4} {
-		h, s, starts := runningJobs(t, jobs, Policy{WriteChains: chains}, 0)
+	for _, streams := range []int{1, 4} {
+		h, s, starts := runningJobs(t, jobs, Policy{WriteChains: streams}, 0)
 		before := s.writes
 		for i := range jobs {
 			h.e.Renewed(h.now, "w-a", endsOf(i, runner.Done, starts[i]), nil)
 			s.step()
 			require.LessOrEqual(t, len(s.inFlight), 1)
 		}
-		counts[chains] = s.writes - before
+		counts[streams] = s.writes - before
 	}
 	require.Equal(t, counts[1], counts[4])
 }
@@ -231,20 +231,20 @@
 		return work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: runs}}}}}
 	}
 	once, twice := failedRuns(1), failedRuns(1, 2)
-	for _, inBundle := range []bool{true, false} {
-		own, bundled := once, twice
-		if !inBundle {
-			own, bundled = twice, once
+	for _, inBatch := range []bool{true, false} {
+		own, batched := once, twice
+		if !inBatch {
+			own, batched = twice, once
 		}
 		state, err := work.EncodeProgress(&own)
 		require.NoError(t, err)
-		value, err := work.EncodeBundle([]work.JobProgress{{Job: testJob, Progress: bundled}})
+		value, err := work.EncodeBundle([]work.JobProgress{{Job: testJob, Progress: batched}})
 		require.NoError(t, err)
 		revs := map[bool]store.Revision{true: 9, false: 8}
 		h := newHarness(t, 2)
 		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 3, oneTask())},
-			States:  []store.Entry{{Key: KeyState(testJob), Value: state, Revision: revs[!inBundle]}},
-			Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: value, Revision: revs[inBundle]}}}))
+			States:  []store.Entry{{Key: KeyState(testJob), Value: state, Revision: revs[!inBatch]}},
+			Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: value, Revision: revs[inBatch]}}}))
 		require.Equal(t, []uint64{1, 2}, h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].failed)
 	}
 }
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -80,7 +80,7 @@
 		e.clearReservations()
 	}
 	e.countProxies()
-	e.countUnseen()
+	e.countUnconfirmed()
 	e.ledger.ClearWants()
 	clear(e.keptFree)
 	var r round
@@ -224,7 +224,7 @@
 	a := e.adviceOf(s)
 	missing := false
 	for _, i := range slices.Clone(s.pending) {
-		if e.mayRunUnseen(s, i) {
+		if e.mayRunUnreported(s, i) {
 			continue
 		}
 		if !e.withinQuota(s) {
--- a/process/dispatch/quotaorder_test.go
+++ b/process/dispatch/quotaorder_test.go
@@ -61,13 +61,13 @@
 	require.Len(t, running, 10)
 	require.NoError(t, h.e.Accepted(h.now, ofPriority(t, jobOf(t, "north", secondJob, 1, tasksOf(8, true)), 1)))
 	number := map[runner.WorkerID]int64{}
-	handedIn, after := h.now, 0
-	for h.now < handedIn+turnAfter+5*time.Second {
+	submittedAt, after := h.now, 0
+	for h.now < submittedAt+turnAfter+5*time.Second {
 		x := running[0]
 		number[x.To.ID]++
 		h.report(x.To.ID, done(number[x.To.ID], x))
 		h.step(300 * time.Millisecond)
-		reserved := h.now >= handedIn+turnAfter+300*time.Millisecond
+		reserved := h.now >= submittedAt+turnAfter+300*time.Millisecond
 		if reserved {
 			after++
 		}
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -22,7 +22,7 @@
 		r.Wait = renewWait
 	}
 	w.renewing, w.renewSent = true, e.now
-	e.out = append(e.out, SendRenew{To: w.Ref, Renewal: r, Timeout: r.Wait + renewGrace})
+	e.effects = append(e.effects, SendRenew{To: w.Ref, Renewal: r, Timeout: r.Wait + renewGrace})
 }
 
 // unacknowledged reports whether the worker has completions that are not stored yet: a renewal
@@ -164,7 +164,7 @@
 	e.stats.Orphans++
 	e.decide(Decision{What: "stop unexpected run", Task: r.Task, Run: r.Run, Worker: w.ID})
 	e.chargeUntracked(w, r.Task)
-	e.out = append(e.out, SendStop{To: w.Ref, Task: r.Task, Run: r.Run})
+	e.effects = append(e.effects, SendStop{To: w.Ref, Task: r.Task, Run: r.Run})
 }
 
 // adopt takes over a run of an earlier epoch.
--- a/process/dispatch/reserve.go
+++ b/process/dispatch/reserve.go
@@ -63,7 +63,7 @@
 func (e *Engine) reserveFor(s *step) bool {
 	s.reservedAt = e.now
 	a := e.adviceOf(s)
-	need, wanted := s.spec.Need(), s.tasksNeeded()
+	need, needed := s.spec.Need(), s.tasksNeeded()
 	type opening struct {
 		at time.Duration
 		w  *worker
@@ -74,7 +74,7 @@
 			continue
 		}
 		free, had := e.freeFor(s, w), 0
-		limit := s.perWorker(wanted) - s.liveOn(w)
+		limit := s.perWorker(needed) - s.liveOn(w)
 		for range need.Times(free, limit) {
 			openings = append(openings, opening{e.now, w})
 			had++
@@ -87,7 +87,7 @@
 			}
 		}
 	}
-	if len(openings) < wanted {
+	if len(openings) < needed {
 		return false
 	}
 	slices.SortStableFunc(openings, func(x, y opening) int {
@@ -96,7 +96,7 @@
 		}
 		return cmp.Compare(ticketEnd(a, y.w), ticketEnd(a, x.w)) // those with tickets first
 	})
-	openings = openings[:wanted]
+	openings = openings[:needed]
 	from := openings[len(openings)-1].at
 	for _, o := range openings {
 		o.w.reserved = append(o.w.reserved, reservation{s, need, from})
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -72,7 +72,7 @@
 	}
 	alloc.tries++
 	j := alloc.s.job
-	e.out = append(e.out, SendStart{To: alloc.w.Ref, Start: runner.Start{
+	e.effects = append(e.effects, SendStart{To: alloc.w.Ref, Start: runner.Start{
 		Task: alloc.id(), Run: alloc.run, Spec: j.spec.Spec, Home: j.spec.Home, Checkpoint: alloc.task().checkpoint, Ticket: alloc.ticket,
 		Epoch: e.o.Epoch, Until: alloc.w.renewUntil(e.now, e.o.Bounds.Lease),
 	}})
@@ -233,7 +233,7 @@
 func (e *Engine) sendStop(alloc *allocation) {
 	alloc.stopSent = e.now
 	e.stats.Stops++
-	e.out = append(e.out, SendStop{To: alloc.w.Ref, Task: alloc.id(), Run: alloc.run})
+	e.effects = append(e.effects, SendStop{To: alloc.w.Ref, Task: alloc.id(), Run: alloc.run})
 }
 
 // stopGang stops every member of a gang.
--- a/process/dispatch/shrink_test.go
+++ b/process/dispatch/shrink_test.go
@@ -50,9 +50,9 @@
 	h.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
 	h.now += tickPeriod
 	h.e.Started(h.now, "w-a", first[0].Start.Task, first[0].Start.Run, runner.ErrUnknown)
-	h.out = append(h.out, h.e.Flush(h.now)...)
+	h.effects = append(h.effects, h.e.Flush(h.now)...)
 	stops := 0
-	for _, x := range h.out {
+	for _, x := range h.effects {
 		if _, ok := x.(SendStop); ok {
 			stops++
 		}
@@ -66,22 +66,22 @@
 func TestTrialIsNotSentToAWorkerThatHasBecomeTooSmall(t *testing.T) {
 	h := loadSuspect(t, twoCrashes, "w-a")
 	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second}, nil)
-	var chains []int
+	var streams []int
 	for range 10 { // the write of the trial's record is slow
 		h.now += tickPeriod
 		h.e.Tick(h.now)
 		for _, x := range h.e.Flush(h.now) {
 			switch x := x.(type) {
 			case SendCommit:
-				chains = append(chains, x.Chain)
+				streams = append(streams, x.Chain)
 			case SendStart:
 				t.Fatal("started before it was recorded")
 			}
 		}
 	}
-	require.NotEmpty(t, chains)
+	require.NotEmpty(t, streams)
 	h.resize("w-a", work.Resources{CPU: 500, Memory: 4000})
-	for _, stream := range chains {
+	for _, stream := range streams {
 		h.e.Committed(h.now, stream)
 	}
 	h.step(100 * time.Millisecond)
