--- a/process/crash/crash_test.go
+++ b/process/crash/crash_test.go
@@ -8,28 +8,28 @@
 	"pgregory.net/rapid"
 )
 
-// TestGivenUpOnlyOnAttributedCrashes guards against a healthy task that is given up because workers
-// crashed while other work ran there as well.
+// TestGivenUpOnlyOnAttributedCrashes guards against a healthy task that is given up because
+// workers crashed while other work ran there as well.
 func TestGivenUpOnlyOnAttributedCrashes(t *testing.T) {
 	for _, c := range []struct {
 		sole, shared, open int
-		guilty             bool
+		givenUp            bool
 	}{
 		{sole: 1}, {sole: 2}, {shared: 3}, {sole: 2, open: 4}, {open: 6},
-		{sole: 1, shared: 2, guilty: true}, {sole: 2, shared: 1, guilty: true}, {sole: 3, guilty: true}, {shared: 4, guilty: true},
+		{sole: 1, shared: 2, givenUp: true}, {sole: 2, shared: 1, givenUp: true}, {sole: 3, givenUp: true}, {shared: 4, givenUp: true},
 	} {
 		var r Records
 		n := 0
-		lose := func(times int, sole, ended bool) {
+		addLosses := func(times int, sole, ended bool) {
 			for range times {
 				n++
 				r.AddLoss(uint64(n), fmt.Sprint("w-", n), sole, ended)
 			}
 		}
-		lose(c.sole, true, true)
-		lose(c.shared, false, true)
-		lose(c.open, false, false)
-		require.Equal(t, c.guilty, r.LimitReached(), "%+v", c)
+		addLosses(c.sole, true, true)
+		addLosses(c.shared, false, true)
+		addLosses(c.open, false, false)
+		require.Equal(t, c.givenUp, r.LimitReached(), "%+v", c)
 	}
 }
 
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -76,19 +76,19 @@
 )
 
 // at returns an element of a list that is only as long as the highest index set in it.
-func at[T any](list []T, slot int) (v T) {
-	if slot < len(list) {
-		return list[slot]
+func at[T any](list []T, index int) (v T) {
+	if index < len(list) {
+		return list[index]
 	}
 	return v
 }
 
 // set changes an element of such a list.
-func set[T any](list *[]T, slot int, v T) {
-	if missing := slot + 1 - len(*list); missing > 0 {
+func set[T any](list *[]T, index int, v T) {
+	if missing := index + 1 - len(*list); missing > 0 {
 		*list = append(*list, make([]T, missing)...)
 	}
-	(*list)[slot] = v
+	(*list)[index] = v
 }
 
 // verdictOf returns the verdict on a worker. A round of placement asks for every pair of a
@@ -244,12 +244,12 @@
 //
 // Gangs name the workers with the most free capacity first, other steps those with the least:
 // if small tasks went where most is free, a quarter of all processors could be free while no
-// worker had room for a large task. Workers that are slow or failed their last runs come last,
+// worker could run a large task. Workers that are slow or failed their last runs come last,
 // since slow workers are usually full.
-func (e *Engine) askFor(s *step, slots int) {
+func (e *Engine) askFor(s *step, n int) {
 	a := s.advice
-	slots = s.job.account.Times(s.charge(), slots)
-	if slots <= 0 || !e.mayAsk(s) {
+	n = s.job.account.Times(s.charge(), n)
+	if n <= 0 || !e.mayAsk(s) {
 		return
 	}
 	need := s.spec.Need()
@@ -265,7 +265,7 @@
 		if a.verdictOf(w) == bad || !e.eligible(s, w) || a.hasTicket(w, e.now) {
 			continue
 		}
-		fits := e.capacityFor(s, w, need, s.perWorker(slots))
+		fits := e.capacityFor(s, w, need, s.perWorker(n))
 		if fits == 0 && (known || !s.spec.Gang) {
 			continue
 		}
@@ -291,7 +291,7 @@
 	var ids []runner.WorkerID
 	expected := 0.0
 	for _, c := range all {
-		if expected >= float64(slots)*askFactor || len(ids) == most {
+		if expected >= float64(n)*askFactor || len(ids) == most {
 			break
 		}
 		ids = append(ids, c.id)
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -25,7 +25,7 @@
 	until time.Duration
 }
 
-func (q isolation) excludes(s *step, now time.Duration) bool { return now < q.until && q.s != s }
+func (iso isolation) excludes(s *step, now time.Duration) bool { return now < iso.until && iso.s != s }
 
 // pastCrashWindow reports whether a run is known to have started so long before at that, if
 // its worker was running at that time, the run has not crashed it.
@@ -266,7 +266,7 @@
 		case alloc.task().alloc != alloc || alloc.state != starting: // released meanwhile
 		case alloc.awaitsVersion > j.saved:
 			j.trials = append(j.trials, alloc)
-		case w.Draining || w.cordoned || w.misses > 0 || w.over():
+		case w.Draining || w.cordoned || w.misses > 0 || w.overbooked():
 			e.release(alloc)
 			e.memberNotStarted(alloc, errUnusable)
 		default:
--- a/process/dispatch/estimate.go
+++ b/process/dispatch/estimate.go
@@ -66,19 +66,19 @@
 	if alloc.state != running || alloc.percent >= nearlyDone {
 		return
 	}
-	still := e.now - max(alloc.percentAt, alloc.confirmedAt)
+	stalled := e.now - max(alloc.percentAt, alloc.confirmedAt)
 	bound := max(stallTimeout, e.estimate(alloc.s)/2)
 	if alloc.s.spec.Lasting {
 		bound = stallTimeout // its estimate says nothing about how soon it serves
 	}
-	if still < bound || alloc.w.answered < alloc.percentAt+stallTimeout {
+	if stalled < bound || alloc.w.answered < alloc.percentAt+stallTimeout {
 		return
 	}
 	e.stats.Moved++
 	w := alloc.w
 	alloc.task().avoidWorker(w.ID, e.now)
 	if w.noteFailure(e.now, alloc.s.job.id) {
-		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs stand still there", Age: w.quarantine})
+		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs stalled there", Age: w.quarantine})
 	}
 	if alloc.s.spec.Gang {
 		e.stopGang(alloc.s, "a member makes no progress")
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -139,8 +139,8 @@
 		byRack[x.w.rack] += x.n
 	}
 	best := ""
-	for rack, room := range byRack {
-		if room >= n && (best == "" || room < byRack[best] || (room == byRack[best] && rack < best)) {
+	for rack, slots := range byRack {
+		if slots >= n && (best == "" || slots < byRack[best] || (slots == byRack[best] && rack < best)) {
 			best = rack
 		}
 	}
@@ -161,14 +161,14 @@
 
 // rackFeasible reports whether a rack, if it were empty, could run the whole gang.
 func (e *Engine) rackFeasible(s *step) bool {
-	room := map[string]int{}
+	slots := map[string]int{}
 	for _, w := range e.workerList {
 		if w.Service != s.job.spec.Queue.Service || !w.has(s.spec.Labels) || w.removed || !w.goodFor(s) {
 			continue
 		}
-		room[w.rack] += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
+		slots[w.rack] += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
 	}
-	for _, n := range room {
+	for _, n := range slots {
 		if n >= s.spec.Count {
 			return true
 		}
--- a/process/dispatch/health.go
+++ b/process/dispatch/health.go
@@ -20,10 +20,11 @@
 	quarantineFailures = 2
 	quarantineMin      = 2 * time.Second
 	quarantineMax      = 12 * time.Second
-	// suspicionFail is added for a failed run and suspicionDone subtracted for one that is
-	// done; suspicionLimit quarantines the worker. They are logarithms of likelihood ratios:
-	// between a worker that fails two runs in five and one that fails one in twenty for the
-	// first two, and one in 150 false alarms on a healthy worker for the limit.
+	// suspicionFail is added for a failed run, suspicionDone is subtracted for one that is
+	// done, and at suspicionLimit the worker is quarantined. The first two are the logarithms
+	// of how much likelier a failed run, or one that is done, is on a worker that fails two
+	// runs in five than on one that fails one in twenty. The limit is the logarithm of 150:
+	// one healthy worker in 150 reaches it.
 	suspicionFail  = 2.0
 	suspicionDone  = 0.5
 	suspicionLimit = 5.0
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -17,10 +17,10 @@
 //
 // There are two rules, both within one account, so that no other account gains or loses by
 // them:
-//   - turns: a gang that has waited for turnAfter, and that only its account's cap blocks, keeps
-//     the room that it needs free of the work after it. Without turnAfter the rule costs more than
-//     it gains, because the cap is half empty each time a gang waits for the last of its room
-//     (mean value over four days and two seeds 0.721 with both rules, 0.753 with turnAfter);
+//   - turns: a gang that has waited for turnAfter, and that its account's cap blocks, keeps
+//     the room that it needs free of the work after it. Without the wait the rule costs more
+//     than it gains, because the cap is half empty each time a gang waits for the last of its
+//     room (mean value over four days and two seeds 0.721 with both rules, 0.753 as it is);
 //   - headroom, if the policy asks for it: work leaves room in the cap for the queues of higher
 //     priority, as much as these used recently. It serves quick work better and long work worse
 //     (0.740).
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -85,8 +85,8 @@
 
 // nextPause returns the pause before the next renewal of a worker whose completions cannot be
 // acknowledged yet.
-func nextPause(last time.Duration, news bool) time.Duration {
-	if news {
+func nextPause(last time.Duration, anyNew bool) time.Duration {
+	if anyNew {
 		return renewPauseMin
 	}
 	return min(max(2*last, renewPauseMin), renewPauseMax)
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -126,7 +126,7 @@
 		// Its cap was lowered since it was started.
 		e.stop(alloc, "no answer to the start, and its account is over its cap")
 		e.memberNotStarted(alloc, err)
-	case w.over():
+	case w.overbooked():
 		e.stop(alloc, "no answer to the start, and its worker's capacity has shrunk")
 		e.memberNotStarted(alloc, err)
 	case alloc.tries < maxStarts && w.misses == 0:
--- a/process/dispatch/types.go
+++ b/process/dispatch/types.go
@@ -10,7 +10,8 @@
 //   - a task has no second run before the first is known to have ended;
 //   - a completion is acknowledged to its worker only once it is in the store;
 //   - a job is shown as ended only once that is in the store;
-//   - no task starts before the steps it follows are done, after its job was cancelled, or after it failed as often as its queue allows.
+//   - no task starts before the steps it follows are done, after its job was cancelled, or
+//     after it failed as often as its queue allows.
 package dispatch
 
 import (
--- a/process/dispatch/worker.go
+++ b/process/dispatch/worker.go
@@ -110,8 +110,9 @@
 // free returns the capacity that is not booked.
 func (w *worker) free() work.Resources { return w.Capacity.Sub(w.used) }
 
-// over reports whether more is booked than the worker's capacity, which may have shrunk since.
-func (w *worker) over() bool { return !work.Resources{}.Fits(w.free()) }
+// overbooked reports whether more is booked than the worker's capacity, which may have shrunk
+// since.
+func (w *worker) overbooked() bool { return !work.Resources{}.Fits(w.free()) }
 
 // usable reports whether new runs may be started on the worker.
 func (w *worker) usable(now time.Duration) bool {
