--- a/process/dispatch/bench_test.go
+++ b/process/dispatch/bench_test.go
@@ -9,8 +9,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// BenchmarkRound measures one round of placement over a backlog, with every
-// worker full: the usual state under overload.
+// BenchmarkRound measures one round of placement over a backlog when every worker is full,
+// which is the usual state under overload.
 func BenchmarkRound(b *testing.B) {
 	for _, backlog := range []int{50, 500, 2000} {
 		b.Run(fmt.Sprint(backlog), func(b *testing.B) { rounds(b, backlog, 0) })
@@ -25,14 +25,14 @@
 	}
 }
 
-// rounds measures rounds over a backlog of jobs of so many accounts.
+// rounds measures rounds over a backlog of jobs of that many accounts.
 func rounds(b *testing.B, backlog, accounts int) {
 	e := NewEngine(Options{Epoch: 1, Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Keep: time.Minute}})
 	for i := range 48 {
 		id := runner.WorkerID(fmt.Sprintf("w-%d", i))
 		e.WorkerSeen(0, runner.Worker{Ref: runner.Ref{ID: id, Address: string(id)}, Service: "s", Capacity: work.Resources{CPU: 64000, Memory: 131072}, Labels: []string{"a", fmt.Sprint("r", i/8)}})
 		w := e.workers[id]
-		w.kept, w.fenced = true, true
+		w.recorded, w.fenced = true, true
 	}
 	e.Members(0, []string{"a", "b", "c"})
 	var list []work.Account
@@ -52,13 +52,13 @@
 		}
 		e.add(work.JobID(fmt.Sprintf("%016x", i)), spec, 0)
 	}
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		w.used = work.Resources{CPU: 60000, Memory: 120000}
 	}
 	b.ResetTimer()
 	for i := range b.N {
 		e.now = time.Duration(i) * 5 * time.Millisecond
 		e.schedule()
-		e.out = nil
+		e.effects = nil
 	}
 }
--- /dev/null
+++ b/process/dispatch/completions.go
@@ -0,0 +1,188 @@
+package dispatch
+
+import (
+	"fmt"
+	"slices"
+
+	"fennelshunt.example/fennelshunt/connection/runner"
+	"fennelshunt.example/fennelshunt/version/work"
+)
+
+// Completions of runs: what they mean for their tasks, and when a worker may drop them.
+
+// takeCompletions processes the completions that are new and returns their number.
+func (e *Engine) takeCompletions(w *worker, ends []runner.End) int {
+	n := 0
+	slices.SortFunc(ends, func(a, b runner.End) int { return int(a.Number - b.Number) })
+	for i := range ends {
+		if ends[i].Number <= w.lastCompletion {
+			continue
+		}
+		e.noteMissedCompletions(w, ends[i].Number)
+		w.lastCompletion = ends[i].Number
+		j := e.takeCompletion(w, &ends[i])
+		wait := pendingAck{number: ends[i].Number, task: ends[i].Task, job: j}
+		if j != nil {
+			wait.version = j.version
+		}
+		w.pendingAcks = append(w.pendingAcks, wait)
+		n++
+	}
+	e.acknowledge(w)
+	return n
+}
+
+// noteMissedCompletions reports completions that a worker has dropped although this leader has
+// not received them: the numbers of an incarnation are consecutive, and completions are listed
+// until they are acknowledged. An incarnation that an earlier epoch has called may have
+// dropped those that were acknowledged to that epoch.
+func (e *Engine) noteMissedCompletions(w *worker, next int64) {
+	if missed := next - w.lastCompletion - 1; missed > 0 && (w.lastCompletion > 0 || w.newInEpoch) {
+		e.stats.EndsMissed += uint64(missed)
+		e.decide(Decision{What: "completions dropped before they were received", Worker: w.ID, Why: fmt.Sprintf("%d before number %d", missed, next)})
+	}
+}
+
+// takeCompletion processes one completion and returns the job whose progress has to be stored
+// before it is acknowledged, if any.
+func (e *Engine) takeCompletion(w *worker, end *runner.End) *job {
+	alloc := w.allocs[end.Task]
+	if alloc != nil && alloc.run != end.Run {
+		alloc = nil
+	}
+	j := e.jobs[end.Task.Job]
+	s := j.step(end.Task)
+	if s == nil {
+		return j // for an occurrence that is done the store has to be waited for as well
+	}
+	t := &s.tasks[end.Task.Index]
+	ours := alloc != nil && t.alloc == alloc
+	e.endTrial(s, end.Task.Index, end.Run)
+	if alloc != nil {
+		e.noteStarted(alloc)
+		e.unbook(alloc)
+		e.scheduled = false
+	}
+	if ours {
+		t.alloc = nil // before the completion is processed, which stops the task's other runs
+	}
+	if end.Checkpoint != "" && s.spec.Checkpoints {
+		s.keepCheckpoint(end.Task.Index, end.Checkpoint)
+	}
+	switch end.How {
+	case runner.Done:
+		e.taskDone(w, s, end, alloc)
+	case runner.Failed:
+		e.taskFailed(w, s, end, alloc)
+	default:
+		e.stats.Back++
+	}
+	if ours {
+		e.requeueEnded(s, end.Task.Index)
+	}
+	return j
+}
+
+func (s *step) keepCheckpoint(i int, value string) {
+	if !s.spec.Gang {
+		s.tasks[i].checkpoint = value
+		return
+	}
+	for k := range s.tasks {
+		s.tasks[k].checkpoint = value // any member's checkpoint is valid for all, and all have the same one
+	}
+}
+
+// requeueEnded makes a task whose run has ended eligible to start again, unless it is done.
+func (e *Engine) requeueEnded(s *step, i int) {
+	if s.spec.Gang && s.live() == 0 {
+		s.gang.stopping = false
+	}
+	if s.tasks[i].done || !s.job.active() {
+		return
+	}
+	s.requeue(i)
+	e.open(s)
+}
+
+func (e *Engine) taskDone(w *worker, s *step, end *runner.End, alloc *allocation) {
+	j := s.job
+	if alloc != nil {
+		w.noteSuccess()
+		e.learnRunTime(w, s, alloc)
+	}
+	if s.tasks[end.Task.Index].done || !j.active() {
+		return
+	}
+	e.stats.Done++
+	if s.spec.Lasting {
+		return // a long-running task starts again however it ended
+	}
+	e.finish(s, end.Task.Index)
+	if s.spec.Gang {
+		for i := range s.tasks {
+			e.finish(s, i)
+		}
+	}
+	e.markDirty(j, false)
+	if s.left > 0 {
+		return
+	}
+	e.unreserve(s)
+	for _, n := range s.next {
+		e.open(n)
+	}
+	e.settle(j)
+}
+
+// finish marks a task done, and stops another run of it.
+func (e *Engine) finish(s *step, i int) {
+	s.finish(i)
+	if alloc := s.tasks[i].alloc; alloc != nil && !s.spec.Gang && alloc.state != running {
+		e.stop(alloc, "the task is done by another run")
+	}
+}
+
+func (e *Engine) taskFailed(w *worker, s *step, end *runner.End, alloc *allocation) {
+	j, t := s.job, &s.tasks[end.Task.Index]
+	e.decide(Decision{What: "failed", Task: end.Task, Run: end.Run, Worker: w.ID})
+	e.stats.Failed++
+	if alloc != nil && alloc.serves() {
+		return // a task that reached serving fails by itself, not because of its worker
+	}
+	if alloc != nil && j.countsAgainst(w.ID) && w.noteFailure(e.now, j.id) {
+		e.stats.Aside++
+		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
+	}
+	t.avoidWorker(w.ID, e.now)
+	if t.done || !j.active() || s.spec.Lasting {
+		return
+	}
+	failed := &t.failed
+	if s.spec.Gang {
+		failed = &s.gang.failed
+	}
+	if slices.Contains(*failed, end.Run) {
+		return // counted before, by this epoch or an earlier one
+	}
+	*failed = append(*failed, end.Run)
+	e.markDirty(j, false)
+	if len(*failed) >= j.spec.Queue.Attempts {
+		e.end(j, work.Failed, "a task failed as often as its queue allows")
+	}
+}
+
+// acknowledge raises the number up to which the worker may drop its completions.
+func (e *Engine) acknowledge(w *worker) {
+	for len(w.pendingAcks) > 0 {
+		a := w.pendingAcks[0]
+		if a.job != nil && a.job.saved < a.version {
+			return
+		}
+		w.ackedCompletion = a.number
+		w.pendingAcks = w.pendingAcks[1:]
+	}
+	if w.nextRenew > e.now && w.lastCompletion == w.ackedCompletion {
+		w.nextRenew = e.now
+	}
+}
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -11,29 +11,29 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// What a successor knows of the workers: which were used, on which of them nothing was
-// started any more, and what those ran.
+// The list of workers that is kept for a successor: which ones were used, which of them are
+// cordoned, and which tasks may run on those.
 //
-// Load pattern: the leader changes while workers are gone, out of reach, or about to
-// leave. What goes wrong without it: whatever waits may run on one of them, so nothing of
-// it starts for the eight seconds after which a lease of theirs has certainly run out.
+// Without it, after a change of the leader while workers are removed, unreachable or draining,
+// any waiting task might run on one of them, so none could start for the eight seconds after
+// which their leases have certainly expired.
 
 // fleetRecord lists the workers that the leader may have started tasks on.
 type fleetRecord struct {
 	Workers []runner.Ref `cbor:"1,keyasint"`
-	// Closed is written by earlier versions, which do not tell what may run there.
-	Closed []runner.WorkerID `cbor:"2,keyasint,omitempty"`
+	// Cordoned is written by earlier versions, which do not list what may run there.
+	Cordoned []runner.WorkerID `cbor:"2,keyasint,omitempty"`
 }
 
-// closedRecord lists the workers on which nothing is started until the list is written
-// again without them.
-type closedRecord struct {
-	Workers []closedWorker `cbor:"1,keyasint"`
+// cordonRecord lists the cordoned workers: nothing is started on them until the list is
+// written again without them.
+type cordonRecord struct {
+	Workers []cordonedWorker `cbor:"1,keyasint"`
 }
 
-// closedWorker is a worker with all tasks that may run there, or have ended there without
-// that being written. Those that ended later stay listed.
-type closedWorker struct {
+// cordonedWorker is a worker with all tasks that may run there, or have completed there
+// without that being stored. Those that complete later stay listed.
+type cordonedWorker struct {
 	ID    runner.WorkerID `cbor:"1,keyasint"`
 	Tasks []work.TaskID   `cbor:"2,keyasint,omitempty"`
 	// Suspects are the runs that may have crashed it, if it has crashed.
@@ -44,32 +44,33 @@
 type suspectRun struct {
 	Task work.TaskID `cbor:"1,keyasint"`
 	Run  uint64      `cbor:"2,keyasint"`
-	Sole bool        `cbor:"3,keyasint,omitempty"` // no run of another job may
+	Sole bool        `cbor:"3,keyasint,omitempty"` // no run of another job is suspect
 }
 
-// closeAfter is how long a worker must have been silent to be closed: the longest
-// wait of a renewal and one more call, so that a lost answer closes none. closeMisses
-// calls in a row that fail, as they do at once where nobody listens, close it sooner.
+// cordonAfter is how long a worker must have been unresponsive to be cordoned: the longest
+// wait of a renewal and one more call, so that a single lost response cordons none. After
+// cordonMisses failed calls in a row it is cordoned sooner; calls fail at once where nothing
+// listens.
 const (
-	closeAfter  = renewWait + 2*renewGrace
-	closeMisses = 2
+	cordonAfter  = renewWait + 2*renewGrace
+	cordonMisses = 2
 )
 
-func (e *Engine) fleetDirty() bool { return e.fleetNew || e.closedNew }
+func (e *Engine) fleetDirty() bool { return e.fleetChanged || e.cordonsChanged }
 
-// loadFleet takes over what is known of the workers.
+// loadFleet restores the list of workers.
 func (e *Engine) loadFleet(entries []store.Entry) error {
 	var f fleetRecord
-	var c closedRecord
+	var cordons cordonRecord
 	var errs []error
 	for _, entry := range entries {
 		var err error
 		switch entry.Key {
 		case keyFleet:
 			err = peer.Unmarshal(entry.Value, &f)
-			e.closedAt = entry.Revision
-		case keyClosed:
-			err = peer.Unmarshal(entry.Value, &c)
+			e.fleetRevision = entry.Revision
+		case keyCordoned:
+			err = peer.Unmarshal(entry.Value, &cordons)
 		}
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", entry.Key, err))
@@ -77,23 +78,23 @@
 	}
 	for _, ref := range f.Workers {
 		w := e.addWorker(runner.Worker{Ref: ref})
-		e.noteBirth(ref.ID)
-		w.kept, w.inherited = true, true
-		w.lapse = e.now + noticeTime + ranOut(e.o.Bounds.MaxLease)
+		e.noteIncarnation(ref.ID)
+		w.recorded, w.inherited = true, true
+		w.expiry = e.now + supersedeTime + leaseBound(e.o.Bounds.MaxLease)
 		e.unresolved++
-		e.unresolvedOpen++
+		e.unresolvedUncordoned++
 	}
-	for _, id := range f.Closed {
-		if w := e.workers[id]; w != nil && !w.closed {
-			w.closed, w.unlisted = true, true
-			e.unresolvedOpen--
-			e.unlistedClosed++
+	for _, id := range f.Cordoned {
+		if w := e.workers[id]; w != nil && !w.cordoned {
+			w.cordoned, w.unlisted = true, true
+			e.unresolvedUncordoned--
+			e.cordonedUnlisted++
 		}
 	}
-	for _, x := range c.Workers {
-		if w := e.workers[x.ID]; w != nil && !w.closed {
-			w.closed, w.mayRun, w.inheritedSuspects = true, x.Tasks, x.Suspects
-			e.unresolvedOpen--
+	for _, x := range cordons.Workers {
+		if w := e.workers[x.ID]; w != nil && !w.cordoned {
+			w.cordoned, w.mayRun, w.inheritedSuspects = true, x.Tasks, x.Suspects
+			e.unresolvedUncordoned--
 			for _, task := range x.Tasks {
 				e.mayRun[task]++
 			}
@@ -102,8 +103,8 @@
 	return errors.Join(errs...)
 }
 
-// resolve notes that nothing of an earlier epoch can start or run unseen on a
-// worker.
+// resolve records that nothing of an earlier epoch can start or run unreported on a worker any
+// more.
 func (e *Engine) resolve(w *worker) {
 	if !w.inherited {
 		return
@@ -112,10 +113,10 @@
 	e.unresolved--
 	e.scheduled = false
 	switch {
-	case !w.closed:
-		e.unresolvedOpen--
+	case !w.cordoned:
+		e.unresolvedUncordoned--
 	case w.unlisted:
-		e.unlistedClosed--
+		e.cordonedUnlisted--
 	}
 	for _, task := range w.mayRun {
 		if e.mayRun[task]--; e.mayRun[task] <= 0 {
@@ -125,96 +126,96 @@
 	w.unlisted, w.mayRun, w.inheritedSuspects = false, nil, nil
 }
 
-// accountedFor reports whether it is known of each inherited task of the step whether it
-// runs: every open worker that an earlier epoch used has answered or has certainly ended.
-// What the closed ones may run is in mayRun.
+// accountedFor reports whether it is known of each inherited task of the step whether it runs:
+// every worker that an earlier epoch used and that is not cordoned has answered or has
+// certainly ended. What the cordoned ones may run is in mayRun.
 func (e *Engine) accountedFor(s *step) bool {
-	if e.unresolvedOpen > 0 || (e.unlistedClosed > 0 && s.job.revision <= e.closedAt) {
+	if e.unresolvedUncordoned > 0 || (e.cordonedUnlisted > 0 && s.job.revision <= e.fleetRevision) {
 		return false
 	}
 	if !s.spec.Gang || len(e.mayRun) == 0 {
 		return true
 	}
 	for i := range s.tasks {
-		if e.unseen(s, i) {
+		if e.mayRunUnreported(s, i) {
 			return false
 		}
 	}
 	return true
 }
 
-// unseen reports whether a task may run on a closed worker that has not answered.
-func (e *Engine) unseen(s *step, i int) bool {
+// mayRunUnreported reports whether a task may run on a cordoned worker that has not answered.
+func (e *Engine) mayRunUnreported(s *step, i int) bool {
 	if len(e.mayRun) == 0 {
 		return false
 	}
 	return e.mayRun[s.taskID(i)] > 0
 }
 
-// closeSilent closes a worker that has not answered for a while: nothing is
-// started there until the store knows that it is open again.
-func (e *Engine) closeSilent(w *worker) {
-	if w.misses == 0 || (w.misses < closeMisses && e.now-w.answered < closeAfter) {
+// cordonUnresponsive cordons a worker that has not answered for a while: nothing is started
+// there until the stored list no longer has it as cordoned.
+func (e *Engine) cordonUnresponsive(w *worker) {
+	if w.misses == 0 || (w.misses < cordonMisses && e.now-w.answered < cordonAfter) {
 		return
 	}
-	e.closeWorker(w, "it does not answer")
+	e.cordon(w, "it does not answer")
 }
 
-// closeLeaving closes a worker that is about to leave: nothing is started there anyway.
-func (e *Engine) closeLeaving(w *worker) {
+// cordonDraining cordons a worker that is about to leave: nothing is started there anyway.
+func (e *Engine) cordonDraining(w *worker) {
 	if w.Draining {
-		e.closeWorker(w, "it is leaving")
+		e.cordon(w, "it is leaving")
 	}
 }
 
-func (e *Engine) closeWorker(w *worker, why string) {
-	if w.closed || !w.fenced || !w.kept {
+func (e *Engine) cordon(w *worker, why string) {
+	if w.cordoned || !w.fenced || !w.recorded {
 		return
 	}
-	w.closed = true
-	e.closedNew = true
-	e.decide(Decision{What: "worker closed", Worker: w.ID, Why: why, Age: e.now - w.answered})
+	w.cordoned = true
+	e.cordonsChanged = true
+	e.decide(Decision{What: "worker cordoned", Worker: w.ID, Why: why, Age: e.now - w.answered})
 }
 
-// reopen lets a closed worker that has answered be used once the store knows.
-func (e *Engine) reopen(w *worker) {
-	if !w.closed || w.Draining {
+// uncordon makes a cordoned worker that has answered usable, once the list is stored.
+func (e *Engine) uncordon(w *worker) {
+	if !w.cordoned || w.Draining {
 		return
 	}
-	w.closed, w.kept = false, false
-	e.closedNew = true
+	w.cordoned, w.recorded = false, false
+	e.cordonsChanged = true
 }
 
-// tasks lists what runs on the worker, or may, and what has ended there without that being
-// in the store.
+// tasks lists what runs on the worker or may run there, and what has completed there without
+// that being stored.
 func (w *worker) tasks() []work.TaskID {
 	var all []work.TaskID
-	for _, p := range places(w) {
-		all = append(all, p.id())
+	for _, alloc := range sortedAllocs(w) {
+		all = append(all, alloc.id())
 	}
-	for _, a := range w.waiting {
+	for _, a := range w.pendingAcks {
 		all = append(all, a.task)
 	}
-	for _, x := range w.strays {
+	for _, x := range w.untracked {
 		all = append(all, x.task)
 	}
 	return all
 }
 
-// addFleet writes the lists of workers that have changed, and returns their number. A
-// worker is used only once it is in the store, and is not closed there: a successor that
-// can not reach it has to know that something may run there.
-func (e *Engine) addFleet(b *batch, c *SendCommit) (keys int) {
+// addFleet writes the lists of workers that have changed, and returns their number. A worker
+// is used only once the stored lists have it, and not as cordoned: a successor that cannot
+// reach it has to be aware that something may run there.
+func (e *Engine) addFleet(ws *writeSet, c *SendCommit) (keys int) {
 	var f fleetRecord
-	var closed closedRecord
-	for _, w := range e.order {
+	var cordoned cordonRecord
+	for _, w := range e.workerList {
 		f.Workers = append(f.Workers, runner.Ref{ID: w.ID, Address: w.Address})
 		switch {
-		case w.closed && w.unlisted: // stays open for a successor, which waits
-		case w.closed:
-			closed.Workers = append(closed.Workers, closedWorker{ID: w.ID, Tasks: append(w.tasks(), w.mayRun...), Suspects: w.suspectRuns(false)})
-		case !w.kept:
-			b.fleet = append(b.fleet, w)
+		case w.cordoned && w.unlisted: // not listed as cordoned, so that a successor waits for it
+		case w.cordoned:
+			cordoned.Workers = append(cordoned.Workers, cordonedWorker{ID: w.ID, Tasks: append(w.tasks(), w.mayRun...), Suspects: w.suspectRuns(false)})
+		case !w.recorded:
+			ws.fleet = append(ws.fleet, w)
 		}
 	}
 	put := func(key string, record any) {
@@ -226,17 +227,17 @@
 		c.Writes = append(c.Writes, store.Write{Key: key, Value: data})
 		keys++
 	}
-	if e.fleetNew {
+	if e.fleetChanged {
 		put(keyFleet, f)
 	}
-	if e.closedNew {
-		put(keyClosed, closed)
+	if e.cordonsChanged {
+		put(keyCordoned, cordoned)
 	}
-	e.fleetNew, e.closedNew = false, false
+	e.fleetChanged, e.cordonsChanged = false, false
 	return keys
 }
 
-// noticeTime is how long after a takeover an earlier leader may still renew a
-// worker that the new one does not reach: it renews every worker at least this
-// often, and the first one that the new leader has called tells it to stop.
-const noticeTime = 2 * time.Second
+// supersedeTime is how long after a takeover an earlier leader may still renew a worker that
+// the new one does not reach: it renews every worker at least this often, and the first of
+// them that the new leader has called rejects its epoch, which stops it.
+const supersedeTime = 2 * time.Second
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -9,37 +9,37 @@
 	"fennelshunt.example/fennelshunt/connection/runner"
 )
 
-// Waiting of gangs.
+// Timing and margins of waiting gangs.
 const (
-	// holdPeriod is how long it is remembered whether a gang could be held:
-	// workers come and go slowly, and verdicts come a few a second.
-	holdPeriod = 250 * time.Millisecond
-	// refreshAhead is kept between the end of a call for tickets and the end of
-	// those that are to hold as well.
+	// feasiblePeriod is how long the result of gangFeasible is kept: workers are added and
+	// removed slowly, and verdicts arrive a few times per second.
+	feasiblePeriod = 250 * time.Millisecond
+	// refreshAhead is kept between the end of a call for tickets and the expiry of the tickets
+	// that have to be valid together with the new ones.
 	refreshAhead = 200 * time.Millisecond
-	// reserveSpare is how many more seats than needed a gang asks tickets for,
-	// as a factor: others may take some during the call.
-	reserveSpare = 1.4
+	// ticketSpare is for how many times the needed slots a gang asks for tickets: other steps
+	// may take some during the call.
+	ticketSpare = 1.4
 )
 
-// seat is room for some of a gang's tasks on a worker.
-type seat struct {
-	w    *worker
-	n    int
-	text string // the ticket
+// gangSlots are free slots for a gang's tasks on one worker.
+type gangSlots struct {
+	w      *worker
+	n      int
+	ticket string
 }
 
-// placeGang starts all of a gang's tasks if there is room for all now.
+// placeGang starts all of a gang's tasks if there is capacity for all of them now.
 func (e *Engine) placeGang(s *step) bool {
 	a := e.adviceOf(s)
-	seats, ok := e.seats(s, e.openSeats(s, a))
+	slots, ok := e.chooseSlots(s, e.freeSlots(s, a))
 	if !ok {
 		if a != nil {
 			e.askForGang(s, a)
 		}
 		return false
 	}
-	if e.keepSeatsQuiet(s, seats) {
+	if e.isolateGang(s, slots) {
 		return false
 	}
 	run, ok := e.newRun(&s.gang.runs, s.id(), "")
@@ -48,31 +48,31 @@
 	}
 	s.gang.run = run
 	e.unreserve(s)
-	e.decide(Decision{What: "gang starts", Task: s.id(), Run: run, Why: fmt.Sprintf("%d tasks on %d workers", s.spec.Count, len(seats)), Age: e.now - s.openedAt})
+	e.decide(Decision{What: "gang starts", Task: s.id(), Run: run, Why: fmt.Sprintf("%d tasks on %d workers", s.spec.Count, len(slots)), Age: e.now - s.openedAt})
 	i := 0
-	for _, seat := range seats {
-		for range seat.n {
-			e.start(seat.w, s, i, s.gang.run, seat.text)
+	for _, x := range slots {
+		for range x.n {
+			e.start(x.w, s, i, s.gang.run, x.ticket)
 			i++
 		}
 	}
 	return true
 }
 
-// openSeats returns the room for a gang's tasks now, on workers with a ticket
-// where the queue needs one.
-func (e *Engine) openSeats(s *step, a *advice) []seat {
+// freeSlots returns the slots that are free for a gang's tasks now, on workers with a ticket
+// if the queue needs one.
+func (e *Engine) freeSlots(s *step, a *advice) []gangSlots {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
-	var all []seat
+	var all []gangSlots
 	consider := func(w *worker, text string) {
 		if need.Fits(w.free()) && e.eligible(s, w) {
-			if n := e.room(s, w, need, limit); n > 0 {
-				all = append(all, seat{w, n, text})
+			if n := e.capacityFor(s, w, need, limit); n > 0 {
+				all = append(all, gangSlots{w, n, text})
 			}
 		}
 	}
 	if a == nil {
-		for _, w := range e.order {
+		for _, w := range e.workerList {
 			consider(w, "")
 		}
 		return all
@@ -85,9 +85,9 @@
 	return all
 }
 
-// seats picks room for every task of a gang, on one rack if it asks for that
-// and any could hold it.
-func (e *Engine) seats(s *step, all []seat) ([]seat, bool) {
+// chooseSlots picks a slot for every task of a gang, on one rack if it asks for that and any
+// rack could run it.
+func (e *Engine) chooseSlots(s *step, all []gangSlots) ([]gangSlots, bool) {
 	total := 0
 	for _, x := range all {
 		total += x.n
@@ -99,18 +99,17 @@
 		if picked, ok := oneRack(all, s.spec.Count); ok {
 			return picked, true
 		}
-		if e.rackCouldHold(s) {
+		if e.rackFeasible(s) {
 			return nil, false
 		}
 	}
 	return pick(s, all, s.spec.Count), true
 }
 
-// pick takes seats for n tasks: near the data, on fast workers, with the least
-// workers used.
-func pick(s *step, all []seat, n int) []seat {
-	score := func(x seat) float64 {
-		v := float64(x.n)/float64(n) - x.w.pace + scoreSuspect*x.w.suspicion
+// pick takes slots for n tasks: near the data, on fast workers, on as few workers as possible.
+func pick(s *step, all []gangSlots, n int) []gangSlots {
+	score := func(x gangSlots) float64 {
+		v := float64(x.n)/float64(n) - x.w.slowdown + scoreSuspect*x.w.suspicion
 		if s.spec.DataRack != "" && s.spec.DataRack == x.w.rack {
 			v += scoreNear
 		}
@@ -121,8 +120,8 @@
 		}
 		return v
 	}
-	slices.SortStableFunc(all, func(x, y seat) int { return cmp.Compare(score(y), score(x)) })
-	var picked []seat
+	slices.SortStableFunc(all, func(x, y gangSlots) int { return cmp.Compare(score(y), score(x)) })
+	var picked []gangSlots
 	for _, x := range all {
 		x.n = min(x.n, n)
 		n -= x.n
@@ -134,21 +133,21 @@
 	return picked
 }
 
-func oneRack(all []seat, n int) ([]seat, bool) {
+func oneRack(all []gangSlots, n int) ([]gangSlots, bool) {
 	byRack := map[string]int{}
 	for _, x := range all {
 		byRack[x.w.rack] += x.n
 	}
 	best := ""
-	for rack, room := range byRack {
-		if room >= n && (best == "" || room < byRack[best] || (room == byRack[best] && rack < best)) {
+	for rack, slots := range byRack {
+		if slots >= n && (best == "" || slots < byRack[best] || (slots == byRack[best] && rack < best)) {
 			best = rack
 		}
 	}
 	if best == "" {
 		return nil, false
 	}
-	var picked []seat
+	var picked []gangSlots
 	for _, x := range all {
 		if x.w.rack != best || n == 0 {
 			continue
@@ -160,16 +159,16 @@
 	return picked, true
 }
 
-// rackCouldHold reports whether an empty rack would hold the whole gang.
-func (e *Engine) rackCouldHold(s *step) bool {
-	room := map[string]int{}
-	for _, w := range e.order {
-		if w.Service != s.job.spec.Queue.Service || !w.has(s.spec.Labels) || w.gone || !w.goodFor(s) {
+// rackFeasible reports whether a rack, if it were empty, could run the whole gang.
+func (e *Engine) rackFeasible(s *step) bool {
+	slots := map[string]int{}
+	for _, w := range e.workerList {
+		if w.Service != s.job.spec.Queue.Service || !w.has(s.spec.Labels) || w.removed || !w.goodFor(s) {
 			continue
 		}
-		room[w.rack] += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
+		slots[w.rack] += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
 	}
-	for _, n := range room {
+	for _, n := range slots {
 		if n >= s.spec.Count {
 			return true
 		}
@@ -177,30 +176,30 @@
 	return false
 }
 
-// goodFor reports whether the worker is not known to be bad for the step.
+// goodFor reports whether there is no bad verdict on the worker for the step.
 func (w *worker) goodFor(s *step) bool {
 	if s.advice == nil {
 		return true
 	}
-	return s.advice.of(w) != bad
+	return s.advice.verdictOf(w) != bad
 }
 
-// askForGang asks for the workers on which a gang can start: known good ones
-// with room now, unknown ones if these do not do, and, while there is no room,
-// those on which room is reserved, in time for when it is there.
+// askForGang requests tickets for the workers on which a gang can start: those known to be
+// good with free capacity now; unknown ones if these are not enough; and, while there is no
+// capacity, those on which capacity is reserved, in time for when it becomes free.
 //
-// What goes wrong if part of the tickets holds and the rest is not asked for
-// until they have run out: there is never a moment at which enough of them
-// hold, and the gang waits beside free workers.
+// All missing tickets are requested while the others are still valid. Otherwise there would
+// never be a moment at which enough of them are valid, and the gang would wait beside idle
+// workers.
 func (e *Engine) askForGang(s *step, a *advice) {
 	if !e.mayAsk(s) {
 		return
 	}
 	have, rest := e.gangCandidates(s, a)
-	missing := int(float64(s.spec.Count)*reserveSpare) - have
+	missing := int(float64(s.spec.Count)*ticketSpare) - have
 	var ids []runner.WorkerID
 	for _, c := range rest {
-		if missing <= 0 || c.fits == 0 || len(ids) == maxNamed {
+		if missing <= 0 || c.fits == 0 || len(ids) == maxWorkersPerCall {
 			break
 		}
 		ids = append(ids, c.w.ID)
@@ -209,8 +208,8 @@
 	}
 	switch {
 	case have >= s.spec.Count:
-		if e.want(s, ids) && !e.o.Policy.NoHolds {
-			a.hold = holdAll
+		if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+			a.reserve = reserveAll
 		}
 	case e.anyUnknown(s, a):
 		e.askFor(s, s.spec.Count)
@@ -219,21 +218,20 @@
 	}
 }
 
-// askAhead asks for tickets for reserved seats of which most are open, so that the
-// tickets come with the last seat; the open ones are held meanwhile.
+// askAhead requests tickets for reserved slots most of which are free, so that the tickets
+// arrive when the last slot becomes free; the free ones are reserved for the gang meanwhile.
 //
-// Load pattern: as for holds, with gangs that need half of the workers they are
-// allowed. A gang that asks only when its last seat is open keeps all of them empty
-// for the length of a call.
+// A gang that needs half of the workers it is allowed and asked only once its last slot is
+// free would keep all slots empty for the duration of a call.
 func (e *Engine) askAhead(s *step, a *advice) {
-	if s.heldSeats {
+	if s.gangReserved {
 		return
 	}
 	need := s.spec.Need()
 	var ids []runner.WorkerID
 	from := time.Duration(0)
 	reserved, open := 0, 0
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		n := 0
 		for _, r := range w.reserved {
 			if r.s == s {
@@ -245,65 +243,65 @@
 			continue
 		}
 		reserved += n
-		open += e.room(s, w, need, n)
-		if t := a.find(w); (t == nil || !t.valid(e.now+aheadTicket)) && len(ids) < maxNamed {
+		open += e.capacityFor(s, w, need, n)
+		if t := a.ticketFor(w); (t == nil || !t.valid(e.now+aheadTicket)) && len(ids) < maxWorkersPerCall {
 			ids = append(ids, w.ID)
 		}
 	}
 	if reserved < s.spec.Count || float64(open) < aheadShare*float64(reserved) || from-e.now > s.job.spec.Queue.Advice.Cost(len(ids)) {
 		return
 	}
-	if e.want(s, ids) && !e.o.Policy.NoHolds {
-		a.hold = holdAhead
+	if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+		a.reserve = reserveAhead
 	}
 }
 
 const (
-	// aheadShare of a gang's seats must be open for its tickets to be asked for.
+	// aheadShare of a gang's slots must be free for its tickets to be requested.
 	aheadShare = 0.7
-	// aheadTicket is how long a ticket at hand must hold to be left as it is.
+	// aheadTicket is how long a ticket must still be valid not to be requested again.
 	aheadTicket = 700 * time.Millisecond
 )
 
-// candidate is a worker that is good for a gang, with the number of its tasks
-// that fit there now.
+// candidate is a worker that is good for a gang, with the number of the gang's tasks that fit
+// there now.
 type candidate struct {
 	w    *worker
 	fits int
 }
 
-// couldHold reports whether the workers that may be good for a gang would hold
-// it if they were empty.
+// gangFeasible reports whether the workers that may be good for a gang could run it if they
+// were empty.
 //
-// What goes wrong without it: gangs too wide for the workers that their advice
-// allows wait for good, come first since they are the oldest, and take the
-// places of those that a round tries and reserves room for.
-func (e *Engine) couldHold(s *step) bool {
-	if e.now < s.heldUntil {
-		return s.held
+// Gangs too wide for the workers that their advice allows wait forever. They come first since
+// they are the oldest, and without this check would use up the gangs that a round tries and
+// reserves capacity for.
+func (e *Engine) gangFeasible(s *step) bool {
+	if e.now < s.feasibleUntil {
+		return s.feasible
 	}
-	s.heldUntil = e.now + holdPeriod
-	seats := 0
-	for _, w := range e.order {
-		if !w.gone && w.listed && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels) && w.goodFor(s) {
-			seats += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
+	s.feasibleUntil = e.now + feasiblePeriod
+	slots := 0
+	for _, w := range e.workerList {
+		if !w.removed && w.listed && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels) && w.goodFor(s) {
+			slots += s.spec.Need().Times(w.Capacity, s.perWorker(s.spec.Count))
 		}
 	}
-	s.held = seats >= s.spec.Count
-	return s.held
+	s.feasible = slots >= s.spec.Count
+	return s.feasible
 }
 
-// gangCandidates counts the seats on workers whose tickets outlast a call, and
-// returns the other good workers, those with most room first.
+// gangCandidates counts the slots on workers whose tickets outlast a call, and returns the
+// other good workers, those with the most free capacity first.
 func (e *Engine) gangCandidates(s *step, a *advice) (have int, rest []candidate) {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	until := e.now + s.job.spec.Queue.Advice.Cost(0) + refreshAhead
-	for _, w := range e.order {
-		if a.of(w) != good || !e.eligible(s, w) {
+	for _, w := range e.workerList {
+		if a.verdictOf(w) != good || !e.eligible(s, w) {
 			continue
 		}
-		fits := e.room(s, w, need, limit)
-		if t := a.find(w); t != nil && t.valid(until) {
+		fits := e.capacityFor(s, w, need, limit)
+		if t := a.ticketFor(w); t != nil && t.valid(until) {
 			have += fits
 			continue
 		}
@@ -313,10 +311,9 @@
 	return have, rest
 }
 
-// anyUnknown reports whether a worker that could run the step has not been
-// asked about.
+// anyUnknown reports whether there is no verdict yet on a worker that could run the step.
 func (e *Engine) anyUnknown(s *step, a *advice) bool {
-	return slices.ContainsFunc(e.order, func(w *worker) bool {
-		return a.of(w) == unknown && e.eligible(s, w)
+	return slices.ContainsFunc(e.workerList, func(w *worker) bool {
+		return a.verdictOf(w) == unknown && e.eligible(s, w)
 	})
 }
--- /dev/null
+++ b/process/dispatch/health.go
@@ -0,0 +1,90 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"fennelshunt.example/fennelshunt/connection/runner"
+	"fennelshunt.example/fennelshunt/version/work"
+)
+
+// Health of workers, judged by how runs end there.
+//
+// Some workers fail all that they start, and so take more than their share of the starts;
+// others fail a third of it, which makes a gang with three members there fail more often than
+// not. Of the jobs themselves, one in thirty fails wherever it runs.
+const (
+	// quarantineFailures is how many runs of different jobs in a row must fail before a worker
+	// is quarantined: with one failure in fifty as the normal rate, two in a row are one in
+	// 2,500.
+	quarantineFailures = 2
+	quarantineMin      = 2 * time.Second
+	quarantineMax      = 12 * time.Second
+	// suspicionFail is added for a failed run, suspicionDone is subtracted for one that is
+	// done, and at suspicionLimit the worker is quarantined. The first two are the logarithms
+	// of how much likelier a failed run, or one that is done, is on a worker that fails two
+	// runs in five than on one that fails one in twenty. The limit is the logarithm of 150:
+	// one healthy worker in 150 reaches it.
+	suspicionFail  = 2.0
+	suspicionDone  = 0.5
+	suspicionLimit = 5.0
+)
+
+// health is the state of a worker as judged by its runs.
+type health struct {
+	failJobs         []work.JobID // jobs whose runs failed here since the last run that was done
+	suspicion        float64      // rises with failed runs, falls with runs that are done
+	quarantinedUntil time.Duration
+	quarantine       time.Duration
+	probation        bool // was quarantined; gets one run at a time until one is done
+}
+
+// noteFailure records a failed run, and reports whether the worker is quarantined.
+func (h *health) noteFailure(now time.Duration, id work.JobID) (quarantined bool) {
+	if !slices.Contains(h.failJobs, id) {
+		h.failJobs = append(h.failJobs, id)
+		h.suspicion += suspicionFail
+	}
+	if len(h.failJobs) < quarantineFailures && h.suspicion < suspicionLimit && !h.probation {
+		return false
+	}
+	h.quarantine = min(max(2*h.quarantine, quarantineMin), quarantineMax)
+	h.quarantinedUntil = now + h.quarantine
+	h.probation = true
+	h.failJobs = nil
+	return true
+}
+
+// noteSuccess records a run that was done.
+func (h *health) noteSuccess() {
+	h.failJobs = nil
+	h.probation = false
+	h.suspicion = max(h.suspicion-suspicionDone, 0)
+	if h.suspicion == 0 {
+		h.quarantine = 0
+	}
+}
+
+// weakSlowdown is the slowdown from which a worker counts as weak: three times the spread of
+// healthy workers.
+const weakSlowdown = 1.35
+
+// weak is 1 for a worker that is slow or under suspicion, else 0.
+func (w *worker) weak() int {
+	if w.slowdown > weakSlowdown || w.suspicion > suspicionDone {
+		return 1
+	}
+	return 0
+}
+
+// countsAgainst reports whether a failed run of the job counts against the worker. It does not
+// if a run of the job has failed on another worker before.
+//
+// Jobs that fail wherever they run make up most of the failures. If they counted, two of them
+// would meet on a healthy worker a few times a second and leave it idle for two seconds.
+func (j *job) countsAgainst(id runner.WorkerID) bool {
+	if j.firstFailedOn == "" {
+		j.firstFailedOn = id
+	}
+	return j.firstFailedOn == id
+}
--- /dev/null
+++ b/process/dispatch/incarnation.go
@@ -0,0 +1,157 @@
+package dispatch
+
+import (
+	"time"
+
+	"fennelshunt.example/fennelshunt/connection/runner"
+	"fennelshunt.example/fennelshunt/version/work"
+)
+
+// Incarnations: workers that restart under the same name.
+//
+// Workers crash and are back after seconds, while start orders are in flight to them. An order
+// that was sent to the earlier incarnation can then be carried out by the later one, which has
+// its name; if the task counted as lost with the earlier incarnation, it would run twice.
+
+// maxOrderDelay is how long after it was sent an unanswered order may still be carried out.
+const maxOrderDelay = 12 * time.Second
+
+// noteIncarnation handles the sight of an incarnation, and removes an earlier one of the same
+// name. It reports whether the incarnation is older than the latest known one, or succeeds an
+// earlier one.
+func (e *Engine) noteIncarnation(id runner.WorkerID) (older, next bool) {
+	name, startTime := id.Life()
+	if startTime == 0 {
+		return false, false
+	}
+	before, known := e.latestStarts[name]
+	if known && startTime <= before {
+		return startTime < before, false
+	}
+	e.latestStarts[name] = startTime
+	if w := e.workers[runner.LifeID(name, before)]; known && w != nil {
+		e.removeWorker(w, "it is listed with a later start time", true)
+	}
+	return false, known
+}
+
+// takeOtherIncarnation handles the answer of another incarnation to a renewal that was sent to
+// w. The one that answered is the current one, whichever start time is higher, because the
+// call was sent after w last answered.
+//
+// The runs that it reports are taken over from w. If w were only removed, starts that were
+// sent to w and carried out by the other incarnation would count as lost, and be repeated
+// beside the runs that exist, or after these have ended.
+func (e *Engine) takeOtherIncarnation(w *worker, x *runner.OtherLife) {
+	e.decide(Decision{What: "answer of another incarnation", Worker: w.ID, Why: x.Error(), Age: e.now - w.answered})
+	next := e.workers[x.ID]
+	if next == nil {
+		seen := w.Worker
+		seen.ID = x.ID
+		next = e.addWorker(seen)
+		next.newInEpoch, next.rack = true, w.rack
+		e.fleetChanged = true
+	}
+	name, startTime := x.ID.Life()
+	e.latestStarts[name] = startTime
+	// The runs there got their lease from orders to the other incarnation, whose clock says
+	// nothing about when it ends.
+	next.expiry = max(next.expiry, e.now+leaseBound(e.o.Bounds.MaxLease))
+	moveReported(next, w, &x.Report)
+	e.removeWorker(w, "another incarnation answers at its address", true)
+	e.Renewed(e.now, next.ID, x.Report, nil)
+}
+
+// moveReported moves to an incarnation the runs in its report that were ordered from an
+// earlier one.
+func moveReported(next, w *worker, r *runner.Report) {
+	move := func(task work.TaskID, run uint64) {
+		if alloc := w.allocs[task]; alloc != nil && alloc.run == run {
+			alloc.moveTo(next)
+		}
+	}
+	for i := range r.Running {
+		move(r.Running[i].Task, r.Running[i].Run)
+	}
+	for i := range r.Ended {
+		move(r.Ended[i].Task, r.Ended[i].Run)
+	}
+}
+
+// moveTo books a run on another worker.
+func (alloc *allocation) moveTo(w *worker) {
+	alloc.w.drop(alloc)
+	alloc.w = w
+	w.take(alloc)
+}
+
+// mayStartLate reports whether a start order of the run may still be, or may have been,
+// carried out by the next incarnation under its worker's name. If that incarnation has been
+// seen, an answer to the start does not say which of the two gave it.
+func (e *Engine) mayStartLate(alloc *allocation) bool {
+	name, startTime := alloc.w.ID.Life()
+	followed := e.latestStarts[name] != startTime
+	return startTime != 0 && alloc.tries > 0 && (alloc.confirmedAt == 0 || (followed && !alloc.reported))
+}
+
+// addLateStart keeps an unconfirmed run that was in flight to a worker whose incarnation has
+// ended.
+func (e *Engine) addLateStart(w *worker, alloc *allocation) {
+	alloc.state, alloc.orphanedAt = stopping, e.now
+	name := w.ID.Name()
+	e.lateStarts[name] = append(e.lateStarts[name], alloc)
+}
+
+// takeLateStarts books on a worker that has answered the runs that it may have started from
+// orders to an earlier incarnation, and stops them: the answer to the stop says whether the
+// run can still start.
+func (e *Engine) takeLateStarts(w *worker) {
+	if len(e.lateStarts) == 0 {
+		return
+	}
+	name := w.ID.Name()
+	for _, alloc := range e.lateStarts[name] {
+		if alloc.task().alloc != alloc {
+			continue
+		}
+		alloc.moveTo(w)
+		e.sendStop(alloc)
+	}
+	delete(e.lateStarts, name)
+}
+
+// expireLateStarts releases late starts of workers that do not come back: a run that was
+// started late has ended with its lease.
+func (e *Engine) expireLateStarts() {
+	for name, all := range e.lateStarts {
+		kept := all[:0]
+		for _, alloc := range all {
+			if e.now-alloc.orphanedAt > maxOrderDelay+leaseBound(e.o.Bounds.MaxLease) {
+				e.release(alloc)
+				continue
+			}
+			kept = append(kept, alloc)
+		}
+		if e.lateStarts[name] = kept; len(kept) == 0 {
+			delete(e.lateStarts, name)
+		}
+	}
+}
+
+// incarnationOf returns the id of the incarnation that an entry names: without a start time,
+// the latest known one of that name.
+func (e *Engine) incarnationOf(id runner.WorkerID) runner.WorkerID {
+	name, startTime := id.Life()
+	if startTime != 0 {
+		return id
+	}
+	return runner.LifeID(name, e.latestStarts[name])
+}
+
+// unlistedByName handles the removal of a directory entry that names no incarnation.
+func (e *Engine) unlistedByName(now time.Duration, id runner.WorkerID) {
+	name, startTime := id.Life()
+	if latest, known := e.latestStarts[name]; known && startTime == 0 {
+		e.WorkerUnlisted(now, runner.LifeID(name, latest))
+	}
+}
--- /dev/null
+++ b/process/dispatch/longrunning_test.go
@@ -0,0 +1,208 @@
+package dispatch
+
+import (
+	"math/rand/v2"
+	"testing"
+	"time"
+
+	"github.com/stretchr/testify/require"
+
+	"fennelshunt.example/fennelshunt/connection/runner"
+	"fennelshunt.example/fennelshunt/connection/store"
+	"fennelshunt.example/fennelshunt/standin/epochworker"
+	"fennelshunt.example/fennelshunt/standin/kv"
+	"fennelshunt.example/fennelshunt/version/work"
+)
+
+func longRunningTask() work.Step {
+	s := oneTask()
+	s.Lasting, s.Target = true, 50*time.Millisecond
+	return s
+}
+
+// live reports the started runs as running.
+func live(percent float64, starts ...SendStart) []runner.Live {
+	var all []runner.Live
+	for _, s := range starts {
+		all = append(all, runner.Live{Task: s.Start.Task, Run: s.Start.Run, Percent: percent})
+	}
+	return all
+}
+
+func TestLastingTaskIsRestartedHoweverItEnds(t *testing.T) {
+	h := newHarness(t, 1, "w-a", "w-b")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	h.report("w-b", runner.Report{})
+	number := int64(0)
+	for _, how := range []runner.How{runner.Done, runner.Failed, runner.Failed, runner.Stopped, runner.Lapsed, runner.Broken} {
+		starts := h.starts()
+		require.Len(t, starts, 1, "before it ends as %s", how)
+		s := starts[0]
+		number++
+		h.report(s.To.ID, runner.Report{Running: live(100, s)})
+		h.report(s.To.ID, runner.Report{Ended: []runner.End{{Number: number, Task: s.Start.Task, Run: s.Start.Run, How: how}}})
+		h.step(50 * time.Millisecond)
+	}
+	require.Len(t, h.starts(), 1)
+	state, _ := h.e.State(testJob)
+	require.Equal(t, work.Running, state)
+}
+
+func TestFailureOfATaskThatServedSaysNothingOfItsWorker(t *testing.T) {
+	// Services left good workers unused for seconds. Tasks of two long-running jobs fail on
+	// one worker after hours of serving; the worker was quarantined, and then got one run at a
+	// time, because only completions as done counted in its favour, which these tasks never
+	// have.
+	w := &worker{}
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	s := h.starts()[0]
+	w = h.e.workers["w-a"]
+	w.probation, w.failJobs = true, []work.JobID{"another"}
+	h.report("w-a", runner.Report{Running: live(100, s)})
+	require.False(t, w.probation, "a task serves there")
+	require.Empty(t, w.failJobs)
+	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Failed}}})
+	require.Empty(t, w.failJobs)
+	require.Len(t, h.starts(), 1, "at once, on the same worker")
+}
+
+func TestRoomIsKeptForATaskThatLasts(t *testing.T) {
+	// A service's task that needs most of a worker was not started as long as small tasks kept
+	// coming, because each small task that ended was followed by another one that fits the
+	// gap: capacity was reserved for gangs only, and work that is late for its objective came
+	// first.
+	h := newHarness(t, 1, "w-a")
+	small := oneTask()
+	small.Count = 40
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, small)}}))
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	running := h.starts()
+	require.Len(t, running, 4, "the worker is full")
+	large := longRunningTask()
+	large.Size.CPU = 3500
+	service := jobEntry(t, 1, 1, large)
+	service.Key = KeyIn("00000000000000bb")
+	require.NoError(t, h.e.Accepted(h.now, service))
+	number := int64(0)
+	for range 4 {
+		number++
+		first := running[0]
+		running = running[1:]
+		h.report("w-a", runner.Report{Running: live(10, running...), Ended: []runner.End{{Number: number, Task: first.Start.Task, Run: first.Start.Run, How: runner.Done}}})
+		h.step(150 * time.Millisecond)
+		for _, s := range h.starts() {
+			if s.Start.Task.Job == "00000000000000bb" {
+				require.EqualValues(t, 4, number, "as soon as there is capacity")
+				return
+			}
+			require.Failf(t, "small work took the capacity", "%s", s.Start.Task)
+		}
+	}
+	require.Fail(t, "never started")
+}
+
+func TestEpochEndsWhenItsRunNumbersDo(t *testing.T) {
+	// After weeks a service's task was refused by every worker. It fails at once wherever it
+	// starts, tens of thousands of times in one epoch, so that the epoch's run numbers had run
+	// into those of the next epoch when another leader took over.
+	h := newHarness(t, 1, "w-a")
+	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+	h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].runs = 1<<runBits - 1
+	h.step(50 * time.Millisecond)
+	h.report("w-a", runner.Report{})
+	require.True(t, h.e.Deposed())
+	require.Empty(t, h.starts())
+}
+
+func TestBestEffortWorkAvoidsServingTasks(t *testing.T) {
+	// A service answered too late while best-effort work ran beside it. Best-effort work books
+	// no processors, so that it fits on a worker with a serving task, and neither was
+	// considered when the other was placed.
+	fill := oneTask()
+	fill.Fills, fill.Count, fill.Size.CPU = true, 3, 4000
+	t.Run("best-effort work comes second", func(t *testing.T) {
+		h := newHarness(t, 1, "w-a", "w-b")
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{})
+		serves := h.starts()[0].To.ID
+		h.report("w-b", runner.Report{})
+		other := jobEntry(t, 1, 1, fill)
+		other.Key = KeyIn("00000000000000bb")
+		require.NoError(t, h.e.Accepted(h.now, other))
+		h.step(50 * time.Millisecond)
+		starts := h.starts()
+		require.Len(t, starts, 3)
+		for _, s := range starts {
+			require.NotEqual(t, serves, s.To.ID)
+		}
+	})
+	t.Run("serving task comes second", func(t *testing.T) {
+		h := newHarness(t, 1, "w-a")
+		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, fill)}}))
+		h.step(50 * time.Millisecond)
+		h.report("w-a", runner.Report{})
+		require.Len(t, h.starts(), 3)
+		service := jobEntry(t, 1, 1, longRunningTask())
+		service.Key = KeyIn("00000000000000bb")
+		require.NoError(t, h.e.Accepted(h.now, service))
+		h.step(50 * time.Millisecond)
+		stops := 0
+		for _, x := range h.effects {
+			if _, ok := x.(SendStop); ok {
+				stops++
+			}
+		}
+		require.Equal(t, 3, stops, "best-effort work there is stopped")
+		require.Len(t, h.starts(), 1)
+	})
+}
+
+// TestLastingJobsUnderRandomTroubles keeps services running while daemons are killed and the
+// store fails. No faults are injected into the workers, so the system itself must not stop a
+// task.
+func TestLastingJobsUnderRandomTroubles(t *testing.T) {
+	overSeeds(t, 3, longRunningUnderFaults)
+}
+
+func longRunningUnderFaults(t *testing.T, seed uint64) {
+	c := newTestCell(t, seed, 16, 3, func(rng *rand.Rand, task work.TaskID) epochworker.Behaviour {
+		if task.Index == 0 && rng.IntN(3) == 0 {
+			return epochworker.Behaviour{Takes: time.Duration(rng.IntN(20_000)) * time.Millisecond, Fails: true}
+		}
+		return epochworker.Behaviour{Takes: 24 * time.Hour}
+	})
+	time.Sleep(2 * time.Second)
+	var services []work.JobID
+	for range 8 {
+		j := drawJob(c.rng, c.rng.IntN(2) == 0)
+		j.Steps = j.Steps[:1]
+		s := &j.Steps[0]
+		s.Gang, s.Lasting, s.MayMiss = false, true, 1
+		services = append(services, c.submit(j))
+		time.Sleep(200 * time.Millisecond)
+	}
+	for range 10 {
+		c.injectFaultOf(0, 1, 2, 3, 4, 8)
+		time.Sleep(time.Duration(2000+c.rng.IntN(6000)) * time.Millisecond)
+	}
+	c.kv.SetFaults(kv.Faults{})
+	time.Sleep(time.Minute)
+	for _, id := range services {
+		require.GreaterOrEqual(t, c.fleet.AtWork(id), c.jobs[id].Steps[0].Count-1, "%s", id) // the first task may fail just now
+		require.False(t, c.state(id).Final(), "%s", id)
+		c.cancelJob(id)
+	}
+	time.Sleep(20 * time.Second)
+	require.Zero(t, c.fleet.Running())
+	c.stop()
+	require.Empty(t, c.fleet.Broken())
+	require.Zero(t, c.fleet.AwayEnds())
+	require.Empty(t, c.broken)
+}
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -9,39 +9,39 @@
 
 // Grouping of writes.
 const (
-	// groupDelay is how long a change that nobody waits for may wait for others
-	// to be written with.
+	// groupDelay is how long a change that no caller waits for may be delayed to be written
+	// together with others.
 	groupDelay = 40 * time.Millisecond
-	// urgentDelay groups the ends of jobs, for which callers wait.
+	// urgentDelay is the same for the ends of jobs, for which callers wait.
 	urgentDelay = 25 * time.Millisecond
-	// overlapDelay is kept between the beginnings of two writes of which the first
-	// has not been answered yet: a store that answers in a few milliseconds then
-	// has one write at a time, one that takes 300 ms has all chains in use.
+	// overlapDelay is the least time between the starts of two writes if the first has not
+	// been answered yet: a store that answers in a few milliseconds then has one write at a
+	// time, one that takes 300 ms has all write streams in use.
 	overlapDelay = 40 * time.Millisecond
-	// fleetChain is the chain for the list of workers: two lists on their way on
-	// different chains could take effect in either order.
-	fleetChain = 0
+	// fleetStream is the write stream for the lists of workers: two lists in flight on
+	// different streams could take effect in either order.
+	fleetStream = 0
 )
 
-// batch is one write on its way to the store.
-type batch struct {
-	saves  []save
-	bundle *bundle // nil: every job is under a key of its own
-	fleet  []*worker
+// writeSet is one write that is in flight to the store.
+type writeSet struct {
+	saves []save
+	batch *batch // nil: every job is under a key of its own
+	fleet []*worker
 }
 
-// save is the progress of one job in a batch.
+// save is the progress of one job in a write set.
 type save struct {
 	job     *job
 	version uint64
 	state   work.State
-	bundled bool
+	batched bool
 }
 
-// mark notes a change of a job that must last. While a write of the job is on its
-// way the change waits for the answer: two writes on different chains take effect
-// in any order, and the older progress would stand for the newer one.
-func (e *Engine) mark(j *job, urgent bool) {
+// markDirty records a change of a job that must be stored. While a write of the job is in
+// flight the change waits for the answer: two writes on different streams take effect in
+// either order, and older progress could replace newer.
+func (e *Engine) markDirty(j *job, urgent bool) {
 	j.version++
 	if !j.writing {
 		e.queueWrite(j, urgent)
@@ -60,19 +60,19 @@
 	}
 }
 
-// persist prepares the writes that are due, each on a free chain.
+// persist prepares the writes that are due, each on a free write stream.
 func (e *Engine) persist() {
 	for {
-		chain, ok := e.freeChain()
-		if !ok || !e.writeDue(chain) {
+		stream, ok := e.freeStream()
+		if !ok || !e.writeDue(stream) {
 			return
 		}
-		e.write(chain)
+		e.write(stream)
 	}
 }
 
-// freeChain returns a chain for the next write.
-func (e *Engine) freeChain() (chain int, ok bool) {
+// freeStream returns a write stream for the next write.
+func (e *Engine) freeStream() (stream int, ok bool) {
 	busy, first := 0, -1
 	for i := range e.writes[:e.o.Policy.WriteChains] {
 		switch {
@@ -88,55 +88,55 @@
 	return first, true
 }
 
-func (e *Engine) writeDue(chain int) bool {
+func (e *Engine) writeDue(stream int) bool {
 	switch {
-	case e.fleetDirty() && chain == fleetChain:
+	case e.fleetDirty() && stream == fleetStream:
 		return true
 	case len(e.dirty) > 0 && e.urgent:
 		return e.now-e.dirtyAt >= urgentDelay
 	case len(e.dirty) > 0:
 		return e.now-e.dirtyAt >= groupDelay
 	}
-	return (len(e.removals) > 0 || len(e.unbundle) > 0) && e.now-e.writtenAt >= tidyPause
+	return (len(e.removals) > 0 || len(e.unbatch) > 0) && e.now-e.writtenAt >= cleanupPause
 }
 
-// tidyPause is kept before a write that nobody waits for: of keys that are no
-// longer needed, and of jobs that are moved out of bundles.
-const tidyPause = 100 * time.Millisecond
+// cleanupPause is kept before a write that no caller waits for: deletes of keys that are no
+// longer needed, and jobs that are moved out of batches.
+const cleanupPause = 100 * time.Millisecond
 
-// write prepares one write. What does not fit under keys of its own goes into a
-// bundle, so that one write takes all that waits, however slow the store is.
-func (e *Engine) write(chain int) {
-	b := &batch{}
-	c := SendCommit{Chain: chain}
+// write prepares one write. What does not fit under separate keys goes into a batch, so that
+// one write takes everything that waits, however slow the store is.
+func (e *Engine) write(stream int) {
+	ws := &writeSet{}
+	c := SendCommit{Chain: stream}
 	room := e.o.Policy.WriteKeys
-	if e.fleetDirty() && chain == fleetChain {
-		room -= e.addFleet(b, &c)
+	if e.fleetDirty() && stream == fleetStream {
+		room -= e.addFleet(ws, &c)
 	}
-	bundled := !e.o.Policy.NoBundles && e.dirtySize() > room
-	if bundled {
+	batched := !e.o.Policy.NoBundles && e.dirtySize() > room
+	if batched {
 		room--
 	}
-	room = e.addJobs(b, &c, room, true)
-	room = e.addJobs(b, &c, room, false)
-	if bundled {
-		e.addBundle(b, &c)
+	room = e.addJobs(ws, &c, room, true)
+	room = e.addJobs(ws, &c, room, false)
+	if batched {
+		e.addBatch(ws, &c)
 	}
-	room = e.addUnbundled(b, &c, room)
+	room = e.addUnbatched(ws, &c, room)
 	n := min(room, len(e.removals))
 	c.Deletes = append(c.Deletes, e.removals[:n]...)
 	e.removals = e.removals[n:]
-	e.writes[chain] = b
+	e.writes[stream] = ws
 	e.stats.Commits++
 	e.urgent = false
 	e.dirtyAt, e.writtenAt = e.now, e.now
-	e.out = append(e.out, c)
+	e.effects = append(e.effects, c)
 }
 
 // keys is the number of keys that a write of the job under its own key changes.
 func (j *job) keys() int {
 	n := 1
-	if j.state.Final() && j.handedIn {
+	if j.state.Final() && j.submitted {
 		n++
 		if j.spec.Apart {
 			n++
@@ -148,7 +148,7 @@
 	return n
 }
 
-// dirtySize is the number of keys that all that waits would change.
+// dirtySize is the number of keys that all waiting jobs would change.
 func (e *Engine) dirtySize() int {
 	n := 0
 	for _, j := range e.dirty {
@@ -157,9 +157,9 @@
 	return n
 }
 
-// addJobs moves queued jobs into the batch, either those that have ended or the
-// others, and returns the room that is left.
-func (e *Engine) addJobs(b *batch, c *SendCommit, room int, final bool) int {
+// addJobs moves queued jobs into the write set, either those that have ended or the others,
+// and returns the room that is left.
+func (e *Engine) addJobs(ws *writeSet, c *SendCommit, room int, final bool) int {
 	kept := e.dirty[:0]
 	for _, j := range e.dirty {
 		if j.state.Final() != final || room < j.keys() {
@@ -167,7 +167,7 @@
 			continue
 		}
 		room -= j.keys()
-		e.addJob(b, c, j)
+		e.addJob(ws, c, j)
 	}
 	clear(e.dirty[len(kept):])
 	e.dirty = kept
@@ -175,14 +175,14 @@
 }
 
 // addJob writes a job under its own key.
-func (e *Engine) addJob(b *batch, c *SendCommit, j *job) {
+func (e *Engine) addJob(ws *writeSet, c *SendCommit, j *job) {
 	data, err := work.EncodeProgress(j.progress())
 	if err != nil {
 		e.violate("progress does not encode: "+err.Error(), work.TaskID{Job: j.id}, "")
 		return
 	}
 	c.Writes = append(c.Writes, store.Write{Key: KeyState(j.id), Value: data})
-	if j.state.Final() && j.handedIn {
+	if j.state.Final() && j.submitted {
 		c.Deletes = append(c.Deletes, KeyIn(j.id))
 		if j.spec.Apart {
 			c.Deletes = append(c.Deletes, KeySpec(j.id))
@@ -191,53 +191,53 @@
 	if j.state == work.Cancelled {
 		c.Deletes = append(c.Deletes, KeyCancel(j.id))
 	}
-	e.include(b, j, false)
+	e.include(ws, j, false)
 }
 
-// include notes that a batch holds a job's progress.
-func (e *Engine) include(b *batch, j *job, bundled bool) {
+// include records that a write set has a job's progress.
+func (e *Engine) include(ws *writeSet, j *job, batched bool) {
 	if j.writing {
-		e.violate("two writes of a job on their way", work.TaskID{Job: j.id}, "")
+		e.violate("two writes of a job in flight", work.TaskID{Job: j.id}, "")
 	}
 	j.dirty, j.writing = false, true
-	b.saves = append(b.saves, save{job: j, version: j.version, state: j.state, bundled: bundled})
+	ws.saves = append(ws.saves, save{job: j, version: j.version, state: j.state, batched: batched})
 }
 
-// Committed tells that the SendCommit on a chain is in the store.
-func (e *Engine) Committed(now time.Duration, chain int) {
+// Committed handles the answer that the SendCommit on a write stream is stored.
+func (e *Engine) Committed(now time.Duration, stream int) {
 	e.now = now
-	b := e.writes[chain]
-	if b == nil {
+	ws := e.writes[stream]
+	if ws == nil {
 		return
 	}
-	e.writes[chain] = nil
-	for i := range b.saves {
-		e.saved(b, &b.saves[i])
+	e.writes[stream] = nil
+	for i := range ws.saves {
+		e.saved(ws, &ws.saves[i])
 	}
-	for _, w := range b.fleet {
-		w.kept = true
+	for _, w := range ws.fleet {
+		w.recorded = true
 		w.nextRenew = now
 	}
-	for _, w := range e.order {
+	for _, w := range e.workerList {
 		e.acknowledge(w)
 		e.renew(w)
 	}
 }
 
-// saved notes that a job's progress is in the store.
-func (e *Engine) saved(b *batch, s *save) {
+// saved records that a job's progress is stored.
+func (e *Engine) saved(ws *writeSet, s *save) {
 	j := s.job
 	j.writing = false
 	j.saved = s.version
-	if s.bundled {
-		e.moveTo(j, b.bundle)
+	if s.batched {
+		e.moveTo(j, ws.batch)
 	} else {
 		e.moveTo(j, nil)
-		j.handedIn = j.handedIn && !s.state.Final()
+		j.submitted = j.submitted && !s.state.Final()
 	}
 	if s.state.Final() {
 		j.visible = s.state
-		e.shed(j)
+		e.trim(j)
 	}
 	e.sendTrials(j)
 	if j.version > j.saved {
--- /dev/null
+++ b/process/dispatch/placement.go
@@ -0,0 +1,375 @@
+package dispatch
+
+import (
+	"slices"
+	"time"
+
+	"fennelshunt.example/fennelshunt/connection/runner"
+	"fennelshunt.example/fennelshunt/version/work"
+)
+
+// Timing and limits of rounds of placement.
+const (
+	// busyBacklog is the number of waiting steps from which a round is costly; rounds are then
+	// busyPause apart. A round over 500 steps takes some 100 µs.
+	busyBacklog = 50
+	busyPause   = 4 * time.Millisecond
+	// idleFactor: after a round the engine only takes events for idleFactor times as long as
+	// the round took, at most maxIdle.
+	//
+	// When more steps wait than the leader's processor can place, a round after each event
+	// would take all processor time, and reports and pings would queue behind rounds until the
+	// leader looks failed.
+	idleFactor = 2
+	maxIdle    = 60 * time.Millisecond
+	// costDecay: a round's time enters the average with weight 1/costDecay.
+	costDecay = 4
+	// gangPause is between attempts to place one waiting gang, unless it has new advice: an
+	// attempt over the tickets for a hundred workers takes some 10 µs, and there are several
+	// hundred rounds per second.
+	gangPause = 10 * time.Millisecond
+	// maxBackoff doublings bound the pause of a gang without reserved capacity at 160 ms: 480
+	// waiting gangs are then tried in turn, a dozen every 4 ms.
+	maxBackoff = 4
+	// maxTried, or one in triedShare workers if that is more, bounds how many waiting gangs
+	// are tried in one round.
+	maxTried   = 12
+	triedShare = 10
+)
+
+// scaledByWorkers returns a bound that grows with the number of workers: one for each share of
+// them, and at least a minimum.
+func (e *Engine) scaledByWorkers(least, share int) int { return max(least, len(e.workerList)/share) }
+
+// RoundTook reports how long the last Flush took, for the case that it ran a round: the engine
+// has no clock of its own.
+func (e *Engine) RoundTook(at, d time.Duration) {
+	if e.scheduledAt == at {
+		e.roundCost += (d - e.roundCost) / costDecay
+	}
+}
+
+// roundPause is kept between the starts of two rounds.
+func (e *Engine) roundPause() time.Duration {
+	pause := min((idleFactor+1)*e.roundCost, maxIdle)
+	if len(e.ready) >= busyBacklog {
+		pause = max(pause, busyPause)
+	}
+	return pause
+}
+
+// round is the state of one round of placement.
+type round struct {
+	full     []fullSize
+	tried    int // gangs
+	reserved int // gangs with reserved capacity
+}
+
+// fullSize is a size for which no worker of a service had capacity.
+type fullSize struct {
+	service string
+	size    work.Resources
+}
+
+// schedule runs a round of placement.
+func (e *Engine) schedule() {
+	e.scheduledAt = e.now
+	steps := e.waiting()
+	if e.now >= e.planAt {
+		e.planAt = e.now + planPeriod
+		e.clearReservations()
+	}
+	e.countProxies()
+	e.countUnconfirmed()
+	e.ledger.ClearWants()
+	clear(e.keptFree)
+	var r round
+	for _, s := range steps {
+		cause := e.blockedBy(s)
+		switch {
+		case cause != waitNothing:
+		case s.spec.Gang:
+			e.tryGang(s, &r)
+			cause = e.causeOf(s)
+		default:
+			e.tryTasks(s, &r)
+			cause = e.causeOf(s)
+		}
+		e.noteWait(s, cause)
+	}
+	e.sendAdviceCalls(steps)
+}
+
+// tryGang places a gang, or reserves capacity for it.
+func (e *Engine) tryGang(s *step, r *round) {
+	if e.now >= s.retryAt && r.tried < e.scaledByWorkers(maxTried, triedShare) && e.gangFeasible(s) {
+		r.tried++
+		if e.placeGang(s) {
+			return
+		}
+		e.backOff(s)
+	}
+	e.reserveCapacity(s, r)
+}
+
+// backOff sets when a gang that found no capacity is tried again: soon if capacity is reserved
+// for it, else later each time.
+//
+// A round tries a bounded number of gangs. Without the backoff the first ones, which wait for
+// busy workers, would use up that number in every round, and those behind them would never be
+// tried although there are idle workers.
+func (e *Engine) backOff(s *step) {
+	pause := gangPause
+	if !e.hasReserved(s) {
+		pause <<= min(s.misses, maxBackoff)
+		s.misses++
+	}
+	s.retryAt = e.now + pause
+}
+
+// tryTasks places tasks of a step one by one, unless there is certainly no capacity for them.
+func (e *Engine) tryTasks(s *step, r *round) {
+	if a := e.adviceOf(s); a != nil && !e.mayAsk(s) && !a.usable(e.now) {
+		return // no tickets to use, and no call possible now
+	}
+	need := s.spec.Need()
+	service := s.job.spec.Queue.Service
+	if slices.ContainsFunc(r.full, func(t fullSize) bool { return t.service == service && t.size.Fits(need) }) {
+		return
+	}
+	if e.anyCapacity(s, need) {
+		e.placeTasks(s)
+	} else if len(s.spec.Labels) == 0 && !s.spec.Fills && len(r.full) < maxFullSizes {
+		r.full = append(r.full, fullSize{service, need})
+	}
+	if s.spec.Lasting && len(s.pending) > 0 {
+		e.reserveCapacity(s, r)
+	}
+}
+
+// maxFullSizes bounds the sizes recorded in a round.
+const maxFullSizes = 8
+
+// anyCapacity reports whether any worker has capacity for one task.
+func (e *Engine) anyCapacity(s *step, need work.Resources) bool {
+	for _, w := range e.workerList {
+		if need.Fits(w.free()) && e.eligible(s, w) {
+			return true
+		}
+	}
+	return false
+}
+
+// capacityFor returns how many of a step's tasks, at most limit, the step may place on a
+// worker now. Most workers of a busy cell are full, which the first check finds.
+func (e *Engine) capacityFor(s *step, w *worker, need work.Resources, limit int) int {
+	if !need.Fits(w.free()) {
+		return 0
+	}
+	return need.Times(e.freeFor(s, w), limit)
+}
+
+// blockedBy returns why no task of the step may start now at all, if so.
+func (e *Engine) blockedBy(s *step) waitCause {
+	switch {
+	case s.gang.stopping || (s.spec.Gang && s.live() > 0):
+		return waitMembers
+	case s.job.inherited && !e.accountedFor(s):
+		return waitTakeover
+	case (s.job.spec.Account != "" && !e.capsKnown()) || !e.withinQuota(s):
+		e.awaitsQuota(s)
+		return waitQuota
+	}
+	return waitNothing
+}
+
+// eligible reports whether a step may run on a worker, apart from capacity and advice.
+func (e *Engine) eligible(s *step, w *worker) bool {
+	if s.spec.Gang && w.probation {
+		return false // one member that fails there stops the whole gang
+	}
+	if s.spec.Fills && w.hostsTarget() {
+		return false
+	}
+	if w.isolated.excludes(s, e.now) {
+		return false
+	}
+	return w.usable(e.now) && w.Service == s.job.spec.Queue.Service && w.has(s.spec.Labels)
+}
+
+// perWorker bounds how many of n tasks may go to one worker.
+func (s *step) perWorker(n int) int {
+	if s.spec.MaxPerWorker > 0 {
+		return min(n, s.spec.MaxPerWorker)
+	}
+	return n
+}
+
+// liveOn returns the step's runs on a worker.
+func (s *step) liveOn(w *worker) int {
+	if s.spec.MaxPerWorker == 0 {
+		return 0 // not needed
+	}
+	n := 0
+	for _, alloc := range w.allocs {
+		if alloc.s == s {
+			n++
+		}
+	}
+	return n
+}
+
+// placeTasks places the tasks of a step one by one.
+func (e *Engine) placeTasks(s *step) {
+	a := e.adviceOf(s)
+	missing := false
+	for _, i := range slices.Clone(s.pending) {
+		if e.mayRunUnreported(s, i) {
+			continue
+		}
+		if !e.withinQuota(s) {
+			e.awaitsQuota(s)
+			return
+		}
+		w, ticket := e.bestWorker(s, i, a)
+		if w == nil {
+			missing = true
+			if s.tasks[i].crashes.Suspect() {
+				continue // it waits for a worker without recent starts, the others need not
+			}
+			break
+		}
+		run, ok := e.newRun(&s.tasks[i].runs, s.id(), w.ID)
+		if !ok {
+			return
+		}
+		e.start(w, s, i, run, ticket)
+	}
+	if missing && a != nil {
+		e.askFor(s, len(s.pending))
+	}
+}
+
+// scored is a worker with its score for a task.
+type scored struct {
+	w      *worker
+	score  float64
+	ticket string
+}
+
+// update takes the worker if it is better than the best one so far.
+func (b *scored) update(w *worker, score float64, text string) {
+	if b.w == nil || score > b.score {
+		*b = scored{w, score, text}
+	}
+}
+
+// bestWorker filters the workers and returns the one with the best score, with its ticket. A
+// suspect task waits for a worker without recent starts.
+func (e *Engine) bestWorker(s *step, i int, a *advice) (best *worker, text string) {
+	suspect := s.tasks[i].crashes.Suspect()
+	var now, later scored
+	consider := func(w *worker, text string) {
+		switch {
+		case !e.mayPlace(s, i, w):
+		case suspect && !e.noRecentStarts(w, s):
+			later.update(w, e.score(s, i, w), text)
+		default:
+			now.update(w, e.score(s, i, w), text)
+		}
+	}
+	if a != nil {
+		for k := range a.tickets {
+			if t := &a.tickets[k]; t.valid(e.now) {
+				consider(t.w, t.text)
+			}
+		}
+	} else {
+		for _, w := range e.workerList {
+			consider(w, "")
+		}
+	}
+	if now.w == nil && later.w != nil {
+		e.isolate(s, later.w)
+	}
+	return now.w, now.ticket
+}
+
+// mayPlace reports whether a task may start on a worker now, apart from advice.
+func (e *Engine) mayPlace(s *step, i int, w *worker) bool {
+	need := s.spec.Need()
+	if !need.Fits(w.free()) || !e.eligible(s, w) || !need.Fits(e.freeFor(s, w)) {
+		return false
+	}
+	if s.spec.MaxPerWorker > 0 && s.liveOn(w) >= s.spec.MaxPerWorker {
+		return false
+	}
+	t := &s.tasks[i]
+	return e.now >= t.avoidUntil || !slices.Contains(t.avoid, w.ID)
+}
+
+// avoidTimeout is how long a task that failed on a worker waits for another one: long enough
+// to request advice on others, short relative to an objective. Otherwise, if the only ticket
+// is for the worker where it has just failed, a second attempt there would fail a job whose
+// queue allows two.
+const avoidTimeout = time.Second
+
+// avoidWorker keeps a task away from a worker where it failed or stalled.
+func (t *task) avoidWorker(id runner.WorkerID, now time.Duration) {
+	t.avoidUntil = now + avoidTimeout
+	if !slices.Contains(t.avoid, id) {
+		t.avoid = append(t.avoid, id)
+	}
+}
+
+// Weights of a worker's score for a task.
+const (
+	// scoreAvoid: a task that failed on a worker goes to any other worker first.
+	scoreAvoid = -100
+	// scoreSuspect: workers on which runs failed recently come after those on which none did;
+	// it counts for each point of suspicion.
+	scoreSuspect = -2.5
+	// scoreNear: near its data a task takes a third of the time.
+	scoreNear = 20
+	// scoreSpeed: a faster worker completes sooner; worth as much as perfect packing.
+	scoreSpeed = 1.0
+	// scoreFull: workers that are nearly full come first, so that large tasks find workers
+	// with much free capacity.
+	scoreFull = 1.0
+	// scoreCrashed: a task under which workers crashed avoids workers that crashed recently,
+	// whatever the cause.
+	scoreCrashed = -50
+	// scoreAtRisk: such a task goes where the least other work is lost if the worker crashes.
+	scoreAtRisk = -10
+)
+
+func (e *Engine) score(s *step, i int, w *worker) float64 {
+	score := scoreSpeed/w.slowdown + scoreSuspect*w.suspicion
+	if slices.Contains(s.tasks[i].avoid, w.ID) {
+		score += scoreAvoid
+	}
+	if s.spec.DataRack != "" && s.spec.DataRack == w.rack {
+		score += scoreNear
+	}
+	full := fullness(w, s.spec.Need())
+	if len(s.tasks[i].crashes) > 0 {
+		if e.crashedRecently(w) {
+			score += scoreCrashed
+		}
+		return score + scoreAtRisk*full
+	}
+	return score + scoreFull*full
+}
+
+// fullness is the used share of the worker's scarcest resource once need is placed there.
+func fullness(w *worker, need work.Resources) float64 {
+	used := w.used.Add(need)
+	return max(ratio(used.CPU, w.Capacity.CPU), ratio(used.Memory, w.Capacity.Memory))
+}
+
+func ratio(a, b int) float64 {
+	if b <= 0 {
+		return 0
+	}
+	return float64(a) / float64(b)
+}
