--- a/process/partition/address.go
+++ b/process/partition/address.go
@@ -10,7 +10,7 @@
 // that asks for its address, doubled while the worker does not know one. The
 // next heartbeat in its turn would have callers wait for up to a second or, at
 // a daemon with many workers, two.
-const addressWait = 50 * time.Millisecond
+const initialAddressDelay = 50 * time.Millisecond
 
 // askAddress has the worker's next heartbeat sent after a wait, unless one is
 // due sooner. It is called after starts and by itself only, and its waits
@@ -19,19 +19,19 @@
 func (o *owner) askAddress(n *node, wait time.Duration) {
 	at := time.Now().Add(wait)
 	if !at.Before(n.nextSync) || !lacksAddress(n) {
-		n.addressWait = 0
+		n.addressDelay = 0
 		return
 	}
-	n.addressWait, n.nextSync = wait, at
+	n.addressDelay, n.nextSync = wait, at
 	time.AfterFunc(wait, func() {
-		o.post(func() { o.wake(n) })
+		o.post(func() { o.markDirty(n) })
 	})
 }
 
 // askAddressAgain goes on asking after a heartbeat that did not tell.
 func (o *owner) askAddressAgain(n *node) {
-	if n.addressWait > 0 {
-		o.askAddress(n, 2*n.addressWait)
+	if n.addressDelay > 0 {
+		o.askAddress(n, 2*n.addressDelay)
 	}
 }
 
--- a/process/partition/address_test.go
+++ b/process/partition/address_test.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-func TestAddressOfAnInstanceIsKnownSoon(t *testing.T) {
+func TestAddressOfAnInstanceIsPublishedSoon(t *testing.T) {
 	// Symptom:  callers wait about a second longer than needed for a service.
 	// Sequence: an instance starts and listens; its worker tells the address
 	//           with the next heartbeat only.
--- a/process/partition/agenttest/agenttest.go
+++ b/process/partition/agenttest/agenttest.go
@@ -17,22 +17,22 @@
 
 // Rack is a set of agents that tests share. Safe for concurrent use.
 type Rack struct {
-	mu     sync.Mutex
-	agents map[worker.ID]*agent
-	saved  map[spec.TaskID]float64
-	starts map[spec.TaskID]int
+	mu          sync.Mutex
+	agents      map[worker.ID]*agent
+	checkpoints map[spec.TaskID]float64
+	starts      map[spec.TaskID]int
 	// finished counts acknowledged successes. A result that nobody has
 	// acknowledged can be lost with its worker; the task may start again.
-	finished   map[spec.TaskID]int
-	succeeded  map[spec.TaskID]bool
-	violations []string
-	faults     Faults
-	cuts       map[cut]bool
-	paused     map[string]chan struct{}
-	calls      map[string]int
-	leases     int
-	nonce      uint64
-	failJobs   map[string]bool
+	ackedSuccesses map[spec.TaskID]int
+	succeeded      map[spec.TaskID]bool
+	violations     []string
+	faults         Faults
+	cuts           map[cut]bool
+	paused         map[string]chan struct{}
+	calls          map[string]int
+	leases         int
+	nonce          uint64
+	failJobs       map[string]bool
 }
 
 // cut separates a daemon from a worker.
@@ -53,17 +53,17 @@
 
 // agent is the state of one worker.
 type agent struct {
-	id             worker.ID
-	capacity       spec.Resources
-	comparesEpochs bool
-	failAll        bool
-	down           bool
-	draining       bool
-	maxEpoch       uint64
-	seq            uint64
-	leases         map[worker.LeaseID]*lease
-	runs           map[worker.Ref]*run
-	usage          map[spec.TaskID]spec.Resources
+	id           worker.ID
+	capacity     spec.Resources
+	checksEpochs bool
+	failAll      bool
+	down         bool
+	draining     bool
+	maxEpoch     uint64
+	seq          uint64
+	leases       map[worker.LeaseID]*lease
+	runs         map[worker.Ref]*run
+	usage        map[spec.TaskID]spec.Resources
 }
 
 type lease struct {
@@ -75,25 +75,25 @@
 func (l *lease) valid(now time.Time) bool { return !l.revoked && now.Sub(l.renewed) < l.ttl }
 
 type run struct {
-	task  worker.Task
-	start worker.Start
-	began time.Time
-	base  float64
-	seq   uint64
+	task        worker.Task
+	start       worker.Start
+	started     time.Time
+	resumedWork float64
+	seq         uint64
 }
 
 // NewRack returns a rack without workers.
 func NewRack() *Rack {
 	return &Rack{
-		agents:    make(map[worker.ID]*agent),
-		saved:     make(map[spec.TaskID]float64),
-		starts:    make(map[spec.TaskID]int),
-		finished:  make(map[spec.TaskID]int),
-		succeeded: make(map[spec.TaskID]bool),
-		cuts:      make(map[cut]bool),
-		paused:    make(map[string]chan struct{}),
-		calls:     make(map[string]int),
-		failJobs:  make(map[string]bool),
+		agents:         make(map[worker.ID]*agent),
+		checkpoints:    make(map[spec.TaskID]float64),
+		starts:         make(map[spec.TaskID]int),
+		ackedSuccesses: make(map[spec.TaskID]int),
+		succeeded:      make(map[spec.TaskID]bool),
+		cuts:           make(map[cut]bool),
+		paused:         make(map[string]chan struct{}),
+		calls:          make(map[string]int),
+		failJobs:       make(map[string]bool),
 	}
 }
 
@@ -102,7 +102,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.agents[id] = &agent{
-		id: id, capacity: capacity, comparesEpochs: comparesEpochs,
+		id: id, capacity: capacity, checksEpochs: comparesEpochs,
 		leases: make(map[worker.LeaseID]*lease),
 		runs:   make(map[worker.Ref]*run),
 		usage:  make(map[spec.TaskID]spec.Resources),
@@ -166,8 +166,8 @@
 func (r *Rack) SetDraining(id worker.ID) { r.change(id, func(a *agent) { a.draining = true }) }
 
 // ForgetEpochs makes a worker one that only knows leases.
-func (r *Rack) ForgetEpochs(id worker.ID) {
-	r.change(id, func(a *agent) { a.comparesEpochs = false })
+func (r *Rack) IgnoreEpochs(id worker.ID) {
+	r.change(id, func(a *agent) { a.checksEpochs = false })
 }
 
 // SetFailAll makes every task fail at a worker.
@@ -273,7 +273,7 @@
 			switch {
 			case l != nil && now.Sub(l.renewed) >= l.taskTTL:
 				a.end(run, worker.Stopped, "task lease ran out")
-			case run.start.Kind != spec.Service && now.Sub(run.began) >= run.left():
+			case run.start.Kind != spec.Service && now.Sub(run.started) >= run.remaining():
 				if a.failAll || r.failJobs[run.task.Task.Job] {
 					a.end(run, worker.Failed, "failed")
 					continue
@@ -285,8 +285,8 @@
 	}
 }
 
-func (run *run) left() time.Duration {
-	return time.Duration(float64(run.start.RunTime) * (1 - run.base))
+func (run *run) remaining() time.Duration {
+	return time.Duration(float64(run.start.RunTime) * (1 - run.resumedWork))
 }
 
 func (a *agent) touch(run *run) {
@@ -311,17 +311,17 @@
 			}
 		}
 	}
-	if r.finished[s.Task] > 0 {
+	if r.ackedSuccesses[s.Task] > 0 {
 		r.violations = append(r.violations, fmt.Sprintf("task %s starts again after its success was acknowledged", s.Task))
 	}
-	n := &run{start: s, began: time.Now(), task: worker.Task{
+	n := &run{start: s, started: time.Now(), task: worker.Task{
 		Task: s.Task, Attempt: s.Attempt, Lease: id, State: worker.Running, Size: s.Size, Usage: a.usage[s.Task],
 	}}
 	if s.Kind == spec.Service {
 		n.task.Address = string(a.id) + "/" + s.Task.String()
 	}
 	if s.Checkpoint {
-		n.base = r.saved[s.Task]
+		n.resumedWork = r.checkpoints[s.Task]
 	}
 	a.runs[ref] = n
 	a.touch(n)
--- a/process/partition/agenttest/client.go
+++ b/process/partition/agenttest/client.go
@@ -32,26 +32,26 @@
 }
 
 // plan of one call through the faulty network.
-type fate struct {
+type callFaults struct {
 	unreachable         bool
 	loseCall, loseReply bool
 	held                chan struct{} // not nil: the daemon is paused
 	before, after       time.Duration
 }
 
-func (c *client) fate() fate {
+func (c *client) drawFaults() callFaults {
 	r := c.rack
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.calls[c.daemon]++
 	a := r.agents[c.id]
 	if a == nil || a.down || r.cuts[cut{c.daemon, c.id}] {
-		return fate{unreachable: true}
+		return callFaults{unreachable: true}
 	}
 	f := r.faults
 	r.nonce++
 	rng := rand.New(rand.NewPCG(f.Seed, r.nonce))
-	p := fate{held: r.paused[c.daemon]}
+	p := callFaults{held: r.paused[c.daemon]}
 	p.loseCall = rng.Float64() < f.LoseCalls
 	p.loseReply = rng.Float64() < f.LoseAnswers
 	if f.MaxDelay > 0 {
@@ -65,7 +65,7 @@
 // on its way: it may still take effect later.
 func do[T any](ctx context.Context, c *client, f func(a *agent) (T, error)) (T, error) {
 	var zero T
-	p := c.fate()
+	p := c.drawFaults()
 	if p.unreachable {
 		return zero, worker.ErrUnreachable
 	}
@@ -124,7 +124,7 @@
 func (run *run) report() worker.Task {
 	t := run.task
 	if !t.State.Ended() && run.start.RunTime > 0 {
-		t.Work = min(1, run.base+float64(time.Since(run.began))/float64(run.start.RunTime))
+		t.Work = min(1, run.resumedWork+float64(time.Since(run.started))/float64(run.start.RunTime))
 	}
 	return t
 }
@@ -132,7 +132,7 @@
 // OpenLease implements worker.Agent.
 func (c *client) OpenLease(ctx context.Context, req worker.OpenLease) (worker.LeaseID, error) {
 	return do(ctx, c, func(a *agent) (worker.LeaseID, error) {
-		if a.comparesEpochs && req.Epoch < a.maxEpoch {
+		if a.checksEpochs && req.Epoch < a.maxEpoch {
 			return "", worker.ErrStaleEpoch
 		}
 		a.maxEpoch = max(a.maxEpoch, req.Epoch)
@@ -187,7 +187,7 @@
 		for _, ref := range req.Acks {
 			if run := a.runs[ref]; run != nil && run.task.State.Ended() {
 				if run.task.State == worker.Succeeded {
-					c.rack.finished[ref.Task]++
+					c.rack.ackedSuccesses[ref.Task]++
 				}
 				delete(a.runs, ref)
 			}
@@ -258,7 +258,7 @@
 func (c *client) Checkpoint(ctx context.Context, id worker.LeaseID, ref worker.Ref) error {
 	return c.running(ctx, id, ref, func(a *agent, run *run) {
 		if run.start.Kind != spec.Service {
-			c.rack.saved[ref.Task] = run.report().Work
+			c.rack.checkpoints[ref.Task] = run.report().Work
 		}
 		a.end(run, worker.Stopped, "checkpointed")
 	})
--- a/process/partition/author_test.go
+++ b/process/partition/author_test.go
@@ -102,7 +102,7 @@
 }
 
 // last returns the newest event of a task that f accepts.
-func (a *author) saw(f func(plan.Event) bool) bool {
+func (a *author) received(f func(plan.Event) bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return slices.ContainsFunc(a.events, f)
--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -19,24 +19,24 @@
 
 // pump starts the most urgent call to the worker. A worker has at most one
 // call under way, so replies arrive in the order of the calls.
-func (o *owner) pump(n *node, now time.Time) {
-	if n.gone {
+func (o *owner) nextCall(n *node, now time.Time) {
+	if n.unlisted {
 		return // nothing may renew its tasks, so that their lease runs out
 	}
 	switch {
 	case !n.fenced && !now.Before(n.nextTry) && !o.releasing:
 		o.startFence(n)
-	case n.lease == "" || (!n.fenced && !n.provision):
+	case n.lease == "" || (!n.fenced && !n.renewOnly):
 	case !now.Before(n.nextSync):
 		o.startSync(n)
 	case n.fenced && n.failures == 0 && o.startQueued(n):
-	case n.fenced && o.startLimit(n):
-	case stopsWaiting(n) && n.failures == 0:
+	case n.fenced && o.startAdjustment(n):
+	case hasPendingStops(n) && n.failures == 0:
 		o.startSync(n)
 	}
 }
 
-func stopsWaiting(n *node) bool {
+func hasPendingStops(n *node) bool {
 	for _, t := range n.tasks {
 		if t.stopWanted && t.phase == running {
 			return true
@@ -66,9 +66,9 @@
 
 func (o *owner) syncDone(n *node, req worker.SyncRequest, reply worker.SyncReply, err error) {
 	now := time.Now()
-	o.returned(n)
+	o.callReturned(n)
 	if !errors.Is(err, worker.ErrUnreachable) && !errors.Is(err, worker.ErrLeaseInvalid) {
-		n.renewed = now // also after a lost answer
+		n.lastRenewal = now // also after a lost answer
 	}
 	if err != nil {
 		o.h.o.Metrics.SyncFailures.Add(1)
@@ -77,12 +77,12 @@
 	}
 	if n.failures > 0 {
 		n.failures = 0
-		o.touch(n)
+		o.markChanged(n)
 	}
-	n.heard = now
+	n.lastReply = now
 	n.nextSync = now.Add(o.syncInterval())
 	n.seq = reply.Seq
-	o.forget(n, req.Acks)
+	o.dropAcked(n, req.Acks)
 	for _, ref := range req.Stops {
 		if t := n.tasks[ref]; t != nil {
 			t.stopWanted = false // the worker reports Stopped when it is done
@@ -99,7 +99,7 @@
 }
 
 // forget drops results that the worker has dropped.
-func (o *owner) forget(n *node, acks []worker.Ref) {
+func (o *owner) dropAcked(n *node, acks []worker.Ref) {
 	if len(acks) == 0 {
 		return
 	}
@@ -116,31 +116,31 @@
 	now := time.Now()
 	switch {
 	case errors.Is(err, worker.ErrStaleEpoch):
-		o.metStaleEpoch(n, err)
+		o.handleStaleEpoch(n, err)
 		return
 	case errors.Is(err, worker.ErrLeaseInvalid):
 		// The worker restarted, was out of reach for longer than the lease, or
 		// another owner revoked it: fence again, which asks the store.
-		n.fenced, n.provision = false, false
+		n.fenced, n.renewOnly = false, false
 		// At once, but not in a tight loop when a lease never holds.
-		n.nextTry = n.lastFence.Add(fenceRetry)
-		o.touch(n)
+		n.nextTry = n.lastFenceTry.Add(fenceRetry)
+		o.markChanged(n)
 		return
 	case errors.Is(err, context.Canceled) && o.ctx.Err() != nil:
 		return
 	}
 	if n.failures == 0 {
 		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("worker does not answer")
-		o.touch(n)
+		o.markChanged(n)
 	}
 	n.failures++
 	wait := min(time.Duration(n.failures)*o.syncInterval(), maxBackoff)
 	n.nextSync = now.Add(wait)
 	n.nextTry = now.Add(wait)
-	o.refuseQueued(n, outOfReach)
+	o.refuseQueued(n, unreachable)
 }
 
-const outOfReach = "worker out of reach before the start was sent"
+const unreachable = "worker out of reach before the start was sent"
 
 // refuseQueued gives starts that were not sent back to their shard, so that
 // they do not wait for a worker that may not take them.
@@ -191,7 +191,7 @@
 }
 
 func (o *owner) startDone(n *node, batch []*task, replies []worker.StartReply, err error) {
-	o.returned(n)
+	o.callReturned(n)
 	certain := err == nil || isAny(err, worker.ErrLeaseInvalid, worker.ErrStaleEpoch, worker.ErrUnreachable)
 	for i, t := range batch {
 		if t.phase != sent {
@@ -215,22 +215,22 @@
 	if err != nil {
 		o.callFailed(n, err)
 	} else {
-		o.askAddress(n, addressWait)
+		o.askAddress(n, initialAddressDelay)
 	}
-	o.touch(n)
+	o.markChanged(n)
 }
 
 // startLimit sends one throttle or checkpoint; false when none is wanted.
-func (o *owner) startLimit(n *node) bool {
+func (o *owner) startAdjustment(n *node) bool {
 	for _, t := range n.tasks {
 		if t.phase != running {
 			continue
 		}
-		if t.saveWanted {
+		if t.checkpointWanted {
 			o.startCheckpoint(n, t)
 			return true
 		}
-		if t.throttle != t.throttled {
+		if t.wantedLimit != t.appliedLimit {
 			o.startThrottle(n, t)
 			return true
 		}
@@ -246,8 +246,8 @@
 		defer cancel()
 		err := agent.Checkpoint(ctx, lease, t.ref)
 		o.post(func() {
-			o.returned(n)
-			t.saveWanted = false
+			o.callReturned(n)
+			t.checkpointWanted = false
 			t.checkpointed = err == nil
 			if err != nil {
 				t.stopWanted = true // the progress is lost, the place is needed
@@ -260,18 +260,18 @@
 
 func (o *owner) startThrottle(n *node, t *task) {
 	n.busy = true
-	agent, lease, limit := n.agent, n.lease, t.throttle
+	agent, lease, limit := n.agent, n.lease, t.wantedLimit
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, o.t.CallTimeout)
 		defer cancel()
 		err := agent.Throttle(ctx, lease, t.ref, limit)
 		o.post(func() {
-			o.returned(n)
+			o.callReturned(n)
 			if err != nil {
 				o.callFailed(n, err)
 				return
 			}
-			t.throttled = limit
+			t.appliedLimit = limit
 		})
 	}()
 }
@@ -285,7 +285,7 @@
 		}
 		if t.phase == unknown && n.fenced && now.Sub(t.since) >= o.t.UnknownGrace {
 			t.since = now
-			o.settleUnknown(n)
+			o.resolveUnknown(n)
 		}
 	}
 }
@@ -293,28 +293,28 @@
 // settleUnknown fences the worker anew, which ends every start on its way. It
 // asks the store first: in an outage the new lease could not be confirmed, and
 // one lost answer would close the worker to new tasks for the whole of it.
-func (o *owner) settleUnknown(n *node) {
+func (o *owner) resolveUnknown(n *node) {
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
-		if o.confirms.do(ctx) != nil {
+		if o.confirmer.do(ctx) != nil {
 			return // tried again after another grace period
 		}
 		o.post(func() {
 			n.fenced = false
 			n.nextTry = time.Time{}
-			o.touch(n)
+			o.markChanged(n)
 		})
 	}()
 }
 
 // settleGone gives up the tasks of a worker that left the VM list, once the
 // last lease that may have renewed them has run out.
-func (o *owner) settleGone(n *node, now time.Time) {
-	if !n.gone || n.busy || now.Sub(n.renewed) < o.t.runOut() {
+func (o *owner) removeUnlisted(n *node, now time.Time) {
+	if !n.unlisted || n.busy || now.Sub(n.lastRenewal) < o.t.taskExpiry() {
 		return
 	}
-	if !n.everKnown && !n.accounted {
+	if !n.everFenced && !n.accounted {
 		return // an earlier owner may still renew tasks there
 	}
 	suspects := suspectsOn(n)
@@ -327,7 +327,7 @@
 	}
 	o.ledger.RemoveWorker(n.id)
 	delete(o.nodes, n.id)
-	o.state.gone(n.id)
+	o.state.workerRemoved(n.id)
 }
 
 // reject builds a refusal.
@@ -336,9 +336,9 @@
 }
 
 // returned marks the call to a worker as ended.
-func (o *owner) returned(n *node) {
+func (o *owner) callReturned(n *node) {
 	n.busy = false
-	o.wake(n)
+	o.markDirty(n)
 }
 
 // syncInterval is the heartbeat interval for all workers of the daemon.
--- a/process/partition/capacity.go
+++ b/process/partition/capacity.go
@@ -35,5 +35,5 @@
 	if !o.ledger.Held(n.id).Fits(n.capacity) {
 		o.refuseQueued(n, "VM became smaller before the start was sent")
 	}
-	o.touch(n)
+	o.markChanged(n)
 }
--- a/process/partition/capacity_test.go
+++ b/process/partition/capacity_test.go
@@ -39,7 +39,7 @@
 	})
 }
 
-func TestSmallerVMIsBelievedBeforeItsAgentAnswers(t *testing.T) {
+func TestSmallerVMInTheListAppliesWhileItsAgentIsUnreachable(t *testing.T) {
 	// Symptom:  as above.
 	// Sequence: the VM list shows a smaller VM; its agent is out of reach.
 	// Cause:    the capacity was taken from the agent only.
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -38,7 +38,7 @@
 
 // admit checks the author; a non-empty outcome refuses.
 func (o *owner) admit(a plan.Authorship, seq uint64) (plan.Outcome, string) {
-	if !o.shardsRead {
+	if !o.shardEpochsRead {
 		return plan.NotFenced, "epochs of the shards are not read yet"
 	}
 	if !o.h.fences.admits(a.Shard, a.Epoch, seq) {
@@ -78,12 +78,12 @@
 
 func (o *owner) commitStep(p *plan.Plan, step *plan.Step) plan.StepResult {
 	t := newTask(p.Author.Shard, step)
-	if o.known(t.ref) {
+	if o.duplicate(t.ref) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
 	if n != nil {
-		if r := o.holds[p.Reservation]; r != nil && p.Reservation != "" {
+		if r := o.reservations[p.Reservation]; r != nil && p.Reservation != "" {
 			o.useReserved(p.Reservation, r, step)
 		}
 		refused = o.fit(n, t, step)
@@ -96,10 +96,10 @@
 		accepted.Worker = n.id
 	}
 	n.tasks[t.ref] = t
-	t.at = n.id
+	t.workerID = n.id
 	o.live[t.ref.Task] = t
-	o.limits.learn(t)
-	o.touchTask(n, t)
+	o.limits.record(t)
+	o.markTaskChanged(n, t)
 	return accepted
 }
 
@@ -117,7 +117,7 @@
 }
 
 // known reports whether starting ref could run the task a second time.
-func (o *owner) known(ref worker.Ref) bool {
+func (o *owner) duplicate(ref worker.Ref) bool {
 	if o.live[ref.Task] != nil {
 		return true
 	}
@@ -131,19 +131,19 @@
 	if n == nil {
 		return nil, reject(plan.NoWorker, "worker is not in this partition")
 	}
-	if refused := o.closed(n, step); refused.Outcome != "" {
+	if refused := o.ineligible(n, step); refused.Outcome != "" {
 		return nil, refused
 	}
 	return n, plan.StepResult{}
 }
 
 // closed refuses a step at a worker for any reason but its room.
-func (o *owner) closed(n *node, step *plan.Step) plan.StepResult {
-	if !n.everKnown {
+func (o *owner) ineligible(n *node, step *plan.Step) plan.StepResult {
+	if !n.everFenced {
 		return reject(plan.NotFenced, n.unusable())
 	}
-	if !o.noted[n.id] {
-		return reject(plan.NotFenced, notNoted)
+	if !o.inMemo[n.id] {
+		return reject(plan.NotFenced, notInMemo)
 	}
 	if reason := n.unusable(); reason != "" {
 		return reject(plan.NoWorker, reason)
@@ -155,7 +155,7 @@
 }
 
 // notNoted refuses a worker that the memo does not name yet.
-const notNoted = "worker is not written down in the store yet"
+const notInMemo = "worker is not written down in the store yet"
 
 // violates checks the constraints that depend on what else runs here.
 func (o *owner) violates(n *node, step *plan.Step) string {
@@ -185,7 +185,7 @@
 // stop.
 func (o *owner) fit(n *node, t *task, step *plan.Step) plan.StepResult {
 	size := t.start.Size
-	if reason := n.use.refuses(n, size); reason != "" {
+	if reason := n.overshoot.refuses(n, size); reason != "" {
 		return reject(plan.NoRoom, reason)
 	}
 	err := o.ledger.Reserve(n.id, t.holder(), size)
@@ -208,7 +208,7 @@
 	o.ledger.Free(step.Worker, r.key(id, step.Start.Task))
 	delete(r.steps, step.Start.Task)
 	if len(r.steps) == 0 {
-		delete(o.holds, id)
+		delete(o.reservations, id)
 	}
 }
 
@@ -226,7 +226,7 @@
 		ttl = defaultReservationTTL
 	}
 	r := &reservation{author: req.Author, expires: time.Now().Add(ttl), steps: make(map[spec.TaskID]plan.Step)}
-	o.holds[req.Reservation] = r
+	o.reservations[req.Reservation] = r
 	failed := false
 	for i := range req.Steps {
 		s := o.reserveStep(&req, r, &req.Steps[i])
@@ -247,12 +247,12 @@
 }
 
 func (o *owner) reserveStep(req *plan.Reserve, r *reservation, step *plan.Step) plan.StepResult {
-	if o.known(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
+	if o.duplicate(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
 	if n != nil {
-		refused = o.hold(n, req.Reservation, r, step)
+		refused = o.reserveOn(n, req.Reservation, r, step)
 	}
 	if refused.Outcome == "" {
 		return plan.StepResult{Outcome: plan.Accepted}
@@ -260,7 +260,7 @@
 	if !req.MayRebind {
 		return refused
 	}
-	if n = o.another(step, req.Kept); n == nil || o.hold(n, req.Reservation, r, step).Outcome != "" {
+	if n = o.alternative(step, req.Kept); n == nil || o.reserveOn(n, req.Reservation, r, step).Outcome != "" {
 		return refused
 	}
 	o.h.o.Metrics.Rebound.Add(1)
@@ -268,20 +268,20 @@
 }
 
 // hold reserves a step's capacity on a worker.
-func (o *owner) hold(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
+func (o *owner) reserveOn(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
 	if err := o.ledger.Reserve(n.id, r.key(id, step.Start.Task), step.Start.Size); err != nil {
 		return reject(plan.NoRoom, err.Error())
 	}
 	held := *step
 	held.Worker = n.id
 	r.steps[step.Start.Task] = held
-	o.touch(n)
+	o.markChanged(n)
 	return plan.StepResult{}
 }
 
 // release gives reserved capacity back.
 func (o *owner) release(req plan.ReleaseReservation) error {
-	r := o.holds[req.Reservation]
+	r := o.reservations[req.Reservation]
 	if r != nil && r.author.Shard == req.Author.Shard && r.author.Epoch <= req.Author.Epoch {
 		o.dropReservation(req.Reservation)
 	}
@@ -290,21 +290,21 @@
 
 // dropReservation frees whatever the reservation still holds.
 func (o *owner) dropReservation(id string) {
-	r := o.holds[id]
+	r := o.reservations[id]
 	if r == nil {
 		return
 	}
 	for task, step := range r.steps {
 		o.ledger.Free(step.Worker, r.key(id, task))
 		if n := o.nodes[step.Worker]; n != nil {
-			o.touch(n)
+			o.markChanged(n)
 		}
 	}
-	delete(o.holds, id)
+	delete(o.reservations, id)
 }
 
 func (o *owner) expireReservations(now time.Time) {
-	for id, r := range o.holds {
+	for id, r := range o.reservations {
 		if now.After(r.expires) {
 			o.dropReservation(id)
 		}
--- a/process/partition/cost_test.go
+++ b/process/partition/cost_test.go
@@ -200,7 +200,7 @@
 				require.NoError(b, err)
 				require.Equal(b, epoch == 1, r.Steps[0].Outcome == plan.Accepted, "%v", r.Steps)
 				if epoch == 1 && i%64 == 0 {
-					_, err := call(b.Context(), o, func() bool { o.forgetAll(); return true })
+					_, err := call(b.Context(), o, func() bool { o.dropRunning(); return true })
 					require.NoError(b, err)
 				}
 			}
@@ -209,7 +209,7 @@
 }
 
 // forgetAll drops every task, so that a benchmark keeps a steady number.
-func (o *owner) forgetAll() {
+func (o *owner) dropRunning() {
 	for _, n := range o.nodes {
 		for _, t := range n.tasks {
 			if t.phase == running {
@@ -238,7 +238,7 @@
 	require.NoError(b, err)
 	b.ResetTimer()
 	for b.Loop() {
-		_, err := call(b.Context(), o, func() bool { o.step(); return true })
+		_, err := call(b.Context(), o, func() bool { o.tick(); return true })
 		require.NoError(b, err)
 	}
 }
@@ -249,7 +249,7 @@
 	b.Cleanup(c.cancel)
 	d := c.daemons[0]
 	d.host.o.Dialer = nopDialer{}
-	require.Eventually(b, func() bool { return c.owner() != nil && c.takesPlans(d) }, 20*time.Second, time.Millisecond)
+	require.Eventually(b, func() bool { return c.owner() != nil && c.acceptsPlans(d) }, 20*time.Second, time.Millisecond)
 	o, err := d.host.owner(testPartition)
 	require.NoError(b, err)
 	time.Sleep(time.Second)
--- a/process/partition/crash.go
+++ b/process/partition/crash.go
@@ -18,7 +18,7 @@
 func suspectsOn(n *node) suspects {
 	var s suspects
 	for _, t := range n.tasks {
-		if t.live() && !t.livedOn(n.heard) {
+		if t.live() && !t.outlasted(n.lastReply) {
 			s.tasks = append(s.tasks, t)
 		}
 	}
@@ -27,7 +27,7 @@
 }
 
 // livedOn reports whether the task is known to have run for a while at some time.
-func (t *task) livedOn(at time.Time) bool {
+func (t *task) outlasted(at time.Time) bool {
 	return !t.started.IsZero() && !at.Before(t.started.Add(crash.Window))
 }
 
--- a/process/partition/crash_test.go
+++ b/process/partition/crash_test.go
@@ -20,7 +20,7 @@
 		c.rack.Restart(workerID(0))
 		for index, suspect := range map[int]bool{1: false, 2: true} {
 			c.eventually(time.Minute, "lost", func() bool {
-				return c.author.saw(func(e plan.Event) bool {
+				return c.author.received(func(e plan.Event) bool {
 					return e.Task == taskID(index) && e.Lost && e.Suspect == suspect && e.Sole == suspect
 				})
 			})
--- a/process/partition/departed_test.go
+++ b/process/partition/departed_test.go
@@ -9,36 +9,36 @@
 	"fennelshunt.example/fennelshunt/process/sched/ledger"
 )
 
-func TestDepartedWorkersAreForgotten(t *testing.T) {
+func TestRemovedWorkersAreDropped(t *testing.T) {
 	// Symptom:  a daemon's memory grows with each VM that ever left.
 	// Sequence: VMs come and go for weeks under one owner.
 	// Cause:    the workers removed in an epoch were all remembered.
 	o := &owner{ledger: ledger.New(), nodes: make(map[worker.ID]*node)}
 	o.state.init("p", 1)
-	for i := range 100 * maxDepartedWorkers {
-		o.state.gone(workerID(i))
+	for i := range 100 * maxRemovedWorkers {
+		o.state.workerRemoved(workerID(i))
 	}
-	require.LessOrEqual(t, len(o.state.departed), maxDepartedWorkers)
+	require.LessOrEqual(t, len(o.state.removed), maxRemovedWorkers)
 
 	last := o.state.seq
-	o.state.gone("worker-last")
+	o.state.workerRemoved("worker-last")
 	late := o.stateSince(last)
 	require.False(t, late.Full)
 	require.Len(t, late.Workers, 1)
 	require.Equal(t, worker.ID("worker-last"), late.Workers[0].ID)
 	require.True(t, late.Workers[0].Gone)
 
-	oldest := o.stateSince(o.state.departedSince)
+	oldest := o.stateSince(o.state.removedSince)
 	require.False(t, oldest.Full)
-	require.Len(t, oldest.Workers, len(o.state.departed), "all that are remembered")
-	require.True(t, o.stateSince(o.state.departedSince-1).Full, "a reader further behind would keep a worker that left")
+	require.Len(t, oldest.Workers, len(o.state.removed), "all that are remembered")
+	require.True(t, o.stateSince(o.state.removedSince-1).Full, "a reader further behind would keep a worker that left")
 }
 
-func TestWorkerThatLeftAndCameBackIsNotGone(t *testing.T) {
+func TestWorkerThatCameBackIsNotReportedAsRemoved(t *testing.T) {
 	o := &owner{ledger: ledger.New(), nodes: make(map[worker.ID]*node)}
 	o.state.init("p", 1)
 	before := o.state.seq
-	o.state.gone("worker-0")
+	o.state.workerRemoved("worker-0")
 	n := &node{id: "worker-0", changed: o.state.next()}
 	n.added = n.changed
 	o.nodes[n.id] = n
--- a/process/partition/events.go
+++ b/process/partition/events.go
@@ -39,16 +39,16 @@
 func (o *owner) emit(t *task, e plan.Event) { o.emitTo(t.shard, e) }
 
 func (o *owner) emitTo(shard plan.Shard, e plan.Event) {
-	box := o.out[shard]
+	box := o.outboxes[shard]
 	if box == nil {
 		box = &outbox{shard: shard}
-		o.out[shard] = box
+		o.outboxes[shard] = box
 	}
 	box.pending = append(box.pending, e)
 }
 
 func (o *owner) eventsWaiting() bool {
-	for _, box := range o.out {
+	for _, box := range o.outboxes {
 		if len(box.pending) > 0 {
 			return true
 		}
@@ -58,7 +58,7 @@
 
 // sendEvents sends one message to each shard that has events waiting.
 func (o *owner) sendEvents(now time.Time) {
-	for _, box := range o.out {
+	for _, box := range o.outboxes {
 		if len(box.pending) == 0 || box.busy || now.Before(box.after) || box.shard == unknownShard {
 			continue
 		}
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -60,7 +60,7 @@
 	mine := c.next
 	if !c.busy {
 		c.busy = true
-		go c.work(ctx)
+		go c.loop(ctx)
 	}
 	c.mu.Unlock()
 	select {
@@ -71,7 +71,7 @@
 	}
 }
 
-func (c *confirmer) work(ctx context.Context) {
+func (c *confirmer) loop(ctx context.Context) {
 	for {
 		c.mu.Lock()
 		current := c.next
@@ -127,7 +127,7 @@
 		return r, fmt.Errorf("open lease: %w", err)
 	}
 	r.lease = lease
-	confirmErr := o.confirms.do(ctx)
+	confirmErr := o.confirmer.do(ctx)
 	if errors.Is(confirmErr, ownership.ErrNotOwner) {
 		return r, confirmErr
 	}
@@ -212,7 +212,7 @@
 // startFence runs fence in the background.
 func (o *owner) startFence(n *node) {
 	n.busy = true
-	n.lastFence = time.Now()
+	n.lastFenceTry = time.Now()
 	agent, ours := n.agent, maps.Clone(n.leases)
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, 3*o.t.CallTimeout)
@@ -224,20 +224,20 @@
 
 func (o *owner) fenceDone(n *node, r fenceResult, err error) {
 	now := time.Now()
-	o.returned(n)
+	o.callReturned(n)
 	n.nextTry = now.Add(fenceRetry)
 	if r.lease != "" {
 		n.leases[r.lease] = true
 	}
 	if r.adopted {
-		n.renewed = now
+		n.lastRenewal = now
 	}
 	switch {
 	case errors.Is(err, ownership.ErrNotOwner):
-		o.stopSelf(err)
+		o.stepDown(err)
 		return
 	case errors.Is(err, worker.ErrStaleEpoch):
-		o.metStaleEpoch(n, err)
+		o.handleStaleEpoch(n, err)
 		return
 	case err != nil:
 		o.callFailed(n, err)
@@ -245,30 +245,30 @@
 	}
 	n.failures = 0
 	n.lease, n.seq = r.lease, r.inventory.Seq
-	n.renewed = now
+	n.lastRenewal = now
 	n.nextSync = now.Add(o.syncInterval())
-	n.provision = !r.confirmed
+	n.renewOnly = !r.confirmed
 	if !r.confirmed {
 		// Each try costs an inventory, and an outage lasts long.
-		n.nextTry = now.Add(min(storeRetry<<n.unconfirmed, maxStoreRetry))
-		n.unconfirmed = min(n.unconfirmed+1, maxStoreDoublings)
-		o.refuseQueued(n, outOfReach)
-		o.touch(n)
+		n.nextTry = now.Add(min(storeRetry<<n.unconfirmedFences, maxStoreRetry))
+		n.unconfirmedFences = min(n.unconfirmedFences+1, maxStoreDoublings)
+		o.refuseQueued(n, unreachable)
+		o.markChanged(n)
 		return
 	}
 	o.h.o.Metrics.Fenced.Add(1)
 	o.h.o.Metrics.Revoked.Add(int64(r.revoked))
-	n.fenced, n.everKnown, n.accounted = true, true, false
-	n.unconfirmed = 0
+	n.fenced, n.everFenced, n.accounted = true, true, false
+	n.unconfirmedFences = 0
 	n.leases = map[worker.LeaseID]bool{r.lease: true} // the others are revoked
 	o.takeInventory(n, r.inventory)
-	n.heard = now
+	n.lastReply = now
 }
 
 // metStaleEpoch handles a worker that has seen a higher epoch: somebody took
 // the partition over. Nothing is started anywhere until the store has said
 // whether the claim is still ours.
-func (o *owner) metStaleEpoch(n *node, err error) {
+func (o *owner) handleStaleEpoch(n *node, err error) {
 	n.failures++
 	for _, other := range o.nodes {
 		other.fenced = false
@@ -276,9 +276,9 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
-		confirmErr := o.confirms.do(ctx)
+		confirmErr := o.confirmer.do(ctx)
 		if errors.Is(confirmErr, ownership.ErrNotOwner) {
-			o.post(func() { o.stopSelf(confirmErr) })
+			o.post(func() { o.stepDown(confirmErr) })
 		}
 	}()
 	o.log.Error().Err(err).Str("worker", string(n.id)).Msg("worker has seen a higher epoch")
@@ -288,44 +288,44 @@
 // let go: it released the claim, its VM left the VM list, or it came back as a
 // newer incarnation. That a member is merely not heard of proves nothing.
 type earlierOwners struct {
-	open  map[peer.Ref]bool
-	since time.Time // when the last one was known to have let go
+	unreleased   map[peer.Ref]bool
+	lastReleased time.Time // when the last one was known to have let go
 	// taken is when this owner acquired the claim; the authority of every
 	// earlier owner has run out renewBound later.
-	taken time.Time
+	acquired time.Time
 }
 
 func newEarlierOwners(g ownership.Grant) earlierOwners {
-	e := earlierOwners{open: make(map[peer.Ref]bool), since: time.Now(), taken: time.Now()}
+	e := earlierOwners{unreleased: make(map[peer.Ref]bool), lastReleased: time.Now(), acquired: time.Now()}
 	for _, ref := range g.Earlier {
-		e.open[ref] = true
+		e.unreleased[ref] = true
 	}
 	return e
 }
 
 func (e *earlierOwners) check(h *Host, now time.Time) {
-	for ref := range e.open {
+	for ref := range e.unreleased {
 		member, known := h.o.View.Lookup(ref.ID)
 		restarted := known && member.Incarnation > ref.Incarnation
 		if restarted || ref == h.o.View.Self().Ref || h.o.Racks.VMGone(string(ref.ID)) {
-			delete(e.open, ref)
-			e.since = now
+			delete(e.unreleased, ref)
+			e.lastReleased = now
 		}
 	}
 }
 
 // settleUnfenced gives up on waiting for a worker that can not be fenced once
 // nothing that an earlier owner started can run there any more.
-func (o *owner) settleUnfenced(n *node, now time.Time) {
-	if n.everKnown || n.accounted {
+func (o *owner) accountUnfenced(n *node, now time.Time) {
+	if n.everFenced || n.accounted {
 		return
 	}
-	if len(o.earlier.open) > 0 && now.Sub(o.earlier.taken) < o.h.o.RenewBound {
+	if len(o.earlierOwners.unreleased) > 0 && now.Sub(o.earlierOwners.acquired) < o.h.o.RenewBound {
 		return
 	}
-	if now.Sub(o.earlier.since) < o.t.runOut() || now.Sub(n.renewed) < o.t.runOut() {
+	if now.Sub(o.earlierOwners.lastReleased) < o.t.taskExpiry() || now.Sub(n.lastRenewal) < o.t.taskExpiry() {
 		return
 	}
 	n.accounted = true
-	o.touch(n)
+	o.markChanged(n)
 }
--- a/process/partition/fencelist_test.go
+++ b/process/partition/fencelist_test.go
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestLossBehindACutIsNotTakenForNeverStarted(t *testing.T) {
+func TestLossDuringANetworkCutDoesNotCountAsNeverStarted(t *testing.T) {
 	// Symptom:  a task that must not start twice starts twice.
 	// Sequence: a plan arrives, its answer and the reports of the start do not;
 	//           the worker restarts, so the task is lost; the network heals and
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -69,18 +69,18 @@
 	daemons []*daemon
 	// daemonsMu guards a change of daemons against the shard model's own
 	// goroutine; the driver alone changes it and reads without it.
-	daemonsMu sync.Mutex
-	buried    []*daemon // earlier lives
-	workers   int
-	racks     int
-	author    *author
-	ctx       context.Context
-	cancel    context.CancelFunc
-	jobs      atomic.Pointer[spec.Config]
-	whole     bool // daemons also own the jobs
-
-	mu     sync.Mutex
-	broken []string // invariants that a part reported
+	daemonsMu      sync.Mutex
+	earlierDaemons []*daemon // earlier lives
+	workers        int
+	racks          int
+	author         *author
+	ctx            context.Context
+	cancel         context.CancelFunc
+	jobs           atomic.Pointer[spec.Config]
+	whole          bool // daemons also own the jobs
+
+	mu                  sync.Mutex
+	invariantViolations []string // invariants that a part reported
 }
 
 // daemon is one life of a daemon with everything that owns partitions.
@@ -244,7 +244,7 @@
 }
 
 // sayGone tells everybody else that the daemon's life ended.
-func (c *cell) sayGone(d *daemon) {
+func (c *cell) reportFailed(d *daemon) {
 	for _, other := range c.daemons {
 		if other != d {
 			other.view.SetGone(d.ref)
@@ -300,19 +300,19 @@
 			return false
 		}
 		reply, err := c.author.fence(d)
-		return err == nil && len(reply.Unaccounted) == 0 && c.takesPlans(d)
+		return err == nil && len(reply.Unaccounted) == 0 && c.acceptsPlans(d)
 	})
 	return d
 }
 
 // takesPlans reports whether the daemon's owner has read the shards' epochs
 // and written its workers down.
-func (c *cell) takesPlans(d *daemon) bool {
+func (c *cell) acceptsPlans(d *daemon) bool {
 	o, err := d.host.owner(testPartition)
 	if err != nil {
 		return false
 	}
-	read, err := call(c.ctx, o, func() bool { return o.shardsRead && o.memoIsCurrent() })
+	read, err := call(c.ctx, o, func() bool { return o.shardEpochsRead && o.memoIsCurrent() })
 	return err == nil && read
 }
 
@@ -333,7 +333,7 @@
 // shutDown ends every goroutine, so that the bubble can end.
 func (c *cell) shutDown() {
 	c.cancel()
-	for _, d := range append(c.buried, c.daemons...) {
+	for _, d := range append(c.earlierDaemons, c.daemons...) {
 		c.net.Stop(d.ref)
 		d.gate.open()
 		c.rack.Resume(d.key())
--- a/process/partition/health.go
+++ b/process/partition/health.go
@@ -13,33 +13,33 @@
 	failureWindow = 2 * time.Minute
 	// asideAfter is how many different jobs must have failed at a worker, with
 	// no success between, before it is set aside.
-	asideAfter = 3
+	quarantineAfterJobs = 3
 	// jobFailsEverywhere is at how many workers a job must have failed before
 	// its failures say nothing about a worker any more.
 	jobFailsEverywhere = 3
-	minAside           = 30 * time.Second
-	maxAside           = 10 * time.Minute
+	minQuarantine      = 30 * time.Second
+	maxQuarantine      = 10 * time.Minute
 	// maxAsideShare bounds the workers of a partition that are set aside: a
 	// bad signal must not empty the partition.
-	maxAsideShare = 0.5
+	maxQuarantinedShare = 0.5
 )
 
 // health is the evidence against a worker.
 type health struct {
-	failures map[string]time.Time // job -> last failure since the last success
-	aside    bool
-	until    time.Time // of being set aside; then single probe tasks
-	length   time.Duration
+	failures    map[string]time.Time // job -> last failure since the last success
+	quarantined bool
+	until       time.Time // of being set aside; then single probe tasks
+	duration    time.Duration
 }
 
 // reason returns why the worker takes no new tasks, or "". After its time
 // aside a worker takes one task at a time until one succeeds.
 func (h *health) reason(n *node) string {
-	if !h.aside {
+	if !h.quarantined {
 		return ""
 	}
 	if time.Now().Before(h.until) {
-		return fmt.Sprintf("set aside: tasks of %d different jobs failed in a row", asideAfter)
+		return fmt.Sprintf("set aside: tasks of %d different jobs failed in a row", quarantineAfterJobs)
 	}
 	if n.live() > 0 {
 		return "set aside: a probe task runs"
@@ -65,7 +65,7 @@
 }
 
 // everywhere reports whether the job fails wherever it runs.
-func (j jobFailures) everywhere(job string) bool { return len(j[job]) >= jobFailsEverywhere }
+func (j jobFailures) failsEverywhere(job string) bool { return len(j[job]) >= jobFailsEverywhere }
 
 func (j jobFailures) expire(now time.Time) {
 	for job, at := range j {
@@ -82,9 +82,9 @@
 
 func (o *owner) recordFailure(n *node, job string) {
 	now := time.Now()
-	o.jobs.record(job, n.id, now)
-	if n.health.aside && !now.Before(n.health.until) {
-		o.setAside(n, now) // the probe failed
+	o.jobFailures.record(job, n.id, now)
+	if n.health.quarantined && !now.Before(n.health.until) {
+		o.quarantine(n, now) // the probe failed
 		return
 	}
 	if n.health.failures == nil {
@@ -96,59 +96,59 @@
 		switch {
 		case now.Sub(at) > failureWindow:
 			delete(n.health.failures, name)
-		case !o.jobs.everywhere(name):
+		case !o.jobFailures.failsEverywhere(name):
 			evidence++
 		}
 	}
-	if evidence >= asideAfter && !n.health.aside && o.mayAside() {
-		o.setAside(n, now)
+	if evidence >= quarantineAfterJobs && !n.health.quarantined && o.mayQuarantine() {
+		o.quarantine(n, now)
 	}
 }
 
-func (o *owner) mayAside() bool {
+func (o *owner) mayQuarantine() bool {
 	aside := 0
 	for _, n := range o.nodes {
-		if n.health.aside {
+		if n.health.quarantined {
 			aside++
 		}
 	}
-	return float64(aside+1) <= maxAsideShare*float64(len(o.nodes))
+	return float64(aside+1) <= maxQuarantinedShare*float64(len(o.nodes))
 }
 
-func (o *owner) setAside(n *node, now time.Time) {
+func (o *owner) quarantine(n *node, now time.Time) {
 	h := &n.health
-	h.aside = true
-	h.length = min(max(2*h.length, minAside), maxAside)
-	h.until = now.Add(h.length)
+	h.quarantined = true
+	h.duration = min(max(2*h.duration, minQuarantine), maxQuarantine)
+	h.until = now.Add(h.duration)
 	clear(h.failures)
 	o.h.o.Metrics.SetAside.Add(1)
-	o.log.Warn().Str("worker", string(n.id)).Dur("for", h.length).Msg("worker set aside")
-	o.touch(n)
+	o.log.Warn().Str("worker", string(n.id)).Dur("for", h.duration).Msg("worker set aside")
+	o.markChanged(n)
 }
 
 func (o *owner) recordSuccess(n *node) {
 	clear(n.health.failures)
-	if n.health.aside {
-		n.health.aside = false
-		n.health.length = 0
-		o.touch(n)
+	if n.health.quarantined {
+		n.health.quarantined = false
+		n.health.duration = 0
+		o.markChanged(n)
 	}
 }
 
 // overshoot handles workers whose tasks really use more than there is.
 type overshoot struct {
-	usage spec.Resources // sum over the running tasks, as last reported
-	next  time.Time      // of the next measure
-	calm  time.Time      // since when usage is well below the capacity
+	usage      spec.Resources // sum over the running tasks, as last reported
+	nextAction time.Time      // of the next measure
+	lowSince   time.Time      // since when usage is well below the capacity
 }
 
 const (
 	// overshootPause lets a measure show in the lagging usage before the next.
-	overshootPause = 5 * time.Second
+	overshootInterval = 5 * time.Second
 	// calmBefore is how long usage must stay below calmShare of the capacity
 	// before limits are lifted.
-	calmBefore = 30 * time.Second
-	calmShare  = 0.8
+	relaxAfter = 30 * time.Second
+	relaxShare = 0.8
 )
 
 // refuses returns why a task of that size is not taken although the ledger has
@@ -173,19 +173,19 @@
 			usage = usage.Add(t.report.Usage)
 		}
 	}
-	n.use.usage = usage
+	n.overshoot.usage = usage
 	over := usage.Sub(n.capacity)
 	if over.MilliCPU <= 0 && over.MemoryMB <= 0 {
-		o.relax(n, now)
+		o.relaxThrottles(n, now)
 		return
 	}
-	n.use.calm = time.Time{}
-	if now.Before(n.use.next) {
+	n.overshoot.lowSince = time.Time{}
+	if now.Before(n.overshoot.nextAction) {
 		return
 	}
-	n.use.next = now.Add(overshootPause)
+	n.overshoot.nextAction = now.Add(overshootInterval)
 	o.h.o.Metrics.Overshoots.Add(1)
-	o.wake(n)
+	o.markDirty(n)
 	if over.MemoryMB <= 0 && o.throttleWorst(n, over.MilliCPU) {
 		return
 	}
@@ -198,7 +198,7 @@
 	acted := false
 	for over > 0 {
 		t := worst(n, func(t *task) int64 {
-			if t.throttle != 0 || t.start.Size.MilliCPU == 0 {
+			if t.wantedLimit != 0 || t.start.Size.MilliCPU == 0 {
 				return 0
 			}
 			return t.report.Usage.MilliCPU - t.start.Size.MilliCPU
@@ -206,7 +206,7 @@
 		if t == nil {
 			return acted
 		}
-		t.throttle = t.start.Size.MilliCPU
+		t.wantedLimit = t.start.Size.MilliCPU
 		over -= t.report.Usage.MilliCPU - t.start.Size.MilliCPU
 		acted = true
 	}
@@ -216,7 +216,7 @@
 // evictWorst moves one task away.
 func (o *owner) evictWorst(n *node, over spec.Resources) {
 	t := worst(n, func(t *task) int64 {
-		if t.saveWanted || t.stopWanted || !t.stopAt.IsZero() {
+		if t.checkpointWanted || t.stopWanted || !t.stopAt.IsZero() {
 			return 0
 		}
 		if over.MemoryMB > 0 {
@@ -231,7 +231,7 @@
 	case t.nonIdempotent:
 		t.stopWanted = true
 	default:
-		t.saveWanted = true // a failed checkpoint becomes a stop
+		t.checkpointWanted = true // a failed checkpoint becomes a stop
 	}
 }
 
@@ -256,22 +256,22 @@
 }
 
 // relax lifts limits after usage has been low for long enough.
-func (o *owner) relax(n *node, now time.Time) {
-	if float64(n.use.usage.MilliCPU) > calmShare*float64(n.capacity.MilliCPU) {
-		n.use.calm = time.Time{}
+func (o *owner) relaxThrottles(n *node, now time.Time) {
+	if float64(n.overshoot.usage.MilliCPU) > relaxShare*float64(n.capacity.MilliCPU) {
+		n.overshoot.lowSince = time.Time{}
 		return
 	}
-	if n.use.calm.IsZero() {
-		n.use.calm = now
+	if n.overshoot.lowSince.IsZero() {
+		n.overshoot.lowSince = now
 	}
-	if now.Sub(n.use.calm) < calmBefore {
+	if now.Sub(n.overshoot.lowSince) < relaxAfter {
 		return
 	}
-	n.use.calm = now
+	n.overshoot.lowSince = now
 	for _, t := range n.tasks {
-		if t.throttle != 0 {
-			t.throttle = 0 // one at a time: together they may overshoot again
-			o.wake(n)
+		if t.wantedLimit != 0 {
+			t.wantedLimit = 0 // one at a time: together they may overshoot again
+			o.markDirty(n)
 			return
 		}
 	}
--- a/process/partition/host.go
+++ b/process/partition/host.go
@@ -51,13 +51,13 @@
 		return call(ctx, o, func() plan.Result { return o.reserve(req) })
 	})
 	handle(h, plan.MethodRelease, func(ctx context.Context, req plan.ReleaseReservation) (any, error) {
-		return h.order(ctx, req.Partition, func(o *owner) error { return o.release(req) })
+		return h.onOwner(ctx, req.Partition, func(o *owner) error { return o.release(req) })
 	})
 	handle(h, plan.MethodStop, func(ctx context.Context, req plan.Stop) (any, error) {
-		return h.order(ctx, req.Partition, func(o *owner) error { return o.stopTasks(req) })
+		return h.onOwner(ctx, req.Partition, func(o *owner) error { return o.stopTasks(req) })
 	})
 	handle(h, plan.MethodAck, func(ctx context.Context, req plan.Ack) (any, error) {
-		return h.order(ctx, req.Partition, func(o *owner) error { return o.ack(req) })
+		return h.onOwner(ctx, req.Partition, func(o *owner) error { return o.ack(req) })
 	})
 	handle(h, plan.MethodFence, h.serveFence)
 	handle(h, plan.MethodState, h.serveState)
@@ -94,7 +94,7 @@
 }
 
 // order runs f in the owner's goroutine and returns its error.
-func (h *Host) order(ctx context.Context, partition string, f func(*owner) error) (any, error) {
+func (h *Host) onOwner(ctx context.Context, partition string, f func(*owner) error) (any, error) {
 	o, err := h.owner(partition)
 	if err != nil {
 		return nil, err
@@ -181,8 +181,8 @@
 // seen. It outlives the ownership of a partition: a delayed plan addressed to
 // this life of the daemon may arrive after it lost a partition and got it back.
 type fences struct {
-	mu   *sync.Mutex
-	seen map[plan.Shard]shardFence
+	mu     *sync.Mutex
+	newest map[plan.Shard]shardFence
 }
 
 type shardFence struct {
@@ -190,14 +190,14 @@
 	minSeq uint64
 }
 
-func newFences() fences { return fences{mu: &sync.Mutex{}, seen: make(map[plan.Shard]shardFence)} }
+func newFences() fences { return fences{mu: &sync.Mutex{}, newest: make(map[plan.Shard]shardFence)} }
 
 // raise refuses lower epochs, and lower sequence numbers of this epoch, from
 // now on; false when epoch itself is stale.
 func (f fences) raise(shard plan.Shard, epoch, minSeq uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	known := f.seen[shard]
+	known := f.newest[shard]
 	switch {
 	case epoch < known.epoch:
 		return false
@@ -205,7 +205,7 @@
 		known = shardFence{epoch: epoch}
 	}
 	known.minSeq = max(known.minSeq, minSeq)
-	f.seen[shard] = known
+	f.newest[shard] = known
 	return true
 }
 
@@ -216,12 +216,12 @@
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return seq >= f.seen[shard].minSeq
+	return seq >= f.newest[shard].minSeq
 }
 
 // epoch returns the newest epoch seen of the shard.
 func (f fences) epoch(shard plan.Shard) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen[shard].epoch
+	return f.newest[shard].epoch
 }
--- a/process/partition/invariant.go
+++ b/process/partition/invariant.go
@@ -14,16 +14,16 @@
 // which learns the truth from the workers; going on could put more on a VM
 // than it carries or run a task twice.
 func (o *owner) checkInvariants() {
-	if len(o.checkNext) == 0 {
+	if len(o.checkQueue) == 0 {
 		for id := range o.nodes {
-			o.checkNext = append(o.checkNext, id)
+			o.checkQueue = append(o.checkQueue, id)
 		}
 	}
-	if len(o.checkNext) == 0 {
+	if len(o.checkQueue) == 0 {
 		return
 	}
-	id := o.checkNext[0]
-	o.checkNext = o.checkNext[1:]
+	id := o.checkQueue[0]
+	o.checkQueue = o.checkQueue[1:]
 	if n := o.nodes[id]; n != nil {
 		if err := o.checkNode(n); err != nil {
 			panic(err)
@@ -36,10 +36,10 @@
 		return err
 	}
 	for _, t := range n.tasks {
-		if t.phase == sent && !n.everKnown {
+		if t.phase == sent && !n.everFenced {
 			return fmt.Errorf("partition: start of %s sent to %s before it was fenced", t.ref.Task, n.id)
 		}
-		if t.live() && !o.noted[n.id] && t.phase != unknown && t.phase != running {
+		if t.live() && !o.inMemo[n.id] && t.phase != unknown && t.phase != running {
 			return fmt.Errorf("partition: task %s placed on %s, which is not written down", t.ref.Task, n.id)
 		}
 	}
@@ -55,7 +55,7 @@
 			sum = sum.Add(size)
 		}
 	}
-	for id, r := range o.holds {
+	for id, r := range o.reservations {
 		sum = sum.Add(o.reservedAt(id, r, n.id))
 	}
 	if held := o.ledger.Held(n.id); sum != held {
--- a/process/partition/limits.go
+++ b/process/partition/limits.go
@@ -31,14 +31,14 @@
 // part of the memo: workers do not tell them, and the configuration in force
 // when another daemon adopts an instance may be a later one.
 type serviceLimits struct {
-	known map[generation]instanceLimits
-	seq   uint64 // rises when known gains something
-	noted uint64 // seq of the last memo
-	next  time.Time
+	known     map[generation]instanceLimits
+	seq       uint64 // rises when known gains something
+	savedSeq  uint64 // seq of the last memo
+	nextWrite time.Time
 }
 
 // learn takes the limits of an instance of which they are known.
-func (l *serviceLimits) learn(t *task) {
+func (l *serviceLimits) record(t *task) {
 	now := instanceLimits{t.start.Slots, t.start.Conns}
 	if t.start.Kind != spec.Service || l.known[generationOf(t)] == now {
 		return
@@ -48,12 +48,14 @@
 }
 
 // due reports whether a memo should be written for the limits alone.
-func (l *serviceLimits) due(now time.Time) bool { return l.seq != l.noted && !now.Before(l.next) }
+func (l *serviceLimits) due(now time.Time) bool {
+	return l.seq != l.savedSeq && !now.Before(l.nextWrite)
+}
 
 // written notes a memo that held the limits up to seq.
-func (l *serviceLimits) written(seq uint64) {
-	l.noted = seq
-	l.next = time.Now().Add(limitsInterval)
+func (l *serviceLimits) markSaved(seq uint64) {
+	l.savedSeq = seq
+	l.nextWrite = time.Now().Add(limitsInterval)
 }
 
 // notes returns the limits as notes of a memo.
@@ -67,7 +69,7 @@
 
 // recall takes the limits out of a memo and returns the other notes. What is
 // not understood, of a later release, is left out.
-func (l *serviceLimits) recall(notes []string) []string {
+func (l *serviceLimits) load(notes []string) []string {
 	l.known = make(map[generation]instanceLimits)
 	return slices.DeleteFunc(slices.Clone(notes), func(note string) bool {
 		text, ok := strings.CutPrefix(note, limitsPrefix)
@@ -85,10 +87,10 @@
 
 // forgetLimits drops the limits of generations that have no instance here. It
 // does so only while every worker's tasks are known.
-func (o *owner) forgetLimits() {
+func (o *owner) pruneLimits() {
 	used := make(map[generation]bool)
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			return
 		}
 		for _, t := range n.tasks {
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -20,23 +20,23 @@
 // serviceLimits.
 
 // recall enters the workers that the memo names and the VM list does not.
-func (o *owner) recall(notes []string) {
-	o.noted = make(map[worker.ID]bool, len(notes))
-	notes = o.limits.recall(notes)
+func (o *owner) loadMemo(notes []string) {
+	o.inMemo = make(map[worker.ID]bool, len(notes))
+	notes = o.limits.load(notes)
 	listed := o.h.o.Racks.Workers(o.name)
 	for _, note := range notes {
 		id := worker.ID(note)
-		o.noted[id] = true
+		o.inMemo[id] = true
 		if !slices.ContainsFunc(listed, func(vm vmlist.VM) bool { return vm.Name == note }) {
 			n := o.addNode(id, vmlist.VM{Name: note})
-			n.gone = true
+			n.unlisted = true
 		}
 	}
 }
 
 // remember brings the memo up to date.
-func (o *owner) remember(now time.Time) {
-	if o.noting || now.Before(o.noteAt) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
+func (o *owner) updateMemo(now time.Time) {
+	if o.memoWriting || now.Before(o.memoRetry) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
 		return
 	}
 	memo := ownership.Memo{Settled: o.settled || o.canSettle()}
@@ -44,49 +44,49 @@
 		memo.Notes = append(memo.Notes, string(id))
 	}
 	workers := slices.Clone(memo.Notes)
-	o.forgetLimits()
+	o.pruneLimits()
 	memo.Notes = append(memo.Notes, o.limits.notes()...)
 	slices.Sort(memo.Notes)
 	limits := o.limits.seq
-	o.noting = true
+	o.memoWriting = true
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
 		err := o.h.o.Claims.Remember(ctx, o.claim, memo)
-		o.post(func() { o.remembered(memo.Settled, workers, limits, err) })
+		o.post(func() { o.memoWritten(memo.Settled, workers, limits, err) })
 	}()
 }
 
 // remembered notes what the store holds now: workers, and limits up to a
 // position.
-func (o *owner) remembered(settled bool, workers []string, limits uint64, err error) {
-	o.noting = false
+func (o *owner) memoWritten(settled bool, workers []string, limits uint64, err error) {
+	o.memoWriting = false
 	if err != nil {
-		o.noteAt = time.Now().Add(storeRetry)
+		o.memoRetry = time.Now().Add(storeRetry)
 		o.log.Warn().Err(err).Msg("workers not written down")
 		return
 	}
 	o.settled = settled
-	o.limits.written(limits)
-	before := o.noted
-	o.noted = make(map[worker.ID]bool, len(workers))
+	o.limits.markSaved(limits)
+	before := o.inMemo
+	o.inMemo = make(map[worker.ID]bool, len(workers))
 	for _, id := range workers {
-		o.noted[worker.ID(id)] = true
+		o.inMemo[worker.ID(id)] = true
 	}
-	if maps.Equal(before, o.noted) {
+	if maps.Equal(before, o.inMemo) {
 		return
 	}
 	for _, n := range o.nodes {
-		o.touch(n)
+		o.markChanged(n)
 	}
 }
 
 func (o *owner) memoIsCurrent() bool {
-	if len(o.noted) != len(o.nodes) {
+	if len(o.inMemo) != len(o.nodes) {
 		return false
 	}
 	for id := range o.nodes {
-		if !o.noted[id] {
+		if !o.inMemo[id] {
 			return false
 		}
 	}
@@ -100,7 +100,7 @@
 		return false
 	}
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			return false
 		}
 	}
--- a/process/partition/model.go
+++ b/process/partition/model.go
@@ -31,7 +31,7 @@
 // task is one attempt of a task at one worker of the partition.
 type task struct {
 	ref           worker.Ref
-	name          string       // see holder
+	holderName    string       // see holder
 	start         worker.Start // also set for adopted tasks, as far as known
 	class         spec.Class
 	team          string
@@ -40,7 +40,7 @@
 	// undescribed is set while the configuration here is older than the task,
 	// limitless while nobody knows how much an adopted instance takes; see
 	// describe.
-	undescribed, limitless bool
+	jobUnknown, limitsUnknown bool
 
 	phase   phase
 	since   time.Time // of the phase
@@ -48,26 +48,26 @@
 	report  worker.Task // the worker's last report
 	victims map[worker.Ref]bool
 
-	stopWanted   bool      // the stop is sent with the next heartbeat
-	stopAt       time.Time // end of the drain of a service instance; zero: none
-	leaving      bool      // the endpoint takes no new requests
-	saveWanted   bool      // checkpoint instead of stop
-	checkpointed bool
-	preempted    bool
-	throttle     int64 // wanted limit; 0: none
-	throttled    int64 // limit in force
-	acked        bool
-	changed      uint64 // position of the last change, for State
-	at           worker.ID
+	stopWanted       bool      // the stop is sent with the next heartbeat
+	stopAt           time.Time // end of the drain of a service instance; zero: none
+	leaving          bool      // the endpoint takes no new requests
+	checkpointWanted bool      // checkpoint instead of stop
+	checkpointed     bool
+	preempted        bool
+	wantedLimit      int64 // wanted limit; 0: none
+	appliedLimit     int64 // limit in force
+	acked            bool
+	changed          uint64 // position of the last change, for State
+	workerID         worker.ID
 }
 
 // holder names the attempt in the ledger. Two attempts of a task at one worker,
 // which must not be and which the ledger must still count, are two holders.
 func (t *task) holder() string {
-	if t.name == "" {
-		t.name = t.ref.Task.String() + "#" + strconv.Itoa(t.ref.Attempt)
+	if t.holderName == "" {
+		t.holderName = t.ref.Task.String() + "#" + strconv.Itoa(t.ref.Attempt)
 	}
-	return t.name
+	return t.holderName
 }
 
 // live reports whether the task may run now or later.
@@ -88,61 +88,61 @@
 	agent worker.Agent
 	tasks map[worker.Ref]*task
 
-	capacity  spec.Resources // see setCapacity
-	reported  spec.Resources // what the worker tells; zero: nothing yet
-	lease     worker.LeaseID
-	leases    map[worker.LeaseID]bool // every lease opened here in this epoch
-	fenced    bool                    // leases of others revoked, tasks known, lease confirmed
-	everKnown bool                    // fenced at least once in this epoch
+	capacity   spec.Resources // see setCapacity
+	reported   spec.Resources // what the worker tells; zero: nothing yet
+	lease      worker.LeaseID
+	leases     map[worker.LeaseID]bool // every lease opened here in this epoch
+	fenced     bool                    // leases of others revoked, tasks known, lease confirmed
+	everFenced bool                    // fenced at least once in this epoch
 	// accounted is set when the worker could not be fenced but nothing that an
 	// earlier owner started can run there any more.
 	accounted bool
-	provision bool // lease usable for heartbeats, not for starts
+	renewOnly bool // lease usable for heartbeats, not for starts
 	seq       uint64
 
 	busy     bool // a call is under way; there is never more than one
 	nextSync time.Time
 	nextTry  time.Time // of a fence
 	// addressWait is the last wait of askAddress; 0 when nothing is asked.
-	addressWait time.Duration
+	addressDelay time.Duration
 	// lastFence and unconfirmed space out tries to fence.
-	lastFence   time.Time
-	unconfirmed int
-	failures    int // calls that failed in a row
+	lastFenceTry      time.Time
+	unconfirmedFences int
+	failures          int // calls that failed in a row
 	// renewed is the latest time at which a call of ours may have renewed
 	// tasks, whether or not its answer came.
-	renewed  time.Time
-	heard    time.Time // when it last answered
-	gone     bool      // left the VM list
-	draining bool
-
-	acks   []worker.Ref
-	health health
-	use    overshoot
-
-	changed  uint64 // position of the last change, for State
-	added    uint64 // position at which the worker was entered
-	departed departures
+	lastRenewal time.Time
+	lastReply   time.Time // when it last answered
+	unlisted    bool      // left the VM list
+	draining    bool
+
+	acks      []worker.Ref
+	health    health
+	overshoot overshoot
+
+	changed uint64 // position of the last change, for State
+	added   uint64 // position at which the worker was entered
+	ended   endedTasks
 }
 
 // departures remembers the tasks that left a worker lately.
-type departures struct {
-	list []departure
+type endedTasks struct {
+	list []endedTask
 	// since is the position from which on the list is complete.
 	since uint64
 }
 
-type departure struct {
+type endedTask struct {
 	ref worker.Ref
 	at  uint64
 }
 
 // maxDepartures bounds the list; a reader further behind gets all tasks.
-const maxDepartures = 512
+const maxEndedTasks = 512
 
-func (d *departures) add(ref worker.Ref, at uint64) {
-	d.list = append(d.list, departure{ref, at})
-	if len(d.list) > maxDepartures {
+func (d *endedTasks) add(ref worker.Ref, at uint64) {
+	d.list = append(d.list, endedTask{ref, at})
+	if len(d.list) > maxEndedTasks {
 		half := len(d.list) / 2
 		d.since = d.list[half-1].at
 		d.list = append(d.list[:0], d.list[half:]...)
@@ -152,11 +152,11 @@
 // unusable returns why the worker takes no new tasks now, or "".
 func (n *node) unusable() string {
 	switch {
-	case n.gone:
+	case n.unlisted:
 		return "VM left the VM list"
 	case n.draining:
 		return "VM is leaving"
-	case !n.fenced && !n.everKnown:
+	case !n.fenced && !n.everFenced:
 		return "not fenced yet after a takeover"
 	case n.failures > 0:
 		return "unreachable: heartbeats fail"
--- a/process/partition/options.go
+++ b/process/partition/options.go
@@ -128,7 +128,7 @@
 // still run, by a clock that is not ours. A heartbeat on its way when the
 // sender stopped can renew the lease once more before it lapses, hence both
 // times to live.
-func (t Timing) runOut() time.Duration {
+func (t Timing) taskExpiry() time.Duration {
 	d := t.LeaseTTL + t.TaskTTL
 	return d + time.Duration(float64(d)*driftShare) + driftMargin
 }
--- a/process/partition/outage_test.go
+++ b/process/partition/outage_test.go
@@ -80,7 +80,7 @@
 	})
 }
 
-func TestLostAnswerInAnOutageDoesNotCloseTheWorker(t *testing.T) {
+func TestLostReplyInAnOutageDoesNotBlockTheWorker(t *testing.T) {
 	// Symptom:  in an outage workers stop taking tasks one after the other.
 	// Sequence: a start never arrives while the store is down.
 	// Cause:    its outcome was settled by a new lease, which can not be
@@ -96,12 +96,12 @@
 		c.author.mustStart(d, step(2, workerID(0)))
 		c.storeDown(false)
 		c.eventually(time.Minute, "settled", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(1) && e.Lost })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Lost })
 		})
 	})
 }
 
-func TestPartitionGoesOnAfterAHandoverThatFailed(t *testing.T) {
+func TestPartitionAcceptsPlansAfterAFailedRelease(t *testing.T) {
 	// Symptom:  no task starts at a rack for as long as the store is down.
 	// Sequence: the owner prepares a planned move; the store goes down before
 	//           the claim is released, so the partition stays.
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -38,57 +38,57 @@
 	nodes map[worker.ID]*node
 	live  map[spec.TaskID]*task // tasks that may run, by id
 	// results holds the newest attempt whose result a worker still keeps.
-	results map[spec.TaskID]*task
-	awake   map[*node]struct{} // workers to look at before the next tick
-	ledger  *ledger.Ledger
-	holds   map[string]*reservation
-	out     map[plan.Shard]*outbox
-	state   publisher
-	jobs    jobFailures
+	results      map[spec.TaskID]*task
+	dirty        map[*node]struct{} // workers to look at before the next tick
+	ledger       *ledger.Ledger
+	reservations map[string]*reservation
+	outboxes     map[plan.Shard]*outbox
+	state        publisher
+	jobFailures  jobFailures
 
-	described  uint64 // version of the configuration that describeLate used
-	shardsRead bool   // epochs of the shards were read from the store
-	reading    bool
-	readAt     time.Time // of the next reading
-	confirms   confirmer
-	earlier    earlierOwners
-	releasing  bool
-	settled    bool               // no earlier owner can start anything any more
-	noted      map[worker.ID]bool // workers in the memo
-	limits     serviceLimits
-	noting     bool
-	checkNext  []worker.ID   // see checkInvariants
-	counted    int           // workers counted in the host's sum
-	noteAt     time.Time     // of the next try
-	idle       chan struct{} // closed when releasing and no call is under way
+	resolvedVersion    uint64 // version of the configuration that describeLate used
+	shardEpochsRead    bool   // epochs of the shards were read from the store
+	shardEpochsReading bool
+	shardEpochsRetry   time.Time // of the next reading
+	confirmer          confirmer
+	earlierOwners      earlierOwners
+	releasing          bool
+	settled            bool               // no earlier owner can start anything any more
+	inMemo             map[worker.ID]bool // workers in the memo
+	limits             serviceLimits
+	memoWriting        bool
+	checkQueue         []worker.ID   // see checkInvariants
+	countedWorkers     int           // workers counted in the host's sum
+	memoRetry          time.Time     // of the next try
+	idle               chan struct{} // closed when releasing and no call is under way
 }
 
 func newOwner(ctx context.Context, h *Host, name string, g ownership.Grant) *owner {
 	ctx, cancel := context.WithCancel(ctx)
 	o := &owner{
-		h:        h,
-		t:        h.o.Timing,
-		name:     name,
-		claim:    g.Claim,
-		log:      h.o.Log.With().Str("partition", name).Uint64("epoch", g.Epoch).Logger(),
-		ctx:      ctx,
-		cancel:   cancel,
-		commands: make(chan func(), 256),
-		done:     make(chan struct{}),
-		nodes:    make(map[worker.ID]*node),
-		live:     make(map[spec.TaskID]*task),
-		results:  make(map[spec.TaskID]*task),
-		awake:    make(map[*node]struct{}),
-		ledger:   ledger.New(),
-		holds:    make(map[string]*reservation),
-		out:      make(map[plan.Shard]*outbox),
-		jobs:     make(jobFailures),
-		earlier:  newEarlierOwners(g),
-		settled:  len(g.Earlier) == 0,
+		h:             h,
+		t:             h.o.Timing,
+		name:          name,
+		claim:         g.Claim,
+		log:           h.o.Log.With().Str("partition", name).Uint64("epoch", g.Epoch).Logger(),
+		ctx:           ctx,
+		cancel:        cancel,
+		commands:      make(chan func(), 256),
+		done:          make(chan struct{}),
+		nodes:         make(map[worker.ID]*node),
+		live:          make(map[spec.TaskID]*task),
+		results:       make(map[spec.TaskID]*task),
+		dirty:         make(map[*node]struct{}),
+		ledger:        ledger.New(),
+		reservations:  make(map[string]*reservation),
+		outboxes:      make(map[plan.Shard]*outbox),
+		jobFailures:   make(jobFailures),
+		earlierOwners: newEarlierOwners(g),
+		settled:       len(g.Earlier) == 0,
 	}
 	o.state.init(name, g.Epoch)
-	o.recall(g.Notes)
-	o.confirms = confirmer{confirm: func(ctx context.Context) error { return h.o.Claims.Confirm(ctx, g.Claim) }}
+	o.loadMemo(g.Notes)
+	o.confirmer = confirmer{confirm: func(ctx context.Context) error { return h.o.Claims.Confirm(ctx, g.Claim) }}
 	return o
 }
 
@@ -97,22 +97,22 @@
 	defer close(o.done)
 	ticker := time.NewTicker(o.t.Tick)
 	defer ticker.Stop()
-	o.step()
+	o.tick()
 	for {
 		listed := o.h.o.Racks.Changed()
 		select {
 		case <-o.ctx.Done():
 			o.state.close()
-			o.h.workers.Add(-int64(o.counted))
+			o.h.workers.Add(-int64(o.countedWorkers))
 			return
 		case f := <-o.commands:
 			f()
 			o.drainCommands()
-			o.follow()
+			o.processDirty()
 		case <-listed:
-			o.step()
+			o.tick()
 		case <-ticker.C:
-			o.step()
+			o.tick()
 		}
 	}
 }
@@ -161,42 +161,42 @@
 }
 
 // step does whatever is due at any worker.
-func (o *owner) step() {
+func (o *owner) tick() {
 	if o.ctx.Err() != nil {
 		return
 	}
 	now := time.Now()
-	o.readShards(now)
+	o.readShardEpochs(now)
 	o.refreshNodes()
-	o.describeLate()
-	o.earlier.check(o.h, now)
+	o.resolveUnknownJobs()
+	o.earlierOwners.check(o.h, now)
 	o.expireReservations(now)
-	o.jobs.expire(now)
+	o.jobFailures.expire(now)
 	for _, n := range o.nodes {
 		o.deadlines(n, now)
-		o.settleUnfenced(n, now)
-		o.settleGone(n, now)
-		o.wake(n)
+		o.accountUnfenced(n, now)
+		o.removeUnlisted(n, now)
+		o.markDirty(n)
 	}
-	o.remember(now)
+	o.updateMemo(now)
 	o.checkInvariants()
-	o.follow()
+	o.processDirty()
 }
 
 // wake has the worker looked at before the next tick.
-func (o *owner) wake(n *node) { o.awake[n] = struct{}{} }
+func (o *owner) markDirty(n *node) { o.dirty[n] = struct{}{} }
 
 // follow acts on what the last commands changed. Only the workers they touched
 // are looked at: a burst of plans must not cost a scan of the partition each.
-func (o *owner) follow() {
+func (o *owner) processDirty() {
 	now := time.Now()
 	_, renew := o.h.o.Directory.Authority()
-	for n := range o.awake {
+	for n := range o.dirty {
 		if renew > 0 && !n.busy && o.nodes[n.id] == n && o.ctx.Err() == nil {
-			o.pump(n, now)
+			o.nextCall(n, now)
 		}
 	}
-	clear(o.awake)
+	clear(o.dirty)
 	o.sendEvents(now)
 	o.checkRelease()
 	o.state.flush(now)
@@ -205,20 +205,20 @@
 // readShards learns the epochs of the shards from the store, once per
 // takeover. Without it a plan of an old shard owner could be taken that the
 // partition's earlier owner had been told to refuse.
-func (o *owner) readShards(now time.Time) {
-	if o.shardsRead || o.reading || now.Before(o.readAt) {
+func (o *owner) readShardEpochs(now time.Time) {
+	if o.shardEpochsRead || o.shardEpochsReading || now.Before(o.shardEpochsRetry) {
 		return
 	}
-	o.reading = true
+	o.shardEpochsReading = true
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
 		epochs, err := o.h.o.Claims.Epochs(ctx, ownership.ShardPrefix)
 		o.post(func() {
-			o.reading = false
+			o.shardEpochsReading = false
 			if err != nil {
 				o.log.Warn().Err(err).Msg("epochs of the shards not read")
-				o.readAt = time.Now().Add(storeRetry)
+				o.shardEpochsRetry = time.Now().Add(storeRetry)
 				return
 			}
 			for r, epoch := range epochs {
@@ -226,7 +226,7 @@
 					o.h.fences.raise(shard, epoch, 0)
 				}
 			}
-			o.shardsRead = true
+			o.shardEpochsRead = true
 		})
 	}()
 }
@@ -250,10 +250,10 @@
 		if resized {
 			o.resized(n)
 		}
-		if n.gone {
-			n.gone = false // it was back before its tasks were given up
+		if n.unlisted {
+			n.unlisted = false // it was back before its tasks were given up
 			n.fenced = false
-			o.touch(n)
+			o.markChanged(n)
 		}
 		if vm.Leaving && !n.draining {
 			o.startDraining(n)
@@ -261,19 +261,19 @@
 	}
 	o.countNodes()
 	for id, n := range o.nodes {
-		if !listed[id] && !n.gone && o.h.o.Racks.VMGone(string(id)) {
-			n.gone = true
+		if !listed[id] && !n.unlisted && o.h.o.Racks.VMGone(string(id)) {
+			n.unlisted = true
 			n.fenced = false
 			o.log.Warn().Str("worker", string(id)).Msg("worker left the VM list")
-			o.touch(n)
+			o.markChanged(n)
 		}
 	}
 }
 
 // countNodes tells the host how many workers this owner keeps alive.
 func (o *owner) countNodes() {
-	o.h.workers.Add(int64(len(o.nodes) - o.counted))
-	o.counted = len(o.nodes)
+	o.h.workers.Add(int64(len(o.nodes) - o.countedWorkers))
+	o.countedWorkers = len(o.nodes)
 }
 
 func (o *owner) addNode(id worker.ID, vm vmlist.VM) *node {
@@ -286,25 +286,25 @@
 	}
 	o.nodes[id] = n
 	o.setCapacity(n)
-	o.touch(n)
+	o.markChanged(n)
 	n.added = n.changed
 	return n
 }
 
 // touch marks the worker as changed in the published state.
-func (o *owner) touch(n *node) {
+func (o *owner) markChanged(n *node) {
 	n.changed = o.state.next()
-	o.wake(n)
+	o.markDirty(n)
 }
 
 // touchTask marks a task of the worker as changed in the published state.
-func (o *owner) touchTask(n *node, t *task) {
-	o.touch(n)
+func (o *owner) markTaskChanged(n *node, t *task) {
+	o.markChanged(n)
 	t.changed = n.changed
 }
 
 // stopSelf ends this ownership at once: a higher epoch was met.
-func (o *owner) stopSelf(err error) {
+func (o *owner) stepDown(err error) {
 	o.log.Warn().Err(err).Msg("partition was taken over")
 	o.h.Lost(o.claim.Resource, o.claim.Epoch)
 }
--- a/process/partition/partition_test.go
+++ b/process/partition/partition_test.go
@@ -20,7 +20,7 @@
 		s.Start.RunTime = spec.Duration(10 * time.Second)
 		c.author.mustStart(d, s)
 		c.eventually(20*time.Second, "result", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(1) && e.State == worker.Succeeded })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.State == worker.Succeeded })
 		})
 		reply, err := c.author.fence(d)
 		require.NoError(t, err)
--- a/process/partition/racks.go
+++ b/process/partition/racks.go
@@ -26,7 +26,7 @@
 	// before it counts as gone: one reading may have been cut short.
 	absentReadings = 2
 	// absentMemory is how long a departed VM is remembered.
-	absentMemory = 48 * time.Hour
+	absentRetention = 48 * time.Hour
 )
 
 // Racks follows the platform's VM list and groups workers into partitions, one
@@ -122,7 +122,7 @@
 		}
 	}
 	for name, a := range old.absent {
-		if !l.present[name] && now.Sub(a.since) < absentMemory {
+		if !l.present[name] && now.Sub(a.since) < absentRetention {
 			a.readings++
 			l.absent[name] = a
 		}
--- a/process/partition/racks_test.go
+++ b/process/partition/racks_test.go
@@ -17,7 +17,7 @@
 
 func (f listFunc) List(context.Context) ([]vmlist.VM, error) { return f() }
 
-func TestRacksGroupWorkersAndTellDepartures(t *testing.T) {
+func TestRacksGroupWorkersAndReportRemovedVMs(t *testing.T) {
 	// Symptom:  tasks of a live VM are given up.
 	// Sequence: one reading of the VM list is cut short, or fails.
 	// Cause:    one reading was taken for the truth.
--- a/process/partition/random_test.go
+++ b/process/partition/random_test.go
@@ -47,11 +47,11 @@
 // randomRun is a cell under random faults.
 type randomRun struct {
 	*cell
-	dead    map[peer.Ref]bool
-	gone    map[peer.Ref]bool
-	shards  []*modelShard
-	durable *progress
-	seed    uint64
+	killed         map[peer.Ref]bool
+	reportedFailed map[peer.Ref]bool
+	shards         []*modelShard
+	durable        *progress
+	seed           uint64
 }
 
 func (r *randomRun) newShard() {
@@ -75,7 +75,7 @@
 	case "pause":
 		r.pause(d)
 	case "resume":
-		if !r.dead[d.ref] {
+		if !r.killed[d.ref] {
 			r.resume(d)
 		}
 	case "kill":
@@ -83,10 +83,10 @@
 	case "restart":
 		r.kill(d)
 		r.rack.Resume(d.key()) // what was on the wire arrives
-		r.reborn(d)
+		r.restart(d)
 	case "gone":
-		if r.dead[d.ref] || a.B%2 == 0 {
-			r.declareGone(d)
+		if r.killed[d.ref] || a.B%2 == 0 {
+			r.declareFailed(d)
 		}
 	case "cutStore":
 		d.gate.setCut(true)
@@ -124,12 +124,12 @@
 		}
 	case "shardTakeover":
 		if !r.whole && len(r.shards) < 4 {
-			r.shards[len(r.shards)-1].deaf.Store(a.A%2 == 0)
+			r.shards[len(r.shards)-1].staleClaims.Store(a.A%2 == 0)
 			r.newShard()
 		}
 	case "shardDeaf":
 		if !r.whole {
-			r.shards[len(r.shards)-1].deaf.Store(a.A%2 == 0)
+			r.shards[len(r.shards)-1].staleClaims.Store(a.A%2 == 0)
 		}
 	case "holdStore":
 		d.gate.hold()
@@ -155,20 +155,20 @@
 }
 
 func (r *randomRun) kill(d *daemon) {
-	if !r.dead[d.ref] {
-		r.dead[d.ref] = true
+	if !r.killed[d.ref] {
+		r.killed[d.ref] = true
 		d.kill()
 	}
 }
 
-func (r *randomRun) declareGone(d *daemon) {
+func (r *randomRun) declareFailed(d *daemon) {
 	d.freezeRenewal(true) // gone means that its store lease has lapsed
-	r.gone[d.ref] = true
-	r.sayGone(d)
+	r.reportedFailed[d.ref] = true
+	r.reportFailed(d)
 }
 
 // reborn starts the next life of a dead daemon.
-func (r *randomRun) reborn(d *daemon) {
+func (r *randomRun) restart(d *daemon) {
 	d.gate.open()
 	for i, other := range r.daemons {
 		if other != d {
@@ -176,9 +176,9 @@
 		}
 		next := r.startDaemon(peer.Ref{ID: d.ref.ID, Incarnation: d.ref.Incarnation + 1})
 		r.replaceDaemon(i, next)
-		r.buried = append(r.buried, d)
+		r.earlierDaemons = append(r.earlierDaemons, d)
 		for _, o := range r.daemons {
-			for ref := range r.gone {
+			for ref := range r.reportedFailed {
 				if o.ref != ref {
 					o.view.SetGone(ref)
 				}
@@ -196,12 +196,12 @@
 		r.rack.SetDown(workerID(i), false)
 	}
 	if !r.whole {
-		r.shards[len(r.shards)-1].deaf.Store(false)
+		r.shards[len(r.shards)-1].staleClaims.Store(false)
 	}
 	for _, d := range r.daemons {
 		r.kill(d)
 		r.rack.Resume(d.key())
-		r.reborn(d)
+		r.restart(d)
 	}
 	for _, d := range r.daemons {
 		for _, s := range r.shards {
@@ -217,7 +217,7 @@
 func runActions(t *testing.T, actions []action, seed uint64) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 3, 4, 2, large)
-		r := &randomRun{cell: c, dead: make(map[peer.Ref]bool), gone: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
+		r := &randomRun{cell: c, killed: make(map[peer.Ref]bool), reportedFailed: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
 		defer c.shutDown()
 		r.newShard()
 		time.Sleep(5 * time.Second)
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -21,7 +21,7 @@
 	if !p.MayRebind || p.Reservation != "" {
 		return nil
 	}
-	n := o.another(step, p.Kept)
+	n := o.alternative(step, p.Kept)
 	if n == nil {
 		return nil
 	}
@@ -35,7 +35,7 @@
 
 // another returns the best worker for a step beside its own; nil for a step
 // with victims, or when none has room.
-func (o *owner) another(step *plan.Step, kept []worker.ID) *node {
+func (o *owner) alternative(step *plan.Step, kept []worker.ID) *node {
 	if len(step.Victims) > 0 {
 		return nil
 	}
@@ -67,7 +67,7 @@
 		capacity, _ := o.ledger.Capacity(n.id)
 		tasks := n.tasksOf(step.Start.Task.Job) + o.reservedFor(step.Start.Task.Job, n.id)
 		limit := step.Constraints.MaxPerWorker
-		closed := limit > 0 && tasks >= limit || slices.Contains(kept, n.id) || o.closedTo(n, step, ask)
+		closed := limit > 0 && tasks >= limit || slices.Contains(kept, n.id) || o.ineligibleAlternative(n, step, ask)
 		nodes = append(nodes, n)
 		list = append(list, rebind.Candidate{
 			ID: n.id, Capacity: capacity, Free: capacity.Sub(o.ledger.Held(n.id)), Tasks: tasks, Closed: closed,
@@ -78,15 +78,15 @@
 
 // closedTo reports whether a usable worker must not take a step in place of the
 // one that was named.
-func (o *owner) closedTo(n *node, step *plan.Step, ask *snapshot.Ask) bool {
-	return n.id == step.Worker || o.closed(n, step).Outcome != "" || n.use.refuses(n, step.Start.Size) != "" ||
+func (o *owner) ineligibleAlternative(n *node, step *plan.Step, ask *snapshot.Ask) bool {
+	return n.id == step.Worker || o.ineligible(n, step).Outcome != "" || n.overshoot.refuses(n, step.Start.Size) != "" ||
 		!filter.ZoneAllowed(ask, n.vm.Zone) || !filter.RackAllowed(ask, n.vm.Rack)
 }
 
 // reservedFor counts the tasks of a job that a worker is reserved for.
 func (o *owner) reservedFor(job string, id worker.ID) int {
 	count := 0
-	for _, r := range o.holds {
+	for _, r := range o.reservations {
 		for task, step := range r.steps {
 			if task.Job == job && step.Worker == id {
 				count++
--- a/process/partition/rebind_test.go
+++ b/process/partition/rebind_test.go
@@ -42,7 +42,7 @@
 		r := c.author.commitMoving(d, []worker.ID{workerID(1)}, whole(1, workerID(0)))
 		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "kept room is left alone")
 		c.eventually(5*time.Second, "runs there", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(1) && e.Worker == workerID(2) })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Worker == workerID(2) })
 		})
 		avoiding := whole(2, workerID(0))
 		avoiding.Avoid = []worker.ID{workerID(1)}
--- a/process/partition/reports.go
+++ b/process/partition/reports.go
@@ -44,7 +44,7 @@
 			o.dropResult(n, t)
 		}
 	}
-	o.touch(n)
+	o.markChanged(n)
 }
 
 // takeReport takes what a worker says of one task.
@@ -75,7 +75,7 @@
 		o.endpointsChanged(t)
 	}
 	if report.Work-old.Work >= workStep {
-		o.touchTask(n, t)
+		o.markTaskChanged(n, t)
 	} else {
 		t.report.Work = old.Work + min(0, report.Work-old.Work)
 	}
@@ -84,13 +84,13 @@
 // adopt enters a task that this owner did not start.
 func (o *owner) adopt(n *node, ref worker.Ref, report worker.Task) *task {
 	t := &task{
-		ref:     ref,
-		at:      n.id,
-		started: time.Now(),
-		report:  report,
+		ref:      ref,
+		workerID: n.id,
+		started:  time.Now(),
+		report:   report,
 	}
 	t.start = worker.Start{Task: ref.Task, Attempt: ref.Attempt, Size: report.Size}
-	o.describe(t, o.h.o.Config.Current())
+	o.resolveJob(t, o.h.o.Config.Current())
 	n.tasks[ref] = t
 	t.enter(unknown)
 	if report.State.Ended() {
@@ -119,7 +119,7 @@
 	t.enter(running)
 	o.emit(t, o.event(n, t))
 	o.endpointsChanged(t)
-	o.touchTask(n, t)
+	o.markTaskChanged(n, t)
 	if n.draining {
 		o.drainTask(t)
 	}
@@ -134,8 +134,8 @@
 	}
 	o.emit(t, o.event(n, t))
 	o.endpointsChanged(t)
-	o.touch(n)
-	n.departed.add(t.ref, n.changed)
+	o.markChanged(n)
+	n.ended.add(t.ref, n.changed)
 	switch t.report.State {
 	case worker.Failed:
 		o.recordFailure(n, t.ref.Task.Job)
@@ -187,8 +187,8 @@
 	e.Task, e.Attempt, e.Worker, e.State = t.ref.Task, t.ref.Attempt, n.id, worker.Stopped
 	o.emit(t, e)
 	o.endpointsChanged(t)
-	o.touch(n)
-	n.departed.add(t.ref, n.changed)
+	o.markChanged(n)
+	n.ended.add(t.ref, n.changed)
 	o.victimStopped(n, t)
 }
 
--- a/process/partition/describe.go
+++ b/process/partition/resolve.go
@@ -12,11 +12,11 @@
 const unknownShard plan.Shard = -1
 
 // describe fills in what a worker does not tell of an adopted task.
-func (o *owner) describe(t *task, c *spec.Config) {
+func (o *owner) resolveJob(t *task, c *spec.Config) {
 	id := t.ref.Task
-	t.undescribed = id.Generation > c.Version
+	t.jobUnknown = id.Generation > c.Version
 	t.shard = unknownShard
-	if !t.undescribed {
+	if !t.jobUnknown {
 		t.shard = o.h.o.ShardOf(id.Job)
 	}
 	job := c.Jobs[id.Job]
@@ -27,13 +27,13 @@
 		}
 		// Until the job is known it is not stopped for a leaving VM or for
 		// another task: it might be one that must not start again.
-		t.nonIdempotent = t.undescribed && t.start.Kind != spec.Service
+		t.nonIdempotent = t.jobUnknown && t.start.Kind != spec.Service
 	} else {
 		t.class, t.team, t.nonIdempotent = job.EffectiveClass(), job.Team, job.NonIdempotent
 		t.start.Kind, t.start.RunTime = job.Kind, job.RunTime
 	}
 	if t.start.Kind == spec.Service {
-		o.describeInstance(t, job)
+		o.resolveLimits(t, job)
 	}
 }
 
@@ -41,50 +41,50 @@
 // another generation does not tell: it may allow more than the instance was
 // started for, and callers' requests would fail. An earlier owner's memo tells;
 // an instance of which nothing is known takes no new requests.
-func (o *owner) describeInstance(t *task, job *spec.VersionedJob) {
+func (o *owner) resolveLimits(t *task, job *spec.VersionedJob) {
 	t.start.Service = t.ref.Task.Job
 	if job != nil && job.Service != nil && job.Generation == t.ref.Task.Generation {
 		t.start.Slots, t.start.Conns = job.Service.Slots, job.Service.Connections
-		t.limitless = false
-		o.limits.learn(t)
+		t.limitsUnknown = false
+		o.limits.record(t)
 		return
 	}
 	l, known := o.limits.known[generationOf(t)]
-	t.start.Slots, t.start.Conns, t.limitless = l.slots, l.conns, !known
+	t.start.Slots, t.start.Conns, t.limitsUnknown = l.slots, l.conns, !known
 }
 
 // describeLate looks again at tasks that were adopted before the configuration
 // that declares them was in force here.
-func (o *owner) describeLate() {
+func (o *owner) resolveUnknownJobs() {
 	c := o.h.o.Config.Current()
-	if c.Version == o.described {
+	if c.Version == o.resolvedVersion {
 		return
 	}
-	o.described = c.Version
+	o.resolvedVersion = c.Version
 	for _, n := range o.nodes {
 		for _, t := range n.tasks {
-			if !t.undescribed {
+			if !t.jobUnknown {
 				continue
 			}
 			shard := t.shard
-			o.describe(t, c)
+			o.resolveJob(t, c)
 			if shard != unknownShard {
 				t.shard = shard // its owner has listed it meanwhile
 			}
-			o.touchTask(n, t)
+			o.markTaskChanged(n, t)
 			o.endpointsChanged(t)
 		}
 	}
-	o.releaseEvents(c)
+	o.routeUnknownEvents(c)
 }
 
 // releaseEvents hands on the events whose shard has become known.
-func (o *owner) releaseEvents(c *spec.Config) {
-	box := o.out[unknownShard]
+func (o *owner) routeUnknownEvents(c *spec.Config) {
+	box := o.outboxes[unknownShard]
 	if box == nil {
 		return
 	}
-	delete(o.out, unknownShard)
+	delete(o.outboxes, unknownShard)
 	for _, e := range box.pending {
 		shard := unknownShard
 		if e.Task.Generation <= c.Version {
--- a/process/partition/describe_test.go
+++ b/process/partition/resolve_test.go
@@ -90,13 +90,13 @@
 	})
 }
 
-func TestLimitsOfServicesThatAreGoneAreForgotten(t *testing.T) {
+func TestLimitsOfUnusedGenerationsAreDropped(t *testing.T) {
 	var l serviceLimits
-	require.Equal(t, []string{"vm-1"}, l.recall([]string{"limits desk 7 8 64", "limits of a later release", "vm-1"}))
+	require.Equal(t, []string{"vm-1"}, l.load([]string{"limits desk 7 8 64", "limits of a later release", "vm-1"}))
 	require.Equal(t, map[generation]instanceLimits{{"desk", 7}: {8, 64}}, l.known)
 	require.Equal(t, []string{"limits desk 7 8 64"}, l.notes())
 	o := &owner{limits: l}
-	o.forgetLimits()
+	o.pruneLimits()
 	require.Empty(t, o.limits.known)
 }
 
@@ -112,7 +112,7 @@
 		c.jobs.Store(&spec.Config{})
 		d.kill()
 		next := c.takeOver(d)
-		c.eventually(time.Minute, "adopted", func() bool { return c.holds(next, 1) })
+		c.eventually(time.Minute, "adopted", func() bool { return c.hasTask(next, 1) })
 		c.author.mu.Lock()
 		c.author.events = nil
 		c.author.mu.Unlock()
@@ -124,9 +124,9 @@
 		c.eventually(time.Minute, "lost", func() bool { return next.metrics.Lost.Value() == 1 })
 		time.Sleep(time.Minute)
 		lost := func(e plan.Event) bool { return e.Task == taskID(1) && e.Lost }
-		require.False(t, c.author.saw(lost), "the shard is not known")
+		require.False(t, c.author.received(lost), "the shard is not known")
 		c.declare(1, 1, spec.Job{Kind: spec.Batch, Count: 5})
-		c.eventually(time.Minute, "told", func() bool { return c.author.saw(lost) })
+		c.eventually(time.Minute, "told", func() bool { return c.author.received(lost) })
 		reply, err = c.author.fenceFor(next, "another")
 		require.NoError(t, err)
 		require.Empty(t, reply.Unaccounted)
@@ -134,7 +134,7 @@
 }
 
 // holds reports whether the daemon's books list task i.
-func (c *cell) holds(d *daemon, i int) bool {
+func (c *cell) hasTask(d *daemon, i int) bool {
 	o, err := d.host.owner(testPartition)
 	require.NoError(c.t, err)
 	held, err := call(c.ctx, o, func() bool { return o.live[taskID(i)] != nil })
--- a/process/partition/shardmodel_test.go
+++ b/process/partition/shardmodel_test.go
@@ -61,7 +61,7 @@
 type modelState int
 
 const (
-	doubtful modelState = iota // a new owner has not heard of all partitions yet
+	uncertain modelState = iota // a new owner has not heard of all partitions yet
 	idle
 	held // may run in a partition
 )
@@ -70,7 +70,7 @@
 	state     modelState
 	partition string
 	worker    worker.ID // empty while it may be any of the partition's
-	number    int
+	attempt   int
 }
 
 // mayBeAt reports whether the task may run at one of the workers.
@@ -82,7 +82,7 @@
 type modelPartition struct {
 	claim       ownership.Claim
 	fenced      uint64 // epoch of the owner that answered a fence
-	doubt       bool
+	uncertain   bool
 	unaccounted []worker.ID
 }
 
@@ -90,30 +90,30 @@
 // a task is started again only after it is known not to run. It reads claims
 // from the store until it is deaf; then it goes on with what it believes.
 type modelShard struct {
-	c          *cell
-	ref        peer.Ref
-	epoch      uint64
-	caller     peer.Caller
-	rng        *rand.Rand
-	durable    *progress
-	cancel     context.CancelFunc
-	deaf       atomic.Bool
-	seq        uint64
-	attempts   int
-	partitions map[string]*modelPartition
+	c           *cell
+	ref         peer.Ref
+	epoch       uint64
+	caller      peer.Caller
+	rng         *rand.Rand
+	progress    *progress
+	cancel      context.CancelFunc
+	staleClaims atomic.Bool
+	seq         uint64
+	attempts    int
+	partitions  map[string]*modelPartition
 
 	mu    sync.Mutex
-	known map[int]*modelTask
+	tasks map[int]*modelTask
 	acks  map[string][]worker.Ref
 }
 
 func newModelShard(c *cell, epoch uint64, durable *progress, seed uint64) *modelShard {
 	s := &modelShard{
-		c: c, epoch: epoch, durable: durable,
+		c: c, epoch: epoch, progress: durable,
 		ref:        peer.Ref{ID: peer.MemberID(fmt.Sprintf("shard-%d", epoch)), Incarnation: 1},
 		rng:        rand.New(rand.NewPCG(seed, epoch)),
 		partitions: make(map[string]*modelPartition),
-		known:      make(map[int]*modelTask),
+		tasks:      make(map[int]*modelTask),
 		acks:       make(map[string][]worker.Ref),
 	}
 	caller, mux := c.net.Node(s.ref)
@@ -140,13 +140,13 @@
 		s.issue()
 		for _, name := range s.c.partitionNames() {
 			if s.partitions[name] == nil {
-				s.partitions[name] = &modelPartition{doubt: true}
+				s.partitions[name] = &modelPartition{uncertain: true}
 			}
 			s.lookUp(name)
 			s.fenceIfNeeded(ctx, name)
 			s.sendAcks(ctx, name)
 		}
-		s.settleDoubt()
+		s.settleUncertain()
 		s.place(ctx)
 		time.Sleep(500 * time.Millisecond)
 	}
@@ -155,20 +155,20 @@
 // issue takes up new tasks. Those that another owner of the shard issued may
 // run anywhere until every partition has been asked.
 func (s *modelShard) issue() {
-	from, to := s.durable.issue()
+	from, to := s.progress.issue()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range to {
-		if s.known[i] != nil {
+		if s.tasks[i] != nil {
 			continue
 		}
-		s.known[i] = &modelTask{}
+		s.tasks[i] = &modelTask{}
 		if i >= from {
-			s.known[i].state = idle
+			s.tasks[i].state = idle
 			continue
 		}
 		for _, p := range s.partitions {
-			p.doubt = true
+			p.uncertain = true
 		}
 	}
 }
@@ -176,15 +176,15 @@
 func (s *modelShard) lookUp(name string) {
 	p := s.partitions[name]
 	if s.rng.IntN(40) == 0 {
-		p.doubt = true // as after a lost answer
+		p.uncertain = true // as after a lost answer
 	}
-	if s.deaf.Load() {
+	if s.staleClaims.Load() {
 		return
 	}
 	d := s.c.anyDaemon(s.rng)
 	if claim, ok := d.manager.Owner(resourceOf(name)); ok && claim.Epoch > p.claim.Epoch {
 		p.claim = claim
-		p.doubt = true
+		p.uncertain = true
 	}
 }
 
@@ -193,7 +193,7 @@
 }
 
 // callLate gives up after two seconds; the message may arrive later all the same.
-func callLate[Resp any](ctx context.Context, s *modelShard, p *modelPartition, m peer.Method, req any) (Resp, error) {
+func callWithLateArrival[Resp any](ctx context.Context, s *modelShard, p *modelPartition, m peer.Method, req any) (Resp, error) {
 	type answer struct {
 		value Resp
 		err   error
@@ -217,11 +217,11 @@
 
 func (s *modelShard) fenceIfNeeded(ctx context.Context, name string) {
 	p := s.partitions[name]
-	if p.claim.Epoch == 0 || (!p.doubt && len(p.unaccounted) == 0) {
+	if p.claim.Epoch == 0 || (!p.uncertain && len(p.unaccounted) == 0) {
 		return
 	}
 	s.seq++
-	reply, err := callLate[plan.FenceReply](ctx, s, p, plan.MethodFence, plan.Fence{
+	reply, err := callWithLateArrival[plan.FenceReply](ctx, s, p, plan.MethodFence, plan.Fence{
 		Partition: name, Author: s.as(), MinSeq: s.seq, Jobs: []string{"survey"},
 	})
 	if err != nil {
@@ -229,14 +229,14 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.fenced, p.doubt, p.unaccounted = p.claim.Epoch, false, reply.Unaccounted
+	p.fenced, p.uncertain, p.unaccounted = p.claim.Epoch, false, reply.Unaccounted
 	listed := make(map[worker.Ref]bool)
 	for _, e := range reply.Tasks {
 		listed[worker.Ref{Task: e.Task, Attempt: e.Attempt}] = true
 		s.take(name, e)
 	}
-	for i, t := range s.known {
-		ref := worker.Ref{Task: taskID(i), Attempt: t.number}
+	for i, t := range s.tasks {
+		ref := worker.Ref{Task: taskID(i), Attempt: t.attempt}
 		if t.state == held && t.partition == name && !listed[ref] && !t.mayBeAt(p.unaccounted) {
 			t.state = idle
 		}
@@ -245,16 +245,16 @@
 
 // settleDoubt ends the doubt of a new owner once every partition has answered
 // and every worker is accounted for.
-func (s *modelShard) settleDoubt() {
+func (s *modelShard) settleUncertain() {
 	for _, p := range s.partitions {
-		if p.fenced == 0 || p.doubt || len(p.unaccounted) > 0 {
+		if p.fenced == 0 || p.uncertain || len(p.unaccounted) > 0 {
 			return
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.known {
-		if t.state == doubtful {
+	for _, t := range s.tasks {
+		if t.state == uncertain {
 			t.state = idle
 		}
 	}
@@ -262,24 +262,24 @@
 
 // take takes one event; the caller holds mu.
 func (s *modelShard) take(partition string, e plan.Event) {
-	t := s.known[e.Task.Index]
+	t := s.tasks[e.Task.Index]
 	if t == nil {
 		t = &modelTask{}
-		s.known[e.Task.Index] = t
+		s.tasks[e.Task.Index] = t
 	}
 	ended := e.Lost || e.NotStarted || e.State.Ended()
 	if ended && !e.Lost && !e.NotStarted {
 		if e.State == worker.Succeeded {
-			s.durable.finish(e.Task.Index)
+			s.progress.finish(e.Task.Index)
 		}
 		s.acks[partition] = append(s.acks[partition], worker.Ref{Task: e.Task, Attempt: e.Attempt})
 	}
 	switch {
-	case !ended && (t.state == doubtful || t.number < e.Attempt):
-		*t = modelTask{state: held, partition: partition, worker: e.Worker, number: e.Attempt}
-	case !ended && t.state == held && t.number == e.Attempt:
+	case !ended && (t.state == uncertain || t.attempt < e.Attempt):
+		*t = modelTask{state: held, partition: partition, worker: e.Worker, attempt: e.Attempt}
+	case !ended && t.state == held && t.attempt == e.Attempt:
 		t.worker = e.Worker
-	case ended && t.state == held && t.number == e.Attempt:
+	case ended && t.state == held && t.attempt == e.Attempt:
 		t.state = idle
 	}
 }
@@ -292,7 +292,7 @@
 	if len(refs) == 0 {
 		return
 	}
-	_, err := callLate[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.as(), Tasks: refs})
+	_, err := callWithLateArrival[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.as(), Tasks: refs})
 	if err != nil {
 		s.mu.Lock()
 		s.acks[name] = append(s.acks[name], refs...)
@@ -303,12 +303,12 @@
 // place proposes one start for each idle task.
 func (s *modelShard) place(ctx context.Context) {
 	names := s.c.partitionNames()
-	for i := range len(s.known) {
+	for i := range len(s.tasks) {
 		name := names[s.rng.IntN(len(names))]
 		p := s.partitions[name]
 		s.mu.Lock()
-		t := s.known[i]
-		ok := t != nil && t.state == idle && !s.durable.finished(i) && p.fenced == p.claim.Epoch && !p.doubt
+		t := s.tasks[i]
+		ok := t != nil && t.state == idle && !s.progress.finished(i) && p.fenced == p.claim.Epoch && !p.uncertain
 		if !ok {
 			s.mu.Unlock()
 			continue
@@ -317,7 +317,7 @@
 		s.attempts++
 		number := int(s.epoch)*100000 + s.attempts
 		step := step(i, workers[s.rng.IntN(len(workers))])
-		*t = modelTask{state: held, partition: name, number: number}
+		*t = modelTask{state: held, partition: name, attempt: number}
 		s.mu.Unlock()
 		step.Start.Attempt = number
 		step.Start.RunTime = spec.Duration(time.Duration(1+s.rng.IntN(120)) * time.Second)
@@ -328,11 +328,11 @@
 func (s *modelShard) commit(ctx context.Context, name string, t *modelTask, step plan.Step) {
 	p := s.partitions[name]
 	s.seq++
-	r, err := callLate[plan.Result](ctx, s, p, plan.MethodCommit, plan.Plan{
+	r, err := callWithLateArrival[plan.Result](ctx, s, p, plan.MethodCommit, plan.Plan{
 		Partition: name, Author: s.as(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
 	})
 	if err != nil {
-		p.doubt = true // a fence tells whether it was committed
+		p.uncertain = true // a fence tells whether it was committed
 		return
 	}
 	if r.Steps[0].Outcome == plan.Accepted {
@@ -340,11 +340,11 @@
 		return
 	}
 	if r.Steps[0].Outcome == plan.NotOwner || r.Steps[0].Outcome == plan.Duplicate {
-		p.doubt = true
+		p.uncertain = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state == held && t.number == step.Start.Attempt {
+	if t.state == held && t.attempt == step.Start.Attempt {
 		t.state = idle
 	}
 }
@@ -353,7 +353,7 @@
 func (s *modelShard) accepted(t *modelTask, step *plan.Step, r *plan.StepResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state != held || t.number != step.Start.Attempt {
+	if t.state != held || t.attempt != step.Start.Attempt {
 		return
 	}
 	t.worker = step.Worker
--- a/process/partition/state.go
+++ b/process/partition/state.go
@@ -23,28 +23,28 @@
 
 // publisher numbers the changes of a partition and wakes those who wait.
 type publisher struct {
-	name    string
-	epoch   uint64
-	seq     uint64 // of the last change
-	flushed uint64 // seq that readers were told of
-	at      time.Time
-	changed chan struct{}
+	name      string
+	epoch     uint64
+	seq       uint64 // of the last change
+	flushed   uint64 // seq that readers were told of
+	lastFlush time.Time
+	changed   chan struct{}
 
 	endpointsDirty bool
 	endpointsSeq   uint64
-	departed       []departedWorker // workers removed lately, in order
+	removed        []removedWorker // workers removed lately, in order
 	// departedSince is the position from which on departed is complete.
-	departedSince uint64
+	removedSince uint64
 }
 
 // departedWorker is a worker that was removed, with the position of that.
-type departedWorker struct {
+type removedWorker struct {
 	id worker.ID
 	at uint64
 }
 
 // maxDepartedWorkers bounds the list; a reader further behind gets everything.
-const maxDepartedWorkers = 512
+const maxRemovedWorkers = 512
 
 func (p *publisher) init(name string, epoch uint64) {
 	p.name, p.epoch = name, epoch
@@ -58,12 +58,12 @@
 	return p.seq
 }
 
-func (p *publisher) gone(id worker.ID) {
-	p.departed = append(p.departed, departedWorker{id, p.next()})
-	if len(p.departed) > maxDepartedWorkers {
-		half := len(p.departed) / 2
-		p.departedSince = p.departed[half-1].at
-		p.departed = append(p.departed[:0], p.departed[half:]...)
+func (p *publisher) workerRemoved(id worker.ID) {
+	p.removed = append(p.removed, removedWorker{id, p.next()})
+	if len(p.removed) > maxRemovedWorkers {
+		half := len(p.removed) / 2
+		p.removedSince = p.removed[half-1].at
+		p.removed = append(p.removed[:0], p.removed[half:]...)
 	}
 }
 
@@ -72,12 +72,12 @@
 	if p.endpointsDirty {
 		p.endpointsDirty = false
 		p.endpointsSeq = p.next()
-		p.at = time.Time{}
+		p.lastFlush = time.Time{}
 	}
-	if p.seq == p.flushed || now.Sub(p.at) < flushInterval {
+	if p.seq == p.flushed || now.Sub(p.lastFlush) < flushInterval {
 		return
 	}
-	p.at = now
+	p.lastFlush = now
 	p.flushed = p.seq
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -93,7 +93,7 @@
 }
 
 // look returns what changed after the request's position.
-func (o *owner) look(req plan.StateRequest) poll {
+func (o *owner) readState(req plan.StateRequest) poll {
 	p := &o.state
 	since := req.Since
 	if req.Epoch != p.epoch {
@@ -107,7 +107,7 @@
 
 func (o *owner) stateSince(since uint64) plan.State {
 	p := &o.state
-	if since < p.departedSince {
+	if since < p.removedSince {
 		since = 0
 	}
 	s := plan.State{Partition: p.name, Epoch: p.epoch, Seq: p.seq, Full: since == 0}
@@ -117,7 +117,7 @@
 		}
 	}
 	listed := make(map[worker.ID]bool)
-	for _, d := range p.departed {
+	for _, d := range p.removed {
 		if since != 0 && d.at > since && o.nodes[d.id] == nil && !listed[d.id] {
 			listed[d.id] = true
 			s.Workers = append(s.Workers, plan.WorkerState{ID: d.id, Gone: true})
@@ -141,17 +141,17 @@
 		Reserved: o.ledger.Held(n.id),
 		Unusable: n.unusable(),
 	}
-	if w.Unusable == "" && !o.noted[n.id] {
-		w.Unusable = notNoted
+	if w.Unusable == "" && !o.inMemo[n.id] {
+		w.Unusable = notInMemo
 	}
-	w.Partial = since != 0 && since >= n.departed.since && since >= n.added
+	w.Partial = since != 0 && since >= n.ended.since && since >= n.added
 	for _, t := range n.tasks {
 		if t.live() && (!w.Partial || t.changed > since) {
-			w.Tasks = append(w.Tasks, t.inState())
+			w.Tasks = append(w.Tasks, t.runningTask())
 		}
 	}
 	if w.Partial {
-		for _, d := range n.departed.list {
+		for _, d := range n.ended.list {
 			if d.at > since {
 				w.Ended = append(w.Ended, d.ref)
 			}
@@ -165,7 +165,7 @@
 	return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Index, b.Index))
 }
 
-func (t *task) inState() plan.RunningTask {
+func (t *task) runningTask() plan.RunningTask {
 	r := plan.RunningTask{
 		Ref: t.ref, Size: t.start.Size, Class: t.class, Team: t.team, Kind: t.start.Kind,
 		NonIdempotent: t.nonIdempotent, Work: t.report.Work,
@@ -188,7 +188,7 @@
 				Service: t.start.Service, Task: t.ref.Task, Attempt: t.ref.Attempt,
 				Worker: n.id, Zone: n.vm.Zone, Address: t.report.Address,
 				Slots: t.start.Slots, Conns: t.start.Conns,
-				Leaving: t.leaving || t.stopWanted || n.draining || t.limitless,
+				Leaving: t.leaving || t.stopWanted || n.draining || t.limitsUnknown,
 			})
 		}
 	}
@@ -206,7 +206,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		p, err := call(ctx, o, func() poll { return o.look(req) })
+		p, err := call(ctx, o, func() poll { return o.readState(req) })
 		if err != nil {
 			return nil, err
 		}
@@ -236,7 +236,7 @@
 		h.o.Metrics.Stale.Add(1)
 		return nil, &peer.RemoteError{Code: CodeStale, Message: "the shard was taken over"}
 	}
-	if err := o.confirms.do(ctx); err != nil {
+	if err := o.confirmer.do(ctx); err != nil {
 		return nil, &peer.RemoteError{Code: CodeNotFenced, Message: "claim not confirmed: " + err.Error()}
 	}
 	return call(ctx, o, func() plan.FenceReply { return o.fenceReply(req) })
@@ -246,7 +246,7 @@
 	var r plan.FenceReply
 	shard := req.Author.Shard
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			r.Unaccounted = append(r.Unaccounted, n.id)
 		}
 		for _, t := range n.tasks {
@@ -270,7 +270,7 @@
 // one that never did, and start it again.
 func (o *owner) undelivered(req plan.Fence) []plan.Event {
 	var ends []plan.Event
-	for _, box := range o.out {
+	for _, box := range o.outboxes {
 		for _, e := range box.pending {
 			if (e.Lost || e.NotStarted) && (box.shard == req.Author.Shard || slices.Contains(req.Jobs, e.Task.Job)) {
 				ends = append(ends, e)
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -21,8 +21,8 @@
 // find returns the task and its worker, or nil.
 func (o *owner) find(ref worker.Ref) (*node, *task) {
 	for _, t := range []*task{o.live[ref.Task], o.results[ref.Task]} {
-		if t != nil && t.ref == ref && o.nodes[t.at] != nil {
-			return o.nodes[t.at], t
+		if t != nil && t.ref == ref && o.nodes[t.workerID] != nil {
+			return o.nodes[t.workerID], t
 		}
 	}
 	return nil, nil
@@ -50,7 +50,7 @@
 // worker is not fenced the task may still be found there.
 func (o *owner) stopUnknown(shard plan.Shard, ref worker.Ref) {
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			return
 		}
 	}
@@ -68,11 +68,11 @@
 	case t.start.Kind == spec.Service && drain > 0:
 		o.drainEndpoint(t, drain)
 	case mode == plan.StopCheckpoint && t.phase == running:
-		t.saveWanted = true
+		t.checkpointWanted = true
 	default:
 		t.stopWanted = true
 	}
-	o.wake(n)
+	o.markDirty(n)
 }
 
 // drainEndpoint marks a service instance as leaving at once and stops it after
@@ -92,7 +92,7 @@
 func (o *owner) startDraining(n *node) {
 	n.draining = true
 	o.log.Info().Str("worker", string(n.id)).Msg("VM is leaving")
-	o.touch(n)
+	o.markChanged(n)
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
 			o.notStarted(n, t, "VM is leaving")
@@ -109,7 +109,7 @@
 	case t.start.Kind == spec.Service:
 		o.drainEndpoint(t, o.t.VMDrain)
 	case !t.nonIdempotent && t.phase == running:
-		t.saveWanted = true
+		t.checkpointWanted = true
 	}
 }
 
@@ -124,7 +124,7 @@
 			continue
 		}
 		held.acked = true
-		if n := o.nodes[held.at]; n != nil {
+		if n := o.nodes[held.workerID]; n != nil {
 			n.acks = append(n.acks, ref)
 		}
 	}
@@ -153,7 +153,7 @@
 		return reject(plan.NoRoom, "the victims do not make enough room")
 	}
 	t.enter(waiting)
-	t.at = n.id
+	t.workerID = n.id
 	n.tasks[t.ref] = t // before the victims stop: some do at once
 	o.live[t.ref.Task] = t
 	o.reserveFree(n, t)
@@ -206,7 +206,7 @@
 	case v.start.Kind == spec.Service:
 		o.drainEndpoint(v, o.t.PreemptDrain)
 	case v.phase == running:
-		v.saveWanted = true
+		v.checkpointWanted = true
 	default:
 		v.stopWanted = true
 	}
@@ -229,6 +229,6 @@
 		}
 		t.victims = nil
 		t.enter(queued)
-		o.touch(n)
+		o.markChanged(n)
 	}
 }
--- a/process/partition/takeover_test.go
+++ b/process/partition/takeover_test.go
@@ -15,7 +15,7 @@
 // takeOver makes another daemon the owner and returns it.
 func (c *cell) takeOver(old *daemon) *daemon {
 	c.t.Helper()
-	c.sayGone(old)
+	c.reportFailed(old)
 	var d *daemon
 	c.eventually(time.Minute, "another owner", func() bool {
 		for _, other := range c.daemons {
@@ -103,7 +103,7 @@
 	})
 }
 
-func TestPredecessorOfAnOwnerThatNeverFencedIsRemembered(t *testing.T) {
+func TestPredecessorOfAnOwnerThatNeverFencedIsTracked(t *testing.T) {
 	// Symptom:  a task runs at two workers.
 	// Sequence: owner A is paused with a start in hand for worker 0; owner B
 	//           claims and dies before it fenced anything; owner C can not
@@ -130,7 +130,7 @@
 				c.rack.Cut(d.key(), workerID(0), true)
 			}
 		}
-		c.sayGone(b)
+		c.reportFailed(b)
 		c.vms.remove(string(b.ref.ID))
 		c.eventually(time.Minute, "third owner", func() bool {
 			_, err := third.host.owner(testPartition)
@@ -152,7 +152,7 @@
 	//           resumes and opens a lease that nobody will revoke.
 	// Cause:    the claim was checked before the lease was opened, not after.
 	inBubble(t, 3, 2, large, func(c *cell) {
-		c.rack.ForgetEpochs(workerID(1)) // it would betray the stale owner
+		c.rack.IgnoreEpochs(workerID(1)) // it would betray the stale owner
 		first := c.ready()
 		for _, d := range c.daemons {
 			if d != first {
@@ -200,7 +200,7 @@
 		putClaim(c, ownership.Claim{Resource: shardResource(testShard), Owner: c.author.ref, Epoch: 7})
 		old.kill()
 		d := c.takeOver(old)
-		c.eventually(time.Minute, "ready", func() bool { return c.takesPlans(d) })
+		c.eventually(time.Minute, "ready", func() bool { return c.acceptsPlans(d) })
 		require.Equal(t, plan.Stale, c.author.commit(d, step(1, workerID(0)))[0].Outcome)
 		_, err := c.author.fence(d)
 		require.ErrorContains(t, err, "taken over")
@@ -245,7 +245,7 @@
 	// Cause:    renewing without a confirmed claim was allowed for tasks that
 	//           another owner had taken over.
 	inBubble(t, 2, 2, large, func(c *cell) {
-		c.rack.ForgetEpochs(workerID(1))
+		c.rack.IgnoreEpochs(workerID(1))
 		old := c.ready()
 		c.author.mustStart(old, step(1, workerID(1)))
 		old.gate.setCut(true)
--- a/process/partition/whole_test.go
+++ b/process/partition/whole_test.go
@@ -77,14 +77,14 @@
 func (c *cell) violated(err error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.broken = append(c.broken, err.Error())
+	c.invariantViolations = append(c.invariantViolations, err.Error())
 }
 
 // runWhole runs everything from the jobs to the agents under faults.
 func runWhole(t *testing.T, actions []action, seed uint64) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newWholeCell(t, 3, 4, 2, large, wholeJobs())
-		r := &randomRun{cell: c, dead: make(map[peer.Ref]bool), gone: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
+		r := &randomRun{cell: c, killed: make(map[peer.Ref]bool), reportedFailed: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
 		defer c.shutDown()
 		time.Sleep(5 * time.Second)
 		for _, a := range actions {
@@ -119,7 +119,7 @@
 func (r *randomRun) wholeFault() string {
 	faults := r.rack.Violations()
 	r.mu.Lock()
-	faults = append(faults, r.broken...)
+	faults = append(faults, r.invariantViolations...)
 	r.mu.Unlock()
 	for id, n := range r.rack.Starts() {
 		if id.Job == "once" && n > 1 {
--- a/process/partition/worker_test.go
+++ b/process/partition/worker_test.go
@@ -52,7 +52,7 @@
 				c.rack.SetFaults(agenttest.Faults{})
 				ran := faults.LoseAnswers > 0
 				c.eventually(time.Minute, "event", func() bool {
-					return c.author.saw(func(e plan.Event) bool {
+					return c.author.received(func(e plan.Event) bool {
 						return e.Task == taskID(1) && e.Lost == !ran && (e.State == worker.Running) == ran
 					})
 				})
@@ -71,7 +71,7 @@
 		c.author.mustStart(d, step(1, workerID(0)))
 		c.rack.Restart(workerID(0))
 		c.eventually(10*time.Second, "lost", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Lost && e.Task == taskID(1) })
+			return c.author.received(func(e plan.Event) bool { return e.Lost && e.Task == taskID(1) })
 		})
 		require.True(t, c.workerState(d, workerID(0)).Reserved.IsZero())
 		c.author.mustStart(d, step(2, workerID(0)))
@@ -90,7 +90,7 @@
 		c.eventually(10*time.Second, "unusable", func() bool { return c.workerState(d, workerID(0)).Unusable != "" })
 		c.vms.remove(string(workerID(0)))
 		waited := c.eventually(5*time.Minute, "lost", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Lost && e.Task == taskID(1) })
+			return c.author.received(func(e plan.Event) bool { return e.Lost && e.Task == taskID(1) })
 		})
 		require.Greater(t, waited, DefaultTaskTTL)
 		require.Empty(t, c.rack.Running(workerID(0)))
@@ -110,7 +110,7 @@
 		require.Less(t, marked, 3*time.Second)
 		require.Contains(t, c.rack.Running(workerID(0)), taskID(1))
 		c.eventually(5*time.Second, "batch saved", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(2) && e.Checkpointed })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(2) && e.Checkpointed })
 		})
 		stopped := c.eventually(20*time.Second, "stopped", func() bool { return len(c.rack.Running(workerID(0))) == 0 })
 		require.Greater(t, stopped, 5*time.Second)
@@ -153,7 +153,7 @@
 		c.author.mustStart(d, urgent)
 		require.Less(t, time.Since(began), 3*time.Second)
 		c.eventually(5*time.Second, "victims reported", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(0) && e.Preempted && e.Checkpointed })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(0) && e.Preempted && e.Checkpointed })
 		})
 		same := step(10, workerID(0))
 		same.Victims = []worker.Ref{ref(2)}
@@ -213,7 +213,7 @@
 			return slices.Equal(c.rack.Running(workerID(0)), []spec.TaskID{taskID(2)})
 		})
 		c.eventually(5*time.Second, "told", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(1) && e.Checkpointed })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Checkpointed })
 		})
 	})
 }
@@ -251,7 +251,7 @@
 	})
 }
 
-func TestPlannedHandOverKeepsTasksRunning(t *testing.T) {
+func TestPlannedReleaseKeepsTasksRunning(t *testing.T) {
 	// Symptom:  tasks end or double when a daemon is upgraded.
 	// Sequence: the owner leaves while tasks run and plans arrive.
 	// Cause:    the claim was released while starts were under way.
