--- a/process/partition/address.go
+++ b/process/partition/address.go
@@ -6,16 +6,16 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// addressWait is the time from the start of a service instance to a heartbeat
-// that asks for its address, doubled while the worker does not know one. The
-// next heartbeat in its turn would have callers wait for up to a second or, at
-// a daemon with many workers, two.
+// initialAddressDelay is the time from the start of a service instance to an
+// extra heartbeat that fetches its address; it doubles while the worker reports
+// none. Waiting for the next regular heartbeat would delay callers by up to a
+// second or, at a daemon with many workers, two.
 const initialAddressDelay = 50 * time.Millisecond
 
-// askAddress has the worker's next heartbeat sent after a wait, unless one is
-// due sooner. It is called after starts and by itself only, and its waits
-// double up to the interval: a start of instances costs one heartbeat more, a
-// worker that tells no address five.
+// askAddress schedules the worker's next heartbeat after wait, unless one is due
+// sooner. It is called only after starts and by askAddressAgain, with waits that
+// double up to the heartbeat interval: a start of instances costs one extra
+// heartbeat, or five if the worker reports no address.
 func (o *owner) askAddress(n *node, wait time.Duration) {
 	at := time.Now().Add(wait)
 	if !at.Before(n.nextSync) || !lacksAddress(n) {
@@ -28,15 +28,16 @@
 	})
 }
 
-// askAddressAgain goes on asking after a heartbeat that did not tell.
+// askAddressAgain doubles the delay and schedules another heartbeat if the last
+// one did not report all addresses.
 func (o *owner) askAddressAgain(n *node) {
 	if n.addressDelay > 0 {
 		o.askAddress(n, 2*n.addressDelay)
 	}
 }
 
-// lacksAddress reports whether a service instance runs whose address is not
-// known.
+// lacksAddress reports whether a service instance runs on the worker whose
+// address is not known.
 func lacksAddress(n *node) bool {
 	for _, t := range n.tasks {
 		if t.start.Kind == spec.Service && t.phase == running && t.report.Address == "" {
--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -11,17 +11,17 @@
 )
 
 const (
-	// maxStartsPerCall bounds one Start call.
+	// maxStartsPerCall bounds the tasks of one Start call.
 	maxStartsPerCall = 64
 	// maxBackoff bounds the pause between heartbeats to a failing worker.
 	maxBackoff = 5 * time.Second
 )
 
-// pump starts the most urgent call to the worker. A worker has at most one
-// call under way, so replies arrive in the order of the calls.
+// nextCall starts the most urgent call to the worker. A worker has at most one
+// call in flight, so replies arrive in the order of the calls.
 func (o *owner) nextCall(n *node, now time.Time) {
 	if n.unlisted {
-		return // nothing may renew its tasks, so that their lease runs out
+		return // its tasks must not be renewed, so that their lease expires
 	}
 	switch {
 	case !n.fenced && !now.Before(n.nextTry) && !o.releasing:
@@ -45,7 +45,7 @@
 	return false
 }
 
-// startSync sends a heartbeat with the waiting stops and acknowledgements.
+// startSync sends a heartbeat with the pending stops and acknowledgements.
 func (o *owner) startSync(n *node) {
 	req := worker.SyncRequest{Lease: n.lease, Since: n.seq, Acks: slices.Clone(n.acks)}
 	for ref, t := range n.tasks {
@@ -68,7 +68,7 @@
 	now := time.Now()
 	o.callReturned(n)
 	if !errors.Is(err, worker.ErrUnreachable) && !errors.Is(err, worker.ErrLeaseInvalid) {
-		n.lastRenewal = now // also after a lost answer
+		n.lastRenewal = now // also when the reply was lost
 	}
 	if err != nil {
 		o.h.o.Metrics.SyncFailures.Add(1)
@@ -85,7 +85,7 @@
 	o.dropAcked(n, req.Acks)
 	for _, ref := range req.Stops {
 		if t := n.tasks[ref]; t != nil {
-			t.stopWanted = false // the worker reports Stopped when it is done
+			t.stopWanted = false // the worker reports Stopped once the task has stopped
 		}
 	}
 	if reply.Draining && !n.draining {
@@ -98,7 +98,7 @@
 	o.checkOvershoot(n, now)
 }
 
-// forget drops results that the worker has dropped.
+// dropAcked drops the results whose acknowledgements the worker has received.
 func (o *owner) dropAcked(n *node, acks []worker.Ref) {
 	if len(acks) == 0 {
 		return
@@ -119,10 +119,11 @@
 		o.handleStaleEpoch(n, err)
 		return
 	case errors.Is(err, worker.ErrLeaseInvalid):
-		// The worker restarted, was out of reach for longer than the lease, or
-		// another owner revoked it: fence again, which asks the store.
+		// The worker restarted, was unreachable for longer than the lease TTL,
+		// or another owner revoked the lease: fence again, which reads the
+		// claim from the store.
 		n.fenced, n.renewOnly = false, false
-		// At once, but not in a tight loop when a lease never holds.
+		// Without delay, but not in a tight loop when every lease is rejected.
 		n.nextTry = n.lastFenceTry.Add(fenceRetry)
 		o.markChanged(n)
 		return
@@ -130,7 +131,7 @@
 		return
 	}
 	if n.failures == 0 {
-		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("worker does not answer")
+		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("call to worker failed")
 		o.markChanged(n)
 	}
 	n.failures++
@@ -142,8 +143,8 @@
 
 const unreachable = "worker out of reach before the start was sent"
 
-// refuseQueued gives starts that were not sent back to their shard, so that
-// they do not wait for a worker that may not take them.
+// refuseQueued returns starts that were not sent to their shard as not started,
+// so that they do not wait for a worker that may not accept them.
 func (o *owner) refuseQueued(n *node, reason string) {
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
@@ -152,7 +153,7 @@
 	}
 }
 
-// startQueued sends the reserved starts; false when there is nothing to send.
+// startQueued sends the queued starts and returns false if there are none.
 func (o *owner) startQueued(n *node) bool {
 	if start, _ := o.h.o.Directory.Authority(); start <= 0 || o.releasing {
 		return false
@@ -201,9 +202,9 @@
 		case err != nil && certain:
 			o.notStarted(n, t, err.Error())
 		case err != nil || i >= len(replies) || replies[i].Task != t.ref.Task:
-			// Some may run: only the worker knows. Heartbeats tell when it
-			// does; if they do not, the lease is revoked and the inventory
-			// read, which ends all doubt.
+			// The start may have taken effect. A heartbeat reports the task if
+			// it did; otherwise the worker is fenced again, and the inventory
+			// read with all other leases revoked settles the outcome.
 			t.enter(unknown)
 			o.h.o.Metrics.Unknown.Add(1)
 		case replies[i].Refused != "":
@@ -220,7 +221,8 @@
 	o.markChanged(n)
 }
 
-// startLimit sends one throttle or checkpoint; false when none is wanted.
+// startAdjustment sends one throttle or checkpoint call and returns false if
+// none is wanted.
 func (o *owner) startAdjustment(n *node) bool {
 	for _, t := range n.tasks {
 		if t.phase != running {
@@ -250,10 +252,10 @@
 			t.checkpointWanted = false
 			t.checkpointed = err == nil
 			if err != nil {
-				t.stopWanted = true // the progress is lost, the place is needed
+				t.stopWanted = true // the progress is lost, but the capacity is needed
 				o.callFailed(n, err)
 			}
-			n.nextSync = time.Time{} // learn of the stop at once
+			n.nextSync = time.Time{} // a heartbeat at once reports the stop
 		})
 	}()
 }
@@ -276,7 +278,8 @@
 	}()
 }
 
-// deadlines handles drains that ended and starts that stay unknown.
+// deadlines stops instances whose drain has ended and settles starts whose
+// outcome has been unknown for UnknownGrace.
 func (o *owner) deadlines(n *node, now time.Time) {
 	for _, t := range n.tasks {
 		if !t.stopAt.IsZero() && !now.Before(t.stopAt) && t.phase == running {
@@ -290,15 +293,16 @@
 	}
 }
 
-// settleUnknown fences the worker anew, which ends every start on its way. It
-// asks the store first: in an outage the new lease could not be confirmed, and
-// one lost answer would close the worker to new tasks for the whole of it.
+// resolveUnknown fences the worker again, which invalidates every start still in
+// flight. It reads the claim from the store first: during a store outage the new
+// lease could not be confirmed, and one lost reply would make the worker
+// unusable for new tasks until the outage ends.
 func (o *owner) resolveUnknown(n *node) {
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
 		if o.confirmer.do(ctx) != nil {
-			return // tried again after another grace period
+			return // retried after another grace period
 		}
 		o.post(func() {
 			n.fenced = false
@@ -308,8 +312,8 @@
 	}()
 }
 
-// settleGone gives up the tasks of a worker that left the VM list, once the
-// last lease that may have renewed them has run out.
+// removeUnlisted gives up the tasks of a worker that left the VM list and
+// removes the worker, once the last lease that may have renewed them has expired.
 func (o *owner) removeUnlisted(n *node, now time.Time) {
 	if !n.unlisted || n.busy || now.Sub(n.lastRenewal) < o.t.taskExpiry() {
 		return
@@ -335,13 +339,14 @@
 	return plan.StepResult{Outcome: outcome, Reason: reason}
 }
 
-// returned marks the call to a worker as ended.
+// callReturned marks the call to a worker as no longer in flight.
 func (o *owner) callReturned(n *node) {
 	n.busy = false
 	o.markDirty(n)
 }
 
-// syncInterval is the heartbeat interval for all workers of the daemon.
+// syncInterval returns the heartbeat interval, the same for all workers of the
+// daemon.
 func (o *owner) syncInterval() time.Duration {
 	return o.t.syncInterval(int(o.h.workers.Load()))
 }
--- a/process/partition/capacity.go
+++ b/process/partition/capacity.go
@@ -2,23 +2,23 @@
 
 import "fennelshunt.example/fennelshunt/version/spec"
 
-// setCapacity books a worker with what both the VM list and the worker itself
-// allow. What goes wrong otherwise: a VM that was made smaller is filled up to
-// its old capacity, as long as its agent does not tell or is out of reach. What
-// runs there goes on; nothing more fits until enough has ended.
+// setCapacity sets a worker's capacity in the ledger to the minimum of what the
+// VM list and the worker report. Otherwise a VM that was made smaller would be
+// filled up to its old capacity until its agent reports the new one. Tasks that
+// run there go on; no more fit until enough of them have ended.
 func (o *owner) setCapacity(n *node) {
 	switch {
 	case n.reported.IsZero():
 		n.capacity = n.vm.Capacity
 	case n.vm.Capacity.IsZero():
-		n.capacity = n.reported // of the memo, not listed
+		n.capacity = n.reported // from the memo, not in the VM list
 	default:
 		n.capacity = smaller(n.reported, n.vm.Capacity)
 	}
 	o.ledger.SetWorker(n.id, n.capacity)
 }
 
-// smaller returns the smaller of each resource.
+// smaller returns the minimum of each resource.
 func smaller(a, b spec.Resources) spec.Resources {
 	return spec.Resources{
 		MilliCPU:     min(a.MilliCPU, b.MilliCPU),
@@ -27,8 +27,9 @@
 	}
 }
 
-// resized takes a capacity that the VM list changed. The inventory is read
-// anew; starts that were not sent yet and may not fit any more are refused.
+// resized applies a capacity that changed in the VM list. The worker is fenced
+// again, which reads its inventory. Starts that were not sent yet are refused
+// if the reserved capacity exceeds the new one.
 func (o *owner) resized(n *node) {
 	n.fenced = false
 	o.setCapacity(n)
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -36,7 +36,7 @@
 	return steps
 }
 
-// admit checks the author; a non-empty outcome refuses.
+// admit checks the author of a proposal; a non-empty outcome refuses it.
 func (o *owner) admit(a plan.Authorship, seq uint64) (plan.Outcome, string) {
 	if !o.shardEpochsRead {
 		return plan.NotFenced, "epochs of the shards are not read yet"
@@ -54,7 +54,7 @@
 	return "", ""
 }
 
-// commit checks a plan on the fresh ledger, step by step.
+// commit checks a plan against the current ledger, step by step.
 func (o *owner) commit(p plan.Plan) plan.Result {
 	result := plan.Result{Epoch: o.claim.Epoch}
 	if outcome, reason := o.admit(p.Author, p.Seq); outcome != "" {
@@ -116,7 +116,7 @@
 	return t
 }
 
-// known reports whether starting ref could run the task a second time.
+// duplicate reports whether starting ref could run the task a second time.
 func (o *owner) duplicate(ref worker.Ref) bool {
 	if o.live[ref.Task] != nil {
 		return true
@@ -125,7 +125,7 @@
 	return held != nil && held.ref.Attempt >= ref.Attempt
 }
 
-// usableNode returns the step's worker or a refusal.
+// usableNode returns the step's worker, or a refusal if it can not take the step.
 func (o *owner) usableNode(step *plan.Step) (*node, plan.StepResult) {
 	n := o.nodes[step.Worker]
 	if n == nil {
@@ -137,7 +137,7 @@
 	return n, plan.StepResult{}
 }
 
-// closed refuses a step at a worker for any reason but its room.
+// ineligible refuses a step at a worker for any reason but its free capacity.
 func (o *owner) ineligible(n *node, step *plan.Step) plan.StepResult {
 	if !n.everFenced {
 		return reject(plan.NotFenced, n.unusable())
@@ -154,10 +154,10 @@
 	return plan.StepResult{}
 }
 
-// notNoted refuses a worker that the memo does not name yet.
+// notInMemo is the reason against a worker that the stored memo does not name yet.
 const notInMemo = "worker is not written down in the store yet"
 
-// violates checks the constraints that depend on what else runs here.
+// violates checks the constraints that depend on what else runs on the worker.
 func (o *owner) violates(n *node, step *plan.Step) string {
 	limit := step.Constraints.MaxPerWorker
 	if limit <= 0 {
@@ -181,8 +181,8 @@
 	return same
 }
 
-// fit reserves the task's capacity, or what of it is free while its victims
-// stop.
+// fit reserves the task's capacity. If preemption is needed, it reserves the
+// part that is free now and the rest as the victims stop.
 func (o *owner) fit(n *node, t *task, step *plan.Step) plan.StepResult {
 	size := t.start.Size
 	if reason := n.overshoot.refuses(n, size); reason != "" {
@@ -198,8 +198,8 @@
 	return o.preempt(n, t, step.Victims)
 }
 
-// useReserved turns reserved capacity back into free capacity, for the step
-// that it was reserved for; the same turn of the loop takes it.
+// useReserved frees the capacity reserved for a step. The step takes it in the
+// same run of the control loop, so no other step can.
 func (o *owner) useReserved(id string, r *reservation, step *plan.Step) {
 	reserved, ok := r.steps[step.Start.Task]
 	if !ok || reserved.Worker != step.Worker {
@@ -212,8 +212,8 @@
 	}
 }
 
-// reserve holds capacity for all steps or for none. It never waits, so two
-// gangs can not wait for each other.
+// reserve reserves capacity for all steps or for none. It never waits, so two
+// gangs can not deadlock.
 func (o *owner) reserve(req plan.Reserve) plan.Result {
 	result := plan.Result{Epoch: o.claim.Epoch}
 	if outcome, reason := o.admit(req.Author, req.Seq); outcome != "" {
@@ -267,7 +267,7 @@
 	return plan.StepResult{Outcome: plan.Accepted, Worker: n.id}
 }
 
-// hold reserves a step's capacity on a worker.
+// reserveOn reserves a step's capacity on a worker.
 func (o *owner) reserveOn(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
 	if err := o.ledger.Reserve(n.id, r.key(id, step.Start.Task), step.Start.Size); err != nil {
 		return reject(plan.NoRoom, err.Error())
@@ -279,7 +279,7 @@
 	return plan.StepResult{}
 }
 
-// release gives reserved capacity back.
+// release frees a reservation at the request of its author.
 func (o *owner) release(req plan.ReleaseReservation) error {
 	r := o.reservations[req.Reservation]
 	if r != nil && r.author.Shard == req.Author.Shard && r.author.Epoch <= req.Author.Epoch {
@@ -288,7 +288,7 @@
 	return nil
 }
 
-// dropReservation frees whatever the reservation still holds.
+// dropReservation frees the capacity that the reservation still holds.
 func (o *owner) dropReservation(id string) {
 	r := o.reservations[id]
 	if r == nil {
--- a/process/partition/crash.go
+++ b/process/partition/crash.go
@@ -7,14 +7,14 @@
 	"fennelshunt.example/fennelshunt/process/crash"
 )
 
-// suspects are the tasks that may have crashed their worker: those that had not lived on
-// when it was last heard of. sole tells that they are of one job.
+// suspects are the tasks that may have crashed their worker: those that had run for less
+// than crash.Window when the worker last answered. sole is set if all are of one job.
 type suspects struct {
 	tasks []*task
 	sole  bool
 }
 
-// suspectsOn returns the suspects among what runs on a worker that has died.
+// suspectsOn returns the suspects among the tasks of a worker that has crashed.
 func suspectsOn(n *node) suspects {
 	var s suspects
 	for _, t := range n.tasks {
@@ -26,12 +26,13 @@
 	return s
 }
 
-// livedOn reports whether the task is known to have run for a while at some time.
+// outlasted reports whether the task is known to have run for crash.Window by the given time.
 func (t *task) outlasted(at time.Time) bool {
 	return !t.started.IsZero() && !at.Before(t.started.Add(crash.Window))
 }
 
-// restarted reports whether a worker that lists refs has lost all that ran there.
+// restarted reports whether the worker's inventory lists none of the tasks that ran there,
+// as after a restart.
 func (n *node) restarted(listed func(*task) bool) bool {
 	for _, t := range n.tasks {
 		if t.mayRun() && listed(t) {
--- a/process/partition/events.go
+++ b/process/partition/events.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxEventsPerCall bounds one message to a shard.
+	// maxEventsPerCall bounds the events of one message to a shard.
 	maxEventsPerCall = 500
 	eventsTimeout    = 3 * time.Second
 	minEventsRetry   = 200 * time.Millisecond
@@ -56,7 +56,7 @@
 	return false
 }
 
-// sendEvents sends one message to each shard that has events waiting.
+// sendEvents sends one message to each shard that has pending events.
 func (o *owner) sendEvents(now time.Time) {
 	for _, box := range o.outboxes {
 		if len(box.pending) == 0 || box.busy || now.Before(box.after) || box.shard == unknownShard {
@@ -82,8 +82,8 @@
 		o.post(func() {
 			box.busy = false
 			if err != nil {
-				// Kept and sent again, also when they did arrive: the
-				// receiver takes each at most once.
+				// Kept and sent again even though they may have arrived:
+				// the receiver processes each event at most once.
 				box.failed(time.Now())
 				return
 			}
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -18,26 +18,27 @@
 	storeTimeout = 3 * time.Second
 	storeRetry   = time.Second
 	fenceRetry   = time.Second
-	// maxStoreRetry bounds the pause between tries to confirm the claim of a
-	// worker whose lease was lost in an outage.
+	// maxStoreRetry bounds the pause between attempts to confirm the claim for
+	// a worker whose lease expired during a store outage.
 	maxStoreRetry     = 30 * time.Second
 	maxStoreDoublings = 5
-	// maxRevokeRounds bounds how often leases are listed and revoked in one
-	// attempt; more means that somebody keeps opening new ones.
+	// maxRevokeRounds bounds how often one fencing attempt lists and revokes
+	// leases; more rounds mean that another daemon keeps opening new ones.
 	maxRevokeRounds = 3
 )
 
-// errForeignLease means that the claim could not be confirmed and another
-// daemon holds a lease at the worker.
-var errForeignLease = errors.New("partition: another lease is open and the claim is not confirmed")
+// errForeignLease means that the claim could not be confirmed and that another
+// daemon holds a lease, or a task on its lease, at the worker.
+var errForeignLease = errors.New("partition: another daemon holds a lease at the worker and the claim is not confirmed")
 
-// errOtherWorker means that the address of the VM list leads to another VM, as
-// when an address is used again before the list says so.
-var errOtherWorker = errors.New("partition: the address belongs to another worker")
+// errOtherWorker means that the address in the VM list belongs to another VM,
+// for example because the address was reused before the list was updated.
+var errOtherWorker = errors.New("partition: the address in the VM list belongs to another worker")
 
-// confirmer reads the claim from the store for several callers at once. A
-// caller gets the result of a read that began after its call, never of one
-// under way, because the read must be later than the lease it confirms.
+// confirmer reads the claim from the store and shares one read among concurrent
+// callers. A caller gets the result of a read that began after its call, never
+// of one already in flight, because the read must be later than the lease that
+// it confirms.
 type confirmer struct {
 	confirm func(ctx context.Context) error
 
@@ -88,33 +89,34 @@
 	}
 }
 
-// fenceResult is what an attempt to fence a worker learned.
+// fenceResult is the result of one attempt to fence a worker.
 type fenceResult struct {
 	lease     worker.LeaseID
 	inventory worker.Inventory
 	revoked   int
 	confirmed bool
-	adopted   bool // tasks may have been moved to our lease
+	adopted   bool // tasks may have been moved to the new lease
 }
 
-// fence makes this owner the only one that can start tasks at a worker. The
-// order is the guard:
+// fence makes this owner the only one that can start tasks at a worker. Its
+// safety depends on the order of the steps:
 //
-//  1. open our lease;
-//  2. read the claim from the store. If it is still ours, every later owner
-//     claims after this moment, so the inventory it takes lists our lease and
-//     it revokes it. Were the claim read before the lease is opened, a pause
-//     between the two would leave us with a lease that nobody revokes;
-//  3. list the leases and revoke all but ours: any lease that an earlier owner
-//     may use was opened before our claim, by the same rule, so it is listed;
-//  4. list the tasks, which no earlier owner can add to any more;
-//  5. move the running tasks to our lease.
+//  1. open this owner's lease;
+//  2. read the claim from the store. If this owner still holds it, every later
+//     owner claims after this moment, so the inventory that it takes lists this
+//     lease and it revokes it. If the claim were read before the lease is
+//     opened, a pause between the two could leave this owner with a lease that
+//     no later owner revokes;
+//  3. list the leases and revoke all others: by the same rule, any lease that
+//     an earlier owner may use was opened before this claim, so it is listed;
+//  4. list the tasks, to which no earlier owner can add any more;
+//  5. move the running tasks to this owner's lease.
 //
-// With the store out of reach step 2 fails: then the lease only renews what
-// runs, and only when nobody else has opened a lease or taken a task over. A
+// While the store is unreachable step 2 fails. Then the lease only renews what
+// runs, and only if no other daemon has opened a lease or adopted a task. A
 // later owner that has fenced this worker moved every task to its own lease; if
-// it then gives the worker up for gone, it starts them elsewhere as soon as that
-// lease has run out, so nobody may renew them.
+// the worker then leaves the VM list, that owner starts the tasks elsewhere as
+// soon as its lease has expired, so no other daemon may renew them.
 func (o *owner) fence(ctx context.Context, id worker.ID, agent worker.Agent, ours map[worker.LeaseID]bool) (fenceResult, error) {
 	var r fenceResult
 	lease, err := agent.OpenLease(ctx, worker.OpenLease{
@@ -149,7 +151,8 @@
 	return r, r.adopt(ctx, agent)
 }
 
-// foreign reports whether somebody else holds a lease or a running task.
+// foreign reports whether another daemon holds a lease at the worker or a
+// running task there.
 func foreign(inv worker.Inventory, lease worker.LeaseID, ours map[worker.LeaseID]bool) bool {
 	for _, id := range inv.Leases {
 		if id != lease && !ours[id] {
@@ -164,7 +167,7 @@
 	return false
 }
 
-// revokeOthers revokes every lease but ours and reads the inventory again.
+// revokeOthers revokes every lease but r.lease and reads the inventory again.
 func (r *fenceResult) revokeOthers(ctx context.Context, agent worker.Agent) error {
 	for range maxRevokeRounds {
 		others := 0
@@ -187,8 +190,8 @@
 		}
 		r.inventory = inventory
 	}
-	// Leases opened meanwhile are not confirmed by their owner's claim, which
-	// ended before ours began, so nothing is started under them.
+	// Owners of leases opened meanwhile can not confirm their claims, which
+	// ended before this owner's claim began, so no tasks are started under them.
 	return nil
 }
 
@@ -249,7 +252,7 @@
 	n.nextSync = now.Add(o.syncInterval())
 	n.renewOnly = !r.confirmed
 	if !r.confirmed {
-		// Each try costs an inventory, and an outage lasts long.
+		// Each attempt costs an inventory, and an outage may last long.
 		n.nextTry = now.Add(min(storeRetry<<n.unconfirmedFences, maxStoreRetry))
 		n.unconfirmedFences = min(n.unconfirmedFences+1, maxStoreDoublings)
 		o.refuseQueued(n, unreachable)
@@ -260,14 +263,15 @@
 	o.h.o.Metrics.Revoked.Add(int64(r.revoked))
 	n.fenced, n.everFenced, n.accounted = true, true, false
 	n.unconfirmedFences = 0
-	n.leases = map[worker.LeaseID]bool{r.lease: true} // the others are revoked
+	n.leases = map[worker.LeaseID]bool{r.lease: true} // the other leases are revoked
 	o.takeInventory(n, r.inventory)
 	n.lastReply = now
 }
 
-// metStaleEpoch handles a worker that has seen a higher epoch: somebody took
-// the partition over. Nothing is started anywhere until the store has said
-// whether the claim is still ours.
+// handleStaleEpoch handles a worker that has seen a higher epoch, which means
+// that another daemon may have taken the partition over. No tasks are started
+// on any worker until a read of the store has shown whether this owner still
+// holds the claim.
 func (o *owner) handleStaleEpoch(n *node, err error) {
 	n.failures++
 	for _, other := range o.nodes {
@@ -284,14 +288,15 @@
 	o.log.Error().Err(err).Str("worker", string(n.id)).Msg("worker has seen a higher epoch")
 }
 
-// earlierOwners tracks the owners before this one until each is known to have
-// let go: it released the claim, its VM left the VM list, or it came back as a
-// newer incarnation. That a member is merely not heard of proves nothing.
+// earlierOwners tracks the previous owners of the partition until each is known
+// to act no more: it released the claim, its VM left the VM list, or its daemon
+// runs as a newer incarnation. A member that merely does not respond may still
+// act.
 type earlierOwners struct {
 	unreleased   map[peer.Ref]bool
-	lastReleased time.Time // when the last one was known to have let go
-	// taken is when this owner acquired the claim; the authority of every
-	// earlier owner has run out renewBound later.
+	lastReleased time.Time // when the last one was removed from unreleased
+	// acquired is when this owner acquired the claim; RenewBound later the
+	// authority of every earlier owner has expired.
 	acquired time.Time
 }
 
@@ -314,8 +319,8 @@
 	}
 }
 
-// settleUnfenced gives up on waiting for a worker that can not be fenced once
-// nothing that an earlier owner started can run there any more.
+// accountUnfenced sets accounted on a worker that can not be fenced, once every
+// task that an earlier owner may have started there must have stopped.
 func (o *owner) accountUnfenced(n *node, now time.Time) {
 	if n.everFenced || n.accounted {
 		return
--- a/process/partition/health.go
+++ b/process/partition/health.go
@@ -11,16 +11,16 @@
 const (
 	// failureWindow is how long a failure counts as evidence.
 	failureWindow = 2 * time.Minute
-	// asideAfter is how many different jobs must have failed at a worker, with
-	// no success between, before it is set aside.
+	// quarantineAfterJobs is how many different jobs must have failed on a
+	// worker, with no success between, before it is quarantined.
 	quarantineAfterJobs = 3
-	// jobFailsEverywhere is at how many workers a job must have failed before
-	// its failures say nothing about a worker any more.
+	// jobFailsEverywhere is on how many workers a job must have failed before
+	// its failures no longer count as evidence against a worker.
 	jobFailsEverywhere = 3
 	minQuarantine      = 30 * time.Second
 	maxQuarantine      = 10 * time.Minute
-	// maxAsideShare bounds the workers of a partition that are set aside: a
-	// bad signal must not empty the partition.
+	// maxQuarantinedShare bounds the share of a partition's workers that are
+	// quarantined: a misleading signal must not empty the partition.
 	maxQuarantinedShare = 0.5
 )
 
@@ -28,12 +28,13 @@
 type health struct {
 	failures    map[string]time.Time // job -> last failure since the last success
 	quarantined bool
-	until       time.Time // of being set aside; then single probe tasks
+	until       time.Time // end of the quarantine; then probation, one probe task at a time
 	duration    time.Duration
 }
 
-// reason returns why the worker takes no new tasks, or "". After its time
-// aside a worker takes one task at a time until one succeeds.
+// reason returns why the worker accepts no new tasks, or "". After its
+// quarantine a worker is on probation: it runs one task at a time until one
+// succeeds.
 func (h *health) reason(n *node) string {
 	if !h.quarantined {
 		return ""
@@ -47,7 +48,7 @@
 	return ""
 }
 
-// jobFailures remembers at which workers a job failed lately.
+// jobFailures records, by job, on which workers it failed within failureWindow.
 type jobFailures map[string]map[worker.ID]time.Time
 
 func (j jobFailures) record(job string, id worker.ID, now time.Time) {
@@ -64,7 +65,8 @@
 	}
 }
 
-// everywhere reports whether the job fails wherever it runs.
+// failsEverywhere reports whether the job has failed on so many workers that the
+// job is at fault and not the workers.
 func (j jobFailures) failsEverywhere(job string) bool { return len(j[job]) >= jobFailsEverywhere }
 
 func (j jobFailures) expire(now time.Time) {
@@ -122,7 +124,7 @@
 	h.until = now.Add(h.duration)
 	clear(h.failures)
 	o.h.o.Metrics.SetAside.Add(1)
-	o.log.Warn().Str("worker", string(n.id)).Dur("for", h.duration).Msg("worker set aside")
+	o.log.Warn().Str("worker", string(n.id)).Dur("for", h.duration).Msg("worker quarantined")
 	o.markChanged(n)
 }
 
@@ -135,24 +137,25 @@
 	}
 }
 
-// overshoot handles workers whose tasks really use more than there is.
+// overshoot is the state of a worker whose tasks may use more than its capacity.
 type overshoot struct {
 	usage      spec.Resources // sum over the running tasks, as last reported
-	nextAction time.Time      // of the next measure
-	lowSince   time.Time      // since when usage is well below the capacity
+	nextAction time.Time      // earliest time of the next countermeasure
+	lowSince   time.Time      // since when usage has been below relaxShare of the capacity
 }
 
 const (
-	// overshootPause lets a measure show in the lagging usage before the next.
+	// overshootInterval is the time between two countermeasures: reported usage
+	// lags, and must show the effect of one before the next is taken.
 	overshootInterval = 5 * time.Second
-	// calmBefore is how long usage must stay below calmShare of the capacity
-	// before limits are lifted.
+	// relaxAfter is how long usage must stay below relaxShare of the capacity
+	// before a limit is lifted.
 	relaxAfter = 30 * time.Second
 	relaxShare = 0.8
 )
 
-// refuses returns why a task of that size is not taken although the ledger has
-// room: the running tasks use more than they declared.
+// refuses returns why a task of that size is refused although it fits the
+// ledger, or "": the running tasks may use more than they declared.
 func (u *overshoot) refuses(n *node, size spec.Resources) string {
 	if u.usage.IsZero() {
 		return ""
@@ -164,8 +167,9 @@
 	return ""
 }
 
-// checkOvershoot measures and acts: throttle first, then checkpoint, then
-// stop, the lowest class first and only tasks beyond their declared size.
+// checkOvershoot compares the reported usage with the capacity and acts on an
+// excess: throttle first, then checkpoint, then stop, the lowest class first and
+// only tasks that exceed their declared size.
 func (o *owner) checkOvershoot(n *node, now time.Time) {
 	var usage spec.Resources
 	for _, t := range n.tasks {
@@ -192,8 +196,8 @@
 	o.evictWorst(n, over)
 }
 
-// throttleWorst limits tasks to their declared processors until the overshoot
-// is gone; false when nothing is left to limit.
+// throttleWorst limits tasks to their declared CPU until that covers the
+// overshoot. It returns false if there is no task left to limit.
 func (o *owner) throttleWorst(n *node, over int64) bool {
 	acted := false
 	for over > 0 {
@@ -213,7 +217,7 @@
 	return acted
 }
 
-// evictWorst moves one task away.
+// evictWorst drains, checkpoints or stops one task.
 func (o *owner) evictWorst(n *node, over spec.Resources) {
 	t := worst(n, func(t *task) int64 {
 		if t.checkpointWanted || t.stopWanted || !t.stopAt.IsZero() {
@@ -255,7 +259,7 @@
 	return found
 }
 
-// relax lifts limits after usage has been low for long enough.
+// relaxThrottles lifts one limit after usage has been low for relaxAfter.
 func (o *owner) relaxThrottles(n *node, now time.Time) {
 	if float64(n.overshoot.usage.MilliCPU) > relaxShare*float64(n.capacity.MilliCPU) {
 		n.overshoot.lowSince = time.Time{}
--- a/process/partition/host.go
+++ b/process/partition/host.go
@@ -20,7 +20,7 @@
 	o      Options
 	fences fences
 
-	workers atomic.Int64 // of all partitions, see Timing.syncInterval
+	workers atomic.Int64 // in all owned partitions, see Timing.syncInterval
 
 	mu     sync.Mutex
 	owners map[string]*owner
@@ -93,7 +93,7 @@
 	return o, nil
 }
 
-// order runs f in the owner's goroutine and returns its error.
+// onOwner runs f in the owner's goroutine and returns its error.
 func (h *Host) onOwner(ctx context.Context, partition string, f func(*owner) error) (any, error) {
 	o, err := h.owner(partition)
 	if err != nil {
@@ -141,13 +141,13 @@
 	}
 }
 
-// Releasing implements ownership.User: it takes no new plans, waits for calls
-// to workers under way, so that no start is sent after the claim is released,
-// and sends the events that are still queued.
+// Releasing implements ownership.User: it refuses new plans, waits for calls to
+// workers that are in flight, so that no start is sent after the claim is
+// released, and sends the events that are still queued.
 func (h *Host) Releasing(ctx context.Context, r ownership.Resource) error {
 	o, err := h.owner(partitionOf(r))
 	if err != nil {
-		return nil // already lost, nothing to hand over
+		return nil // already lost, nothing to release
 	}
 	idle, err := call(ctx, o, o.prepareRelease)
 	if err != nil {
@@ -165,21 +165,23 @@
 	}
 }
 
-// Keep implements ownership.Keeper: the partition takes plans again.
+// Keep implements ownership.Keeper: the partition accepts plans again.
 func (h *Host) Keep(r ownership.Resource) {
 	if o, err := h.owner(partitionOf(r)); err == nil {
-		_, _ = call(context.Background(), o, o.cancelRelease) // fails when lost
+		_, _ = call(context.Background(), o, o.cancelRelease) // fails when ownership was lost
 	}
 }
 
 var _ ownership.Keeper = (*Host)(nil)
 
-// errTasksLeft refuses to release a partition that no successor would list.
-var errTasksLeft = errors.New("partition: tasks of departed workers are not given up yet")
+// errTasksLeft refuses the release of a partition whose rack has left the VM
+// list: no successor would claim it while its tasks may still run.
+var errTasksLeft = errors.New("partition: rack left the VM list and tasks there may still run")
 
-// fences remembers the newest authorship of each shard that this process has
+// fences records the newest authorship of each shard that this process has
 // seen. It outlives the ownership of a partition: a delayed plan addressed to
-// this life of the daemon may arrive after it lost a partition and got it back.
+// this incarnation of the daemon may arrive after the daemon lost a partition
+// and acquired it again.
 type fences struct {
 	mu     *sync.Mutex
 	newest map[plan.Shard]shardFence
@@ -192,8 +194,8 @@
 
 func newFences() fences { return fences{mu: &sync.Mutex{}, newest: make(map[plan.Shard]shardFence)} }
 
-// raise refuses lower epochs, and lower sequence numbers of this epoch, from
-// now on; false when epoch itself is stale.
+// raise makes admits refuse lower epochs, and lower sequence numbers of this
+// epoch, from now on. It returns false when epoch itself is stale.
 func (f fences) raise(shard plan.Shard, epoch, minSeq uint64) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -209,7 +211,8 @@
 	return true
 }
 
-// admits reports whether a proposal of that epoch and sequence is not fenced.
+// admits reports whether a proposal with that epoch and sequence number may be
+// accepted.
 func (f fences) admits(shard plan.Shard, epoch, seq uint64) bool {
 	if !f.raise(shard, epoch, 0) {
 		return false
@@ -219,7 +222,7 @@
 	return seq >= f.newest[shard].minSeq
 }
 
-// epoch returns the newest epoch seen of the shard.
+// epoch returns the newest epoch seen for the shard.
 func (f fences) epoch(shard plan.Shard) uint64 {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/process/partition/invariant.go
+++ b/process/partition/invariant.go
@@ -8,11 +8,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// checkInvariants verifies one worker, the next one each time: it costs the
-// number of its tasks and is called with every tick. A violation means that
-// this program is wrong, so it panics: the daemon starts anew as another life,
-// which learns the truth from the workers; going on could put more on a VM
-// than it carries or run a task twice.
+// checkInvariants verifies one worker per call, in turn, because a check takes
+// time proportional to the worker's tasks and runs with every tick. A violation
+// is a bug in this program, so it panics: the daemon restarts as a new
+// incarnation, which rebuilds its state from the workers' inventories. Going on
+// could exceed the capacity of a VM or run a task twice.
 func (o *owner) checkInvariants() {
 	if len(o.checkQueue) == 0 {
 		for id := range o.nodes {
@@ -32,7 +32,7 @@
 }
 
 func (o *owner) checkNode(n *node) error {
-	if err := o.checkBooks(n); err != nil {
+	if err := o.checkLedger(n); err != nil {
 		return err
 	}
 	for _, t := range n.tasks {
@@ -40,14 +40,15 @@
 			return fmt.Errorf("partition: start of %s sent to %s before it was fenced", t.ref.Task, n.id)
 		}
 		if t.live() && !o.inMemo[n.id] && t.phase != unknown && t.phase != running {
-			return fmt.Errorf("partition: task %s placed on %s, which is not written down", t.ref.Task, n.id)
+			return fmt.Errorf("partition: task %s placed on %s, which the stored memo does not name", t.ref.Task, n.id)
 		}
 	}
 	return nil
 }
 
-// checkBooks compares the ledger of a worker with its tasks and reservations.
-func (o *owner) checkBooks(n *node) error {
+// checkLedger compares the ledger's sum for a worker with the sizes of its tasks
+// and reservations.
+func (o *owner) checkLedger(n *node) error {
 	var sum spec.Resources
 	for _, t := range n.tasks {
 		if t.live() {
@@ -64,7 +65,7 @@
 	return nil
 }
 
-// reservedAt returns what a reservation holds at one worker.
+// reservedAt returns the capacity that a reservation holds at one worker.
 func (o *owner) reservedAt(id string, r *reservation, at worker.ID) spec.Resources {
 	var sum spec.Resources
 	for task, step := range r.steps {
@@ -76,7 +77,7 @@
 	return sum
 }
 
-// checkGrant verifies that the epoch of a partition only rises in this process.
+// checkGrant verifies that the epoch of a partition only increases in this process.
 func checkGrant(old *owner, g ownership.Grant) error {
 	if old != nil && old.claim.Epoch >= g.Epoch {
 		return fmt.Errorf("partition: %s granted in epoch %d after epoch %d", g.Resource, g.Epoch, old.claim.Epoch)
--- a/process/partition/limits.go
+++ b/process/partition/limits.go
@@ -9,14 +9,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// limitsPrefix begins the notes of a memo that hold what the instances of a
-// generation of a service take; no VM has a name with a space.
+// limitsPrefix begins the notes of a memo that hold the limits of the instances
+// of one generation of a service. The other notes are names of VMs, which
+// contain no space.
 const limitsPrefix = "limits "
 
-// limitsInterval is the least time between two memos written for limits alone.
+// limitsInterval is the minimum time between two memo writes that only update limits.
 const limitsInterval = time.Second
 
-// generation names what one declaration of a job started.
+// generation identifies one generation of a job.
 type generation struct {
 	job    string
 	number uint64
@@ -24,20 +25,20 @@
 
 func generationOf(t *task) generation { return generation{t.ref.Task.Job, t.ref.Task.Generation} }
 
-// instanceLimits is how many requests and connections an instance takes.
+// instanceLimits is how many concurrent requests and connections an instance accepts.
 type instanceLimits struct{ slots, conns int }
 
 // serviceLimits holds the limits of the services in the partition. They are
-// part of the memo: workers do not tell them, and the configuration in force
-// when another daemon adopts an instance may be a later one.
+// part of the memo because workers do not report them and the configuration in
+// force when another daemon adopts an instance may be a later one.
 type serviceLimits struct {
-	known     map[generation]instanceLimits
-	seq       uint64 // rises when known gains something
-	savedSeq  uint64 // seq of the last memo
-	nextWrite time.Time
+	known map[generation]instanceLimits
+	seq   uint64 // incremented when an entry of known is added or changed
+	saved uint64 // seq as of the last memo written
+	next  time.Time
 }
 
-// learn takes the limits of an instance of which they are known.
+// record stores the limits of an instance whose limits are known.
 func (l *serviceLimits) record(t *task) {
 	now := instanceLimits{t.start.Slots, t.start.Conns}
 	if t.start.Kind != spec.Service || l.known[generationOf(t)] == now {
@@ -48,14 +49,12 @@
 }
 
 // due reports whether a memo should be written for the limits alone.
-func (l *serviceLimits) due(now time.Time) bool {
-	return l.seq != l.savedSeq && !now.Before(l.nextWrite)
-}
+func (l *serviceLimits) due(now time.Time) bool { return l.seq != l.saved && !now.Before(l.next) }
 
-// written notes a memo that held the limits up to seq.
+// markSaved records that a memo with the limits up to seq was written.
 func (l *serviceLimits) markSaved(seq uint64) {
-	l.savedSeq = seq
-	l.nextWrite = time.Now().Add(limitsInterval)
+	l.saved = seq
+	l.next = time.Now().Add(limitsInterval)
 }
 
 // notes returns the limits as notes of a memo.
@@ -67,8 +66,9 @@
 	return notes
 }
 
-// recall takes the limits out of a memo and returns the other notes. What is
-// not understood, of a later release, is left out.
+// load reads the limits from the notes of a memo and returns the other notes.
+// Notes about limits that it can not parse, written by a later release, are
+// dropped.
 func (l *serviceLimits) load(notes []string) []string {
 	l.known = make(map[generation]instanceLimits)
 	return slices.DeleteFunc(slices.Clone(notes), func(note string) bool {
@@ -85,8 +85,8 @@
 	})
 }
 
-// forgetLimits drops the limits of generations that have no instance here. It
-// does so only while every worker's tasks are known.
+// pruneLimits drops the limits of generations that have no instance here. It
+// does so only while the tasks of every worker are known.
 func (o *owner) pruneLimits() {
 	used := make(map[generation]bool)
 	for _, n := range o.nodes {
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -11,15 +11,16 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// The memo of a partition lists its workers. A worker that leaves the VM list
-// just before its owner dies is unknown to a daemon that reads the list for the
-// first time afterwards; its tasks, which may go on until their lease runs out,
-// would be missing from the answer to a Fence and be started elsewhere. So a
-// worker takes tasks only once it is in the memo, and leaves the memo only once
-// nothing can run there. The memo also holds the limits of services, see
-// serviceLimits.
+// The memo of a partition, kept in the store, lists its workers. Suppose a
+// worker leaves the VM list just before its owner fails: a daemon that reads the
+// list for the first time afterwards does not see it. The worker's tasks, which
+// may run until their lease expires, would be missing from the reply to a Fence
+// and be started elsewhere. Therefore a worker accepts tasks only once the
+// stored memo names it, and is dropped from the memo only once nothing can run
+// there. The memo also holds the limits of services, see serviceLimits.
 
-// recall enters the workers that the memo names and the VM list does not.
+// loadMemo reads an earlier owner's memo and adds the workers that it names and
+// the VM list does not.
 func (o *owner) loadMemo(notes []string) {
 	o.inMemo = make(map[worker.ID]bool, len(notes))
 	notes = o.limits.load(notes)
@@ -34,7 +35,7 @@
 	}
 }
 
-// remember brings the memo up to date.
+// updateMemo writes the memo to the store if the stored one is out of date.
 func (o *owner) updateMemo(now time.Time) {
 	if o.memoWriting || now.Before(o.memoRetry) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
 		return
@@ -57,13 +58,13 @@
 	}()
 }
 
-// remembered notes what the store holds now: workers, and limits up to a
-// position.
+// memoWritten records the outcome of a memo write. On success the stored memo
+// names workers and holds the limits up to seq limits.
 func (o *owner) memoWritten(settled bool, workers []string, limits uint64, err error) {
 	o.memoWriting = false
 	if err != nil {
 		o.memoRetry = time.Now().Add(storeRetry)
-		o.log.Warn().Err(err).Msg("workers not written down")
+		o.log.Warn().Err(err).Msg("writing the partition memo to the store failed")
 		return
 	}
 	o.settled = settled
@@ -93,8 +94,8 @@
 	return true
 }
 
-// canSettle reports whether the store does not know yet that no earlier owner
-// can start anything any more.
+// canSettle reports whether the memo is to be marked as settled: no earlier
+// owner can start tasks any more, and the stored memo does not say so yet.
 func (o *owner) canSettle() bool {
 	if o.settled || len(o.nodes) == 0 {
 		return false
--- a/process/partition/model.go
+++ b/process/partition/model.go
@@ -10,59 +10,62 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// phase is where a task is in its life, as its owner knows it.
+// phase is the state of a task as recorded by the owner of its partition.
 type phase int
 
 const (
-	// waiting: accepted; its victims have not all stopped yet.
+	// waiting: accepted; not all of its preemption victims have stopped.
 	waiting phase = iota
-	// queued: reserved, the start is not sent yet.
+	// queued: capacity is reserved and the start has not been sent.
 	queued
-	// sent: the start is under way.
+	// sent: the Start call is in flight.
 	sent
-	// unknown: the start may or may not have taken effect.
+	// unknown: the start may or may not have taken effect, or the task was
+	// adopted and the worker has not reported on it since.
 	unknown
-	// running: the worker reports it.
+	// running: the worker reports the task as running.
 	running
-	// ended: its result is held by the worker until acknowledged.
+	// ended: the task does not run; the worker keeps its result until it is
+	// acknowledged.
 	ended
 )
 
-// task is one attempt of a task at one worker of the partition.
+// task is one attempt of a task on one worker of the partition.
 type task struct {
 	ref           worker.Ref
-	holderName    string       // see holder
-	start         worker.Start // also set for adopted tasks, as far as known
+	holderName    string       // cached by holder
+	start         worker.Start // for adopted tasks only partly filled in
 	class         spec.Class
 	team          string
 	nonIdempotent bool
 	shard         plan.Shard
-	// undescribed is set while the configuration here is older than the task,
-	// limitless while nobody knows how much an adopted instance takes; see
-	// describe.
+	// jobUnknown is set while the configuration in force here is older than
+	// the task, limitsUnknown while the request and connection limits of an
+	// adopted service instance are not known; see resolveJob.
 	jobUnknown, limitsUnknown bool
 
 	phase   phase
-	since   time.Time // of the phase
+	since   time.Time // when phase was entered
 	started time.Time
-	report  worker.Task // the worker's last report
+	report  worker.Task // last report of the worker
 	victims map[worker.Ref]bool
 
-	stopWanted       bool      // the stop is sent with the next heartbeat
-	stopAt           time.Time // end of the drain of a service instance; zero: none
+	stopWanted       bool      // send a stop with the next heartbeat
+	stopAt           time.Time // when the drain of a service instance ends; zero: no drain
 	leaving          bool      // the endpoint takes no new requests
 	checkpointWanted bool      // checkpoint instead of stop
 	checkpointed     bool
 	preempted        bool
-	wantedLimit      int64 // wanted limit; 0: none
-	appliedLimit     int64 // limit in force
+	wantedLimit      int64 // wanted CPU limit in milli-CPU; 0: none
+	appliedLimit     int64 // CPU limit in force
 	acked            bool
 	changed          uint64 // position of the last change, for State
 	workerID         worker.ID
 }
 
-// holder names the attempt in the ledger. Two attempts of a task at one worker,
-// which must not be and which the ledger must still count, are two holders.
+// holder returns the attempt's name in the ledger. The name includes the
+// attempt number because two attempts of a task on one worker, although a
+// fault, must both be counted by the ledger.
 func (t *task) holder() string {
 	if t.holderName == "" {
 		t.holderName = t.ref.Task.String() + "#" + strconv.Itoa(t.ref.Attempt)
@@ -81,7 +84,7 @@
 	t.since = time.Now()
 }
 
-// node is the owner's knowledge of one worker.
+// node is the owner's record of one worker.
 type node struct {
 	id    worker.ID
 	vm    vmlist.VM
@@ -89,31 +92,32 @@
 	tasks map[worker.Ref]*task
 
 	capacity   spec.Resources // see setCapacity
-	reported   spec.Resources // what the worker tells; zero: nothing yet
+	reported   spec.Resources // capacity reported by the worker; zero: not reported yet
 	lease      worker.LeaseID
 	leases     map[worker.LeaseID]bool // every lease opened here in this epoch
 	fenced     bool                    // leases of others revoked, tasks known, lease confirmed
 	everFenced bool                    // fenced at least once in this epoch
-	// accounted is set when the worker could not be fenced but nothing that an
-	// earlier owner started can run there any more.
+	// accounted is set when the worker could not be fenced, but every task that
+	// an earlier owner may have started there has stopped by now because its
+	// lease expired.
 	accounted bool
-	renewOnly bool // lease usable for heartbeats, not for starts
-	seq       uint64
+	renewOnly bool   // lease usable for heartbeats, not for starts
+	seq       uint64 // of the last change received from the worker
 
-	busy     bool // a call is under way; there is never more than one
+	busy     bool // a call to the worker is in flight; never more than one
 	nextSync time.Time
-	nextTry  time.Time // of a fence
-	// addressWait is the last wait of askAddress; 0 when nothing is asked.
+	nextTry  time.Time // earliest time of the next fencing attempt
+	// addressDelay is the last delay of askAddress; 0: no address is awaited.
 	addressDelay time.Duration
-	// lastFence and unconfirmed space out tries to fence.
+	// lastFenceTry and unconfirmedFences space out the attempts to fence.
 	lastFenceTry      time.Time
 	unconfirmedFences int
-	failures          int // calls that failed in a row
-	// renewed is the latest time at which a call of ours may have renewed
-	// tasks, whether or not its answer came.
+	failures          int // consecutive failed calls
+	// lastRenewal is the latest time at which a call of this owner may have
+	// renewed the task leases, whether or not a reply was received.
 	lastRenewal time.Time
-	lastReply   time.Time // when it last answered
-	unlisted    bool      // left the VM list
+	lastReply   time.Time // when the worker last answered
+	unlisted    bool      // the VM left the VM list
 	draining    bool
 
 	acks      []worker.Ref
@@ -121,14 +125,14 @@
 	overshoot overshoot
 
 	changed uint64 // position of the last change, for State
-	added   uint64 // position at which the worker was entered
+	added   uint64 // position at which the worker was added
 	ended   endedTasks
 }
 
-// departures remembers the tasks that left a worker lately.
+// endedTasks is a bounded log of the tasks that ended on a worker.
 type endedTasks struct {
 	list []endedTask
-	// since is the position from which on the list is complete.
+	// since is the position after which the list is complete.
 	since uint64
 }
 
@@ -137,7 +141,8 @@
 	at  uint64
 }
 
-// maxDepartures bounds the list; a reader further behind gets all tasks.
+// maxEndedTasks bounds the list; a reader whose position is older gets all
+// tasks of the worker.
 const maxEndedTasks = 512
 
 func (d *endedTasks) add(ref worker.Ref, at uint64) {
@@ -149,7 +154,7 @@
 	}
 }
 
-// unusable returns why the worker takes no new tasks now, or "".
+// unusable returns why the worker accepts no new tasks now, or "".
 func (n *node) unusable() string {
 	switch {
 	case n.unlisted:
@@ -166,7 +171,7 @@
 	return n.health.reason(n)
 }
 
-// running counts the tasks that may run.
+// live counts the tasks that may run now or later.
 func (n *node) live() int {
 	count := 0
 	for _, t := range n.tasks {
--- a/process/partition/options.go
+++ b/process/partition/options.go
@@ -1,13 +1,14 @@
-// Package partition owns the workers of a rack on behalf of the cell: it
-// fences earlier owners, keeps one lease per worker, commits plans against a
-// fresh ledger, renews what runs, and tells the owners of the jobs what became
-// of their tasks.
+// Package partition implements the owner of a partition: the workers of one
+// rack. The owner fences earlier owners, holds one lease per worker, commits
+// plans against its ledger, renews the leases of running tasks, and reports
+// changes of tasks to the owners of their jobs.
 //
-// Guarantees: nothing is started at a worker before every lease of earlier
-// owners there is revoked and the tasks it runs are known; a lease is used for
-// starts only after the claim was read from the store again, later than the
-// lease was opened; the ledger is never exceeded by a commit, and capacity is
-// freed only when a task is known not to run. docs/OWNERSHIP.md argues why.
+// It guarantees that no task is started on a worker before every lease of
+// earlier owners there is revoked and the tasks that it runs are known; that a
+// lease is used for starts only after the claim was read from the store again,
+// later than the lease was opened; that a commit never exceeds the ledger; and
+// that capacity is freed only when a task is known not to run. See
+// docs/OWNERSHIP.md for the reasoning.
 package partition
 
 import (
@@ -24,18 +25,19 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Claims is what a Host needs of the store's claims; *ownership.Manager
+// Claims gives a Host access to the claims in the store; *ownership.Manager
 // implements it.
 type Claims interface {
-	// Confirm reads the claim from the store, after the call began.
+	// Confirm checks c against a read of the store that begins after the call.
 	Confirm(ctx context.Context, c ownership.Claim) error
-	// Epochs reads the epochs of a prefix from the store, after the call began.
+	// Epochs returns the epochs of the resources with a prefix, from a read of
+	// the store that begins after the call.
 	Epochs(ctx context.Context, prefix string) (map[ownership.Resource]uint64, error)
-	// Remember leaves a memo for later owners.
+	// Remember stores a memo for later owners.
 	Remember(ctx context.Context, c ownership.Claim, memo ownership.Memo) error
 }
 
-// Options of a Host. Zero durations take the defaults.
+// Options configures a Host. Zero durations take the defaults.
 type Options struct {
 	Racks     *Racks
 	Dialer    worker.Dialer
@@ -44,35 +46,36 @@
 	Caller    peer.Caller
 	Registrar peer.Registrar
 	View      fleet.View
-	// Config tells class, team and service of tasks found at workers.
+	// Config provides the class, team and service of tasks found on workers.
 	Config spec.Source
 	// RenewBound is ownership.Options.RenewBound of the cell: how long an
-	// earlier owner that is not known to have let go may renew tasks.
+	// earlier owner that is not known to have released its claim may renew tasks.
 	RenewBound time.Duration
-	// ShardOf tells the shard of a job found at a worker after a takeover, by
-	// the configuration in force. It is asked once that is as late as the task.
+	// ShardOf returns the shard of a job found on a worker after a takeover,
+	// according to the configuration in force. It is called only once that
+	// configuration is as late as the task's generation.
 	ShardOf func(job string) plan.Shard
 	Log     zerolog.Logger
 	Metrics *Metrics
 	Timing  Timing
 }
 
-// Timing holds the durations of the protocol. Every daemon of a cell uses the
-// same LeaseTTL and TaskTTL: an owner waits for its predecessor's leases to
-// run out by its own values.
+// Timing holds the durations of the protocol. Every daemon of a cell must use
+// the same LeaseTTL and TaskTTL: an owner uses its own values to wait until its
+// predecessor's leases have expired.
 type Timing struct {
-	// SyncInterval is the time between two heartbeats of a worker; it is
-	// stretched when the daemon owns many workers, see syncInterval.
+	// SyncInterval is the time between two heartbeats to a worker; it is longer
+	// when the daemon owns many workers, see syncInterval.
 	SyncInterval time.Duration
 	// LeaseTTL is how long starts are accepted after the last heartbeat.
 	LeaseTTL time.Duration
-	// TaskTTL is how long tasks go on after the last heartbeat. It covers the
-	// detection of a dead owner and the takeover.
+	// TaskTTL is how long tasks run on after the last heartbeat. It covers the
+	// detection of a failed owner and the takeover.
 	TaskTTL time.Duration
 	// CallTimeout bounds one call to a worker.
 	CallTimeout time.Duration
 	// UnknownGrace is how long a start with an unknown outcome may show up in
-	// heartbeats before the worker is fenced anew to settle it.
+	// heartbeats before the worker is fenced again to settle it.
 	UnknownGrace time.Duration
 	// VMDrain is how long the endpoints of a leaving VM finish their requests.
 	VMDrain time.Duration
@@ -86,9 +89,10 @@
 const (
 	DefaultSyncInterval = time.Second
 	DefaultLeaseTTL     = 10 * time.Second
-	// DefaultTaskTTL is several times what it takes to find an owner dead and to
-	// take its workers over. Longer would let tasks survive more, and have the
-	// tasks of a lost VM wait as much longer before they start elsewhere.
+	// DefaultTaskTTL is several times as long as the detection of a failed owner
+	// and the takeover of its workers take. With a longer one tasks would survive
+	// longer interruptions, but the tasks of a failed VM would wait that much
+	// longer before they are started elsewhere.
 	DefaultTaskTTL      = time.Minute
 	DefaultUnknownGrace = 5 * time.Second
 	DefaultVMDrain      = 10 * time.Second
@@ -96,8 +100,8 @@
 	DefaultTick         = 100 * time.Millisecond
 )
 
-// Clocks of two machines drift apart; waits for somebody else's clock are
-// longer by this share and this margin.
+// The clocks of two machines drift apart. Waits for a deadline on another
+// machine's clock are longer by this share and this margin.
 const (
 	driftShare  = 0.01
 	driftMargin = 5 * time.Second
@@ -124,24 +128,25 @@
 	return t
 }
 
-// runOut is how long after the last call that may have renewed it a task may
-// still run, by a clock that is not ours. A heartbeat on its way when the
-// sender stopped can renew the lease once more before it lapses, hence both
-// times to live.
+// taskExpiry is how long a task may still run after the last call that may have
+// renewed it, measured by the worker's clock. A heartbeat in flight when its
+// sender stopped can renew the lease once more before it expires, hence the sum
+// of both TTLs.
 func (t Timing) taskExpiry() time.Duration {
 	d := t.LeaseTTL + t.TaskTTL
 	return d + time.Duration(float64(d)*driftShare) + driftMargin
 }
 
-// Heartbeats of a daemon stay below heartbeatBudget bytes a second, of the 13
-// KB/s that all control may use.
+// syncInterval keeps the heartbeats of a daemon below heartbeatBudget, which is
+// part of the 13 KB/s allowed for all control traffic.
 const (
-	heartbeatBytes  = 600 // one Sync without changes, both ways, with HTTP headers
-	heartbeatBudget = 6000
+	heartbeatBytes  = 600  // one Sync without changes, both ways, with HTTP headers
+	heartbeatBudget = 6000 // bytes per second
 )
 
-// syncInterval stretches the interval when the daemon has many workers, up to
-// a quarter of the lease's time to live, so that three in a row may be lost.
+// syncInterval returns the heartbeat interval for a daemon with that many
+// workers: longer with more workers, up to a quarter of the lease TTL, so that
+// three heartbeats in a row may be lost.
 func (t Timing) syncInterval(workers int) time.Duration {
 	d := time.Duration(workers) * heartbeatBytes * time.Second / heartbeatBudget
 	return min(max(d, t.SyncInterval), t.LeaseTTL/4)
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -18,11 +18,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// errOwnerStopped means that the partition was lost while a call waited.
+// errOwnerStopped is returned when ownership of the partition is lost while a
+// call waits for the control loop.
 var errOwnerStopped = fmt.Errorf("partition: no longer owned")
 
-// owner is the state of one owned partition. Everything below is touched by
-// the goroutine of run only, except claim, name and the channels.
+// owner is the state of one owned partition. All fields are accessed only by
+// the goroutine of run, except claim, name and the channels.
 type owner struct {
 	h      *Host
 	t      Timing
@@ -37,30 +38,30 @@
 
 	nodes map[worker.ID]*node
 	live  map[spec.TaskID]*task // tasks that may run, by id
-	// results holds the newest attempt whose result a worker still keeps.
+	// results holds, by task, the newest attempt whose result a worker still keeps.
 	results      map[spec.TaskID]*task
-	dirty        map[*node]struct{} // workers to look at before the next tick
+	dirty        map[*node]struct{} // workers to process before the next tick
 	ledger       *ledger.Ledger
 	reservations map[string]*reservation
 	outboxes     map[plan.Shard]*outbox
 	state        publisher
 	jobFailures  jobFailures
 
-	resolvedVersion    uint64 // version of the configuration that describeLate used
-	shardEpochsRead    bool   // epochs of the shards were read from the store
+	resolvedVersion    uint64 // configuration version that resolveUnknownJobs last used
+	shardEpochsRead    bool   // epochs of the shards have been read from the store
 	shardEpochsReading bool
-	shardEpochsRetry   time.Time // of the next reading
+	shardEpochsRetry   time.Time // earliest time of the next read
 	confirmer          confirmer
 	earlierOwners      earlierOwners
 	releasing          bool
-	settled            bool               // no earlier owner can start anything any more
-	inMemo             map[worker.ID]bool // workers in the memo
+	settled            bool               // no earlier owner can start tasks any more
+	inMemo             map[worker.ID]bool // workers named by the stored memo
 	limits             serviceLimits
 	memoWriting        bool
 	checkQueue         []worker.ID   // see checkInvariants
-	countedWorkers     int           // workers counted in the host's sum
-	memoRetry          time.Time     // of the next try
-	idle               chan struct{} // closed when releasing and no call is under way
+	countedWorkers     int           // workers included in Host.workers
+	memoRetry          time.Time     // earliest time of the next memo write
+	idle               chan struct{} // closed when releasing and no call is in flight
 }
 
 func newOwner(ctx context.Context, h *Host, name string, g ownership.Grant) *owner {
@@ -117,8 +118,8 @@
 	}
 }
 
-// drainCommands runs what else is waiting, so that a burst of plans causes one
-// call per worker and not one per plan.
+// drainCommands runs the commands that are already queued, so that a burst of
+// plans causes one call per worker and not one per plan.
 func (o *owner) drainCommands() {
 	for range cap(o.commands) {
 		select {
@@ -130,7 +131,8 @@
 	}
 }
 
-// post hands f to the control loop, also from calls that outlive the owner.
+// post queues f for the control loop. It does not block once the owner has
+// stopped, so calls in flight may outlive the owner.
 func (o *owner) post(f func()) {
 	select {
 	case o.commands <- f:
@@ -160,7 +162,7 @@
 	}
 }
 
-// step does whatever is due at any worker.
+// tick does the periodic work of the partition and marks every worker dirty.
 func (o *owner) tick() {
 	if o.ctx.Err() != nil {
 		return
@@ -183,11 +185,11 @@
 	o.processDirty()
 }
 
-// wake has the worker looked at before the next tick.
+// markDirty has the worker processed before the next tick.
 func (o *owner) markDirty(n *node) { o.dirty[n] = struct{}{} }
 
-// follow acts on what the last commands changed. Only the workers they touched
-// are looked at: a burst of plans must not cost a scan of the partition each.
+// processDirty acts on the changes of the last commands. Only dirty workers are
+// processed: each plan of a burst must not cost a scan of the partition.
 func (o *owner) processDirty() {
 	now := time.Now()
 	_, renew := o.h.o.Directory.Authority()
@@ -202,9 +204,9 @@
 	o.state.flush(now)
 }
 
-// readShards learns the epochs of the shards from the store, once per
-// takeover. Without it a plan of an old shard owner could be taken that the
-// partition's earlier owner had been told to refuse.
+// readShardEpochs reads the epochs of the shards from the store, once per
+// takeover. Otherwise this owner could accept a plan of a former shard owner
+// that the partition's previous owner had been fenced against.
 func (o *owner) readShardEpochs(now time.Time) {
 	if o.shardEpochsRead || o.shardEpochsReading || now.Before(o.shardEpochsRetry) {
 		return
@@ -217,7 +219,7 @@
 		o.post(func() {
 			o.shardEpochsReading = false
 			if err != nil {
-				o.log.Warn().Err(err).Msg("epochs of the shards not read")
+				o.log.Warn().Err(err).Msg("reading shard epochs from the store failed")
 				o.shardEpochsRetry = time.Now().Add(storeRetry)
 				return
 			}
@@ -231,7 +233,7 @@
 	}()
 }
 
-// refreshNodes takes over changes of the VM list.
+// refreshNodes applies changes of the VM list.
 func (o *owner) refreshNodes() {
 	listed := make(map[worker.ID]bool)
 	for _, vm := range o.h.o.Racks.Workers(o.name) {
@@ -251,7 +253,7 @@
 			o.resized(n)
 		}
 		if n.unlisted {
-			n.unlisted = false // it was back before its tasks were given up
+			n.unlisted = false // listed again before its tasks were given up
 			n.fenced = false
 			o.markChanged(n)
 		}
@@ -270,7 +272,7 @@
 	}
 }
 
-// countNodes tells the host how many workers this owner keeps alive.
+// countNodes updates the host's count of workers that receive heartbeats.
 func (o *owner) countNodes() {
 	o.h.workers.Add(int64(len(o.nodes) - o.countedWorkers))
 	o.countedWorkers = len(o.nodes)
@@ -291,35 +293,36 @@
 	return n
 }
 
-// touch marks the worker as changed in the published state.
+// markChanged marks the worker as changed in the published state.
 func (o *owner) markChanged(n *node) {
 	n.changed = o.state.next()
 	o.markDirty(n)
 }
 
-// touchTask marks a task of the worker as changed in the published state.
+// markTaskChanged marks a task of the worker as changed in the published state.
 func (o *owner) markTaskChanged(n *node, t *task) {
 	o.markChanged(n)
 	t.changed = n.changed
 }
 
-// stopSelf ends this ownership at once: a higher epoch was met.
+// stepDown ends this ownership at once because a higher epoch was seen.
 func (o *owner) stepDown(err error) {
-	o.log.Warn().Err(err).Msg("partition was taken over")
+	o.log.Warn().Err(err).Msg("partition was taken over by another daemon")
 	o.h.Lost(o.claim.Resource, o.claim.Epoch)
 }
 
-// cancelRelease takes plans again after a release that did not come to pass.
+// cancelRelease accepts plans again after a release was abandoned.
 func (o *owner) cancelRelease() bool {
 	o.releasing, o.idle = false, nil
 	return true
 }
 
-// prepareRelease takes no new work and returns a channel closed when no call
-// to a worker is under way and no event waits.
+// prepareRelease refuses new work from now on and returns a channel that is
+// closed when no call to a worker is in flight and no event is queued. It
+// returns nil while the partition must not be released.
 func (o *owner) prepareRelease() <-chan struct{} {
 	if len(o.nodes) > 0 && !slices.Contains(o.h.o.Racks.Partitions(), o.name) {
-		return nil // the rack is gone, its tasks are not given up yet
+		return nil // the rack was removed and its tasks are not given up yet
 	}
 	o.releasing = true
 	if o.idle == nil {
--- a/process/partition/racks.go
+++ b/process/partition/racks.go
@@ -14,23 +14,23 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// The VM list has no deltas, so its size sets how often it may be read.
+// The VM list is always sent whole, so its size limits how often it may be read.
 const (
-	// DefaultListInterval is the shortest time between two readings.
+	// DefaultListInterval is the minimum time between two reads.
 	DefaultListInterval = 3 * time.Second
 	maxListInterval     = 30 * time.Second
 	listBytesPerVM      = 180
 	listBudget          = 2500 // bytes per second
 	listTimeout         = 5 * time.Second
-	// absentReadings is how many successful readings in a row must lack a VM
-	// before it counts as gone: one reading may have been cut short.
+	// absentReadings is how many successful reads in a row must lack a VM before
+	// it counts as removed: a single read may have been truncated.
 	absentReadings = 2
-	// absentMemory is how long a departed VM is remembered.
+	// absentRetention is how long a removed VM stays recorded as removed.
 	absentRetention = 48 * time.Hour
 )
 
-// Racks follows the platform's VM list and groups workers into partitions, one
-// per rack of a zone. A failed reading changes nothing. Safe for concurrent
+// Racks polls the platform's VM list and groups the workers into partitions, one
+// per rack of a zone. A failed read changes nothing. It is safe for concurrent
 // use.
 type Racks struct {
 	lister   vmlist.Lister
@@ -39,24 +39,25 @@
 	current  atomic.Pointer[listing]
 }
 
-// listing is one reading with what is remembered of earlier ones; immutable.
+// listing is the result of one read, with the VMs that earlier reads had listed.
+// It is immutable.
 type listing struct {
 	partitions map[string][]vmlist.VM
 	names      []string
 	present    map[string]bool
-	absent     map[string]absence // VMs seen before
+	absent     map[string]absence // VMs listed before and not now
 	changed    chan struct{}
 	vms        int
 }
 
-// absence is what is remembered of a VM that is not listed any more.
+// absence records since when a VM has not been listed any more.
 type absence struct {
-	readings int // in a row without it
+	readings int // successful reads in a row without the VM
 	since    time.Time
 }
 
-// NewRacks returns a Racks that has read nothing yet; interval 0 means
-// DefaultListInterval.
+// NewRacks returns a Racks that has not read the list yet. An interval of 0
+// means DefaultListInterval.
 func NewRacks(lister vmlist.Lister, interval time.Duration, log zerolog.Logger) *Racks {
 	if interval == 0 {
 		interval = DefaultListInterval
@@ -66,11 +67,11 @@
 	return r
 }
 
-// Serve reads the list until ctx ends.
+// Serve reads the list periodically until ctx is cancelled.
 func (r *Racks) Serve(ctx context.Context) error {
 	for {
 		if err := r.Refresh(ctx); err != nil && ctx.Err() == nil {
-			r.log.Warn().Err(err).Msg("VM list not read")
+			r.log.Warn().Err(err).Msg("reading the VM list failed")
 		}
 		select {
 		case <-ctx.Done():
@@ -131,7 +132,7 @@
 	return l
 }
 
-// PartitionOf names the partition of a rack.
+// PartitionOf returns the name of a rack's partition.
 func PartitionOf(zone, rack string) string { return zone + "-" + rack }
 
 // Partitions returns the names of the partitions, sorted; the slice is shared.
@@ -152,13 +153,13 @@
 	return r.current.Load().partitions[partition]
 }
 
-// VMGone reports whether a VM was listed once and has left the list. A VM that
-// this daemon has never seen listed is not called gone.
+// VMGone reports whether a VM was listed before and has been removed from the
+// list. It returns false for a VM that this daemon has never seen listed.
 func (r *Racks) VMGone(name string) bool {
 	return r.current.Load().absent[name].readings >= absentReadings
 }
 
-// Changed returns a channel closed at the next reading.
+// Changed returns a channel that is closed by the next successful read.
 func (r *Racks) Changed() <-chan struct{} { return r.current.Load().changed }
 
 func resourceOf(partition string) ownership.Resource {
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -10,13 +10,13 @@
 	"fennelshunt.example/fennelshunt/process/sched/snapshot"
 )
 
-// rebind reserves a task's capacity on another worker than the one that could
-// not take it, and returns that worker; nil when the plan does not allow it or
-// none fits. Shards that decide on the same snapshot choose the same best
-// worker; refused, all but the first would wait for the next snapshot.
+// rebind reserves a task's capacity on another worker than the named one, which
+// could not take it, and returns that worker, or nil if the plan does not allow
+// it or no worker fits. Shards that decide on the same snapshot choose the same
+// best worker; without rebinding, all but the first would be refused and wait
+// for the next snapshot.
 //
-// The worker is checked as the one of a plan is, so whatever holds for a start
-// by plan holds for this one.
+// The worker passes the same checks as one named by a plan.
 func (o *owner) rebind(p *plan.Plan, t *task, step *plan.Step) *node {
 	if !p.MayRebind || p.Reservation != "" {
 		return nil
@@ -26,15 +26,15 @@
 		return nil
 	}
 	if refused := o.fit(n, t, step); refused.Outcome != "" {
-		o.log.Error().Str("worker", string(n.id)).Str("reason", refused.Reason).Msg("rebound task does not fit")
+		o.log.Error().Str("worker", string(n.id)).Str("reason", refused.Reason).Msg("task does not fit the worker that it was rebound to")
 		return nil
 	}
 	o.h.o.Metrics.Rebound.Add(1)
 	return n
 }
 
-// another returns the best worker for a step beside its own; nil for a step
-// with victims, or when none has room.
+// alternative returns the best worker for a step other than the named one, or
+// nil for a step with victims or if no worker has enough free capacity.
 func (o *owner) alternative(step *plan.Step, kept []worker.ID) *node {
 	if len(step.Victims) > 0 {
 		return nil
@@ -56,7 +56,7 @@
 	}
 }
 
-// candidates lists the usable workers of the partition.
+// candidates lists the usable workers of the partition for rebind.Choose.
 func (o *owner) candidates(step *plan.Step, ask *snapshot.Ask, kept []worker.ID) ([]*node, []rebind.Candidate) {
 	nodes := make([]*node, 0, len(o.nodes))
 	list := make([]rebind.Candidate, 0, len(o.nodes))
@@ -76,14 +76,15 @@
 	return nodes, list
 }
 
-// closedTo reports whether a usable worker must not take a step in place of the
-// one that was named.
+// ineligibleAlternative reports whether a usable worker must not take a step in
+// place of the named one.
 func (o *owner) ineligibleAlternative(n *node, step *plan.Step, ask *snapshot.Ask) bool {
 	return n.id == step.Worker || o.ineligible(n, step).Outcome != "" || n.overshoot.refuses(n, step.Start.Size) != "" ||
 		!filter.ZoneAllowed(ask, n.vm.Zone) || !filter.RackAllowed(ask, n.vm.Rack)
 }
 
-// reservedFor counts the tasks of a job that a worker is reserved for.
+// reservedFor counts the tasks of a job for which reservations hold capacity on
+// a worker.
 func (o *owner) reservedFor(job string, id worker.ID) int {
 	count := 0
 	for _, r := range o.reservations {
--- a/process/partition/reports.go
+++ b/process/partition/reports.go
@@ -9,12 +9,13 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// workStep is the progress of a task that is worth telling the readers of the
-// state; smaller steps would send a delta with every heartbeat.
+// workStep is the minimum progress of a task that is published in the state;
+// with smaller steps every heartbeat would cause a delta.
 const workStep = 0.1
 
-// takeInventory reconciles the books with everything a worker holds. It is
-// called with all foreign leases revoked, so what is not listed does not run.
+// takeInventory reconciles the recorded tasks with the inventory of a worker. It
+// is called when all leases of others are revoked, so a task that is not listed
+// does not run.
 func (o *owner) takeInventory(n *node, inv worker.Inventory) {
 	if !inv.Capacity.IsZero() {
 		n.reported = inv.Capacity
@@ -29,17 +30,18 @@
 		listed[worker.Ref{Task: report.Task, Attempt: report.Attempt}] = true
 		o.takeReport(n, report)
 	}
-	var dead suspects
+	var crashed suspects
 	if n.restarted(func(t *task) bool { return listed[t.ref] }) {
-		dead = suspectsOn(n)
+		crashed = suspectsOn(n)
 	}
 	for ref, t := range n.tasks {
 		switch {
 		case listed[ref]:
 		case t.mayRun():
 			// The worker restarted, or the start never arrived and can not
-			// any more. It may have run, so the result is unknown.
-			o.lost(n, t, "worker does not know the task after its lease was revoked", dead)
+			// take effect any more. The task may have run, so its result is
+			// unknown.
+			o.lost(n, t, "worker does not know the task after its lease was revoked", crashed)
 		case t.phase == ended:
 			o.dropResult(n, t)
 		}
@@ -47,7 +49,7 @@
 	o.markChanged(n)
 }
 
-// takeReport takes what a worker says of one task.
+// takeReport processes a worker's report of one task.
 func (o *owner) takeReport(n *node, report worker.Task) {
 	ref := worker.Ref{Task: report.Task, Attempt: report.Attempt}
 	t := n.tasks[ref]
@@ -58,7 +60,7 @@
 		return
 	}
 	if report.Lease != "" && report.Lease != n.lease && !report.State.Ended() {
-		n.fenced = false // somebody moved it to another lease
+		n.fenced = false // another daemon moved the task to its lease
 	}
 	old := t.report
 	t.report = report
@@ -81,7 +83,7 @@
 	}
 }
 
-// adopt enters a task that this owner did not start.
+// adopt adds a task that this owner did not start.
 func (o *owner) adopt(n *node, ref worker.Ref, report worker.Task) *task {
 	t := &task{
 		ref:      ref,
@@ -98,13 +100,13 @@
 	}
 	if other := o.live[ref.Task]; other != nil {
 		o.h.o.Metrics.DoubleRuns.Add(1)
-		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task runs twice")
+		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task runs on two workers")
 		t.stopWanted = true
 	} else {
 		o.live[ref.Task] = t
 	}
 	if err := o.ledger.Adopt(n.id, t.holder(), report.Size); err != nil {
-		o.log.Error().Err(err).Stringer("task", ref.Task).Msg("adopted task not counted")
+		o.log.Error().Err(err).Stringer("task", ref.Task).Msg("adopted task not counted in the ledger")
 	}
 	return t
 }
@@ -125,7 +127,8 @@
 	}
 }
 
-// finish takes a result: the worker confirms that the task does not run.
+// finish processes the result of a task: the worker confirms that it does not
+// run any more.
 func (o *owner) finish(n *node, t *task) {
 	o.free(n, t)
 	t.enter(ended)
@@ -148,7 +151,7 @@
 	o.victimStopped(n, t)
 }
 
-// free gives the task's capacity back; the task is known not to run.
+// free frees the capacity of a task that is known not to run.
 func (o *owner) free(n *node, t *task) {
 	o.ledger.Free(n.id, t.holder())
 	if o.live[t.ref.Task] == t {
@@ -156,7 +159,7 @@
 	}
 }
 
-// dropResult forgets a result that the worker does not hold any more.
+// dropResult drops the record of a result that the worker no longer holds.
 func (o *owner) dropResult(n *node, t *task) {
 	delete(n.tasks, t.ref)
 	if o.results[t.ref.Task] == t {
@@ -170,16 +173,17 @@
 	o.drop(n, t, plan.Event{NotStarted: true, Message: reason})
 }
 
-// lost ends a task that certainly does not run and whose result is unknown.
-func (o *owner) lost(n *node, t *task, reason string, dead suspects) {
+// lost ends a task that certainly does not run and whose result is unknown. If its
+// worker crashed, crashed holds the tasks that may have caused it.
+func (o *owner) lost(n *node, t *task, reason string, crashed suspects) {
 	o.h.o.Metrics.Lost.Add(1)
-	suspect := slices.Contains(dead.tasks, t)
+	suspect := slices.Contains(crashed.tasks, t)
 	o.log.Info().Stringer("task", t.ref.Task).Int("attempt", t.ref.Attempt).Str("worker", string(n.id)).Str("why", reason).
-		Bool("suspect", suspect).Bool("sole", dead.sole).Msg("task lost")
-	o.drop(n, t, plan.Event{Lost: true, Suspect: suspect, Sole: suspect && dead.sole, Message: reason})
+		Bool("suspect", suspect).Bool("sole", crashed.sole).Msg("task lost")
+	o.drop(n, t, plan.Event{Lost: true, Suspect: suspect, Sole: suspect && crashed.sole, Message: reason})
 }
 
-// drop ends a task that has no result at its worker.
+// drop ends a task of which its worker holds no result.
 func (o *owner) drop(n *node, t *task, e plan.Event) {
 	o.free(n, t)
 	t.enter(ended)
@@ -192,7 +196,7 @@
 	o.victimStopped(n, t)
 }
 
-// event tells the shard the task's state.
+// event returns the event that reports the task's state to its shard.
 func (o *owner) event(n *node, t *task) plan.Event {
 	r := t.report
 	return plan.Event{
--- a/process/partition/resolve.go
+++ b/process/partition/resolve.go
@@ -6,12 +6,13 @@
 )
 
 // unknownShard is the shard of an adopted task whose job is declared by a later
-// configuration than the one in force here. Its events wait until that is
-// known: the owner of another shard would stop the task, and the owner of its
-// shard would not hear of it.
+// configuration than the one in force here. Its events are kept until that
+// configuration is in force: the owner of another shard would stop the task,
+// and the owner of its shard would not receive them.
 const unknownShard plan.Shard = -1
 
-// describe fills in what a worker does not tell of an adopted task.
+// resolveJob fills in the attributes of an adopted task that the worker does
+// not report.
 func (o *owner) resolveJob(t *task, c *spec.Config) {
 	id := t.ref.Task
 	t.jobUnknown = id.Generation > c.Version
@@ -25,8 +26,8 @@
 		if t.report.Address != "" {
 			t.start.Kind = spec.Service
 		}
-		// Until the job is known it is not stopped for a leaving VM or for
-		// another task: it might be one that must not start again.
+		// Until the job is known the task is neither stopped because its VM is
+		// leaving nor preempted: it may be one that must not be started again.
 		t.nonIdempotent = t.jobUnknown && t.start.Kind != spec.Service
 	} else {
 		t.class, t.team, t.nonIdempotent = job.EffectiveClass(), job.Team, job.NonIdempotent
@@ -37,10 +38,11 @@
 	}
 }
 
-// describeInstance sets how much an adopted instance takes. The declaration of
-// another generation does not tell: it may allow more than the instance was
-// started for, and callers' requests would fail. An earlier owner's memo tells;
-// an instance of which nothing is known takes no new requests.
+// resolveLimits sets the request and connection limits of an adopted service
+// instance. Limits declared by another generation do not apply: they may exceed
+// those that the instance was started with, and callers' requests would fail.
+// Then the limits come from an earlier owner's memo; an instance whose limits
+// are not known receives no new requests.
 func (o *owner) resolveLimits(t *task, job *spec.VersionedJob) {
 	t.start.Service = t.ref.Task.Job
 	if job != nil && job.Service != nil && job.Generation == t.ref.Task.Generation {
@@ -53,8 +55,8 @@
 	t.start.Slots, t.start.Conns, t.limitsUnknown = l.slots, l.conns, !known
 }
 
-// describeLate looks again at tasks that were adopted before the configuration
-// that declares them was in force here.
+// resolveUnknownJobs calls resolveJob again for tasks that were adopted before
+// the configuration that declares them was in force here.
 func (o *owner) resolveUnknownJobs() {
 	c := o.h.o.Config.Current()
 	if c.Version == o.resolvedVersion {
@@ -69,7 +71,7 @@
 			shard := t.shard
 			o.resolveJob(t, c)
 			if shard != unknownShard {
-				t.shard = shard // its owner has listed it meanwhile
+				t.shard = shard // its owner fenced the partition meanwhile and listed the task
 			}
 			o.markTaskChanged(n, t)
 			o.endpointsChanged(t)
@@ -78,7 +80,8 @@
 	o.routeUnknownEvents(c)
 }
 
-// releaseEvents hands on the events whose shard has become known.
+// routeUnknownEvents moves the events of unknownShard to the outboxes of their
+// shards, as far as those are known now.
 func (o *owner) routeUnknownEvents(c *spec.Config) {
 	box := o.outboxes[unknownShard]
 	if box == nil {
--- a/process/partition/state.go
+++ b/process/partition/state.go
@@ -14,41 +14,42 @@
 )
 
 const (
-	// flushInterval gathers changes of workers; changes of endpoints are sent
-	// at once, because callers' requests go there.
+	// flushInterval batches changes of workers. Changes of endpoints are
+	// published at once, because callers' requests are routed by them.
 	flushInterval = 200 * time.Millisecond
 	// maxStateWait bounds one long poll.
 	maxStateWait = 30 * time.Second
 )
 
-// publisher numbers the changes of a partition and wakes those who wait.
+// publisher numbers the changes of a partition and wakes pending long polls.
 type publisher struct {
 	name      string
 	epoch     uint64
 	seq       uint64 // of the last change
-	flushed   uint64 // seq that readers were told of
+	flushed   uint64 // seq that readers may have seen
 	lastFlush time.Time
 	changed   chan struct{}
 
 	endpointsDirty bool
 	endpointsSeq   uint64
-	removed        []removedWorker // workers removed lately, in order
-	// departedSince is the position from which on departed is complete.
+	removed        []removedWorker // recently removed workers, in order
+	// removedSince is the position after which removed is complete.
 	removedSince uint64
 }
 
-// departedWorker is a worker that was removed, with the position of that.
+// removedWorker is a removed worker with the position of its removal.
 type removedWorker struct {
 	id worker.ID
 	at uint64
 }
 
-// maxDepartedWorkers bounds the list; a reader further behind gets everything.
+// maxRemovedWorkers bounds the list; a reader whose position is older gets the
+// full state.
 const maxRemovedWorkers = 512
 
 func (p *publisher) init(name string, epoch uint64) {
 	p.name, p.epoch = name, epoch
-	p.seq = 1 // 0 asks for everything
+	p.seq = 1 // 0 requests the full state
 	p.endpointsSeq = 1
 	p.changed = make(chan struct{})
 }
@@ -67,7 +68,8 @@
 	}
 }
 
-// flush wakes the readers when something changed.
+// flush wakes the readers if there were changes, at most every flushInterval
+// unless endpoints changed.
 func (p *publisher) flush(now time.Time) {
 	if p.endpointsDirty {
 		p.endpointsDirty = false
@@ -85,14 +87,15 @@
 
 func (p *publisher) close() { close(p.changed) }
 
-// poll is the answer to one look at the state.
+// poll is the result of one read of the state.
 type poll struct {
 	state   plan.State
 	ready   bool
 	changed <-chan struct{}
 }
 
-// look returns what changed after the request's position.
+// readState returns the changes after the request's position, or a channel that
+// is closed at the next change if there are none.
 func (o *owner) readState(req plan.StateRequest) poll {
 	p := &o.state
 	since := req.Since
@@ -130,8 +133,8 @@
 	return s
 }
 
-// workerState returns what changed at a worker after a position, or everything
-// when that is not remembered.
+// workerState returns the changes of a worker after a position, or its full
+// state if the changes are not recorded that far back.
 func (o *owner) workerState(n *node, since uint64) plan.WorkerState {
 	w := plan.WorkerState{
 		ID:       n.id,
@@ -176,7 +179,7 @@
 	return r
 }
 
-// endpoints lists the service instances that listen.
+// endpoints lists the running service instances whose address is known.
 func (o *owner) endpoints() []plan.Endpoint {
 	var list []plan.Endpoint
 	for _, n := range o.nodes {
@@ -196,7 +199,7 @@
 	return list
 }
 
-// serveState answers a long poll.
+// serveState serves a long poll for the state.
 func (h *Host) serveState(ctx context.Context, req plan.StateRequest) (any, error) {
 	o, err := h.owner(req.Partition)
 	if err != nil {
@@ -223,10 +226,10 @@
 	}
 }
 
-// serveFence refuses older authors from now on and lists what the partition
-// holds of the shard. The claim is read from the store after the fence is set:
-// a daemon that lost the partition without knowing would otherwise answer for
-// an owner that never heard of the fence.
+// serveFence refuses older authors from now on and lists the shard's tasks in the
+// partition. The claim is read from the store after the fence is set: otherwise
+// a daemon that lost the partition, and has not noticed, could answer although
+// the present owner has not received the fence.
 func (h *Host) serveFence(ctx context.Context, req plan.Fence) (any, error) {
 	o, err := h.owner(req.Partition)
 	if err != nil {
@@ -252,7 +255,7 @@
 		for _, t := range n.tasks {
 			if t.shard != shard && !slices.Contains(req.Jobs, t.ref.Task.Job) {
 				if t.shard == unknownShard && !slices.Contains(r.Unaccounted, n.id) {
-					r.Unaccounted = append(r.Unaccounted, n.id) // it may be of this shard
+					r.Unaccounted = append(r.Unaccounted, n.id) // the task may belong to this shard
 				}
 				continue
 			}
@@ -264,18 +267,18 @@
 	return r
 }
 
-// undelivered returns the ends of tasks that have left the books and that no
-// owner of the shard has been told of yet. Without them the shard, which may
-// not know either that the task was started, would take a task that ran for
-// one that never did, and start it again.
+// undelivered returns the final events of tasks that are no longer recorded here
+// and that no owner of the shard has received yet. The shard may not have
+// received the reports of their start either; without these events it would
+// conclude that such a task never ran, and start it again.
 func (o *owner) undelivered(req plan.Fence) []plan.Event {
-	var ends []plan.Event
+	var events []plan.Event
 	for _, box := range o.outboxes {
 		for _, e := range box.pending {
 			if (e.Lost || e.NotStarted) && (box.shard == req.Author.Shard || slices.Contains(req.Jobs, e.Task.Job)) {
-				ends = append(ends, e)
+				events = append(events, e)
 			}
 		}
 	}
-	return ends
+	return events
 }
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -46,8 +46,9 @@
 	return nil
 }
 
-// stopUnknown answers the stop of a task that is not in the books. While a
-// worker is not fenced the task may still be found there.
+// stopUnknown reports a task that is not recorded here as lost, in answer to a
+// request to stop it. It does nothing while a worker is not fenced, because the
+// task may still be found there.
 func (o *owner) stopUnknown(shard plan.Shard, ref worker.Ref) {
 	for _, n := range o.nodes {
 		if !n.everFenced && !n.accounted {
@@ -75,8 +76,9 @@
 	o.markDirty(n)
 }
 
-// drainEndpoint marks a service instance as leaving at once and stops it after
-// its requests had time to end. An earlier end of the drain is kept.
+// drainEndpoint marks a service instance as leaving and has it stopped after
+// drain, so that its requests can finish. If a drain that ends earlier is in
+// progress, that end is kept.
 func (o *owner) drainEndpoint(t *task, drain time.Duration) {
 	at := time.Now().Add(drain)
 	if t.stopAt.IsZero() || at.Before(t.stopAt) {
@@ -88,7 +90,7 @@
 	}
 }
 
-// startDraining moves the work off a VM that is leaving.
+// startDraining ends the work on a VM that is leaving.
 func (o *owner) startDraining(n *node) {
 	n.draining = true
 	o.log.Info().Str("worker", string(n.id)).Msg("VM is leaving")
@@ -102,8 +104,8 @@
 	}
 }
 
-// drainTask ends a task on a leaving VM with the least work lost. A task that
-// must not start twice is left to finish.
+// drainTask ends a task on a leaving VM so that the least work is lost. A
+// non-idempotent task is left to finish.
 func (o *owner) drainTask(t *task) {
 	switch {
 	case t.start.Kind == spec.Service:
@@ -113,7 +115,7 @@
 	}
 }
 
-// ack lets workers forget results that are durable in the shard's progress.
+// ack has workers drop results that are durable in the shard's progress.
 func (o *owner) ack(req plan.Ack) error {
 	if err := o.authorize(req.Author); err != nil {
 		return err
@@ -131,8 +133,8 @@
 	return nil
 }
 
-// preempt takes the place of victims at the worker: it stops them, and the
-// task starts when the last one has confirmed its stop.
+// preempt stops the victims on the worker to make room for t. The start of t is
+// sent once the worker has confirmed the stop of the last victim.
 func (o *owner) preempt(n *node, t *task, victims []worker.Ref) plan.StepResult {
 	capacity, _ := o.ledger.Capacity(n.id)
 	free := capacity.Sub(o.ledger.Held(n.id))
@@ -140,7 +142,7 @@
 	for _, ref := range victims {
 		v := n.tasks[ref]
 		if v == nil || !v.live() {
-			continue // its place is free already
+			continue // its capacity is free already
 		}
 		if reason := mayPreempt(n, t, v); reason != "" {
 			return reject(plan.NoRoom, reason)
@@ -154,7 +156,7 @@
 	}
 	t.enter(waiting)
 	t.workerID = n.id
-	n.tasks[t.ref] = t // before the victims stop: some do at once
+	n.tasks[t.ref] = t // before the victims are stopped: some stop at once
 	o.live[t.ref.Task] = t
 	o.reserveFree(n, t)
 	for ref := range t.victims {
@@ -179,22 +181,22 @@
 	return ""
 }
 
-// reserveFree holds what is free now of the task's size, so that nobody else
-// takes it while the victims stop.
+// reserveFree reserves for t as much of its size as is free now, so that no
+// other task takes that capacity while the victims stop.
 func (o *owner) reserveFree(n *node, t *task) {
 	o.ledger.Free(n.id, t.holder())
 	capacity, _ := o.ledger.Capacity(n.id)
 	free := capacity.Sub(o.ledger.Held(n.id))
-	part := spec.Resources{
+	available := spec.Resources{
 		MilliCPU:     max(0, min(free.MilliCPU, t.start.Size.MilliCPU)),
 		MemoryMB:     max(0, min(free.MemoryMB, t.start.Size.MemoryMB)),
 		Accelerators: max(0, min(free.Accelerators, t.start.Size.Accelerators)),
 	}
-	if part.IsZero() {
+	if available.IsZero() {
 		return
 	}
-	if err := o.ledger.Reserve(n.id, t.holder(), part); err != nil {
-		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("free part not reserved")
+	if err := o.ledger.Reserve(n.id, t.holder(), available); err != nil {
+		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("reserving free capacity for a preempting task failed")
 	}
 }
 
@@ -212,7 +214,8 @@
 	}
 }
 
-// victimStopped moves the tasks on that wait for v's place.
+// victimStopped gives the capacity of v to the tasks that wait for it, and
+// queues those that wait for no other victim.
 func (o *owner) victimStopped(n *node, v *task) {
 	for _, t := range n.tasks {
 		if t.phase != waiting || !t.victims[v.ref] {
