--- a/process/capacity/call_test.go
+++ b/process/capacity/call_test.go
@@ -16,7 +16,7 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// meteredNode is a node on loopback with its meter.
+// meteredNode starts a peer node on loopback and returns it with its meter.
 func meteredNode(b *testing.B, id peer.MemberID, k *keys.Keys, mux *peer.Mux) (*peer.Node, *capacity.Meter) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(b, err)
@@ -34,12 +34,13 @@
 	return n, m
 }
 
-// callPause parts the calls, so that acknowledgements are not shared by them.
+// callPause separates the calls, so that no acknowledgement covers two of them.
 const callPause = 60 * time.Millisecond
 
 // BenchmarkPeerCallBytes reports the bytes on the wire of one call between two
-// daemons, both ways, with IP and UDP headers: a long poll answered with the
-// changes of so many workers, as sums or with a started and an ended task each.
+// daemons, in both directions, with IP and UDP headers. The call is a long poll
+// answered with the changes of a number of workers: either only the sum of what
+// is reserved on each, or one started and one ended task of each.
 func BenchmarkPeerCallBytes(b *testing.B) {
 	k, err := keys.Ephemeral()
 	require.NoError(b, err)
@@ -76,12 +77,12 @@
 	sent := func() int64 {
 		return ownerMeter.Usage().Traffic[capacity.Peers].Sent + viewerMeter.Usage().Traffic[capacity.Peers].Sent
 	}
-	call() // the handshake
+	call() // establishes the connection
 	time.Sleep(time.Second)
 	before := sent()
 	for b.Loop() {
 		call()
-		time.Sleep(callPause) // not for a verdict
+		time.Sleep(callPause) // spaces the calls; no assertion depends on it
 	}
 	b.ReportMetric(float64(sent()-before)/float64(b.N), "B/call")
 }
--- a/process/capacity/meter.go
+++ b/process/capacity/meter.go
@@ -1,6 +1,7 @@
-// Package capacity measures what a daemon's process spends on control work:
-// processor time, memory, and bytes by the kind of the other side. Requests of
-// callers are not control work; their connections are not counted.
+// Package capacity measures the resources that a daemon's process uses for
+// control work: CPU time, memory, and network bytes by kind of remote side.
+// Callers' requests are not control work: their connections are not counted,
+// though CPU time and memory include them.
 package capacity
 
 import (
@@ -9,34 +10,34 @@
 	"sync/atomic"
 )
 
-// Kind tells whom control traffic is exchanged with.
+// Kind is the kind of remote side that control traffic is exchanged with.
 type Kind string
 
 // Kinds of control traffic.
 const (
 	Peers   Kind = "peers"   // other daemons, over QUIC
-	Workers Kind = "workers" // agents of the workers
+	Workers Kind = "workers" // worker agents
 	Store   Kind = "store"
 	VMList  Kind = "vm_list"
 )
 
 var kinds = []Kind{Peers, Workers, Store, VMList}
 
-// Allowances for the headers that a program does not see, in bytes: IP and TCP
-// with timestamps for each read and write, IP and UDP for each datagram.
+// Allowances in bytes for headers that are not visible to the process: IP and
+// TCP with timestamps for each read and write, IP and UDP for each datagram.
 const (
 	tcpHeaders = 52
 	udpHeaders = 28
 )
 
-// counter counts the bytes of one kind both ways.
+// counter counts the bytes of one kind in both directions.
 type counter struct{ sent, received atomic.Int64 }
 
 // Meter counts the control traffic of one daemon. Its methods are safe for
 // concurrent use.
 type Meter struct{ counters map[Kind]*counter }
 
-// NewMeter returns a Meter that has counted nothing.
+// NewMeter returns a Meter with all counters at 0.
 func NewMeter() *Meter {
 	m := &Meter{counters: make(map[Kind]*counter, len(kinds))}
 	for _, k := range kinds {
@@ -45,10 +46,10 @@
 	return m
 }
 
-// DialFunc makes a connection, as in http.Transport.DialContext.
+// DialFunc opens a connection, as in http.Transport.DialContext.
 type DialFunc func(ctx context.Context, network, address string) (net.Conn, error)
 
-// Dial returns a DialFunc whose connections are counted as the kind.
+// Dial returns a DialFunc whose connections are counted under k.
 func (m *Meter) Dial(k Kind, d *net.Dialer) DialFunc {
 	c := m.counters[k]
 	return func(ctx context.Context, network, address string) (net.Conn, error) {
@@ -83,21 +84,22 @@
 	return n, err
 }
 
-// UDP returns a socket that counts what it sends to peers. What it receives is
-// not counted: the QUIC library reads batches from the descriptor itself. Over
-// a fleet the daemons receive what they send.
+// UDP returns a socket that counts the bytes that it sends to peers. Received
+// bytes are not counted, because the QUIC library reads batches directly from
+// the file descriptor. Summed over a fleet, the daemons receive what they send.
 func (m *Meter) UDP(c *net.UDPConn) net.PacketConn {
 	return &udpConn{UDPConn: c, c: m.counters[Peers]}
 }
 
-// udpConn keeps the methods by which the QUIC library recognises a kernel
-// socket, so that it uses batches and segmentation offload as without it.
+// udpConn keeps the methods by which the QUIC library detects a kernel socket,
+// so that it uses batches and segmentation offload as with a plain UDPConn.
 type udpConn struct {
 	*net.UDPConn
 	c *counter
 }
 
-// WriteMsgUDP counts one datagram, or several that the kernel will cut.
+// WriteMsgUDP sends a datagram, or several that the kernel segments, and counts
+// the bytes with the headers of one datagram.
 func (u *udpConn) WriteMsgUDP(b, oob []byte, addr *net.UDPAddr) (n, oobn int, err error) {
 	n, oobn, err = u.UDPConn.WriteMsgUDP(b, oob, addr)
 	if err == nil {
--- a/process/capacity/meter_test.go
+++ b/process/capacity/meter_test.go
@@ -20,7 +20,7 @@
 			return
 		}
 		defer conn.Close()
-		_, _ = io.CopyN(conn, conn, 100) // the assertions below see what failed
+		_, _ = io.CopyN(conn, conn, 100) // an error shows in the assertions below
 	}()
 	m := NewMeter()
 	conn, err := m.Dial(Store, &net.Dialer{})(t.Context(), "tcp", l.Addr().String())
@@ -58,7 +58,7 @@
 func TestRateBetween(t *testing.T) {
 	before := Usage{CPUSeconds: 1, Traffic: map[Kind]Traffic{Peers: {Sent: 1000}}}
 	after := Usage{CPUSeconds: 1.5, RSSBytes: 7, Traffic: map[Kind]Traffic{Peers: {Sent: 3000}}}
-	data, err := json.Marshal(after) // as it travels
+	data, err := json.Marshal(after) // as sent over the network
 	require.NoError(t, err)
 	var read Usage
 	require.NoError(t, json.Unmarshal(data, &read))
@@ -68,5 +68,5 @@
 	require.InDelta(t, 200, r.Sent[Peers], 1e-9)
 	require.EqualValues(t, 7, r.RSSBytes)
 	_, ok = RateBetween(after, before, time.Second)
-	require.False(t, ok, "the process was started anew")
+	require.False(t, ok, "the process restarted")
 }
--- a/process/capacity/model_test.go
+++ b/process/capacity/model_test.go
@@ -10,27 +10,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Measured slopes; docs/CAPACITY.md names the command and date of each. Bytes
-// count both ways, with headers.
+// Cost per unit of each activity; docs/CAPACITY.md names the command for each.
+// Bytes are those of both directions, with headers.
 const (
-	heartbeatB     = 399.0  // a Sync without changes
-	heartbeatStep  = 0.1    // s that each worker of a daemon adds to the interval
-	heartbeatLeast = 1.0    // s, shortest interval
-	heartbeatMost  = 2.5    // s, longest: a quarter of the lease of 10 s
-	listB          = 177.0  // per VM in the list
-	listPackedB    = 7.0    // the same, compressed
-	listMost       = 30.0   // s, longest interval between readings
-	listBudget     = 2500.0 // B/s below which the interval is stretched
+	heartbeatB     = 399.0  // B per Sync without changes
+	heartbeatStep  = 0.1    // s that each worker of a daemon adds to the heartbeat interval
+	heartbeatLeast = 1.0    // s, shortest heartbeat interval
+	heartbeatMost  = 2.5    // s, longest heartbeat interval: a quarter of the lease TTL of 10 s
+	listB          = 177.0  // B per VM in the VM list
+	listPackedB    = 7.0    // B per VM in the compressed VM list
+	listMost       = 30.0   // s, longest interval between reads of the VM list
+	listBudget     = 2500.0 // B/s that reads of the VM list may use; their interval grows to keep to it
 	partitionB     = 58.0   // B/s per partition and daemon, idle
-	fleetB         = 802.0  // B/s
-	gossipB        = 1000.0 // B/s, versions without changes
-	changeB        = 5440.0 // per change, peers and store
-	storeB         = 390.0  // B/s, leases and watches
-	viewB          = 500.0  // per task and daemon that sees it, at 0.2 to 0.4 starts/s in a rack
-	callB          = 444.0  // a call without content
-	sumB           = 34.0   // a changed worker as a sum of what is reserved
-	planB          = 860.0  // per start, at each end
-	agentB         = 730.0  // per start, at the partition's owner
+	fleetB         = 802.0  // B/s, membership
+	gossipB        = 1000.0 // B/s, configuration versions without changes
+	changeB        = 5440.0 // B per configuration change, to peers and the store
+	storeB         = 390.0  // B/s, store leases and watches
+	viewB          = 500.0  // B per task and daemon that sees it, at 0.2 to 0.4 starts/s in a rack
+	callB          = 444.0  // B per peer call without content
+	sumB           = 34.0   // B per changed worker reported as a sum of what is reserved
+	planB          = 860.0  // B per start, at each end of the plan's call
+	agentB         = 730.0  // B per start, at the partition's owner
 
 	baseCPU  = 0.8    // % of a core
 	syncCPU  = 0.04   // % per heartbeat/s
@@ -44,19 +44,21 @@
 	limitCPU = 3.6
 )
 
-// shape is one cell at the letter's size.
+// shape is the size and load of a cell.
 type shape struct {
 	name                      string
 	workers, perRack, daemons int
 	starts                    float64 // per second, the whole cell
 	changes                   float64 // of the configuration, per day
 	packed                    bool    // the platform compresses the VM list
-	// follow, when set, is the share of the owners that a daemon with a shard
-	// polls once a second, for sums; shards is the number of such daemons.
+	// follow, if not 0, is the share of the owners that a daemon with a shard
+	// polls once per second, for sums of what is reserved; shards is the number
+	// of such daemons.
 	follow, shards float64
 }
 
-// cost is what one daemon of the cell spends, in the mean.
+// cost is the mean cost of control work for one daemon of the cell: bytes per
+// second by activity, and CPU in percent of a core.
 type cost struct {
 	heartbeats, list, views, fleet, versions, store, viewsBusy, plans, agents float64
 	idleCPU, busyCPU                                                          float64
@@ -86,7 +88,7 @@
 		views:      racks * partitionB,
 		fleet:      fleetB, store: storeB,
 		versions:  gossipB + changeB*s.changes/secondsPerDay,
-		viewsBusy: 2 * viewB * s.starts * (daemons - 1) / daemons, // what it sees and what it shows the others
+		viewsBusy: 2 * viewB * s.starts * (daemons - 1) / daemons, // what it receives and what it sends to the others
 		plans:     2 * planB * mine, agents: agentB * mine,
 		idleCPU: idleCPU,
 		busyCPU: idleCPU + viewCPU*s.starts + startCPU*mine,
@@ -102,9 +104,9 @@
 	return c
 }
 
-// TestModelOfTheLettersSize multiplies the slopes and holds the outcome against
-// what docs/CAPACITY.md says: which limits are met and which are missed.
-func TestModelOfTheLettersSize(t *testing.T) {
+// TestCapacityModel computes the cost of cells of several sizes and checks, as
+// docs/CAPACITY.md states, which limits are met and which are missed.
+func TestCapacityModel(t *testing.T) {
 	var out strings.Builder
 	w := tabwriter.NewWriter(&out, 0, 4, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "cell\tdaemons\theartbeats\tVM list\tviews\tfleet\tversions\tstore\tidle B/s\t% core\tviews, peak\tplans\tagents\tpeak B/s\t% core\t")
@@ -129,6 +131,6 @@
 		require.Equal(t, c.idleCPUFits, k.idleCPU <= limitCPU, "%s %d: idle processor", c.name, c.daemons)
 		require.Equal(t, c.peakCPUFits, k.busyCPU <= limitCPU, "%s %d: peak processor", c.name, c.daemons)
 	}
-	_ = w.Flush() // to memory
+	_ = w.Flush() // writes to memory, can not fail
 	t.Log("\n" + out.String())
 }
--- a/process/capacity/slopes_test.go
+++ b/process/capacity/slopes_test.go
@@ -24,8 +24,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// The benchmarks of this file give slopes that docs/CAPACITY.md multiplies:
-// sizes of messages and of what is kept, for things shaped as in the letter.
+// The benchmarks of this file measure the unit costs that docs/CAPACITY.md
+// multiplies: the sizes of messages, of the configuration in memory and of the
+// store's contents, for workers, jobs and tasks of the expected size.
 
 var size = spec.Resources{MilliCPU: 3000, MemoryMB: 6 << 10}
 
@@ -37,8 +38,8 @@
 	return plan.RunningTask{Ref: taskRef(i), Size: size, Class: spec.Normal, Team: "team-0417", Kind: spec.Batch, StartedMillis: 81234, Work: 0.37}
 }
 
-// workerState is a worker with the tasks given; a delta leaves out what the
-// other side knows only in as far as the protocol does.
+// workerState returns a worker with that many tasks. With partial it is marked as
+// a delta, which repeats the zone, rack and capacity, as the protocol does.
 func workerState(tasks int, partial bool) plan.WorkerState {
 	s := plan.WorkerState{ID: "worker-12345", Zone: "gulberg-hall", Rack: "rack-1543", Partial: partial,
 		Capacity: spec.Resources{MilliCPU: 64_000, MemoryMB: 128 << 10, Accelerators: 2}, Reserved: size.Times(int64(tasks))}
@@ -81,8 +82,8 @@
 	}
 }
 
-// BenchmarkVMListBytes reports the size of the list of VMs, plain and as a
-// platform with compression would send it.
+// BenchmarkVMListBytes reports the size of the VM list per VM, plain and
+// compressed with gzip.
 func BenchmarkVMListBytes(b *testing.B) {
 	for _, n := range []int{48, 2273, 25000} {
 		b.Run(fmt.Sprintf("vms=%d", n), func(b *testing.B) {
@@ -110,8 +111,7 @@
 	}
 }
 
-// BenchmarkConfigurationMemory reports the heap that a configuration in force
-// takes per job.
+// BenchmarkConfigurationMemory reports the heap that a configuration uses per job.
 func BenchmarkConfigurationMemory(b *testing.B) {
 	const jobs = 25_000
 	for b.Loop() {
@@ -135,9 +135,9 @@
 	return int64(s.HeapAlloc)
 }
 
-// BenchmarkStoreContent reports the keys and the mean value's size in the store
-// by role, of an embedded cell of 48 workers in 6 racks and 3 daemons with one
-// service of 48 instances.
+// BenchmarkStoreContent reports the number of keys in the store and their mean
+// value size by role, for an embedded cell of 48 workers in 6 racks and 3
+// daemons that runs one service of 48 instances.
 func BenchmarkStoreContent(b *testing.B) {
 	for b.Loop() {
 		c, err := cell.Start(b.Context(), cell.Options{Platform: platform.Options{Shape: platform.Authority(), Lag: time.Second, Seed: 1}, Daemons: 3, Log: zerolog.Nop()})
--- a/process/capacity/usage.go
+++ b/process/capacity/usage.go
@@ -8,14 +8,15 @@
 	"time"
 )
 
-// Traffic is the bytes of one kind since the start, with headers.
+// Traffic is the number of bytes of one kind since the process started,
+// including headers.
 type Traffic struct {
 	Sent     int64 `json:"sent"`
 	Received int64 `json:"received"`
 }
 
-// Usage is what the process has spent since its start. Processor time and
-// memory include the requests of callers.
+// Usage is the resource usage of the process since its start. CPU time and
+// memory include those for callers' requests.
 type Usage struct {
 	CPUSeconds float64 `json:"cpu_seconds"`
 	RSSBytes   int64   `json:"rss_bytes"`
@@ -25,10 +26,11 @@
 	Traffic     map[Kind]Traffic `json:"traffic"`
 }
 
-// VarsKey is where a daemon's metrics hold its Usage.
+// VarsKey is the key of Usage in a daemon's metrics.
 const VarsKey = "process"
 
-// Usage reads the process's counters. What the system does not tell stays 0.
+// Usage reads the counters of the process. Values that the system does not
+// provide are 0.
 func (m *Meter) Usage() Usage {
 	u := Usage{Goroutines: runtime.NumGoroutine(), RSSBytes: rss(), Traffic: make(map[Kind]Traffic, len(kinds))}
 	for k, c := range m.counters {
@@ -42,7 +44,7 @@
 	return u
 }
 
-// rss returns the resident memory, 0 where there is no /proc.
+// rss returns the resident memory in bytes, or 0 where there is no /proc.
 func rss() int64 {
 	data, err := os.ReadFile("/proc/self/statm")
 	if err != nil {
@@ -55,19 +57,19 @@
 	return resident * int64(os.Getpagesize())
 }
 
-// Rate is what a process spends in a second.
+// Rate is the resource usage of a process per second.
 type Rate struct {
-	// Core is processor time as a share of one core.
+	// Core is CPU time as a share of one core.
 	Core float64
-	// RSSBytes is the resident memory at the end.
+	// RSSBytes is the resident memory at the end of the interval.
 	RSSBytes int64
-	// Sent and Received are bytes a second by kind.
+	// Sent and Received are bytes per second by kind.
 	Sent, Received map[Kind]float64
 }
 
-// RateBetween returns the spending between two readings of one process that
-// are the duration apart, which must be above 0. ok is false when the process
-// was started anew in between.
+// RateBetween returns the usage between two readings of one process that are d
+// apart, which must be above 0. ok is false when the process restarted in
+// between.
 func RateBetween(before, after Usage, d time.Duration) (r Rate, ok bool) {
 	s := d.Seconds()
 	r = Rate{
@@ -81,5 +83,5 @@
 	return r, after.CPUSeconds >= before.CPUSeconds
 }
 
-// Kinds lists the kinds of control traffic.
+// Kinds returns the kinds of control traffic.
 func Kinds() []Kind { return append([]Kind(nil), kinds...) }
--- a/process/partition/address_test.go
+++ b/process/partition/address_test.go
@@ -10,14 +10,13 @@
 )
 
 func TestAddressOfAnInstanceIsPublishedSoon(t *testing.T) {
-	// Symptom:  callers wait about a second longer than needed for a service.
-	// Sequence: an instance starts and listens; its worker tells the address
-	//           with the next heartbeat only.
-	// Cause:    the heartbeat came in its turn.
+	// Guards against callers waiting up to a second longer than needed for a
+	// service, because a new instance's address was fetched only with the next
+	// regular heartbeat.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
-		// betweenHeartbeats waits until none is due: a count that begins or ends
-		// at the very time of one would or would not include it.
+		// betweenHeartbeats waits until no heartbeat is due: whether a count
+		// includes a heartbeat at its very beginning or end would be random.
 		betweenHeartbeats := func() {
 			before := d.metrics.Syncs.Value()
 			c.eventually(2*time.Second, "heartbeat", func() bool { return d.metrics.Syncs.Value() > before })
@@ -37,6 +36,6 @@
 		known := c.eventually(time.Minute, "address", func() bool { return len(c.state(d).Endpoints) == 1 })
 		require.Less(t, known, 200*time.Millisecond)
 
-		require.Equal(t, steady, heartbeats(), "steady heartbeats are as before")
+		require.Equal(t, steady, heartbeats(), "the regular heartbeats are as before")
 	})
 }
--- a/process/partition/agenttest/agenttest.go
+++ b/process/partition/agenttest/agenttest.go
@@ -1,7 +1,7 @@
-// Package agenttest has worker agents in memory for tests of the owners of
-// workers, with leases, task leases and run times by the (virtual) clock. A
-// Rack watches all its agents at once and records every task that runs in two
-// places and every VM that carries more than its capacity.
+// Package agenttest provides in-memory worker agents for tests of the owners of
+// workers. Leases, task leases and run times follow the clock, which may be
+// virtual. A Rack checks all its agents together and records every task that
+// runs twice at a time and every VM that runs more than its capacity.
 package agenttest
 
 import (
@@ -15,14 +15,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Rack is a set of agents that tests share. Safe for concurrent use.
+// Rack is a set of agents that share their faults and checks. It is safe for
+// concurrent use.
 type Rack struct {
 	mu          sync.Mutex
 	agents      map[worker.ID]*agent
 	checkpoints map[spec.TaskID]float64
 	starts      map[spec.TaskID]int
-	// finished counts acknowledged successes. A result that nobody has
-	// acknowledged can be lost with its worker; the task may start again.
+	// ackedSuccesses counts acknowledged successes. A result that was not
+	// acknowledged may be lost with its worker; then the task may start again.
 	ackedSuccesses map[spec.TaskID]int
 	succeeded      map[spec.TaskID]bool
 	violations     []string
@@ -35,19 +36,20 @@
 	failJobs       map[string]bool
 }
 
-// cut separates a daemon from a worker.
+// cut is a network partition between a daemon and a worker.
 type cut struct {
 	daemon string
 	worker worker.ID
 }
 
-// Faults of the network between daemons and agents. Shares are 0 to 1.
+// Faults are the faults of the network between daemons and agents. LoseCalls and
+// LoseAnswers are probabilities from 0 to 1.
 type Faults struct {
 	LoseCalls   float64 // the call never arrives; the caller sees ErrUnknown
 	LoseAnswers float64 // the call takes effect; the caller sees ErrUnknown
-	// MaxDelay delays each call and each answer by up to this much.
+	// MaxDelay is the upper bound of the random delay of each call and each answer.
 	MaxDelay time.Duration
-	// Seed makes the faults repeatable.
+	// Seed makes the faults reproducible.
 	Seed uint64
 }
 
@@ -97,35 +99,36 @@
 	}
 }
 
-// Add adds a worker whose address is its id.
-func (r *Rack) Add(id worker.ID, capacity spec.Resources, comparesEpochs bool) {
+// Add adds a worker whose address is its id. With checksEpochs it refuses a
+// lease for a lower epoch than the highest it has seen.
+func (r *Rack) Add(id worker.ID, capacity spec.Resources, checksEpochs bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.agents[id] = &agent{
-		id: id, capacity: capacity, checksEpochs: comparesEpochs,
+		id: id, capacity: capacity, checksEpochs: checksEpochs,
 		leases: make(map[worker.LeaseID]*lease),
 		runs:   make(map[worker.Ref]*run),
 		usage:  make(map[spec.TaskID]spec.Resources),
 	}
 }
 
-// SetFaults replaces the faults.
+// SetFaults replaces the network faults.
 func (r *Rack) SetFaults(f Faults) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = f
 }
 
-// Cut separates a daemon from a worker, or joins them again.
+// Cut cuts the network between a daemon and a worker, or restores it.
 func (r *Rack) Cut(daemon string, id worker.ID, on bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.cuts[cut{daemon, id}] = on
 }
 
-// Pause holds every call of a daemon that is about to be sent, as when its
-// process is stopped between a check and the send. The caller's deadline runs
-// on; the call is sent after Resume all the same.
+// Pause blocks every call of a daemon just before it is sent, as when the
+// process is suspended between a check and the send. The caller's deadline still
+// applies, but the call is sent after Resume even if it has passed.
 func (r *Rack) Pause(daemon string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -138,8 +141,8 @@
 func (r *Rack) Resume(daemon string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if held := r.paused[daemon]; held != nil {
-		close(held)
+	if resumed := r.paused[daemon]; resumed != nil {
+		close(resumed)
 		delete(r.paused, daemon)
 	}
 }
@@ -151,7 +154,7 @@
 	return r.calls[daemon]
 }
 
-// change runs f on an agent, with everything up to now applied.
+// change runs f on an agent after applying what is due by now.
 func (r *Rack) change(id worker.ID, f func(a *agent)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -159,28 +162,29 @@
 	f(r.agents[id])
 }
 
-// SetDown makes a worker unreachable for everybody; its tasks go on.
+// SetDown makes a worker unreachable for all daemons, or reachable again; its
+// tasks keep running.
 func (r *Rack) SetDown(id worker.ID, down bool) { r.change(id, func(a *agent) { a.down = down }) }
 
 // SetDraining marks a VM as leaving.
 func (r *Rack) SetDraining(id worker.ID) { r.change(id, func(a *agent) { a.draining = true }) }
 
-// ForgetEpochs makes a worker one that only knows leases.
+// IgnoreEpochs makes a worker check leases only and not epochs.
 func (r *Rack) IgnoreEpochs(id worker.ID) {
 	r.change(id, func(a *agent) { a.checksEpochs = false })
 }
 
-// SetFailAll makes every task fail at a worker.
+// SetFailAll makes every task on a worker fail.
 func (r *Rack) SetFailAll(id worker.ID, on bool) { r.change(id, func(a *agent) { a.failAll = on }) }
 
-// SetFailJob makes the tasks of a job fail everywhere.
+// SetFailJob makes the tasks of a job fail on every worker.
 func (r *Rack) SetFailJob(job string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.failJobs[job] = true
 }
 
-// SetUsage fixes what a task reports to use.
+// SetUsage sets the usage that a worker reports for a task.
 func (r *Rack) SetUsage(id worker.ID, task spec.TaskID, usage spec.Resources) {
 	r.change(id, func(a *agent) {
 		a.usage[task] = usage
@@ -193,7 +197,7 @@
 	})
 }
 
-// Restart makes a worker forget everything, as a reboot does.
+// Restart drops all leases and tasks of a worker, as a reboot does.
 func (r *Rack) Restart(id worker.ID) {
 	r.change(id, func(a *agent) {
 		clear(a.leases)
@@ -201,13 +205,13 @@
 	})
 }
 
-// Kill ends a worker for good.
+// Kill drops all leases and tasks of a worker and makes it unreachable.
 func (r *Rack) Kill(id worker.ID) {
 	r.Restart(id)
 	r.SetDown(id, true)
 }
 
-// Violations lists what must never happen and did.
+// Violations lists the violated invariants.
 func (r *Rack) Violations() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -235,7 +239,7 @@
 	return n
 }
 
-// Running returns the tasks that run at a worker now.
+// Running returns the tasks that run on a worker now.
 func (r *Rack) Running(id worker.ID) []spec.TaskID {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -249,7 +253,7 @@
 	return tasks
 }
 
-// Throttled reports whether a task of a worker is limited now.
+// Throttled reports whether a task on a worker is throttled now.
 func (r *Rack) Throttled(id worker.ID, task spec.TaskID) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -261,7 +265,8 @@
 	return false
 }
 
-// advance ends runs whose time or task lease is over. The caller holds mu.
+// advance ends the runs whose run time or task lease has expired. The caller
+// holds mu.
 func (r *Rack) advance() {
 	now := time.Now()
 	for _, a := range r.agents {
@@ -299,7 +304,7 @@
 	a.touch(run)
 }
 
-// begin starts a run and checks what must always hold. The caller holds mu.
+// begin starts a run and checks the invariants. The caller holds mu.
 func (r *Rack) begin(a *agent, id worker.LeaseID, s worker.Start) {
 	ref := worker.Ref{Task: s.Task, Attempt: s.Attempt}
 	for _, other := range r.agents {
@@ -333,6 +338,6 @@
 		}
 	}
 	if !sum.Fits(a.capacity) {
-		r.violations = append(r.violations, fmt.Sprintf("%s carries %+v of %+v", a.id, sum, a.capacity))
+		r.violations = append(r.violations, fmt.Sprintf("%s runs tasks of %+v, beyond its capacity of %+v", a.id, sum, a.capacity))
 	}
 }
--- a/process/partition/agenttest/client.go
+++ b/process/partition/agenttest/client.go
@@ -10,8 +10,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Dialer returns how a daemon reaches the workers of the rack; cuts and faults
-// apply to it.
+// Dialer returns a daemon's dialer for the workers of the rack. Cuts, pauses and
+// faults apply to its calls.
 func (r *Rack) Dialer(daemon string) worker.Dialer { return dialer{r, daemon} }
 
 type dialer struct {
@@ -31,11 +31,11 @@
 	id     worker.ID
 }
 
-// plan of one call through the faulty network.
+// callFaults are the network faults that apply to one call.
 type callFaults struct {
 	unreachable         bool
 	loseCall, loseReply bool
-	held                chan struct{} // not nil: the daemon is paused
+	resumed             chan struct{} // closed when the daemon resumes; nil: not paused
 	before, after       time.Duration
 }
 
@@ -51,7 +51,7 @@
 	f := r.faults
 	r.nonce++
 	rng := rand.New(rand.NewPCG(f.Seed, r.nonce))
-	p := callFaults{held: r.paused[c.daemon]}
+	p := callFaults{resumed: r.paused[c.daemon]}
 	p.loseCall = rng.Float64() < f.LoseCalls
 	p.loseReply = rng.Float64() < f.LoseAnswers
 	if f.MaxDelay > 0 {
@@ -61,8 +61,8 @@
 	return p
 }
 
-// do runs f at the agent. A caller that gives up does not stop a call that is
-// on its way: it may still take effect later.
+// do runs f at the agent. A call in flight is not stopped when the caller's
+// context ends: it may still take effect later.
 func do[T any](ctx context.Context, c *client, f func(a *agent) (T, error)) (T, error) {
 	var zero T
 	p := c.drawFaults()
@@ -75,8 +75,8 @@
 	}
 	done := make(chan answer, 1)
 	go func() {
-		if p.held != nil {
-			<-p.held
+		if p.resumed != nil {
+			<-p.resumed
 		}
 		time.Sleep(p.before)
 		if p.loseCall {
@@ -143,7 +143,7 @@
 	})
 }
 
-// withLease runs f when the lease is valid.
+// withLease runs f if the lease is valid.
 func withLease[T any](ctx context.Context, c *client, id worker.LeaseID, f func(a *agent, l *lease) (T, error)) (T, error) {
 	return do(ctx, c, func(a *agent) (T, error) {
 		l := a.leases[id]
@@ -226,7 +226,7 @@
 	})
 }
 
-// running calls f on a task that runs.
+// running calls f on the task if it runs.
 func (c *client) running(ctx context.Context, id worker.LeaseID, ref worker.Ref, f func(a *agent, run *run)) error {
 	_, err := withLease(ctx, c, id, func(a *agent, _ *lease) (struct{}, error) {
 		if run := a.runs[ref]; run != nil && !run.task.State.Ended() {
--- a/process/partition/author_test.go
+++ b/process/partition/author_test.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// author plays the owner of a shard: it proposes plans and takes events.
+// author stands in for the owner of a shard: it proposes plans and records events.
 type author struct {
 	c      *cell
 	ref    peer.Ref
@@ -55,7 +55,7 @@
 
 func ref(i int) worker.Ref { return worker.Ref{Task: taskID(i), Attempt: 1} }
 
-// step builds a step that starts task i at a worker.
+// step returns a step that starts task i on a worker.
 func step(i int, id worker.ID) plan.Step {
 	return plan.Step{Worker: id, Class: spec.Normal, Start: worker.Start{
 		Task: taskID(i), Attempt: 1, Kind: spec.Batch, Size: small, RunTime: spec.Duration(time.Hour),
@@ -78,7 +78,7 @@
 	return result.Steps
 }
 
-// mustStart commits a step and waits until the task runs.
+// mustStart commits steps and waits until their tasks run.
 func (a *author) mustStart(d *daemon, steps ...plan.Step) {
 	a.c.t.Helper()
 	for i, r := range a.commit(d, steps...) {
@@ -93,7 +93,7 @@
 
 func (a *author) fence(d *daemon) (plan.FenceReply, error) { return a.fenceFor(d, "survey") }
 
-// fenceFor is fence by an owner that knows of one job.
+// fenceFor sends a fence that names one job.
 func (a *author) fenceFor(d *daemon, job string) (plan.FenceReply, error) {
 	a.seq++
 	var reply plan.FenceReply
@@ -101,7 +101,7 @@
 	return reply, err
 }
 
-// last returns the newest event of a task that f accepts.
+// received reports whether an event that f accepts has been received.
 func (a *author) received(f func(plan.Event) bool) bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/process/partition/capacity_test.go
+++ b/process/partition/capacity_test.go
@@ -22,10 +22,10 @@
 }
 
 func TestSmallerVMInTheListTakesLess(t *testing.T) {
-	// Symptom:  a VM holds more than it has.
-	// Sequence: the VM list shows a smaller VM; its agent keeps its lease and
-	//           tells the old capacity, and the VM grows again.
-	// Cause:    the capacity was read when the worker was entered or fenced only.
+	// Guards against a VM filled beyond its capacity: the VM list shows a smaller
+	// VM while its agent keeps its lease and still reports the old capacity, and
+	// the capacity was read only when the worker was added or fenced. The VM
+	// then grows again.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.vms.resize(string(workerID(0)), small)
@@ -40,9 +40,8 @@
 }
 
 func TestSmallerVMInTheListAppliesWhileItsAgentIsUnreachable(t *testing.T) {
-	// Symptom:  as above.
-	// Sequence: the VM list shows a smaller VM; its agent is out of reach.
-	// Cause:    the capacity was taken from the agent only.
+	// Guards against the same fault when the agent of the smaller VM is
+	// unreachable and its capacity was taken only from the agent.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)), step(2, workerID(0)))
@@ -53,7 +52,7 @@
 		})
 		c.rack.Cut(d.key(), workerID(0), false)
 		time.Sleep(30 * time.Second)
-		require.Len(t, c.rack.Running(workerID(0)), 2, "what runs goes on")
+		require.Len(t, c.rack.Running(workerID(0)), 2, "running tasks are kept")
 		require.Equal(t, plan.NoRoom, c.author.commit(d, step(3, workerID(0)))[0].Outcome)
 	})
 }
--- a/process/partition/cost_test.go
+++ b/process/partition/cost_test.go
@@ -21,9 +21,10 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// TestTakeoverTime measures, on virtual time with 1 ms each way and 2 ms for a
-// store call, how long after the news of an owner's death the first task runs,
-// and the first on each reachable worker when one is out of reach.
+// TestTakeoverTime measures, in virtual time with a network delay of 1 ms each
+// way and up to 2 ms for each call to a worker and each reply, how long after
+// the claim of a failed owner is taken over the first task runs, and the first on
+// each reachable worker, with all workers reachable and with one unreachable.
 func TestTakeoverTime(t *testing.T) {
 	for _, unreachable := range []int{0, 1} {
 		t.Run(fmt.Sprintf("%d of 8 workers unreachable", unreachable), func(t *testing.T) {
@@ -59,7 +60,7 @@
 	}
 }
 
-// countingConn counts bytes both ways.
+// countingConn counts the bytes of both directions.
 type countingConn struct {
 	net.Conn
 	bytes *atomic.Int64
@@ -77,8 +78,9 @@
 	return n, err
 }
 
-// BenchmarkWorkerCalls measures the bytes on the TCP connection, both ways, and
-// the time of a heartbeat without changes and of a start, over the HTTP adapter.
+// BenchmarkWorkerCalls measures, over the HTTP adapter, the time of a heartbeat
+// without changes and of a start, and their bytes on the TCP connection in both
+// directions.
 func BenchmarkWorkerCalls(b *testing.B) {
 	rack := agenttest.NewRack()
 	rack.Add("worker-0", spec.Resources{MilliCPU: 1 << 40, MemoryMB: 1 << 40}, true)
@@ -120,8 +122,8 @@
 	}
 }
 
-// TestControlBytesOfTheState measures the CBOR of long polls by one view, idle
-// and under starts, against sending whole task lists.
+// TestControlBytesOfTheState bounds the CBOR bytes of the long polls by one view,
+// idle and under starts. Sending whole task lists would exceed the bounds.
 func TestControlBytesOfTheState(t *testing.T) {
 	inBubble(t, 1, 8, small.Times(64), func(c *cell) {
 		d := c.ready()
@@ -157,7 +159,7 @@
 	})
 }
 
-// nopAgent answers at once, so that only the owner's own work is measured.
+// nopAgent replies at once, so that only the owner's own work is measured.
 type nopAgent struct{ worker.Agent }
 
 func (nopAgent) OpenLease(context.Context, worker.OpenLease) (worker.LeaseID, error) { return "l", nil }
@@ -179,9 +181,9 @@
 
 func (nopDialer) Dial(string) worker.Agent { return nopAgent{} }
 
-// BenchmarkCommit measures a plan of one step at the owner, from the call to
-// the answer, with the start and its event behind it; and, as the baseline, the
-// same call with a plan that is refused as stale.
+// BenchmarkCommit measures a plan of one step at the owner, from the call to its
+// result, including the start and its event in the background, and, as the
+// baseline, the same call with a plan that is refused as stale.
 func BenchmarkCommit(b *testing.B) {
 	o := benchOwner(b, 8)
 	for _, epoch := range []uint64{0, 1} {
@@ -208,7 +210,8 @@
 	}
 }
 
-// forgetAll drops every task, so that a benchmark keeps a steady number.
+// dropRunning drops every running task, so that their number stays bounded
+// during a benchmark.
 func (o *owner) dropRunning() {
 	for _, n := range o.nodes {
 		for _, t := range n.tasks {
@@ -219,8 +222,8 @@
 	}
 }
 
-// BenchmarkTick measures one look at 16 workers with 32 running tasks each,
-// which happens ten times a second.
+// BenchmarkTick measures one tick, of ten per second, of an owner of 16 workers
+// with 32 running tasks each.
 func BenchmarkTick(b *testing.B) {
 	o := benchOwner(b, 16)
 	_, err := call(b.Context(), o, func() bool {
@@ -243,7 +246,7 @@
 	}
 }
 
-// benchOwner starts an owner whose workers answer at once.
+// benchOwner starts an owner whose workers reply at once.
 func benchOwner(b *testing.B, workers int) *owner {
 	c := newCell(b, 1, workers, 1, spec.Resources{MilliCPU: 1 << 40, MemoryMB: 1 << 40})
 	b.Cleanup(c.cancel)
--- a/process/partition/crash_test.go
+++ b/process/partition/crash_test.go
@@ -8,7 +8,8 @@
 )
 
 // TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that can not tell
-// a task that crashes its workers from those that stood beside it.
+// a task that crashes its workers from the others on the worker: only the task that had
+// just been started is reported as suspect.
 func TestRestartOfAWorkerSpeaksAgainstTheNewestTask(t *testing.T) {
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -312,7 +312,7 @@
 	for ref := range e.unreleased {
 		member, known := h.o.View.Lookup(ref.ID)
 		restarted := known && member.Incarnation > ref.Incarnation
-		if restarted || ref == h.o.View.Self().Ref || h.o.Racks.VMGone(string(ref.ID)) {
+		if restarted || ref == h.o.View.Self().Ref || h.o.Racks.VMRemoved(string(ref.ID)) {
 			delete(e.unreleased, ref)
 			e.lastReleased = now
 		}
--- a/process/partition/fencelist_test.go
+++ b/process/partition/fencelist_test.go
@@ -14,10 +14,10 @@
 )
 
 func TestFenceListsALossThatWasNotDelivered(t *testing.T) {
-	// Symptom:  a task that must not start twice starts twice.
-	// Sequence: the answer of its plan and the reports of its start and of its
-	//           loss do not get through; then the shard asks for a list.
-	// Cause:    the list lacks it, so the shard takes it for never started.
+	// Guards against a second start of a non-idempotent task: the result of its
+	// plan and the events of its start and loss are not delivered, and then the
+	// shard fences the partition. If the reply lacked the task, the shard would
+	// conclude that it was never started.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.net.Cut(d.ref.ID, c.author.ref.ID)
@@ -57,11 +57,11 @@
 }
 
 func TestLossDuringANetworkCutDoesNotCountAsNeverStarted(t *testing.T) {
-	// Symptom:  a task that must not start twice starts twice.
-	// Sequence: a plan arrives, its answer and the reports of the start do not;
-	//           the worker restarts, so the task is lost; the network heals and
-	//           the shard asks for a list before the report of the loss is in.
-	// Cause:    a list without the loss: the task counts as never started.
+	// Guards against a second start of a non-idempotent task: a plan arrives, but
+	// not its result and the event of the start; the worker restarts, so the task
+	// is lost; the network heals, and the shard fences the partition before the
+	// event of the loss arrives. If the reply lacked the loss, the task would
+	// count as never started.
 	for cutAt := 400; cutAt <= 460; cutAt += 10 { // around the first plans
 		synctest.Test(t, func(t *testing.T) {
 			config := wholeJobs()
--- a/process/partition/gate_test.go
+++ b/process/partition/gate_test.go
@@ -12,8 +12,9 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// gate is one daemon's way to the store. Held, every call waits before it is
-// sent, as in a paused process; cut, every call fails as in an outage.
+// gate is one daemon's access to the store. While held, every call waits before
+// it is sent, as in a suspended process; while cut, every call fails, as in an
+// outage.
 type gate struct {
 	store.Store
 
@@ -90,7 +91,7 @@
 	}
 	events, rev, err := g.Store.Watch(ctx, prefix, after, wait)
 	if err == nil {
-		err = g.pass(ctx) // news do not reach a daemon that was held meanwhile
+		err = g.pass(ctx) // a daemon held meanwhile must not receive the events
 	}
 	return events, rev, err
 }
@@ -101,7 +102,7 @@
 	return store.NewClient(c.kv, store.Options{}).Role(store.RoleClaims)
 }
 
-// putClaim writes a claim as another daemon would.
+// putClaim writes a claim on behalf of another daemon.
 func putClaim(c *cell, claim ownership.Claim) {
 	data, err := encodeClaim(claim)
 	require.NoError(c.t, err)
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -41,7 +41,8 @@
 	os.Exit(m.Run())
 }
 
-// shortChecks bounds the random runs unless the command line does.
+// shortChecks returns the number of random runs: that of the command line, if
+// set, else a small one.
 func shortChecks() string {
 	if f := flag.Lookup("rapid.checks"); f.Value.String() != f.DefValue {
 		return f.Value.String()
@@ -53,13 +54,13 @@
 	testZone      = "zone-a"
 	testPartition = testZone + "-rack-0"
 	testShard     = plan.Shard(1)
-	// testRenewBound is shorter than the default, to save virtual time.
+	// testRenewBound is shorter than the default, to shorten the tests.
 	testRenewBound = ownership.DefaultStartBound + 20*time.Minute
 )
 
 var small = spec.Resources{MilliCPU: 1000, MemoryMB: 1000}
 
-// cell is a rack of workers with the daemons that may own it.
+// cell is one or more racks of workers with the daemons that may own them.
 type cell struct {
 	t       testing.TB
 	rack    *agenttest.Rack
@@ -67,10 +68,10 @@
 	net     *peertest.Network
 	vms     *vmList
 	daemons []*daemon
-	// daemonsMu guards a change of daemons against the shard model's own
-	// goroutine; the driver alone changes it and reads without it.
+	// daemonsMu guards daemons against the goroutine of the shard model. Only the
+	// test's goroutine changes daemons; it reads them without the lock.
 	daemonsMu      sync.Mutex
-	earlierDaemons []*daemon // earlier lives
+	earlierDaemons []*daemon // earlier incarnations
 	workers        int
 	racks          int
 	author         *author
@@ -80,10 +81,10 @@
 	whole          bool // daemons also own the jobs
 
 	mu                  sync.Mutex
-	invariantViolations []string // invariants that a part reported
+	invariantViolations []string // reported by the owners of the jobs
 }
 
-// daemon is one life of a daemon with everything that owns partitions.
+// daemon is one incarnation of a daemon with what it needs to own partitions.
 type daemon struct {
 	c       *cell
 	ref     peer.Ref
@@ -113,7 +114,7 @@
 	return slices.Clone(l.vms), nil
 }
 
-// vmView is one daemon's view of the list; frozen, it fails.
+// vmView is one daemon's access to the VM list; while frozen, reads fail.
 type vmView struct {
 	list   *vmList
 	frozen atomic.Bool
@@ -121,7 +122,7 @@
 
 func (v *vmView) List(ctx context.Context) ([]vmlist.VM, error) {
 	if v.frozen.Load() {
-		return nil, errors.New("VM list out of reach")
+		return nil, errors.New("VM list unreachable")
 	}
 	return v.list.List(ctx)
 }
@@ -147,16 +148,16 @@
 
 func workerID(i int) worker.ID { return worker.ID(fmt.Sprintf("worker-%d", i)) }
 
-// newCell starts daemons and workers; odd workers compare epochs, even ones
-// only know leases.
+// newCell starts daemons and workers. Workers with odd numbers check epochs, the
+// others check leases only.
 func newCell(t testing.TB, daemons, workers, racks int, capacity spec.Resources) *cell {
 	c := newWholeCell(t, daemons, workers, racks, capacity, spec.Config{Version: 1})
 	c.author = newAuthor(c)
 	return c
 }
 
-// newWholeCell is newCell with jobs that the daemons own themselves, when the
-// configuration has any.
+// newWholeCell is newCell without an author. If the configuration has jobs, the
+// daemons also own their shards.
 func newWholeCell(t testing.TB, daemons, workers, racks int, capacity spec.Resources, config spec.Config) *cell {
 	ctx, cancel := context.WithCancel(t.Context())
 	c := &cell{t: t, rack: agenttest.NewRack(), kv: kv.New(), net: peertest.NewNetwork(1), vms: &vmList{}, ctx: ctx, cancel: cancel, workers: workers, racks: racks,
@@ -213,8 +214,8 @@
 	return d
 }
 
-// lastRenewal stands for the fleet: the store lease is renewed all the time
-// unless the daemon is frozen or the store is down.
+// lastRenewal replaces the fleet's: the store lease counts as renewed at any time
+// unless the renewal is frozen.
 func (d *daemon) lastRenewal() time.Time {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -224,7 +225,7 @@
 	return d.renewed
 }
 
-// key names this life towards the workers.
+// key identifies this incarnation in calls to the workers.
 func (d *daemon) key() string { return fmt.Sprintf("%s/%d", d.ref.ID, d.ref.Incarnation) }
 
 func (d *daemon) freezeRenewal(on bool) {
@@ -236,14 +237,14 @@
 	}
 }
 
-// kill ends a daemon without a word.
+// kill ends a daemon without a planned stop.
 func (d *daemon) kill() {
 	d.c.net.Stop(d.ref)
-	d.c.rack.Pause(d.key()) // what was on its way may arrive after Resume
+	d.c.rack.Pause(d.key()) // calls in flight may arrive after Resume
 	d.stop()
 }
 
-// sayGone tells everybody else that the daemon's life ended.
+// reportFailed has all other daemons regard this incarnation as failed.
 func (c *cell) reportFailed(d *daemon) {
 	for _, other := range c.daemons {
 		if other != d {
@@ -252,7 +253,7 @@
 	}
 }
 
-// pause stops a daemon between a check and its next send.
+// pause suspends a daemon between a check and its next send.
 func (c *cell) pause(d *daemon) {
 	c.net.Pause(d.ref)
 	c.rack.Pause(d.key())
@@ -265,7 +266,8 @@
 	c.rack.Resume(d.key())
 }
 
-// owner returns the daemon that the store names, or nil.
+// owner returns the daemon that owns the test partition and assumes that it
+// holds the claim, or nil.
 func (c *cell) owner() *daemon {
 	for _, d := range c.daemons {
 		if _, err := d.host.owner(testPartition); err == nil {
@@ -305,8 +307,8 @@
 	return d
 }
 
-// takesPlans reports whether the daemon's owner has read the shards' epochs
-// and written its workers down.
+// acceptsPlans reports whether the daemon's owner has read the shard epochs and
+// the stored memo names its workers.
 func (c *cell) acceptsPlans(d *daemon) bool {
 	o, err := d.host.owner(testPartition)
 	if err != nil {
@@ -316,8 +318,7 @@
 	return err == nil && read
 }
 
-// inBubble runs a test on virtual time and ends with the checks that always
-// hold.
+// inBubble runs a test in virtual time and then checks the invariants.
 func inBubble(t *testing.T, daemons, workers int, capacity spec.Resources, f func(c *cell)) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, daemons, workers, 1, capacity)
@@ -330,7 +331,7 @@
 	})
 }
 
-// shutDown ends every goroutine, so that the bubble can end.
+// shutDown ends every goroutine, so that the synctest bubble can end.
 func (c *cell) shutDown() {
 	c.cancel()
 	for _, d := range append(c.earlierDaemons, c.daemons...) {
@@ -344,14 +345,14 @@
 	time.Sleep(time.Minute)
 }
 
-// replaceDaemon puts the next life of a daemon in its place.
+// replaceDaemon replaces a daemon by its next incarnation.
 func (c *cell) replaceDaemon(i int, next *daemon) {
 	c.daemonsMu.Lock()
 	defer c.daemonsMu.Unlock()
 	c.daemons[i] = next
 }
 
-// anyDaemon returns one of the daemons, for goroutines beside the driver's.
+// anyDaemon returns a random daemon, for goroutines other than the test's.
 func (c *cell) anyDaemon(rng *rand.Rand) *daemon {
 	c.daemonsMu.Lock()
 	defer c.daemonsMu.Unlock()
--- a/process/partition/outage_test.go
+++ b/process/partition/outage_test.go
@@ -21,9 +21,9 @@
 }
 
 func TestStoreOutageOfAnHourStopsNothing(t *testing.T) {
-	// Symptom:  services end, or no task starts, while the store is down.
-	// Sequence: the store is down for an hour.
-	// Cause:    authority bound to the store's lease without a long bound.
+	// Guards against services that end, and tasks that can not be started, during
+	// a store outage of an hour because the owner's authority expires with its
+	// store lease.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)))
@@ -38,9 +38,8 @@
 }
 
 func TestOutageBeyondTheStartBoundKeepsWhatRuns(t *testing.T) {
-	// Symptom:  running services end in a long outage.
-	// Sequence: the outage outlasts the bound for new starts.
-	// Cause:    one bound for starting and for renewing.
+	// Guards against running services that end when a store outage outlasts the
+	// bound for new starts, because one bound applied to starting and renewing.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		s := step(1, workerID(0))
@@ -51,16 +50,15 @@
 		require.Equal(t, plan.NotFenced, c.author.commit(d, step(2, workerID(0)))[0].Outcome)
 		require.Len(t, c.rack.Running(workerID(0)), 1)
 		time.Sleep(testRenewBound - ownership.DefaultStartBound + DefaultTaskTTL)
-		require.Empty(t, c.rack.Running(workerID(0)), "nobody may renew beyond the longer bound")
+		require.Empty(t, c.rack.Running(workerID(0)), "tasks must not be renewed beyond the longer bound")
 		c.storeDown(false)
 	})
 }
 
 func TestWorkerCutOffInAnOutageKeepsItsTasks(t *testing.T) {
-	// Symptom:  services end in an outage after a short network fault.
-	// Sequence: during an outage a worker is out of reach for longer than its
-	//           lease; the new lease can not be confirmed.
-	// Cause:    renewing what runs was refused together with starting.
+	// Guards against services that end after a short network fault during a store
+	// outage: a worker is unreachable for longer than its lease TTL, the new lease
+	// can not be confirmed, and renewals were refused together with starts.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
@@ -72,7 +70,7 @@
 		require.Len(t, c.rack.Running(workerID(0)), 1)
 		require.Equal(t, plan.NoWorker, c.author.commit(d, step(2, workerID(0)))[0].Outcome)
 		c.author.mustStart(d, step(3, workerID(1)))
-		require.Less(t, c.rack.Calls(d.key()), 2*60*60, "tries to confirm are spaced out")
+		require.Less(t, c.rack.Calls(d.key()), 2*60*60, "attempts to confirm are spaced out")
 		c.storeDown(false)
 		c.eventually(time.Minute, "usable again", func() bool {
 			return c.author.commit(d, step(2, workerID(0)))[0].Outcome == plan.Accepted
@@ -81,10 +79,9 @@
 }
 
 func TestLostReplyInAnOutageDoesNotBlockTheWorker(t *testing.T) {
-	// Symptom:  in an outage workers stop taking tasks one after the other.
-	// Sequence: a start never arrives while the store is down.
-	// Cause:    its outcome was settled by a new lease, which can not be
-	//           confirmed in an outage.
+	// Guards against workers that become unusable one by one during a store
+	// outage: a start is lost, and its outcome was settled with a new lease,
+	// which can not be confirmed in an outage.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.storeDown(true)
@@ -102,10 +99,9 @@
 }
 
 func TestPartitionAcceptsPlansAfterAFailedRelease(t *testing.T) {
-	// Symptom:  no task starts at a rack for as long as the store is down.
-	// Sequence: the owner prepares a planned move; the store goes down before
-	//           the claim is released, so the partition stays.
-	// Cause:    it went on refusing plans.
+	// Guards against a rack that starts no tasks until a store outage ends: the
+	// owner prepares a planned release, the store goes down before the claim is
+	// released, the owner keeps the partition and went on refusing plans.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		require.NoError(t, d.host.Releasing(c.ctx, resourceOf(testPartition)))
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -263,7 +263,7 @@
 	}
 	o.countNodes()
 	for id, n := range o.nodes {
-		if !listed[id] && !n.unlisted && o.h.o.Racks.VMGone(string(id)) {
+		if !listed[id] && !n.unlisted && o.h.o.Racks.VMRemoved(string(id)) {
 			n.unlisted = true
 			n.fenced = false
 			o.log.Warn().Str("worker", string(id)).Msg("worker left the VM list")
--- a/process/partition/racks.go
+++ b/process/partition/racks.go
@@ -153,9 +153,9 @@
 	return r.current.Load().partitions[partition]
 }
 
-// VMGone reports whether a VM was listed before and has been removed from the
+// VMRemoved reports whether a VM was listed before and has been removed from the
 // list. It returns false for a VM that this daemon has never seen listed.
-func (r *Racks) VMGone(name string) bool {
+func (r *Racks) VMRemoved(name string) bool {
 	return r.current.Load().absent[name].readings >= absentReadings
 }
 
--- a/process/partition/racks_test.go
+++ b/process/partition/racks_test.go
@@ -18,9 +18,8 @@
 func (f listFunc) List(context.Context) ([]vmlist.VM, error) { return f() }
 
 func TestRacksGroupWorkersAndReportRemovedVMs(t *testing.T) {
-	// Symptom:  tasks of a live VM are given up.
-	// Sequence: one reading of the VM list is cut short, or fails.
-	// Cause:    one reading was taken for the truth.
+	// Guards against giving up the tasks of a running VM because a single read of
+	// the VM list was truncated or failed.
 	worker := func(name, rack string) vmlist.VM {
 		return vmlist.VM{Name: name, Role: vmlist.RoleWorker, Zone: "a", Rack: rack}
 	}
@@ -37,10 +36,10 @@
 	}{
 		{"first", all, nil, []string{"a-1", "a-2"}, false},
 		{"failed", nil, errors.New("down"), []string{"a-1", "a-2"}, false},
-		{"cut short", all[:2], nil, []string{"a-1"}, false},
-		{"whole again", all, nil, []string{"a-1", "a-2"}, false},
-		{"left", all[:2], nil, []string{"a-1"}, false},
-		{"left, second reading", all[:2], nil, []string{"a-1"}, true},
+		{"truncated", all[:2], nil, []string{"a-1"}, false},
+		{"complete again", all, nil, []string{"a-1", "a-2"}, false},
+		{"removed", all[:2], nil, []string{"a-1"}, false},
+		{"removed, second read", all[:2], nil, []string{"a-1"}, true},
 		{"back", all, nil, []string{"a-1", "a-2"}, false},
 	}
 	for _, s := range steps {
@@ -50,9 +49,9 @@
 			require.Equal(t, s.failure, r.Refresh(t.Context()))
 			require.Equal(t, s.partitions, r.Partitions())
 			require.Len(t, r.Workers("a-1"), 2)
-			require.Equal(t, s.gone, r.VMGone("w3"))
-			require.Equal(t, s.gone, r.VMGone("d1"))
-			require.False(t, r.VMGone("never seen"))
+			require.Equal(t, s.gone, r.VMRemoved("w3"))
+			require.Equal(t, s.gone, r.VMRemoved("d1"))
+			require.False(t, r.VMRemoved("never seen"))
 			if s.failure == nil {
 				<-changed
 			}
--- a/process/partition/random_test.go
+++ b/process/partition/random_test.go
@@ -60,13 +60,13 @@
 	claim := ownership.Claim{Resource: shardResource(testShard), Owner: s.ref, Epoch: epoch}
 	if err := replaceClaim(r.cell, claim); err != nil && epoch > 1 {
 		r.net.Stop(s.ref)
-		return // the store is down: nobody can take the shard over
+		return // the store is down: no process can take the shard over
 	}
 	r.shards = append(r.shards, s)
 	go s.run()
 }
 
-// apply does one action; what makes no sense now is left out.
+// apply performs one action; an action that is not possible now is skipped.
 func (r *randomRun) apply(a action) {
 	d := r.daemons[a.A%len(r.daemons)]
 	id := workerID(a.B % r.workers)
@@ -82,7 +82,7 @@
 		r.kill(d)
 	case "restart":
 		r.kill(d)
-		r.rack.Resume(d.key()) // what was on the wire arrives
+		r.rack.Resume(d.key()) // calls in flight arrive
 		r.restart(d)
 	case "gone":
 		if r.killed[d.ref] || a.B%2 == 0 {
@@ -162,12 +162,12 @@
 }
 
 func (r *randomRun) declareFailed(d *daemon) {
-	d.freezeRenewal(true) // gone means that its store lease has lapsed
+	d.freezeRenewal(true) // a member counts as failed only once its store lease has expired
 	r.reportedFailed[d.ref] = true
 	r.reportFailed(d)
 }
 
-// reborn starts the next life of a dead daemon.
+// restart starts the next incarnation of a killed daemon.
 func (r *randomRun) restart(d *daemon) {
 	d.gate.open()
 	for i, other := range r.daemons {
@@ -187,7 +187,7 @@
 	}
 }
 
-// repair ends every fault and gives every daemon a fresh life.
+// repair ends every fault and restarts every daemon.
 func (r *randomRun) repair() {
 	r.calm()
 	r.kv.SetFaults(kv.Faults{})
@@ -213,7 +213,7 @@
 	}
 }
 
-// runActions returns what went wrong, or "".
+// runActions runs a cell under the actions and returns the violations found, or "".
 func runActions(t *testing.T, actions []action, seed uint64) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 3, 4, 2, large)
@@ -242,7 +242,7 @@
 	return fault
 }
 
-// listWorkers puts workers that left the VM list back on it.
+// listWorkers adds workers that left the VM list to it again.
 func (r *randomRun) listWorkers() {
 	for i := range r.workers {
 		id := string(workerID(i))
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestRandomFaultsNeverRunATaskTwice drives the real owners, claims and store
-// client through random faults, alone and together. With FENNEL_LONG=1 it runs
-// a hundred times as long.
+// TestRandomFaultsNeverRunATaskTwice exposes the real owners, claims and store
+// client to random faults, single and combined. With FENNEL_LONG=1 it makes a
+// hundred times as many runs.
 func TestRandomFaultsNeverRunATaskTwice(t *testing.T) {
 	rounds := 1
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/process/partition/rebind_test.go
+++ b/process/partition/rebind_test.go
@@ -15,8 +15,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// commitMoving commits steps that may be rebound.
-func (a *author) commitMoving(d *daemon, kept []worker.ID, steps ...plan.Step) []plan.StepResult {
+// commitRebinding commits steps that may be rebound.
+func (a *author) commitRebinding(d *daemon, kept []worker.ID, steps ...plan.Step) []plan.StepResult {
 	a.seq++
 	var result plan.Result
 	require.NoError(a.c.t, a.call(d, plan.MethodCommit, plan.Plan{
@@ -26,10 +26,10 @@
 }
 
 func TestStepMovesToAnotherWorkerOfTheRack(t *testing.T) {
-	// Symptom:  a third of the starts is refused while the cell has room.
-	// Sequence: several shards decide on one snapshot and choose one worker; or
-	//           the worker fails between the snapshot and the plan.
-	// Cause:    a step that did not fit where it was decided was refused.
+	// Guards against refusing a third of the starts while the cell has free
+	// capacity: several shards decide on one snapshot and choose the same worker,
+	// or the worker fails between the snapshot and the plan. A step that did not
+	// fit its named worker was refused.
 	whole := func(i int, id worker.ID) plan.Step {
 		s := step(i, id)
 		s.Start.Size = small.Times(4)
@@ -38,25 +38,25 @@
 	inBubble(t, 1, 3, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, whole(0, workerID(0)))
-		require.Equal(t, plan.NoRoom, c.author.commit(d, whole(1, workerID(0)))[0].Outcome, "not without leave")
-		r := c.author.commitMoving(d, []worker.ID{workerID(1)}, whole(1, workerID(0)))
-		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "kept room is left alone")
+		require.Equal(t, plan.NoRoom, c.author.commit(d, whole(1, workerID(0)))[0].Outcome, "not without MayRebind")
+		r := c.author.commitRebinding(d, []worker.ID{workerID(1)}, whole(1, workerID(0)))
+		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "capacity kept by the author is not used")
 		c.eventually(5*time.Second, "runs there", func() bool {
 			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Worker == workerID(2) })
 		})
 		avoiding := whole(2, workerID(0))
 		avoiding.Avoid = []worker.ID{workerID(1)}
-		require.Equal(t, plan.NoRoom, c.author.commitMoving(d, nil, avoiding)[0].Outcome, "not where it failed")
+		require.Equal(t, plan.NoRoom, c.author.commitRebinding(d, nil, avoiding)[0].Outcome, "not where it failed")
 		c.rack.SetDown(workerID(0), true)
 		c.eventually(10*time.Second, "unusable", func() bool { return c.workerState(d, workerID(0)).Unusable != "" })
-		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(1)}, c.author.commitMoving(d, nil, step(3, workerID(0)))[0])
-		require.Equal(t, plan.Duplicate, c.author.commitMoving(d, nil, step(3, workerID(2)))[0].Outcome)
+		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(1)}, c.author.commitRebinding(d, nil, step(3, workerID(0)))[0])
+		require.Equal(t, plan.Duplicate, c.author.commitRebinding(d, nil, step(3, workerID(2)))[0].Outcome)
 		c.rack.SetDown(workerID(0), false)
 	})
 }
 
-// TestRebindAgainstNaive commits random steps and ends tasks, and compares each
-// answer with the plain scheduler on the owner's own state.
+// TestRebindAgainstNaive commits random steps while tasks end, and compares each
+// result with that of the naive scheduler on the owner's state.
 func TestRebindAgainstNaive(t *testing.T) {
 	for seed := range uint64(4) {
 		t.Run(fmt.Sprint("seed=", seed), func(t *testing.T) {
@@ -91,8 +91,8 @@
 	return s
 }
 
-// compareRebind commits a step and returns how the answer differs from what the
-// plain scheduler does on the state before.
+// compareRebind commits a step and returns an error if the result differs from
+// that of the naive scheduler on the state before.
 func (o *owner) compareRebind(s *plan.Step, author plan.Authorship, moved *int) error {
 	states := o.stateSince(0).Workers
 	plain, ask := naive.New(states), askOf(s)
@@ -129,10 +129,10 @@
 }
 
 func TestReservationMovesWithinTheRack(t *testing.T) {
-	// Symptom:  a gang gives all its reservations back and waits, while its rack
-	//           has room for it.
-	// Sequence: a small task takes a place that the gang's snapshot showed free.
-	// Cause:    a reservation that did not fit where it was decided was refused.
+	// Guards against a gang that releases all its reservations and waits although
+	// its rack has free capacity for it: another task takes capacity that the
+	// gang's snapshot showed as free, and a reservation that did not fit its named
+	// worker was refused.
 	inBubble(t, 1, 3, large, func(c *cell) {
 		d := c.ready()
 		big := func(i int, id worker.ID) plan.Step {
@@ -150,7 +150,7 @@
 		moved := r.Steps[0].Worker
 		require.Equal(t, plan.Accepted, r.Steps[0].Outcome)
 		require.Contains(t, []worker.ID{workerID(1), workerID(2)}, moved)
-		require.Equal(t, plan.Accepted, r.Steps[1].Outcome, "the step whose place was taken moves on")
+		require.Equal(t, plan.Accepted, r.Steps[1].Outcome, "the step whose capacity was taken moves to another worker")
 		require.Equal(t, small.Times(3), c.workerState(d, moved).Reserved)
 		c.author.seq++
 		var used plan.Result
--- a/process/partition/departed_test.go
+++ b/process/partition/removed_test.go
@@ -10,9 +10,8 @@
 )
 
 func TestRemovedWorkersAreDropped(t *testing.T) {
-	// Symptom:  a daemon's memory grows with each VM that ever left.
-	// Sequence: VMs come and go for weeks under one owner.
-	// Cause:    the workers removed in an epoch were all remembered.
+	// Guards against a memory leak: when VMs come and go for weeks under one
+	// owner, a record of every worker removed in the epoch would accumulate.
 	o := &owner{ledger: ledger.New(), nodes: make(map[worker.ID]*node)}
 	o.state.init("p", 1)
 	for i := range 100 * maxRemovedWorkers {
@@ -30,8 +29,8 @@
 
 	oldest := o.stateSince(o.state.removedSince)
 	require.False(t, oldest.Full)
-	require.Len(t, oldest.Workers, len(o.state.removed), "all that are remembered")
-	require.True(t, o.stateSince(o.state.removedSince-1).Full, "a reader further behind would keep a worker that left")
+	require.Len(t, oldest.Workers, len(o.state.removed), "all that are recorded")
+	require.True(t, o.stateSince(o.state.removedSince-1).Full, "a reader with an older position would keep a removed worker")
 }
 
 func TestWorkerThatCameBackIsNotReportedAsRemoved(t *testing.T) {
--- a/process/partition/resolve_test.go
+++ b/process/partition/resolve_test.go
@@ -11,7 +11,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// declare puts a configuration into force that declares the tests' job.
+// declare puts a configuration into force that declares the job of the tests.
 func (c *cell) declare(version, generation uint64, job spec.Job) {
 	job.Name, job.Team, job.Size = taskID(0).Job, "a", small
 	c.jobs.Store(&spec.Config{Version: version, Jobs: map[string]*spec.VersionedJob{
@@ -31,7 +31,8 @@
 	return list
 }
 
-// adoptedEndpoint has another daemon adopt the only instance.
+// adoptedEndpoint has another daemon take the partition over and returns that
+// daemon and the endpoint of the only instance.
 func (c *cell) adoptedEndpoint(old *daemon) (*daemon, plan.Endpoint) {
 	old.kill()
 	d := c.takeOver(old)
@@ -40,10 +41,9 @@
 }
 
 func TestAdoptedInstanceOfAJobLearnedLaterTakesRequests(t *testing.T) {
-	// Symptom:  after a takeover callers do not reach instances that run.
-	// Sequence: a daemon takes a rack over before it knows the configuration,
-	//           and learns it a moment later.
-	// Cause:    what an adopted task is was looked up once.
+	// Guards against running instances that callers can not reach after a
+	// takeover: a daemon adopted them before it had the configuration, and their
+	// jobs were looked up only at adoption.
 	inBubble(t, 2, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
@@ -59,10 +59,9 @@
 }
 
 func TestAdoptedInstanceOfAnotherGenerationIsNotGivenTheNewLimits(t *testing.T) {
-	// Symptom:  callers' requests fail with refused connections.
-	// Sequence: a service is declared with more slots; before an instance is
-	//           replaced its partition moves to another owner.
-	// Cause:    the instance was given the slots of the new declaration.
+	// Guards against callers' requests failing with refused connections: a
+	// service is declared with more slots, and before an instance is replaced its
+	// partition moves to another owner, which gave it the newly declared slots.
 	inBubble(t, 2, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
@@ -76,9 +75,8 @@
 }
 
 func TestAdoptedInstanceOfUnknownLimitsTakesNoNewRequests(t *testing.T) {
-	// Symptom:  as above.
-	// Sequence: as above, and the owner ends before its memo is written.
-	// Cause:    as above.
+	// Guards against the same fault when the owner fails before it has written
+	// the limits to its memo.
 	inBubble(t, 2, 1, large, func(c *cell) {
 		d := c.ready()
 		d.gate.setCut(true)
@@ -101,11 +99,10 @@
 }
 
 func TestAdoptedTaskOfAJobLearnedLaterIsNotLost(t *testing.T) {
-	// Symptom:  a task runs at two workers, or is stopped by the owner of a
-	//           shard that it does not belong to.
-	// Sequence: a daemon takes a rack over before it knows the configuration;
-	//           the task ends; the configuration arrives.
-	// Cause:    tasks of unknown jobs were booked under the first shard.
+	// Guards against a task that runs on two workers, or is stopped by the owner
+	// of another shard: a daemon takes a rack over before it has the
+	// configuration, the task is lost, the configuration arrives. Tasks of
+	// unknown jobs were assigned to the first shard.
 	inBubble(t, 2, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)))
@@ -118,22 +115,22 @@
 		c.author.mu.Unlock()
 		reply, err := c.author.fenceFor(next, "another")
 		require.NoError(t, err)
-		require.Empty(t, reply.Tasks, "the shard is not known")
+		require.Empty(t, reply.Tasks, "the shard is not known yet")
 		require.Equal(t, []worker.ID{workerID(0)}, reply.Unaccounted, "the worker may run a task of the shard")
 		c.rack.Restart(workerID(0))
 		c.eventually(time.Minute, "lost", func() bool { return next.metrics.Lost.Value() == 1 })
 		time.Sleep(time.Minute)
 		lost := func(e plan.Event) bool { return e.Task == taskID(1) && e.Lost }
-		require.False(t, c.author.received(lost), "the shard is not known")
+		require.False(t, c.author.received(lost), "the shard is not known yet")
 		c.declare(1, 1, spec.Job{Kind: spec.Batch, Count: 5})
-		c.eventually(time.Minute, "told", func() bool { return c.author.received(lost) })
+		c.eventually(time.Minute, "reported", func() bool { return c.author.received(lost) })
 		reply, err = c.author.fenceFor(next, "another")
 		require.NoError(t, err)
 		require.Empty(t, reply.Unaccounted)
 	})
 }
 
-// holds reports whether the daemon's books list task i.
+// hasTask reports whether the daemon's owner records task i as live.
 func (c *cell) hasTask(d *daemon, i int) bool {
 	o, err := d.host.owner(testPartition)
 	require.NoError(c.t, err)
--- a/process/partition/shardmodel_test.go
+++ b/process/partition/shardmodel_test.go
@@ -16,7 +16,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// progress is what all owners of the shard share: what the store would hold.
+// progress is the state that all owners of the shard share, as through the store.
 type progress struct {
 	mu     sync.Mutex
 	done   map[int]bool
@@ -24,10 +24,11 @@
 	closed bool // no more tasks are issued
 }
 
-// openTasks is how many tasks are not finished at a time.
+// openTasks is how many tasks are unfinished at a time.
 const openTasks = 8
 
-// issue returns the numbers of new tasks, so that there is always work.
+// issue issues new tasks up to openTasks unfinished ones and returns their
+// numbers, from inclusive, to exclusive.
 func (p *progress) issue() (from, to int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +39,7 @@
 	return from, p.issued
 }
 
-// open returns how many tasks are not finished; no more are issued after it.
+// close stops issuing tasks and returns how many are unfinished.
 func (p *progress) close() (open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,7 +62,7 @@
 type modelState int
 
 const (
-	uncertain modelState = iota // a new owner has not heard of all partitions yet
+	uncertain modelState = iota // a new owner has not had replies of all partitions yet
 	idle
 	held // may run in a partition
 )
@@ -69,26 +70,26 @@
 type modelTask struct {
 	state     modelState
 	partition string
-	worker    worker.ID // empty while it may be any of the partition's
+	worker    worker.ID // empty while it may be on any worker of the partition
 	attempt   int
 }
 
-// mayBeAt reports whether the task may run at one of the workers.
+// mayBeAt reports whether the task may run on one of the workers.
 func (t *modelTask) mayBeAt(ids []worker.ID) bool {
 	return t.worker == "" && len(ids) > 0 || slices.Contains(ids, t.worker)
 }
 
-// modelPartition is what a shard knows of a partition.
+// modelPartition is a shard's record of a partition.
 type modelPartition struct {
 	claim       ownership.Claim
-	fenced      uint64 // epoch of the owner that answered a fence
+	fenced      uint64 // epoch of the owner that replied to the last fence
 	uncertain   bool
 	unaccounted []worker.ID
 }
 
-// modelShard is a small owner of a shard that keeps the rules of package plan:
-// a task is started again only after it is known not to run. It reads claims
-// from the store until it is deaf; then it goes on with what it believes.
+// modelShard is a minimal owner of a shard that follows the rules of package
+// plan: a task is started again only after it is known not to run. While
+// staleClaims is set it does not look up claims and uses the last ones it saw.
 type modelShard struct {
 	c           *cell
 	ref         peer.Ref
@@ -152,8 +153,8 @@
 	}
 }
 
-// issue takes up new tasks. Those that another owner of the shard issued may
-// run anywhere until every partition has been asked.
+// issue adds new tasks. Those that another owner of the shard issued may run
+// anywhere until every partition has been fenced.
 func (s *modelShard) issue() {
 	from, to := s.progress.issue()
 	s.mu.Lock()
@@ -176,7 +177,7 @@
 func (s *modelShard) lookUp(name string) {
 	p := s.partitions[name]
 	if s.rng.IntN(40) == 0 {
-		p.uncertain = true // as after a lost answer
+		p.uncertain = true // as after a lost reply
 	}
 	if s.staleClaims.Load() {
 		return
@@ -192,7 +193,8 @@
 	return plan.Authorship{Shard: testShard, Epoch: s.epoch, Owner: s.ref}
 }
 
-// callLate gives up after two seconds; the message may arrive later all the same.
+// callWithLateArrival returns ErrUnknown after two seconds, but the message may
+// still arrive later.
 func callWithLateArrival[Resp any](ctx context.Context, s *modelShard, p *modelPartition, m peer.Method, req any) (Resp, error) {
 	type answer struct {
 		value Resp
@@ -243,8 +245,8 @@
 	}
 }
 
-// settleDoubt ends the doubt of a new owner once every partition has answered
-// and every worker is accounted for.
+// settleUncertain makes the uncertain tasks of a new owner idle once every
+// partition has replied to a fence and every worker is accounted for.
 func (s *modelShard) settleUncertain() {
 	for _, p := range s.partitions {
 		if p.fenced == 0 || p.uncertain || len(p.unaccounted) > 0 {
@@ -260,7 +262,7 @@
 	}
 }
 
-// take takes one event; the caller holds mu.
+// take processes one event. The caller holds mu.
 func (s *modelShard) take(partition string, e plan.Event) {
 	t := s.tasks[e.Task.Index]
 	if t == nil {
@@ -332,7 +334,7 @@
 		Partition: name, Author: s.as(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
 	})
 	if err != nil {
-		p.uncertain = true // a fence tells whether it was committed
+		p.uncertain = true // a fence shows whether it was committed
 		return
 	}
 	if r.Steps[0].Outcome == plan.Accepted {
@@ -349,7 +351,7 @@
 	}
 }
 
-// accepted notes the worker that the answer names, unless the task has ended.
+// accepted records the worker of an accepted step, unless the task has ended.
 func (s *modelShard) accepted(t *modelTask, step *plan.Step, r *plan.StepResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/process/partition/takeover_test.go
+++ b/process/partition/takeover_test.go
@@ -12,7 +12,8 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// takeOver makes another daemon the owner and returns it.
+// takeOver reports the old owner as failed, waits until another daemon owns the
+// partition and returns that daemon.
 func (c *cell) takeOver(old *daemon) *daemon {
 	c.t.Helper()
 	c.reportFailed(old)
@@ -29,8 +30,8 @@
 	return d
 }
 
-// restartElsewhere starts attempt 2 of a task if the reply allows it, as the
-// owner of the shard does.
+// restartElsewhere starts attempt 2 of a task if the reply to a fence allows it,
+// as the owner of the shard does.
 func (c *cell) restartElsewhere(d *daemon, i int, was, to worker.ID) bool {
 	reply, err := c.author.fence(d)
 	if err != nil || slices.Contains(reply.Unaccounted, was) {
@@ -45,11 +46,10 @@
 }
 
 func TestPausedOwnerCanNotStartAfterItsClaimWasTaken(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: the owner checks its claim and is paused before it sends the
-	//           start; another daemon takes the partition, learns that the task
-	//           does not run and starts it elsewhere; the first one resumes.
-	// Cause:    no check before a send can see what happens after the check.
+	// Guards against a task that runs on two workers: the owner checks its claim
+	// and is suspended before it sends the start; another daemon takes the
+	// partition over, finds that the task does not run and starts it elsewhere;
+	// the first one resumes. No check before a send covers what happens after it.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		old := c.ready()
 		c.rack.Pause(old.key())
@@ -67,12 +67,10 @@
 }
 
 func TestOldOwnerReachesWorkerThatTheNewOneCanNot(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: the new owner can not reach worker 0 and so can not revoke the
-	//           old owner's lease there; the old owner, paused with a start in
-	//           hand, resumes and its start succeeds at worker 0.
-	// Cause:    a task that is unaccounted for at an unfenced worker was taken
-	//           for one that does not run.
+	// Guards against a task that runs on two workers: the new owner can not reach
+	// worker 0 and so can not revoke the old owner's lease there; the old owner,
+	// suspended with a start not yet sent, resumes, and the start succeeds at
+	// worker 0. A task that may be on an unfenced worker was assumed not to run.
 	inBubble(t, 2, 3, large, func(c *cell) {
 		old := c.ready()
 		c.rack.Pause(old.key())
@@ -87,11 +85,11 @@
 			reply, err := c.author.fence(d)
 			return err == nil && slices.Equal(reply.Unaccounted, []worker.ID{workerID(0)})
 		})
-		c.author.mustStart(d, step(2, workerID(1))) // other work goes on
+		c.author.mustStart(d, step(2, workerID(1))) // other tasks can start
 		require.False(t, c.restartElsewhere(d, 1, workerID(0), workerID(1)))
 		c.resume(old)
 		c.eventually(time.Minute, "old start arrived", func() bool { return len(c.rack.Running(workerID(0))) == 1 })
-		for range 600 { // ten minutes: nothing proves that the old owner is gone
+		for range 600 { // ten minutes, without proof that the old owner has ended
 			require.False(t, c.restartElsewhere(d, 1, workerID(0), workerID(1)))
 			time.Sleep(time.Second)
 		}
@@ -104,11 +102,10 @@
 }
 
 func TestPredecessorOfAnOwnerThatNeverFencedIsTracked(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: owner A is paused with a start in hand for worker 0; owner B
-	//           claims and dies before it fenced anything; owner C can not
-	//           reach worker 0 and learns that B is gone; A resumes.
-	// Cause:    C waited for its direct predecessor only.
+	// Guards against a task that runs on two workers: owner A is suspended with a
+	// start for worker 0 not yet sent; owner B claims and fails before it has
+	// fenced any worker; owner C can not reach worker 0 and sees that B has
+	// failed; A resumes. C waited only for its direct predecessor.
 	inBubble(t, 3, 2, large, func(c *cell) {
 		a := c.ready()
 		c.rack.Pause(a.key())
@@ -146,13 +143,12 @@
 }
 
 func TestLateLeaseOfAStaleOwnerIsNotUsed(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: a daemon claims the partition and is paused before it opens
-	//           its leases; another one takes over and fences; the first one
-	//           resumes and opens a lease that nobody will revoke.
-	// Cause:    the claim was checked before the lease was opened, not after.
+	// Guards against a task that runs on two workers: a daemon claims the
+	// partition and is suspended before it opens its leases; another one takes
+	// over and fences; the first one resumes and opens a lease that no later
+	// owner revokes. The claim was checked before the lease was opened, not after.
 	inBubble(t, 3, 2, large, func(c *cell) {
-		c.rack.IgnoreEpochs(workerID(1)) // it would betray the stale owner
+		c.rack.IgnoreEpochs(workerID(1)) // epochs would expose the stale owner
 		first := c.ready()
 		for _, d := range c.daemons {
 			if d != first {
@@ -175,7 +171,7 @@
 			return err == nil && len(reply.Unaccounted) == 0
 		})
 		c.rack.Resume(stale.key())
-		c.net.Resume(stale.ref) // only the store is still out of its reach
+		c.net.Resume(stale.ref) // only the store is still unreachable for it
 		for range 200 {
 			r := c.author.commit(stale, step(1, workerID(0)))
 			require.NotEqual(t, plan.Accepted, r[0].Outcome)
@@ -190,11 +186,10 @@
 }
 
 func TestOldShardOwnerIsRefusedAfterTakeoverOfThePartition(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: the shard is taken over, its new owner fences the partition;
-	//           then the partition's owner dies. The shard's old owner, which
-	//           was paused, sends a plan to the partition's new owner.
-	// Cause:    the fence was known only to the dead owner.
+	// Guards against a task that runs on two workers: a shard is taken over and
+	// its new owner fences the partition, whose owner then fails; the shard's old
+	// owner, suspended until now, sends a plan to the partition's new owner. Only
+	// the failed owner had recorded the fence.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		old := c.ready()
 		putClaim(c, ownership.Claim{Resource: shardResource(testShard), Owner: c.author.ref, Epoch: 7})
@@ -212,14 +207,13 @@
 }
 
 func TestFenceIsNotAnsweredByAnOwnerThatLostThePartition(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: a partition moves to another owner, the old one does not know
-	//           yet; a shard's new owner fences the old one and concludes from
-	//           its answer that a task does not run, which the new one started.
-	// Cause:    the answer came from an owner that no longer was.
+	// Guards against a task that runs on two workers: a partition moves to another
+	// owner and the old one has not noticed; a shard's new owner sends its fence
+	// to the old one and concludes from the reply that a task does not run, which
+	// the new owner has started.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		old := c.ready()
-		old.gate.hold() // the old owner hears nothing of the claims
+		old.gate.hold() // the old owner receives no changes of claims
 		d := c.takeOver(old)
 		c.eventually(time.Minute, "fenced", func() bool {
 			reply, err := c.author.fence(d)
@@ -236,14 +230,12 @@
 }
 
 func TestCutOffOwnerDoesNotTakeTasksBack(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: the owner is cut off from everything but the workers; another
-	//           one takes over and fences; a worker leaves the VM list although
-	//           it is alive, so the new owner lets its leases run out; the old
-	//           owner opens a lease there, moves the tasks to it and renews
-	//           them; the new owner gives them up for lost.
-	// Cause:    renewing without a confirmed claim was allowed for tasks that
-	//           another owner had taken over.
+	// Guards against a task that runs on two workers: the owner is cut off from
+	// everything but the workers; another one takes over and fences; a running
+	// worker leaves the VM list, so the new owner lets its leases expire; the old
+	// owner opens a lease there, moves the tasks to it and renews them, while the
+	// new owner gives them up as lost. An owner without a confirmed claim was
+	// allowed to renew tasks that another owner had adopted.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		c.rack.IgnoreEpochs(workerID(1))
 		old := c.ready()
@@ -258,16 +250,15 @@
 		c.vms.remove(string(workerID(1)))
 		c.eventually(10*time.Minute, "given up", func() bool { return c.restartElsewhere(d, 1, workerID(1), workerID(0)) })
 		_, err := old.host.owner(testPartition)
-		require.NoError(t, err, "the old owner still believes in its claim")
+		require.NoError(t, err, "the old owner still assumes that it holds its claim")
 	})
 }
 
 func TestPlanThatArrivesAfterAFenceIsRefused(t *testing.T) {
-	// Symptom:  a task runs at two workers.
-	// Sequence: a plan is delayed on its way, its sender gives up waiting and
-	//           fences the partition, which does not hold the task; the sender
-	//           starts the task elsewhere; the plan arrives.
-	// Cause:    the fence bounded the epoch only, and both have the same.
+	// Guards against a task that runs on two workers: a plan is delayed in the
+	// network; its author times out, fences the partition, which does not have
+	// the task, and starts the task elsewhere; then the plan arrives. The fence
+	// checked only the epoch, which is the same for both.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.net.SetDelay(2 * time.Second)
--- a/process/partition/view_test.go
+++ b/process/partition/view_test.go
@@ -18,7 +18,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// sink keeps what a view was shown and checks the order.
+// sink records the states that a view applies and checks their order.
 type sink struct {
 	t         *testing.T
 	mu        sync.Mutex
@@ -53,7 +53,8 @@
 	}
 }
 
-// same reports whether the sink shows the owner's full state, ages aside.
+// same reports whether the sink equals the owner's full state, except for the
+// ages of tasks.
 func (s *sink) same(full plan.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/process/partition/whole_test.go
+++ b/process/partition/whole_test.go
@@ -29,7 +29,7 @@
 	wholeService = 3  // instances
 )
 
-// wholeJobs is the configuration of a whole run.
+// wholeJobs returns the configuration for the tests of a whole cell.
 func wholeJobs() spec.Config {
 	job := func(name string, kind spec.Kind, count int) *spec.VersionedJob {
 		return &spec.VersionedJob{Generation: 1, File: "f", Job: spec.Job{
@@ -49,7 +49,7 @@
 	return c
 }
 
-// addJobs gives a daemon the owners of the jobs and a view of the cell.
+// addJobs adds the owners of shards and a view of the cell to a daemon.
 func (d *daemon) addJobs(ctx context.Context, caller peer.Caller, mux *peer.Mux) {
 	cache := sched.NewCache()
 	client := store.NewClient(d.gate, store.Options{})
@@ -80,7 +80,8 @@
 	c.invariantViolations = append(c.invariantViolations, err.Error())
 }
 
-// runWhole runs everything from the jobs to the agents under faults.
+// runWhole runs a whole cell, from the jobs to the agents, under the actions and
+// returns the violations found, or "".
 func runWhole(t *testing.T, actions []action, seed uint64) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newWholeCell(t, 3, 4, 2, large, wholeJobs())
@@ -101,8 +102,8 @@
 	return fault
 }
 
-// unfinishedBatch returns how many tasks of the batch job have not succeeded,
-// as the agents know, and how many instances do not run.
+// unfinishedBatch returns how many tasks of the batch job have not succeeded
+// according to the agents, plus how many service instances are missing.
 func (r *randomRun) unfinishedBatch() int {
 	open := wholeBatch - r.rack.Succeeded("batch")
 	services := 0
@@ -127,14 +128,14 @@
 		}
 	}
 	if n := r.unfinishedBatch(); n > 0 {
-		faults = append(faults, fmt.Sprintf("%d tasks and instances short an hour after the repair; batch %d of %d succeeded",
+		faults = append(faults, fmt.Sprintf("%d tasks and instances missing an hour after the repair; batch %d of %d succeeded",
 			n, r.rack.Succeeded("batch"), wholeBatch))
 	}
 	return strings.Join(faults, "\n")
 }
 
-// TestWholeCellUnderRandomFaults drives jobs, decisions, plans, owners, claims
-// and agents together through the random faults.
+// TestWholeCellUnderRandomFaults exposes jobs, decisions, plans, owners, claims
+// and agents together to random faults.
 func TestWholeCellUnderRandomFaults(t *testing.T) {
 	rounds := 1
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/process/partition/worker_test.go
+++ b/process/partition/worker_test.go
@@ -37,9 +37,9 @@
 }
 
 func TestStartWithLostAnswerIsSettled(t *testing.T) {
-	// Symptom:  a task is started again although it runs, or never ends.
-	// Sequence: the answer to a start is lost, with and without effect.
-	// Cause:    an unknown outcome was taken for a refusal or for a success.
+	// Guards against a task that is started again although it runs, or that never
+	// ends: the reply to a start is lost, whether or not the start took effect,
+	// and the unknown outcome was treated as a refusal or as a success.
 	for name, faults := range map[string]agenttest.Faults{
 		"took effect": {LoseAnswers: 1}, "never arrived": {LoseCalls: 1},
 	} {
@@ -63,9 +63,9 @@
 }
 
 func TestWorkerThatRestartedLosesItsTasks(t *testing.T) {
-	// Symptom:  a task is taken to run for ever.
-	// Sequence: a worker reboots and forgets its leases and tasks.
-	// Cause:    nobody compared the books with a new inventory.
+	// Guards against a task that counts as running for ever: a worker reboots and
+	// loses its leases and tasks, and the owner did not compare its records with
+	// the new inventory.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)))
@@ -79,10 +79,9 @@
 }
 
 func TestTasksOfAGoneWorkerAreLostAfterTheirLease(t *testing.T) {
-	// Symptom:  a task runs twice, or is never started again.
-	// Sequence: a worker is cut off and its VM leaves the VM list.
-	// Cause:    the list is a hint: the VM may still run its tasks, until
-	//           their lease has run out.
+	// Guards against a task that runs twice, or is never started again, after a
+	// worker is cut off and its VM leaves the VM list. The list is only a hint:
+	// the VM may still run its tasks until their lease has expired.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)))
@@ -98,9 +97,9 @@
 }
 
 func TestLeavingVMDrains(t *testing.T) {
-	// Symptom:  requests are cut when a VM leaves.
-	// Sequence: the agent reports that its VM is leaving.
-	// Cause:    the instance was stopped while requests were still sent to it.
+	// Guards against requests that are cut off when an agent reports that its VM
+	// is leaving, because the instance was stopped while it still received
+	// requests.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)), step(2, workerID(0)))
@@ -119,9 +118,9 @@
 }
 
 func TestStopOfAServiceInstanceDrainsFirst(t *testing.T) {
-	// Symptom:  requests are cut by a rolling replacement.
-	// Sequence: the shard stops an instance with a drain.
-	// Cause:    the endpoint was still offered when the stop was sent.
+	// Guards against requests that are cut off by a rolling replacement: the shard
+	// stops an instance with a drain, and the stop was sent while the endpoint was
+	// still published as available.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
@@ -139,9 +138,8 @@
 }
 
 func TestPreemptionWaitsForConfirmedStop(t *testing.T) {
-	// Symptom:  a VM carries more than its capacity.
-	// Sequence: an urgent task takes the place of running ones.
-	// Cause:    the place was given away before the victims had stopped.
+	// Guards against exceeding a VM's capacity: an urgent task preempts running
+	// ones, and their capacity was reused before they had stopped.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		for i := range 4 {
@@ -162,10 +160,10 @@
 }
 
 func TestWorkerIsSetAsideOnFailuresOfDifferentJobs(t *testing.T) {
-	// Symptom:  one bad VM fails all that is sent to it; or one bad job takes
-	//           every VM out.
-	// Sequence: a worker fails tasks of three jobs; a job fails at every worker.
-	// Cause:    failures were counted without asking whose fault they are.
+	// Guards against a faulty VM that fails all tasks started on it, and against a
+	// faulty job that has every VM quarantined: a worker fails tasks of three
+	// jobs, and a job fails on every worker. Failures were counted without
+	// telling the two cases apart.
 	inBubble(t, 1, 4, large, func(c *cell) {
 		d := c.ready()
 		run := func(job string, i int, id worker.ID) {
@@ -196,9 +194,8 @@
 }
 
 func TestRealUsageBeyondTheCapacity(t *testing.T) {
-	// Symptom:  a VM holds more work than it can carry.
-	// Sequence: tasks use more processors, then more memory, than declared.
-	// Cause:    only declared sizes were counted.
+	// Guards against overloading a VM: tasks use more CPU, then more memory, than
+	// declared, and only declared sizes were counted.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		low := step(1, workerID(0))
@@ -252,9 +249,9 @@
 }
 
 func TestPlannedReleaseKeepsTasksRunning(t *testing.T) {
-	// Symptom:  tasks end or double when a daemon is upgraded.
-	// Sequence: the owner leaves while tasks run and plans arrive.
-	// Cause:    the claim was released while starts were under way.
+	// Guards against tasks that end or run twice when a daemon is upgraded: the
+	// owner leaves while tasks run and plans arrive, and the claim was released
+	// while starts were in flight.
 	inBubble(t, 2, 2, large, func(c *cell) {
 		old := c.ready()
 		c.author.mustStart(old, step(1, workerID(0)), service(2, workerID(1)))
