--- a/process/capacity/model_test.go
+++ b/process/capacity/model_test.go
@@ -10,27 +10,27 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Cost per unit of each activity; docs/CAPACITY.md names the command for each.
+// Cost per unit of each activity; docs/CAPACITY.md names the command and date of each.
 // Bytes are those of both directions, with headers.
 const (
-	heartbeatB     = 399.0  // B per Sync without changes
-	heartbeatStep  = 0.1    // s that each worker of a daemon adds to the heartbeat interval
-	heartbeatLeast = 1.0    // s, shortest heartbeat interval
-	heartbeatMost  = 2.5    // s, longest heartbeat interval: a quarter of the lease TTL of 10 s
-	listB          = 177.0  // B per VM in the VM list
-	listPackedB    = 7.0    // B per VM in the compressed VM list
-	listMost       = 30.0   // s, longest interval between reads of the VM list
-	listBudget     = 2500.0 // B/s that reads of the VM list may use; their interval grows to keep to it
-	partitionB     = 58.0   // B/s per partition and daemon, idle
-	fleetB         = 802.0  // B/s, membership
-	gossipB        = 1000.0 // B/s, configuration versions without changes
-	changeB        = 5440.0 // B per configuration change, to peers and the store
-	storeB         = 390.0  // B/s, store leases and watches
-	viewB          = 500.0  // B per task and daemon that sees it, at 0.2 to 0.4 starts/s in a rack
-	callB          = 444.0  // B per peer call without content
-	sumB           = 34.0   // B per changed worker reported as a sum of what is reserved
-	planB          = 860.0  // B per start, at each end of the plan's call
-	agentB         = 730.0  // B per start, at the partition's owner
+	heartbeatB         = 399.0  // B per Sync without changes
+	heartbeatPerWorker = 0.1    // s that each worker of a daemon adds to the heartbeat interval
+	heartbeatMin       = 1.0    // s, shortest heartbeat interval
+	heartbeatMax       = 2.5    // s, longest heartbeat interval: a quarter of the lease TTL of 10 s
+	listB              = 177.0  // B per VM in the VM list
+	listCompressedB    = 7.0    // B per VM in the compressed VM list
+	listMax            = 30.0   // s, longest interval between reads of the VM list
+	listBudget         = 2500.0 // B/s that reads of the VM list may use; their interval grows to keep to it
+	partitionB         = 58.0   // B/s per partition and daemon, idle
+	fleetB             = 802.0  // B/s, membership
+	gossipB            = 1000.0 // B/s, configuration versions without changes
+	changeB            = 5440.0 // B per configuration change, to peers and the store
+	storeB             = 390.0  // B/s, store leases and watches
+	viewB              = 500.0  // B per task and daemon that sees it, at 0.2 to 0.4 starts/s in a rack
+	callB              = 444.0  // B per peer call without content
+	sumB               = 34.0   // B per changed worker reported as a sum of what is reserved
+	planB              = 860.0  // B per start, at each end of the plan's call
+	agentB             = 730.0  // B per start, at the partition's owner
 
 	baseCPU  = 0.8    // % of a core
 	syncCPU  = 0.04   // % per heartbeat/s
@@ -44,17 +44,17 @@
 	limitCPU = 3.6
 )
 
-// shape is the size and load of a cell.
-type shape struct {
+// cellShape is the size and load of a cell.
+type cellShape struct {
 	name                      string
 	workers, perRack, daemons int
 	starts                    float64 // per second, the whole cell
 	changes                   float64 // of the configuration, per day
-	packed                    bool    // the platform compresses the VM list
-	// follow, if not 0, is the share of the owners that a daemon with a shard
+	compressed                bool    // the platform compresses the VM list
+	// pollShare, if not 0, is the share of the owners that a daemon with a shard
 	// polls once per second, for sums of what is reserved; shards is the number
 	// of such daemons.
-	follow, shards float64
+	pollShare, shards float64
 }
 
 // cost is the mean cost of control work for one daemon of the cell: bytes per
@@ -70,35 +70,35 @@
 
 func (c cost) busy() float64 { return c.idle() + c.viewsBusy + c.plans + c.agents }
 
-func (s shape) cost() cost {
+func (s cellShape) cost() cost {
 	workers, daemons := float64(s.workers), float64(s.daemons)
-	own := workers / daemons
-	interval := min(max(own*heartbeatStep, heartbeatLeast), heartbeatMost)
-	listEvery := min(max(workers*listB/listBudget, 1), listMost)
+	ownWorkers := workers / daemons
+	interval := min(max(ownWorkers*heartbeatPerWorker, heartbeatMin), heartbeatMax)
+	listEvery := min(max(workers*listB/listBudget, 1), listMax)
 	perVM := listB
-	if s.packed {
-		perVM = listPackedB
+	if s.compressed {
+		perVM = listCompressedB
 	}
-	mine := s.starts / daemons
+	ownStarts := s.starts / daemons
 	racks := math.Ceil(workers / float64(s.perRack))
-	idleCPU := baseCPU + syncCPU*own/interval + rackCPU*racks
+	idleCPU := baseCPU + syncCPU*ownWorkers/interval + rackCPU*racks
 	c := cost{
-		heartbeats: own / interval * heartbeatB,
+		heartbeats: ownWorkers / interval * heartbeatB,
 		list:       workers * perVM / listEvery,
 		views:      racks * partitionB,
 		fleet:      fleetB, store: storeB,
 		versions:  gossipB + changeB*s.changes/secondsPerDay,
-		viewsBusy: 2 * viewB * s.starts * (daemons - 1) / daemons, // what it receives and what it sends to the others
-		plans:     2 * planB * mine, agents: agentB * mine,
+		viewsBusy: 2 * viewB * s.starts * (daemons - 1) / daemons, // received from and sent to the other daemons
+		plans:     2 * planB * ownStarts, agents: agentB * ownStarts,
 		idleCPU: idleCPU,
-		busyCPU: idleCPU + viewCPU*s.starts + startCPU*mine,
+		busyCPU: idleCPU + viewCPU*s.starts + startCPU*ownStarts,
 	}
-	if s.follow > 0 {
-		seen := s.follow * (daemons - 1)
-		shown := s.follow * s.shards
-		c.views = callB * (seen + shown)
-		c.viewsBusy = sumB * 2 * (s.follow*s.starts + shown*mine)
-		c.plans = planB * (s.starts/s.shards + mine)
+	if s.pollShare > 0 {
+		polled := s.pollShare * (daemons - 1)
+		polledBy := s.pollShare * s.shards
+		c.views = callB * (polled + polledBy)
+		c.viewsBusy = sumB * 2 * (s.pollShare*s.starts + polledBy*ownStarts)
+		c.plans = planB * (s.starts/s.shards + ownStarts)
 		c.idleCPU, c.busyCPU = 0, 0 // not measured
 	}
 	return c
@@ -111,17 +111,17 @@
 	w := tabwriter.NewWriter(&out, 0, 4, 1, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "cell\tdaemons\theartbeats\tVM list\tviews\tfleet\tversions\tstore\tidle B/s\t% core\tviews, peak\tplans\tagents\tpeak B/s\t% core\t")
 	for _, c := range []struct {
-		shape
+		cellShape
 		idleFits, peakFits, idleCPUFits, peakCPUFits bool
 	}{
-		{shape{name: "today, 48 workers", workers: 48, perRack: 8, daemons: 8, starts: 0.5, changes: 500}, true, true, true, true},
-		{shape{name: "as measured", workers: 600, perRack: 8, daemons: 24, starts: 27.7, changes: secondsPerDay}, false, false, true, true},
-		{shape{name: "region", workers: 2273, perRack: 8, daemons: 61, starts: 145.5, changes: 40_000}, false, false, true, false},
-		{shape{name: "region", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 40_000}, false, false, true, false},
-		{shape{name: "region, list packed", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 40_000, packed: true}, false, false, true, false},
-		{shape{name: "region, packed, racks of 40", workers: 2273, perRack: 40, daemons: 91, starts: 145.5, changes: 40_000, packed: true}, true, false, true, false},
-		{shape{name: "region, next step", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 3636, packed: true, follow: 0.125, shards: 16}, true, false, true, true},
-		{shape{name: "one cell", workers: 25000, perRack: 8, daemons: 1000, starts: 1600, changes: 40_000}, false, false, false, false},
+		{cellShape{name: "today, 48 workers", workers: 48, perRack: 8, daemons: 8, starts: 0.5, changes: 500}, true, true, true, true},
+		{cellShape{name: "as measured", workers: 600, perRack: 8, daemons: 24, starts: 27.7, changes: secondsPerDay}, false, false, true, true},
+		{cellShape{name: "region", workers: 2273, perRack: 8, daemons: 61, starts: 145.5, changes: 40_000}, false, false, true, false},
+		{cellShape{name: "region", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 40_000}, false, false, true, false},
+		{cellShape{name: "region, list compressed", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 40_000, compressed: true}, false, false, true, false},
+		{cellShape{name: "region, compressed, racks of 40", workers: 2273, perRack: 40, daemons: 91, starts: 145.5, changes: 40_000, compressed: true}, true, false, true, false},
+		{cellShape{name: "region, next step", workers: 2273, perRack: 8, daemons: 91, starts: 145.5, changes: 3636, compressed: true, pollShare: 0.125, shards: 16}, true, false, true, true},
+		{cellShape{name: "one cell", workers: 25000, perRack: 8, daemons: 1000, starts: 1600, changes: 40_000}, false, false, false, false},
 	} {
 		k := c.cost()
 		fmt.Fprintf(w, "%s\t%d\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t%.0f\t%.0f\t%.0f\t%.0f\t%.1f\t\n", c.name, c.daemons,
@@ -131,6 +131,6 @@
 		require.Equal(t, c.idleCPUFits, k.idleCPU <= limitCPU, "%s %d: idle processor", c.name, c.daemons)
 		require.Equal(t, c.peakCPUFits, k.busyCPU <= limitCPU, "%s %d: peak processor", c.name, c.daemons)
 	}
-	_ = w.Flush() // writes to memory, can not fail
+	_ = w.Flush() // writes to memory, cannot fail
 	t.Log("\n" + out.String())
 }
--- a/process/capacity/slopes_test.go
+++ b/process/capacity/slopes_test.go
@@ -94,19 +94,19 @@
 					Capacity: spec.Resources{MilliCPU: 64_000, MemoryMB: 128 << 10, Accelerators: 2}})
 			}
 			var plain []byte
-			var packed bytes.Buffer
+			var compressed bytes.Buffer
 			for b.Loop() {
 				var err error
 				plain, err = json.Marshal(list)
 				require.NoError(b, err)
-				packed.Reset()
-				z := gzip.NewWriter(&packed)
+				compressed.Reset()
+				z := gzip.NewWriter(&compressed)
 				_, err = z.Write(plain)
 				require.NoError(b, err)
 				require.NoError(b, z.Close())
 			}
 			b.ReportMetric(float64(len(plain))/float64(n), "B/VM")
-			b.ReportMetric(float64(packed.Len())/float64(n), "gzip-B/VM")
+			b.ReportMetric(float64(compressed.Len())/float64(n), "gzip-B/VM")
 		})
 	}
 }
--- a/process/partition/address.go
+++ b/process/partition/address.go
@@ -12,11 +12,11 @@
 // second or, at a daemon with many workers, two.
 const initialAddressDelay = 50 * time.Millisecond
 
-// askAddress schedules the worker's next heartbeat after wait, unless one is due
-// sooner. It is called only after starts and by askAddressAgain, with waits that
+// pollAddress schedules the worker's next heartbeat after wait, unless one is due
+// sooner. It is called only after starts and by pollAddressAgain, with waits that
 // double up to the heartbeat interval: a start of instances costs one extra
 // heartbeat, or five if the worker reports no address.
-func (o *owner) askAddress(n *node, wait time.Duration) {
+func (o *owner) pollAddress(n *node, wait time.Duration) {
 	at := time.Now().Add(wait)
 	if !at.Before(n.nextSync) || !lacksAddress(n) {
 		n.addressDelay = 0
@@ -28,11 +28,11 @@
 	})
 }
 
-// askAddressAgain doubles the delay and schedules another heartbeat if the last
+// pollAddressAgain doubles the delay and schedules another heartbeat if the last
 // one did not report all addresses.
-func (o *owner) askAddressAgain(n *node) {
+func (o *owner) pollAddressAgain(n *node) {
 	if n.addressDelay > 0 {
-		o.askAddress(n, 2*n.addressDelay)
+		o.pollAddress(n, 2*n.addressDelay)
 	}
 }
 
--- a/process/partition/author_test.go
+++ b/process/partition/author_test.go
@@ -47,7 +47,7 @@
 	return a
 }
 
-func (a *author) as() plan.Authorship {
+func (a *author) authorship() plan.Authorship {
 	return plan.Authorship{Shard: testShard, Epoch: a.epoch, Owner: a.ref}
 }
 
@@ -71,7 +71,7 @@
 func (a *author) commit(d *daemon, steps ...plan.Step) []plan.StepResult {
 	a.seq++
 	var result plan.Result
-	err := a.call(d, plan.MethodCommit, plan.Plan{Partition: testPartition, Author: a.as(), Seq: a.seq, Steps: steps}, &result)
+	err := a.call(d, plan.MethodCommit, plan.Plan{Partition: testPartition, Author: a.authorship(), Seq: a.seq, Steps: steps}, &result)
 	if err != nil {
 		return refuseAll(len(steps), plan.Outcome("error"), err.Error())
 	}
@@ -97,7 +97,7 @@
 func (a *author) fenceFor(d *daemon, job string) (plan.FenceReply, error) {
 	a.seq++
 	var reply plan.FenceReply
-	err := a.call(d, plan.MethodFence, plan.Fence{Partition: testPartition, Author: a.as(), MinSeq: a.seq, Jobs: []string{job}}, &reply)
+	err := a.call(d, plan.MethodFence, plan.Fence{Partition: testPartition, Author: a.authorship(), MinSeq: a.seq, Jobs: []string{job}}, &reply)
 	return reply, err
 }
 
--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -92,9 +92,9 @@
 		o.startDraining(n)
 	}
 	for _, report := range reply.Changed {
-		o.takeReport(n, report)
+		o.applyReport(n, report)
 	}
-	o.askAddressAgain(n)
+	o.pollAddressAgain(n)
 	o.checkOvershoot(n, now)
 }
 
@@ -148,7 +148,7 @@
 func (o *owner) refuseQueued(n *node, reason string) {
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
-			o.notStarted(n, t, reason)
+			o.markNotStarted(n, t, reason)
 		}
 	}
 }
@@ -171,7 +171,7 @@
 		if c := b.class.Rank() - a.class.Rank(); c != 0 {
 			return c
 		}
-		return a.since.Compare(b.since)
+		return a.phaseSince.Compare(b.phaseSince)
 	})
 	batch = batch[:min(len(batch), maxStartsPerCall)]
 	starts := make([]worker.Start, len(batch))
@@ -200,7 +200,7 @@
 		}
 		switch {
 		case err != nil && certain:
-			o.notStarted(n, t, err.Error())
+			o.markNotStarted(n, t, err.Error())
 		case err != nil || i >= len(replies) || replies[i].Task != t.ref.Task:
 			// The start may have taken effect. A heartbeat reports the task if
 			// it did; otherwise the worker is fenced again, and the inventory
@@ -208,7 +208,7 @@
 			t.enter(unknown)
 			o.h.o.Metrics.Unknown.Add(1)
 		case replies[i].Refused != "":
-			o.notStarted(n, t, replies[i].Refused)
+			o.markNotStarted(n, t, replies[i].Refused)
 		default:
 			o.markRunning(n, t)
 		}
@@ -216,7 +216,7 @@
 	if err != nil {
 		o.callFailed(n, err)
 	} else {
-		o.askAddress(n, initialAddressDelay)
+		o.pollAddress(n, initialAddressDelay)
 	}
 	o.markChanged(n)
 }
@@ -278,16 +278,16 @@
 	}()
 }
 
-// deadlines stops instances whose drain has ended and settles starts whose
+// handleDeadlines stops instances whose drain has ended and settles starts whose
 // outcome has been unknown for UnknownGrace.
-func (o *owner) deadlines(n *node, now time.Time) {
+func (o *owner) handleDeadlines(n *node, now time.Time) {
 	for _, t := range n.tasks {
 		if !t.stopAt.IsZero() && !now.Before(t.stopAt) && t.phase == running {
 			t.stopAt = time.Time{}
 			t.stopWanted = true
 		}
-		if t.phase == unknown && n.fenced && now.Sub(t.since) >= o.t.UnknownGrace {
-			t.since = now
+		if t.phase == unknown && n.fenced && now.Sub(t.phaseSince) >= o.t.UnknownGrace {
+			t.phaseSince = now
 			o.resolveUnknown(n)
 		}
 	}
@@ -324,7 +324,7 @@
 	suspects := suspectsOn(n)
 	for _, t := range n.tasks {
 		if t.live() {
-			o.lost(n, t, "worker is gone and its task lease has run out", suspects)
+			o.markLost(n, t, "worker is gone and its task lease has run out", suspects)
 		} else {
 			o.dropResult(n, t)
 		}
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -78,7 +78,7 @@
 
 func (o *owner) commitStep(p *plan.Plan, step *plan.Step) plan.StepResult {
 	t := newTask(p.Author.Shard, step)
-	if o.duplicate(t.ref) {
+	if o.isDuplicate(t.ref) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
@@ -86,7 +86,7 @@
 		if r := o.reservations[p.Reservation]; r != nil && p.Reservation != "" {
 			o.useReserved(p.Reservation, r, step)
 		}
-		refused = o.fit(n, t, step)
+		refused = o.reserveCapacity(n, t, step)
 	}
 	accepted := plan.StepResult{Outcome: plan.Accepted}
 	if refused.Outcome != "" {
@@ -116,8 +116,8 @@
 	return t
 }
 
-// duplicate reports whether starting ref could run the task a second time.
-func (o *owner) duplicate(ref worker.Ref) bool {
+// isDuplicate reports whether starting ref could run the task a second time.
+func (o *owner) isDuplicate(ref worker.Ref) bool {
 	if o.live[ref.Task] != nil {
 		return true
 	}
@@ -125,7 +125,7 @@
 	return held != nil && held.ref.Attempt >= ref.Attempt
 }
 
-// usableNode returns the step's worker, or a refusal if it can not take the step.
+// usableNode returns the step's worker, or a refusal if it cannot take the step.
 func (o *owner) usableNode(step *plan.Step) (*node, plan.StepResult) {
 	n := o.nodes[step.Worker]
 	if n == nil {
@@ -181,9 +181,9 @@
 	return same
 }
 
-// fit reserves the task's capacity. If preemption is needed, it reserves the
-// part that is free now and the rest as the victims stop.
-func (o *owner) fit(n *node, t *task, step *plan.Step) plan.StepResult {
+// reserveCapacity reserves the task's capacity. If victims must stop first, it
+// reserves what is free now and the rest as they stop.
+func (o *owner) reserveCapacity(n *node, t *task, step *plan.Step) plan.StepResult {
 	size := t.start.Size
 	if reason := n.overshoot.refuses(n, size); reason != "" {
 		return reject(plan.NoRoom, reason)
@@ -213,7 +213,7 @@
 }
 
 // reserve reserves capacity for all steps or for none. It never waits, so two
-// gangs can not deadlock.
+// gangs cannot deadlock.
 func (o *owner) reserve(req plan.Reserve) plan.Result {
 	result := plan.Result{Epoch: o.claim.Epoch}
 	if outcome, reason := o.admit(req.Author, req.Seq); outcome != "" {
@@ -247,7 +247,7 @@
 }
 
 func (o *owner) reserveStep(req *plan.Reserve, r *reservation, step *plan.Step) plan.StepResult {
-	if o.duplicate(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
+	if o.isDuplicate(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
--- a/process/partition/cost_test.go
+++ b/process/partition/cost_test.go
@@ -216,7 +216,7 @@
 	for _, n := range o.nodes {
 		for _, t := range n.tasks {
 			if t.phase == running {
-				o.drop(n, t, plan.Event{Lost: true})
+				o.endWithoutResult(n, t, plan.Event{Lost: true})
 			}
 		}
 	}
--- a/process/partition/crash_test.go
+++ b/process/partition/crash_test.go
@@ -7,7 +7,7 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that can not tell
+// TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that cannot tell
 // a task that crashes its workers from the others on the worker: only the task that had
 // just been started is reported as suspect.
 func TestRestartOfAWorkerSpeaksAgainstTheNewestTask(t *testing.T) {
--- a/process/partition/events.go
+++ b/process/partition/events.go
@@ -67,11 +67,11 @@
 			box.failed(now)
 			continue
 		}
-		o.sendBox(box, c)
+		o.sendOutbox(box, c)
 	}
 }
 
-func (o *owner) sendBox(box *outbox, c ownership.Claim) {
+func (o *owner) sendOutbox(box *outbox, c ownership.Claim) {
 	n := min(len(box.pending), maxEventsPerCall)
 	msg := plan.Events{Partition: o.name, Epoch: o.claim.Epoch, Shard: box.shard, Events: box.pending[:n:n]}
 	box.busy = true
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -190,7 +190,7 @@
 		}
 		r.inventory = inventory
 	}
-	// Owners of leases opened meanwhile can not confirm their claims, which
+	// Owners of leases opened meanwhile cannot confirm their claims, which
 	// ended before this owner's claim began, so no tasks are started under them.
 	return nil
 }
@@ -264,7 +264,7 @@
 	n.fenced, n.everFenced, n.accounted = true, true, false
 	n.unconfirmedFences = 0
 	n.leases = map[worker.LeaseID]bool{r.lease: true} // the other leases are revoked
-	o.takeInventory(n, r.inventory)
+	o.applyInventory(n, r.inventory)
 	n.lastReply = now
 }
 
@@ -319,7 +319,7 @@
 	}
 }
 
-// accountUnfenced sets accounted on a worker that can not be fenced, once every
+// accountUnfenced sets accounted on a worker that cannot be fenced, once every
 // task that an earlier owner may have started there must have stopped.
 func (o *owner) accountUnfenced(n *node, now time.Time) {
 	if n.everFenced || n.accounted {
--- a/process/partition/fencelist_test.go
+++ b/process/partition/fencelist_test.go
@@ -26,7 +26,7 @@
 		s := step(1, workerID(0))
 		s.NonIdempotent = true
 		r, err := call(c.ctx, o, func() plan.Result {
-			return o.commit(plan.Plan{Partition: testPartition, Author: c.author.as(), Seq: 100, Steps: []plan.Step{s}})
+			return o.commit(plan.Plan{Partition: testPartition, Author: c.author.authorship(), Seq: 100, Steps: []plan.Step{s}})
 		})
 		require.NoError(t, err)
 		require.Equal(t, plan.Accepted, r.Steps[0].Outcome)
--- a/process/partition/health.go
+++ b/process/partition/health.go
@@ -42,7 +42,7 @@
 	if time.Now().Before(h.until) {
 		return fmt.Sprintf("set aside: tasks of %d different jobs failed in a row", quarantineAfterJobs)
 	}
-	if n.live() > 0 {
+	if n.liveTasks() > 0 {
 		return "set aside: a probe task runs"
 	}
 	return ""
--- a/process/partition/limits.go
+++ b/process/partition/limits.go
@@ -67,7 +67,7 @@
 }
 
 // load reads the limits from the notes of a memo and returns the other notes.
-// Notes about limits that it can not parse, written by a later release, are
+// Notes about limits that it cannot parse, written by a later release, are
 // dropped.
 func (l *serviceLimits) load(notes []string) []string {
 	l.known = make(map[generation]instanceLimits)
--- a/process/partition/model.go
+++ b/process/partition/model.go
@@ -44,11 +44,11 @@
 	// adopted service instance are not known; see resolveJob.
 	jobUnknown, limitsUnknown bool
 
-	phase   phase
-	since   time.Time // when phase was entered
-	started time.Time
-	report  worker.Task // last report of the worker
-	victims map[worker.Ref]bool
+	phase      phase
+	phaseSince time.Time // when phase was entered
+	started    time.Time
+	report     worker.Task // last report of the worker
+	victims    map[worker.Ref]bool
 
 	stopWanted       bool      // send a stop with the next heartbeat
 	stopAt           time.Time // when the drain of a service instance ends; zero: no drain
@@ -81,7 +81,7 @@
 
 func (t *task) enter(p phase) {
 	t.phase = p
-	t.since = time.Now()
+	t.phaseSince = time.Now()
 }
 
 // node is the owner's record of one worker.
@@ -107,7 +107,7 @@
 	busy     bool // a call to the worker is in flight; never more than one
 	nextSync time.Time
 	nextTry  time.Time // earliest time of the next fencing attempt
-	// addressDelay is the last delay of askAddress; 0: no address is awaited.
+	// addressDelay is the last delay of pollAddress; 0: no address is awaited.
 	addressDelay time.Duration
 	// lastFenceTry and unconfirmedFences space out the attempts to fence.
 	lastFenceTry      time.Time
@@ -171,8 +171,8 @@
 	return n.health.reason(n)
 }
 
-// live counts the tasks that may run now or later.
-func (n *node) live() int {
+// liveTasks counts the tasks that may run now or later.
+func (n *node) liveTasks() int {
 	count := 0
 	for _, t := range n.tasks {
 		if t.live() {
--- a/process/partition/outage_test.go
+++ b/process/partition/outage_test.go
@@ -21,7 +21,7 @@
 }
 
 func TestStoreOutageOfAnHourStopsNothing(t *testing.T) {
-	// Guards against services that end, and tasks that can not be started, during
+	// Guards against services that end, and tasks that cannot be started, during
 	// a store outage of an hour because the owner's authority expires with its
 	// store lease.
 	inBubble(t, 2, 2, large, func(c *cell) {
@@ -58,7 +58,7 @@
 func TestWorkerCutOffInAnOutageKeepsItsTasks(t *testing.T) {
 	// Guards against services that end after a short network fault during a store
 	// outage: a worker is unreachable for longer than its lease TTL, the new lease
-	// can not be confirmed, and renewals were refused together with starts.
+	// cannot be confirmed, and renewals were refused together with starts.
 	inBubble(t, 1, 2, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
@@ -81,7 +81,7 @@
 func TestLostReplyInAnOutageDoesNotBlockTheWorker(t *testing.T) {
 	// Guards against workers that become unusable one by one during a store
 	// outage: a start is lost, and its outcome was settled with a new lease,
-	// which can not be confirmed in an outage.
+	// which cannot be confirmed in an outage.
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.storeDown(true)
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -175,7 +175,7 @@
 	o.expireReservations(now)
 	o.jobFailures.expire(now)
 	for _, n := range o.nodes {
-		o.deadlines(n, now)
+		o.handleDeadlines(n, now)
 		o.accountUnfenced(n, now)
 		o.removeUnlisted(n, now)
 		o.markDirty(n)
--- a/process/partition/partition_test.go
+++ b/process/partition/partition_test.go
@@ -26,9 +26,9 @@
 		require.NoError(t, err)
 		require.Len(t, reply.Tasks, 1)
 		require.NoError(t, c.author.call(d, plan.MethodAck, plan.Ack{
-			Partition: testPartition, Author: c.author.as(), Tasks: []worker.Ref{ref(1)},
+			Partition: testPartition, Author: c.author.authorship(), Tasks: []worker.Ref{ref(1)},
 		}, nil))
-		c.eventually(5*time.Second, "forgotten", func() bool {
+		c.eventually(5*time.Second, "dropped", func() bool {
 			reply, err := c.author.fence(d)
 			return err == nil && len(reply.Tasks) == 0
 		})
--- a/process/partition/racks_test.go
+++ b/process/partition/racks_test.go
@@ -32,14 +32,14 @@
 		list       []vmlist.VM
 		failure    error
 		partitions []string
-		gone       bool // w3 and d1
+		removed    bool // w3 and d1
 	}{
 		{"first", all, nil, []string{"a-1", "a-2"}, false},
 		{"failed", nil, errors.New("down"), []string{"a-1", "a-2"}, false},
-		{"truncated", all[:2], nil, []string{"a-1"}, false},
+		{"cut short", all[:2], nil, []string{"a-1"}, false},
 		{"complete again", all, nil, []string{"a-1", "a-2"}, false},
-		{"removed", all[:2], nil, []string{"a-1"}, false},
-		{"removed, second read", all[:2], nil, []string{"a-1"}, true},
+		{"left", all[:2], nil, []string{"a-1"}, false},
+		{"left, second reading", all[:2], nil, []string{"a-1"}, true},
 		{"back", all, nil, []string{"a-1", "a-2"}, false},
 	}
 	for _, s := range steps {
@@ -49,8 +49,8 @@
 			require.Equal(t, s.failure, r.Refresh(t.Context()))
 			require.Equal(t, s.partitions, r.Partitions())
 			require.Len(t, r.Workers("a-1"), 2)
-			require.Equal(t, s.gone, r.VMRemoved("w3"))
-			require.Equal(t, s.gone, r.VMRemoved("d1"))
+			require.Equal(t, s.removed, r.VMRemoved("w3"))
+			require.Equal(t, s.removed, r.VMRemoved("d1"))
 			require.False(t, r.VMRemoved("never seen"))
 			if s.failure == nil {
 				<-changed
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -25,7 +25,7 @@
 	if n == nil {
 		return nil
 	}
-	if refused := o.fit(n, t, step); refused.Outcome != "" {
+	if refused := o.reserveCapacity(n, t, step); refused.Outcome != "" {
 		o.log.Error().Str("worker", string(n.id)).Str("reason", refused.Reason).Msg("task does not fit the worker that it was rebound to")
 		return nil
 	}
--- a/process/partition/rebind_test.go
+++ b/process/partition/rebind_test.go
@@ -20,7 +20,7 @@
 	a.seq++
 	var result plan.Result
 	require.NoError(a.c.t, a.call(d, plan.MethodCommit, plan.Plan{
-		Partition: testPartition, Author: a.as(), Seq: a.seq, Steps: steps, MayRebind: true, Kept: kept,
+		Partition: testPartition, Author: a.authorship(), Seq: a.seq, Steps: steps, MayRebind: true, Kept: kept,
 	}, &result))
 	return result.Steps
 }
@@ -68,7 +68,7 @@
 				moved := 0
 				for i := range 300 {
 					s := randomStep(r, i)
-					failed, err := call(c.ctx, o, func() error { return o.compareRebind(&s, c.author.as(), &moved) })
+					failed, err := call(c.ctx, o, func() error { return o.compareRebind(&s, c.author.authorship(), &moved) })
 					require.NoError(t, err)
 					require.NoError(t, failed, "step %d", i)
 					if r.IntN(8) == 0 {
@@ -144,7 +144,7 @@
 		c.author.seq++
 		var r plan.Result
 		require.NoError(t, c.author.call(d, plan.MethodReserve, plan.Reserve{
-			Partition: testPartition, Author: c.author.as(), Seq: c.author.seq, Reservation: "g", TTLMillis: 3000,
+			Partition: testPartition, Author: c.author.authorship(), Seq: c.author.seq, Reservation: "g", TTLMillis: 3000,
 			Steps: []plan.Step{big(1, workerID(0)), big(2, workerID(1))}, MayRebind: true,
 		}, &r))
 		moved := r.Steps[0].Worker
@@ -155,7 +155,7 @@
 		c.author.seq++
 		var used plan.Result
 		require.NoError(t, c.author.call(d, plan.MethodCommit, plan.Plan{
-			Partition: testPartition, Author: c.author.as(), Seq: c.author.seq, Reservation: "g", Steps: []plan.Step{big(1, moved)},
+			Partition: testPartition, Author: c.author.authorship(), Seq: c.author.seq, Reservation: "g", Steps: []plan.Step{big(1, moved)},
 		}, &used))
 		require.Equal(t, []plan.StepResult{{Outcome: plan.Accepted}}, used.Steps)
 	})
--- a/process/partition/reports.go
+++ b/process/partition/reports.go
@@ -13,10 +13,10 @@
 // with smaller steps every heartbeat would cause a delta.
 const workStep = 0.1
 
-// takeInventory reconciles the recorded tasks with the inventory of a worker. It
+// applyInventory reconciles the recorded tasks with the inventory of a worker. It
 // is called when all leases of others are revoked, so a task that is not listed
 // does not run.
-func (o *owner) takeInventory(n *node, inv worker.Inventory) {
+func (o *owner) applyInventory(n *node, inv worker.Inventory) {
 	if !inv.Capacity.IsZero() {
 		n.reported = inv.Capacity
 		o.setCapacity(n)
@@ -28,7 +28,7 @@
 	for _, report := range inv.Tasks {
 		report.Lease = n.lease
 		listed[worker.Ref{Task: report.Task, Attempt: report.Attempt}] = true
-		o.takeReport(n, report)
+		o.applyReport(n, report)
 	}
 	var crashed suspects
 	if n.restarted(func(t *task) bool { return listed[t.ref] }) {
@@ -38,10 +38,10 @@
 		switch {
 		case listed[ref]:
 		case t.mayRun():
-			// The worker restarted, or the start never arrived and can not
+			// The worker restarted, or the start never arrived and cannot
 			// take effect any more. The task may have run, so its result is
 			// unknown.
-			o.lost(n, t, "worker does not know the task after its lease was revoked", crashed)
+			o.markLost(n, t, "worker does not know the task after its lease was revoked", crashed)
 		case t.phase == ended:
 			o.dropResult(n, t)
 		}
@@ -49,8 +49,8 @@
 	o.markChanged(n)
 }
 
-// takeReport processes a worker's report of one task.
-func (o *owner) takeReport(n *node, report worker.Task) {
+// applyReport processes a worker's report of one task.
+func (o *owner) applyReport(n *node, report worker.Task) {
 	ref := worker.Ref{Task: report.Task, Attempt: report.Attempt}
 	t := n.tasks[ref]
 	if t == nil {
@@ -167,24 +167,24 @@
 	}
 }
 
-// notStarted ends a task whose start was refused or never sent.
-func (o *owner) notStarted(n *node, t *task, reason string) {
+// markNotStarted ends a task whose start was refused or never sent.
+func (o *owner) markNotStarted(n *node, t *task, reason string) {
 	o.h.o.Metrics.NotStarted.Add(1)
-	o.drop(n, t, plan.Event{NotStarted: true, Message: reason})
+	o.endWithoutResult(n, t, plan.Event{NotStarted: true, Message: reason})
 }
 
-// lost ends a task that certainly does not run and whose result is unknown. If its
+// markLost ends a task that certainly does not run and whose result is unknown. If its
 // worker crashed, crashed holds the tasks that may have caused it.
-func (o *owner) lost(n *node, t *task, reason string, crashed suspects) {
+func (o *owner) markLost(n *node, t *task, reason string, crashed suspects) {
 	o.h.o.Metrics.Lost.Add(1)
 	suspect := slices.Contains(crashed.tasks, t)
 	o.log.Info().Stringer("task", t.ref.Task).Int("attempt", t.ref.Attempt).Str("worker", string(n.id)).Str("why", reason).
 		Bool("suspect", suspect).Bool("sole", crashed.sole).Msg("task lost")
-	o.drop(n, t, plan.Event{Lost: true, Suspect: suspect, Sole: suspect && crashed.sole, Message: reason})
+	o.endWithoutResult(n, t, plan.Event{Lost: true, Suspect: suspect, Sole: suspect && crashed.sole, Message: reason})
 }
 
-// drop ends a task of which its worker holds no result.
-func (o *owner) drop(n *node, t *task, e plan.Event) {
+// endWithoutResult ends a task of which its worker holds no result.
+func (o *owner) endWithoutResult(n *node, t *task, e plan.Event) {
 	o.free(n, t)
 	t.enter(ended)
 	delete(n.tasks, t.ref)
--- a/process/partition/resolve_test.go
+++ b/process/partition/resolve_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestAdoptedInstanceOfAJobLearnedLaterTakesRequests(t *testing.T) {
-	// Guards against running instances that callers can not reach after a
+	// Guards against running instances that callers cannot reach after a
 	// takeover: a daemon adopted them before it had the configuration, and their
 	// jobs were looked up only at adoption.
 	inBubble(t, 2, 1, large, func(c *cell) {
--- a/process/partition/shardmodel_test.go
+++ b/process/partition/shardmodel_test.go
@@ -64,7 +64,7 @@
 const (
 	uncertain modelState = iota // a new owner has not had replies of all partitions yet
 	idle
-	held // may run in a partition
+	assigned // may run in a partition
 )
 
 type modelTask struct {
@@ -74,8 +74,8 @@
 	attempt   int
 }
 
-// mayBeAt reports whether the task may run on one of the workers.
-func (t *modelTask) mayBeAt(ids []worker.ID) bool {
+// mayRunOn reports whether the task may run on one of the workers.
+func (t *modelTask) mayRunOn(ids []worker.ID) bool {
 	return t.worker == "" && len(ids) > 0 || slices.Contains(ids, t.worker)
 }
 
@@ -127,7 +127,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, e := range msg.Events {
-			s.take(msg.Partition, e)
+			s.apply(msg.Partition, e)
 		}
 		return nil, nil
 	})
@@ -189,7 +189,7 @@
 	}
 }
 
-func (s *modelShard) as() plan.Authorship {
+func (s *modelShard) authorship() plan.Authorship {
 	return plan.Authorship{Shard: testShard, Epoch: s.epoch, Owner: s.ref}
 }
 
@@ -224,7 +224,7 @@
 	}
 	s.seq++
 	reply, err := callWithLateArrival[plan.FenceReply](ctx, s, p, plan.MethodFence, plan.Fence{
-		Partition: name, Author: s.as(), MinSeq: s.seq, Jobs: []string{"survey"},
+		Partition: name, Author: s.authorship(), MinSeq: s.seq, Jobs: []string{"survey"},
 	})
 	if err != nil {
 		return
@@ -235,11 +235,11 @@
 	listed := make(map[worker.Ref]bool)
 	for _, e := range reply.Tasks {
 		listed[worker.Ref{Task: e.Task, Attempt: e.Attempt}] = true
-		s.take(name, e)
+		s.apply(name, e)
 	}
 	for i, t := range s.tasks {
 		ref := worker.Ref{Task: taskID(i), Attempt: t.attempt}
-		if t.state == held && t.partition == name && !listed[ref] && !t.mayBeAt(p.unaccounted) {
+		if t.state == assigned && t.partition == name && !listed[ref] && !t.mayRunOn(p.unaccounted) {
 			t.state = idle
 		}
 	}
@@ -262,8 +262,8 @@
 	}
 }
 
-// take processes one event. The caller holds mu.
-func (s *modelShard) take(partition string, e plan.Event) {
+// apply processes one event. The caller holds mu.
+func (s *modelShard) apply(partition string, e plan.Event) {
 	t := s.tasks[e.Task.Index]
 	if t == nil {
 		t = &modelTask{}
@@ -278,10 +278,10 @@
 	}
 	switch {
 	case !ended && (t.state == uncertain || t.attempt < e.Attempt):
-		*t = modelTask{state: held, partition: partition, worker: e.Worker, attempt: e.Attempt}
-	case !ended && t.state == held && t.attempt == e.Attempt:
+		*t = modelTask{state: assigned, partition: partition, worker: e.Worker, attempt: e.Attempt}
+	case !ended && t.state == assigned && t.attempt == e.Attempt:
 		t.worker = e.Worker
-	case ended && t.state == held && t.attempt == e.Attempt:
+	case ended && t.state == assigned && t.attempt == e.Attempt:
 		t.state = idle
 	}
 }
@@ -294,7 +294,7 @@
 	if len(refs) == 0 {
 		return
 	}
-	_, err := callWithLateArrival[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.as(), Tasks: refs})
+	_, err := callWithLateArrival[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.authorship(), Tasks: refs})
 	if err != nil {
 		s.mu.Lock()
 		s.acks[name] = append(s.acks[name], refs...)
@@ -319,7 +319,7 @@
 		s.attempts++
 		number := int(s.epoch)*100000 + s.attempts
 		step := step(i, workers[s.rng.IntN(len(workers))])
-		*t = modelTask{state: held, partition: name, attempt: number}
+		*t = modelTask{state: assigned, partition: name, attempt: number}
 		s.mu.Unlock()
 		step.Start.Attempt = number
 		step.Start.RunTime = spec.Duration(time.Duration(1+s.rng.IntN(120)) * time.Second)
@@ -331,7 +331,7 @@
 	p := s.partitions[name]
 	s.seq++
 	r, err := callWithLateArrival[plan.Result](ctx, s, p, plan.MethodCommit, plan.Plan{
-		Partition: name, Author: s.as(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
+		Partition: name, Author: s.authorship(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
 	})
 	if err != nil {
 		p.uncertain = true // a fence shows whether it was committed
@@ -346,7 +346,7 @@
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state == held && t.attempt == step.Start.Attempt {
+	if t.state == assigned && t.attempt == step.Start.Attempt {
 		t.state = idle
 	}
 }
@@ -355,7 +355,7 @@
 func (s *modelShard) accepted(t *modelTask, step *plan.Step, r *plan.StepResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state != held || t.attempt != step.Start.Attempt {
+	if t.state != assigned || t.attempt != step.Start.Attempt {
 		return
 	}
 	t.worker = step.Worker
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -65,7 +65,7 @@
 	switch {
 	case t.phase == ended:
 	case t.phase == waiting || t.phase == queued:
-		o.notStarted(n, t, "stopped before the start was sent")
+		o.markNotStarted(n, t, "stopped before the start was sent")
 	case t.start.Kind == spec.Service && drain > 0:
 		o.drainEndpoint(t, drain)
 	case mode == plan.StopCheckpoint && t.phase == running:
@@ -97,7 +97,7 @@
 	o.markChanged(n)
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
-			o.notStarted(n, t, "VM is leaving")
+			o.markNotStarted(n, t, "VM is leaving")
 		} else if t.live() {
 			o.drainTask(t)
 		}
@@ -165,7 +165,7 @@
 	return plan.StepResult{}
 }
 
-// mayPreempt returns why v can not be a victim of t, or "".
+// mayPreempt returns why v cannot be a victim of t, or "".
 func mayPreempt(n *node, t, v *task) string {
 	if v.class.Rank() >= t.class.Rank() {
 		return "a victim is not of a lower class"
@@ -204,7 +204,7 @@
 	v.preempted = true
 	switch {
 	case v.phase == queued || v.phase == waiting:
-		o.notStarted(n, v, "preempted before the start was sent")
+		o.markNotStarted(n, v, "preempted before the start was sent")
 	case v.start.Kind == spec.Service:
 		o.drainEndpoint(v, o.t.PreemptDrain)
 	case v.phase == running:
@@ -227,7 +227,7 @@
 			continue
 		}
 		if held, _ := o.ledger.Holds(n.id, t.holder()); held != t.start.Size {
-			o.notStarted(n, t, "the victims' place was not enough")
+			o.markNotStarted(n, t, "the victims' place was not enough")
 			continue
 		}
 		t.victims = nil
--- a/process/partition/takeover_test.go
+++ b/process/partition/takeover_test.go
@@ -67,8 +67,8 @@
 }
 
 func TestOldOwnerReachesWorkerThatTheNewOneCanNot(t *testing.T) {
-	// Guards against a task that runs on two workers: the new owner can not reach
-	// worker 0 and so can not revoke the old owner's lease there; the old owner,
+	// Guards against a task that runs on two workers: the new owner cannot reach
+	// worker 0 and so cannot revoke the old owner's lease there; the old owner,
 	// suspended with a start not yet sent, resumes, and the start succeeds at
 	// worker 0. A task that may be on an unfenced worker was assumed not to run.
 	inBubble(t, 2, 3, large, func(c *cell) {
@@ -104,7 +104,7 @@
 func TestPredecessorOfAnOwnerThatNeverFencedIsTracked(t *testing.T) {
 	// Guards against a task that runs on two workers: owner A is suspended with a
 	// start for worker 0 not yet sent; owner B claims and fails before it has
-	// fenced any worker; owner C can not reach worker 0 and sees that B has
+	// fenced any worker; owner C cannot reach worker 0 and sees that B has
 	// failed; A resumes. C waited only for its direct predecessor.
 	inBubble(t, 3, 2, large, func(c *cell) {
 		a := c.ready()
@@ -180,7 +180,7 @@
 		c.author.mustStart(d, step(1, workerID(1)))
 		c.resume(stale)
 		time.Sleep(time.Minute)
-		require.Len(t, c.rack.Running(workerID(1)), 1, "the owner must have kept the task alive")
+		require.Len(t, c.rack.Running(workerID(1)), 1, "the owner must have kept the task running")
 		require.Zero(t, stale.metrics.Starts.Value())
 	})
 }
--- a/process/partition/view_test.go
+++ b/process/partition/view_test.go
@@ -53,9 +53,9 @@
 	}
 }
 
-// same reports whether the sink equals the owner's full state, except for the
+// matches reports whether the sink equals the owner's full state, except for the
 // ages of tasks.
-func (s *sink) same(full plan.State) bool {
+func (s *sink) matches(full plan.State) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if len(full.Workers) != len(s.workers) || !slices.Equal(full.Endpoints, s.endpoints) {
@@ -99,7 +99,7 @@
 			c.author.commit(d, s)
 			if i%3 == 0 {
 				_ = c.author.call(d, plan.MethodStop, plan.Stop{
-					Partition: testPartition, Author: c.author.as(), Mode: plan.StopNow, DrainMillis: 2000,
+					Partition: testPartition, Author: c.author.authorship(), Mode: plan.StopNow, DrainMillis: 2000,
 					Tasks: []worker.Ref{{Task: taskID(rng.IntN(i + 1)), Attempt: 1}},
 				}, nil)
 			}
@@ -109,7 +109,7 @@
 			}
 			time.Sleep(time.Duration(rng.IntN(400)) * time.Millisecond)
 		}
-		c.eventually(20*time.Second, "same", func() bool { return seen.same(c.state(d)) })
+		c.eventually(20*time.Second, "same", func() bool { return seen.matches(c.state(d)) })
 		require.Greater(t, seen.partial, 100)
 	})
 }
--- a/process/partition/worker_test.go
+++ b/process/partition/worker_test.go
@@ -125,7 +125,7 @@
 		d := c.ready()
 		c.author.mustStart(d, service(1, workerID(0)))
 		require.NoError(t, c.author.call(d, plan.MethodStop, plan.Stop{
-			Partition: testPartition, Author: c.author.as(), Tasks: []worker.Ref{ref(1)}, Mode: plan.StopNow, DrainMillis: 5000,
+			Partition: testPartition, Author: c.author.authorship(), Tasks: []worker.Ref{ref(1)}, Mode: plan.StopNow, DrainMillis: 5000,
 		}, nil))
 		c.eventually(time.Second, "leaving at once", func() bool {
 			s := c.state(d)
@@ -209,7 +209,7 @@
 		c.eventually(20*time.Second, "lowest class moved away", func() bool {
 			return slices.Equal(c.rack.Running(workerID(0)), []spec.TaskID{taskID(2)})
 		})
-		c.eventually(5*time.Second, "told", func() bool {
+		c.eventually(5*time.Second, "reported", func() bool {
 			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Checkpointed })
 		})
 	})
@@ -227,7 +227,7 @@
 			var r plan.Result
 			c.author.seq++
 			require.NoError(t, c.author.call(d, plan.MethodReserve, plan.Reserve{
-				Partition: testPartition, Author: c.author.as(), Seq: c.author.seq, Reservation: id, Steps: steps, TTLMillis: 3000,
+				Partition: testPartition, Author: c.author.authorship(), Seq: c.author.seq, Reservation: id, Steps: steps, TTLMillis: 3000,
 			}, &r))
 			return r
 		}
@@ -239,7 +239,7 @@
 		c.author.seq++
 		var r plan.Result
 		require.NoError(t, c.author.call(d, plan.MethodCommit, plan.Plan{
-			Partition: testPartition, Author: c.author.as(), Seq: c.author.seq, Reservation: "a", Steps: []plan.Step{big(1, workerID(0))},
+			Partition: testPartition, Author: c.author.authorship(), Seq: c.author.seq, Reservation: "a", Steps: []plan.Step{big(1, workerID(0))},
 		}, &r))
 		require.Equal(t, plan.Accepted, r.Steps[0].Outcome)
 		time.Sleep(4 * time.Second) // the rest expires
