--- a/process/capacity/model_test.go
+++ b/process/capacity/model_test.go
@@ -99,7 +99,7 @@
 		c.views = callB * (polled + polledBy)
 		c.viewsBusy = sumB * 2 * (s.pollShare*s.starts + polledBy*ownStarts)
 		c.plans = planB * (s.starts/s.shards + ownStarts)
-		c.idleCPU, c.busyCPU = 0, 0 // not measured
+		c.idleCPU, c.busyCPU = 0, 0 // not modelled
 	}
 	return c
 }
--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -143,8 +143,8 @@
 
 const unreachable = "worker out of reach before the start was sent"
 
-// refuseQueued returns starts that were not sent to their shard as not started,
-// so that they do not wait for a worker that may not accept them.
+// refuseQueued reports starts that were not sent yet as not started, so that
+// their shard does not wait for a worker that may not accept them.
 func (o *owner) refuseQueued(n *node, reason string) {
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -117,7 +117,7 @@
 // later owner that has fenced this worker moved every task to its own lease; if
 // the worker then leaves the VM list, that owner starts the tasks elsewhere as
 // soon as its lease has expired, so no other daemon may renew them.
-func (o *owner) fence(ctx context.Context, id worker.ID, agent worker.Agent, ours map[worker.LeaseID]bool) (fenceResult, error) {
+func (o *owner) fence(ctx context.Context, id worker.ID, agent worker.Agent, own map[worker.LeaseID]bool) (fenceResult, error) {
 	var r fenceResult
 	lease, err := agent.OpenLease(ctx, worker.OpenLease{
 		Owner:   fmt.Sprintf("%s/%d", o.claim.Owner.ID, o.claim.Owner.Incarnation),
@@ -142,7 +142,7 @@
 	}
 	if r.confirmed {
 		err = r.revokeOthers(ctx, agent)
-	} else if foreign(r.inventory, lease, ours) {
+	} else if heldByOthers(r.inventory, lease, own) {
 		err = fmt.Errorf("%w: %w", errForeignLease, confirmErr)
 	}
 	if err != nil {
@@ -151,16 +151,16 @@
 	return r, r.adopt(ctx, agent)
 }
 
-// foreign reports whether another daemon holds a lease at the worker or a
+// heldByOthers reports whether another daemon holds a lease at the worker or a
 // running task there.
-func foreign(inv worker.Inventory, lease worker.LeaseID, ours map[worker.LeaseID]bool) bool {
+func heldByOthers(inv worker.Inventory, lease worker.LeaseID, own map[worker.LeaseID]bool) bool {
 	for _, id := range inv.Leases {
-		if id != lease && !ours[id] {
+		if id != lease && !own[id] {
 			return true
 		}
 	}
 	for _, t := range inv.Tasks {
-		if !t.State.Ended() && t.Lease != lease && !ours[t.Lease] {
+		if !t.State.Ended() && t.Lease != lease && !own[t.Lease] {
 			return true
 		}
 	}
@@ -216,11 +216,11 @@
 func (o *owner) startFence(n *node) {
 	n.busy = true
 	n.lastFenceTry = time.Now()
-	agent, ours := n.agent, maps.Clone(n.leases)
+	agent, own := n.agent, maps.Clone(n.leases)
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, 3*o.t.CallTimeout)
 		defer cancel()
-		r, err := o.fence(ctx, n.id, agent, ours)
+		r, err := o.fence(ctx, n.id, agent, own)
 		o.post(func() { o.fenceDone(n, r, err) })
 	}()
 }
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -78,7 +78,7 @@
 	ctx            context.Context
 	cancel         context.CancelFunc
 	jobs           atomic.Pointer[spec.Config]
-	whole          bool // daemons also own the jobs
+	whole          bool // daemons also own the shards of the jobs
 
 	mu                  sync.Mutex
 	invariantViolations []string // reported by the owners of the jobs
--- a/process/partition/health.go
+++ b/process/partition/health.go
@@ -108,13 +108,13 @@
 }
 
 func (o *owner) mayQuarantine() bool {
-	aside := 0
+	quarantined := 0
 	for _, n := range o.nodes {
 		if n.health.quarantined {
-			aside++
+			quarantined++
 		}
 	}
-	return float64(aside+1) <= maxQuarantinedShare*float64(len(o.nodes))
+	return float64(quarantined+1) <= maxQuarantinedShare*float64(len(o.nodes))
 }
 
 func (o *owner) quarantine(n *node, now time.Time) {
--- a/process/partition/rebind_test.go
+++ b/process/partition/rebind_test.go
@@ -30,21 +30,21 @@
 	// capacity: several shards decide on one snapshot and choose the same worker,
 	// or the worker fails between the snapshot and the plan. A step that did not
 	// fit its named worker was refused.
-	whole := func(i int, id worker.ID) plan.Step {
+	fullWorker := func(i int, id worker.ID) plan.Step {
 		s := step(i, id)
 		s.Start.Size = small.Times(4)
 		return s
 	}
 	inBubble(t, 1, 3, large, func(c *cell) {
 		d := c.ready()
-		c.author.mustStart(d, whole(0, workerID(0)))
-		require.Equal(t, plan.NoRoom, c.author.commit(d, whole(1, workerID(0)))[0].Outcome, "not without MayRebind")
-		r := c.author.commitRebinding(d, []worker.ID{workerID(1)}, whole(1, workerID(0)))
-		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "capacity kept by the author is not used")
+		c.author.mustStart(d, fullWorker(0, workerID(0)))
+		require.Equal(t, plan.NoRoom, c.author.commit(d, fullWorker(1, workerID(0)))[0].Outcome, "not without MayRebind")
+		r := c.author.commitRebinding(d, []worker.ID{workerID(1)}, fullWorker(1, workerID(0)))
+		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "capacity withheld by the author is not used")
 		c.eventually(5*time.Second, "runs there", func() bool {
 			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.Worker == workerID(2) })
 		})
-		avoiding := whole(2, workerID(0))
+		avoiding := fullWorker(2, workerID(0))
 		avoiding.Avoid = []worker.ID{workerID(1)}
 		require.Equal(t, plan.NoRoom, c.author.commitRebinding(d, nil, avoiding)[0].Outcome, "not where it failed")
 		c.rack.SetDown(workerID(0), true)
