--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -11,32 +11,32 @@
 )
 
 const (
-	// maxStartsPerCall bounds one Start call.
+	// maxStartsPerCall bounds the tasks of one Start call.
 	maxStartsPerCall = 64
 	// maxBackoff bounds the pause between heartbeats to a failing worker.
 	maxBackoff = 5 * time.Second
 )
 
-// pump starts the most urgent call to the worker. A worker has at most one
-// call under way, so replies arrive in the order of the calls.
-func (o *owner) pump(n *node, now time.Time) {
-	if n.gone {
-		return // nothing may renew its tasks, so that their lease runs out
+// nextCall starts the most urgent call to the worker. A worker has at most one
+// call in flight, so replies arrive in the order of the calls.
+func (o *owner) nextCall(n *node, now time.Time) {
+	if n.unlisted {
+		return // its tasks must not be renewed, so that their lease expires
 	}
 	switch {
 	case !n.fenced && !now.Before(n.nextTry) && !o.releasing:
 		o.startFence(n)
-	case n.lease == "" || (!n.fenced && !n.provision):
+	case n.lease == "" || (!n.fenced && !n.renewOnly):
 	case !now.Before(n.nextSync):
 		o.startSync(n)
 	case n.fenced && n.failures == 0 && o.startQueued(n):
-	case n.fenced && o.startLimit(n):
-	case stopsWaiting(n) && n.failures == 0:
+	case n.fenced && o.startAdjustment(n):
+	case hasPendingStops(n) && n.failures == 0:
 		o.startSync(n)
 	}
 }
 
-func stopsWaiting(n *node) bool {
+func hasPendingStops(n *node) bool {
 	for _, t := range n.tasks {
 		if t.stopWanted && t.phase == running {
 			return true
@@ -45,7 +45,7 @@
 	return false
 }
 
-// startSync sends a heartbeat with the waiting stops and acknowledgements.
+// startSync sends a heartbeat with the pending stops and acknowledgements.
 func (o *owner) startSync(n *node) {
 	req := worker.SyncRequest{Lease: n.lease, Since: n.seq, Acks: slices.Clone(n.acks)}
 	for ref, t := range n.tasks {
@@ -66,9 +66,9 @@
 
 func (o *owner) syncDone(n *node, req worker.SyncRequest, reply worker.SyncReply, err error) {
 	now := time.Now()
-	o.returned(n)
+	o.callReturned(n)
 	if !errors.Is(err, worker.ErrUnreachable) && !errors.Is(err, worker.ErrLeaseInvalid) {
-		n.renewed = now // also after a lost answer
+		n.lastRenewal = now // also when the reply was lost
 	}
 	if err != nil {
 		o.h.o.Metrics.SyncFailures.Add(1)
@@ -77,29 +77,29 @@
 	}
 	if n.failures > 0 {
 		n.failures = 0
-		o.touch(n)
+		o.markChanged(n)
 	}
-	n.heard = now
+	n.lastReply = now
 	n.nextSync = now.Add(o.syncInterval())
 	n.seq = reply.Seq
-	o.forget(n, req.Acks)
+	o.dropAcked(n, req.Acks)
 	for _, ref := range req.Stops {
 		if t := n.tasks[ref]; t != nil {
-			t.stopWanted = false // the worker reports Stopped when it is done
+			t.stopWanted = false // the worker reports Stopped once the task has stopped
 		}
 	}
 	if reply.Draining && !n.draining {
 		o.startDraining(n)
 	}
 	for _, report := range reply.Changed {
-		o.takeReport(n, report)
+		o.applyReport(n, report)
 	}
-	o.askAddressAgain(n)
+	o.pollAddressAgain(n)
 	o.checkOvershoot(n, now)
 }
 
-// forget drops results that the worker has dropped.
-func (o *owner) forget(n *node, acks []worker.Ref) {
+// dropAcked drops the results whose acknowledgements the worker has received.
+func (o *owner) dropAcked(n *node, acks []worker.Ref) {
 	if len(acks) == 0 {
 		return
 	}
@@ -116,43 +116,44 @@
 	now := time.Now()
 	switch {
 	case errors.Is(err, worker.ErrStaleEpoch):
-		o.metStaleEpoch(n, err)
+		o.handleStaleEpoch(n, err)
 		return
 	case errors.Is(err, worker.ErrLeaseInvalid):
-		// The worker restarted, was out of reach for longer than the lease, or
-		// another owner revoked it: fence again, which asks the store.
-		n.fenced, n.provision = false, false
-		// At once, but not in a tight loop when a lease never holds.
-		n.nextTry = n.lastFence.Add(fenceRetry)
-		o.touch(n)
+		// The worker restarted, was unreachable for longer than the lease TTL,
+		// or another owner revoked the lease: fence again, which reads the
+		// claim from the store.
+		n.fenced, n.renewOnly = false, false
+		// Without delay, but not in a tight loop when every lease is rejected.
+		n.nextTry = n.lastFenceTry.Add(fenceRetry)
+		o.markChanged(n)
 		return
 	case errors.Is(err, context.Canceled) && o.ctx.Err() != nil:
 		return
 	}
 	if n.failures == 0 {
-		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("worker does not answer")
-		o.touch(n)
+		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("call to worker failed")
+		o.markChanged(n)
 	}
 	n.failures++
 	wait := min(time.Duration(n.failures)*o.syncInterval(), maxBackoff)
 	n.nextSync = now.Add(wait)
 	n.nextTry = now.Add(wait)
-	o.refuseQueued(n, outOfReach)
+	o.refuseQueued(n, unreachable)
 }
 
-const outOfReach = "worker out of reach before the start was sent"
+const unreachable = "worker out of reach before the start was sent"
 
-// refuseQueued gives starts that were not sent back to their shard, so that
-// they do not wait for a worker that may not take them.
+// refuseQueued reports starts that were not sent yet as not started, so that
+// their shard does not wait for a worker that may not accept them.
 func (o *owner) refuseQueued(n *node, reason string) {
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
-			o.notStarted(n, t, reason)
+			o.markNotStarted(n, t, reason)
 		}
 	}
 }
 
-// startQueued sends the reserved starts; false when there is nothing to send.
+// startQueued sends the queued starts and returns false if there are none.
 func (o *owner) startQueued(n *node) bool {
 	if start, _ := o.h.o.Directory.Authority(); start <= 0 || o.releasing {
 		return false
@@ -170,7 +171,7 @@
 		if c := b.class.Rank() - a.class.Rank(); c != 0 {
 			return c
 		}
-		return a.since.Compare(b.since)
+		return a.phaseSince.Compare(b.phaseSince)
 	})
 	batch = batch[:min(len(batch), maxStartsPerCall)]
 	starts := make([]worker.Start, len(batch))
@@ -191,7 +192,7 @@
 }
 
 func (o *owner) startDone(n *node, batch []*task, replies []worker.StartReply, err error) {
-	o.returned(n)
+	o.callReturned(n)
 	certain := err == nil || isAny(err, worker.ErrLeaseInvalid, worker.ErrStaleEpoch, worker.ErrUnreachable)
 	for i, t := range batch {
 		if t.phase != sent {
@@ -199,15 +200,15 @@
 		}
 		switch {
 		case err != nil && certain:
-			o.notStarted(n, t, err.Error())
+			o.markNotStarted(n, t, err.Error())
 		case err != nil || i >= len(replies) || replies[i].Task != t.ref.Task:
-			// Some may run: only the worker knows. Heartbeats tell when it
-			// does; if they do not, the lease is revoked and the inventory
-			// read, which ends all doubt.
+			// The start may have taken effect. A heartbeat reports the task if
+			// it did; otherwise the worker is fenced again, and the inventory
+			// read with all other leases revoked settles the outcome.
 			t.enter(unknown)
 			o.h.o.Metrics.Unknown.Add(1)
 		case replies[i].Refused != "":
-			o.notStarted(n, t, replies[i].Refused)
+			o.markNotStarted(n, t, replies[i].Refused)
 		default:
 			o.markRunning(n, t)
 		}
@@ -215,22 +216,23 @@
 	if err != nil {
 		o.callFailed(n, err)
 	} else {
-		o.askAddress(n, addressWait)
+		o.pollAddress(n, initialAddressDelay)
 	}
-	o.touch(n)
+	o.markChanged(n)
 }
 
-// startLimit sends one throttle or checkpoint; false when none is wanted.
-func (o *owner) startLimit(n *node) bool {
+// startAdjustment sends one throttle or checkpoint call and returns false if
+// none is wanted.
+func (o *owner) startAdjustment(n *node) bool {
 	for _, t := range n.tasks {
 		if t.phase != running {
 			continue
 		}
-		if t.saveWanted {
+		if t.checkpointWanted {
 			o.startCheckpoint(n, t)
 			return true
 		}
-		if t.throttle != t.throttled {
+		if t.wantedLimit != t.appliedLimit {
 			o.startThrottle(n, t)
 			return true
 		}
@@ -246,88 +248,90 @@
 		defer cancel()
 		err := agent.Checkpoint(ctx, lease, t.ref)
 		o.post(func() {
-			o.returned(n)
-			t.saveWanted = false
+			o.callReturned(n)
+			t.checkpointWanted = false
 			t.checkpointed = err == nil
 			if err != nil {
-				t.stopWanted = true // the progress is lost, the place is needed
+				t.stopWanted = true // the progress is lost, but the capacity is needed
 				o.callFailed(n, err)
 			}
-			n.nextSync = time.Time{} // learn of the stop at once
+			n.nextSync = time.Time{} // a heartbeat at once reports the stop
 		})
 	}()
 }
 
 func (o *owner) startThrottle(n *node, t *task) {
 	n.busy = true
-	agent, lease, limit := n.agent, n.lease, t.throttle
+	agent, lease, limit := n.agent, n.lease, t.wantedLimit
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, o.t.CallTimeout)
 		defer cancel()
 		err := agent.Throttle(ctx, lease, t.ref, limit)
 		o.post(func() {
-			o.returned(n)
+			o.callReturned(n)
 			if err != nil {
 				o.callFailed(n, err)
 				return
 			}
-			t.throttled = limit
+			t.appliedLimit = limit
 		})
 	}()
 }
 
-// deadlines handles drains that ended and starts that stay unknown.
-func (o *owner) deadlines(n *node, now time.Time) {
+// handleDeadlines stops instances whose drain has ended and settles starts whose
+// outcome has been unknown for UnknownGrace.
+func (o *owner) handleDeadlines(n *node, now time.Time) {
 	for _, t := range n.tasks {
 		if !t.stopAt.IsZero() && !now.Before(t.stopAt) && t.phase == running {
 			t.stopAt = time.Time{}
 			t.stopWanted = true
 		}
-		if t.phase == unknown && n.fenced && now.Sub(t.since) >= o.t.UnknownGrace {
-			t.since = now
-			o.settleUnknown(n)
+		if t.phase == unknown && n.fenced && now.Sub(t.phaseSince) >= o.t.UnknownGrace {
+			t.phaseSince = now
+			o.resolveUnknown(n)
 		}
 	}
 }
 
-// settleUnknown fences the worker anew, which ends every start on its way. It
-// asks the store first: in an outage the new lease could not be confirmed, and
-// one lost answer would close the worker to new tasks for the whole of it.
-func (o *owner) settleUnknown(n *node) {
+// resolveUnknown fences the worker again, which invalidates every start still in
+// flight. It reads the claim from the store first: during a store outage the new
+// lease could not be confirmed, and one lost reply would make the worker
+// unusable for new tasks until the outage ends.
+func (o *owner) resolveUnknown(n *node) {
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
-		if o.confirms.do(ctx) != nil {
-			return // tried again after another grace period
+		if o.confirmer.do(ctx) != nil {
+			return // retried after another grace period
 		}
 		o.post(func() {
 			n.fenced = false
 			n.nextTry = time.Time{}
-			o.touch(n)
+			o.markChanged(n)
 		})
 	}()
 }
 
-// settleGone gives up the tasks of a worker that left the VM list, once the
-// last lease that may have renewed them has run out.
-func (o *owner) settleGone(n *node, now time.Time) {
-	if !n.gone || n.busy || now.Sub(n.renewed) < o.t.runOut() {
+// removeUnlisted gives up the tasks of a worker that left the VM list and
+// removes the worker, once the last lease that may have renewed them has expired.
+func (o *owner) removeUnlisted(n *node, now time.Time) {
+	if !n.unlisted || n.busy || now.Sub(n.lastRenewal) < o.t.taskExpiry() {
 		return
 	}
-	if !n.everKnown && !n.accounted {
+	if !n.everFenced && !n.accounted {
 		return // an earlier owner may still renew tasks there
 	}
 	suspects := suspectsOn(n)
 	for _, t := range n.tasks {
 		if t.live() {
-			o.lost(n, t, "worker is gone and its task lease has run out", suspects)
+			o.markLost(n, t, "worker is gone and its task lease has run out", suspects)
 		} else {
 			o.dropResult(n, t)
 		}
 	}
 	o.ledger.RemoveWorker(n.id)
 	delete(o.nodes, n.id)
-	o.state.gone(n.id)
+	o.state.workerRemoved(n.id)
 }
 
 // reject builds a refusal.
@@ -335,13 +339,14 @@
 	return plan.StepResult{Outcome: outcome, Reason: reason}
 }
 
-// returned marks the call to a worker as ended.
-func (o *owner) returned(n *node) {
+// callReturned marks the call to a worker as no longer in flight.
+func (o *owner) callReturned(n *node) {
 	n.busy = false
-	o.wake(n)
+	o.markDirty(n)
 }
 
-// syncInterval is the heartbeat interval for all workers of the daemon.
+// syncInterval returns the heartbeat interval, the same for all workers of the
+// daemon.
 func (o *owner) syncInterval() time.Duration {
 	return o.t.syncInterval(int(o.h.workers.Load()))
 }
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -36,9 +36,9 @@
 	return steps
 }
 
-// admit checks the author; a non-empty outcome refuses.
+// admit checks the author of a proposal; a non-empty outcome refuses it.
 func (o *owner) admit(a plan.Authorship, seq uint64) (plan.Outcome, string) {
-	if !o.shardsRead {
+	if !o.shardEpochsRead {
 		return plan.NotFenced, "epochs of the shards are not read yet"
 	}
 	if !o.h.fences.admits(a.Shard, a.Epoch, seq) {
@@ -54,7 +54,7 @@
 	return "", ""
 }
 
-// commit checks a plan on the fresh ledger, step by step.
+// commit checks a plan against the current ledger, step by step.
 func (o *owner) commit(p plan.Plan) plan.Result {
 	result := plan.Result{Epoch: o.claim.Epoch}
 	if outcome, reason := o.admit(p.Author, p.Seq); outcome != "" {
@@ -78,15 +78,15 @@
 
 func (o *owner) commitStep(p *plan.Plan, step *plan.Step) plan.StepResult {
 	t := newTask(p.Author.Shard, step)
-	if o.known(t.ref) {
+	if o.isDuplicate(t.ref) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
 	if n != nil {
-		if r := o.holds[p.Reservation]; r != nil && p.Reservation != "" {
+		if r := o.reservations[p.Reservation]; r != nil && p.Reservation != "" {
 			o.useReserved(p.Reservation, r, step)
 		}
-		refused = o.fit(n, t, step)
+		refused = o.reserveCapacity(n, t, step)
 	}
 	accepted := plan.StepResult{Outcome: plan.Accepted}
 	if refused.Outcome != "" {
@@ -96,10 +96,10 @@
 		accepted.Worker = n.id
 	}
 	n.tasks[t.ref] = t
-	t.at = n.id
+	t.workerID = n.id
 	o.live[t.ref.Task] = t
-	o.limits.learn(t)
-	o.touchTask(n, t)
+	o.limits.record(t)
+	o.markTaskChanged(n, t)
 	return accepted
 }
 
@@ -116,8 +116,8 @@
 	return t
 }
 
-// known reports whether starting ref could run the task a second time.
-func (o *owner) known(ref worker.Ref) bool {
+// isDuplicate reports whether starting ref could run the task a second time.
+func (o *owner) isDuplicate(ref worker.Ref) bool {
 	if o.live[ref.Task] != nil {
 		return true
 	}
@@ -125,25 +125,25 @@
 	return held != nil && held.ref.Attempt >= ref.Attempt
 }
 
-// usableNode returns the step's worker or a refusal.
+// usableNode returns the step's worker, or a refusal if it cannot take the step.
 func (o *owner) usableNode(step *plan.Step) (*node, plan.StepResult) {
 	n := o.nodes[step.Worker]
 	if n == nil {
 		return nil, reject(plan.NoWorker, "worker is not in this partition")
 	}
-	if refused := o.closed(n, step); refused.Outcome != "" {
+	if refused := o.ineligible(n, step); refused.Outcome != "" {
 		return nil, refused
 	}
 	return n, plan.StepResult{}
 }
 
-// closed refuses a step at a worker for any reason but its room.
-func (o *owner) closed(n *node, step *plan.Step) plan.StepResult {
-	if !n.everKnown {
+// ineligible refuses a step at a worker for any reason but its free capacity.
+func (o *owner) ineligible(n *node, step *plan.Step) plan.StepResult {
+	if !n.everFenced {
 		return reject(plan.NotFenced, n.unusable())
 	}
-	if !o.noted[n.id] {
-		return reject(plan.NotFenced, notNoted)
+	if !o.inMemo[n.id] {
+		return reject(plan.NotFenced, notInMemo)
 	}
 	if reason := n.unusable(); reason != "" {
 		return reject(plan.NoWorker, reason)
@@ -154,10 +154,10 @@
 	return plan.StepResult{}
 }
 
-// notNoted refuses a worker that the memo does not name yet.
-const notNoted = "worker is not written down in the store yet"
+// notInMemo is the reason against a worker that the stored memo does not name yet.
+const notInMemo = "worker is not written down in the store yet"
 
-// violates checks the constraints that depend on what else runs here.
+// violates checks the constraints that depend on what else runs on the worker.
 func (o *owner) violates(n *node, step *plan.Step) string {
 	limit := step.Constraints.MaxPerWorker
 	if limit <= 0 {
@@ -181,11 +181,11 @@
 	return same
 }
 
-// fit reserves the task's capacity, or what of it is free while its victims
-// stop.
-func (o *owner) fit(n *node, t *task, step *plan.Step) plan.StepResult {
+// reserveCapacity reserves the task's capacity. If victims must stop first, it
+// reserves what is free now and the rest as they stop.
+func (o *owner) reserveCapacity(n *node, t *task, step *plan.Step) plan.StepResult {
 	size := t.start.Size
-	if reason := n.use.refuses(n, size); reason != "" {
+	if reason := n.overshoot.refuses(n, size); reason != "" {
 		return reject(plan.NoRoom, reason)
 	}
 	err := o.ledger.Reserve(n.id, t.holder(), size)
@@ -198,8 +198,8 @@
 	return o.preempt(n, t, step.Victims)
 }
 
-// useReserved turns reserved capacity back into free capacity, for the step
-// that it was reserved for; the same turn of the loop takes it.
+// useReserved frees the capacity reserved for a step. The step takes it in the
+// same run of the control loop, so no other step can.
 func (o *owner) useReserved(id string, r *reservation, step *plan.Step) {
 	reserved, ok := r.steps[step.Start.Task]
 	if !ok || reserved.Worker != step.Worker {
@@ -208,12 +208,12 @@
 	o.ledger.Free(step.Worker, r.key(id, step.Start.Task))
 	delete(r.steps, step.Start.Task)
 	if len(r.steps) == 0 {
-		delete(o.holds, id)
+		delete(o.reservations, id)
 	}
 }
 
-// reserve holds capacity for all steps or for none. It never waits, so two
-// gangs can not wait for each other.
+// reserve reserves capacity for all steps or for none. It never waits, so two
+// gangs cannot deadlock.
 func (o *owner) reserve(req plan.Reserve) plan.Result {
 	result := plan.Result{Epoch: o.claim.Epoch}
 	if outcome, reason := o.admit(req.Author, req.Seq); outcome != "" {
@@ -226,7 +226,7 @@
 		ttl = defaultReservationTTL
 	}
 	r := &reservation{author: req.Author, expires: time.Now().Add(ttl), steps: make(map[spec.TaskID]plan.Step)}
-	o.holds[req.Reservation] = r
+	o.reservations[req.Reservation] = r
 	failed := false
 	for i := range req.Steps {
 		s := o.reserveStep(&req, r, &req.Steps[i])
@@ -247,12 +247,12 @@
 }
 
 func (o *owner) reserveStep(req *plan.Reserve, r *reservation, step *plan.Step) plan.StepResult {
-	if o.known(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
+	if o.isDuplicate(worker.Ref{Task: step.Start.Task, Attempt: step.Start.Attempt}) {
 		return reject(plan.Duplicate, "the task runs, starts or has a result here")
 	}
 	n, refused := o.usableNode(step)
 	if n != nil {
-		refused = o.hold(n, req.Reservation, r, step)
+		refused = o.reserveOn(n, req.Reservation, r, step)
 	}
 	if refused.Outcome == "" {
 		return plan.StepResult{Outcome: plan.Accepted}
@@ -260,51 +260,51 @@
 	if !req.MayRebind {
 		return refused
 	}
-	if n = o.another(step, req.Kept); n == nil || o.hold(n, req.Reservation, r, step).Outcome != "" {
+	if n = o.alternative(step, req.Kept); n == nil || o.reserveOn(n, req.Reservation, r, step).Outcome != "" {
 		return refused
 	}
 	o.h.o.Metrics.Rebound.Add(1)
 	return plan.StepResult{Outcome: plan.Accepted, Worker: n.id}
 }
 
-// hold reserves a step's capacity on a worker.
-func (o *owner) hold(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
+// reserveOn reserves a step's capacity on a worker.
+func (o *owner) reserveOn(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
 	if err := o.ledger.Reserve(n.id, r.key(id, step.Start.Task), step.Start.Size); err != nil {
 		return reject(plan.NoRoom, err.Error())
 	}
 	held := *step
 	held.Worker = n.id
 	r.steps[step.Start.Task] = held
-	o.touch(n)
+	o.markChanged(n)
 	return plan.StepResult{}
 }
 
-// release gives reserved capacity back.
+// release frees a reservation at the request of its author.
 func (o *owner) release(req plan.ReleaseReservation) error {
-	r := o.holds[req.Reservation]
+	r := o.reservations[req.Reservation]
 	if r != nil && r.author.Shard == req.Author.Shard && r.author.Epoch <= req.Author.Epoch {
 		o.dropReservation(req.Reservation)
 	}
 	return nil
 }
 
-// dropReservation frees whatever the reservation still holds.
+// dropReservation frees the capacity that the reservation still holds.
 func (o *owner) dropReservation(id string) {
-	r := o.holds[id]
+	r := o.reservations[id]
 	if r == nil {
 		return
 	}
 	for task, step := range r.steps {
 		o.ledger.Free(step.Worker, r.key(id, task))
 		if n := o.nodes[step.Worker]; n != nil {
-			o.touch(n)
+			o.markChanged(n)
 		}
 	}
-	delete(o.holds, id)
+	delete(o.reservations, id)
 }
 
 func (o *owner) expireReservations(now time.Time) {
-	for id, r := range o.holds {
+	for id, r := range o.reservations {
 		if now.After(r.expires) {
 			o.dropReservation(id)
 		}
--- a/process/partition/crash_test.go
+++ b/process/partition/crash_test.go
@@ -7,8 +7,9 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that can not tell
-// a task that crashes its workers from those that stood beside it.
+// TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that cannot tell
+// a task that crashes its workers from the others on the worker: only the task that had
+// just been started is reported as suspect.
 func TestRestartOfAWorkerSpeaksAgainstTheNewestTask(t *testing.T) {
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
@@ -20,7 +21,7 @@
 		c.rack.Restart(workerID(0))
 		for index, suspect := range map[int]bool{1: false, 2: true} {
 			c.eventually(time.Minute, "lost", func() bool {
-				return c.author.saw(func(e plan.Event) bool {
+				return c.author.received(func(e plan.Event) bool {
 					return e.Task == taskID(index) && e.Lost && e.Suspect == suspect && e.Sole == suspect
 				})
 			})
--- a/process/partition/events.go
+++ b/process/partition/events.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// maxEventsPerCall bounds one message to a shard.
+	// maxEventsPerCall bounds the events of one message to a shard.
 	maxEventsPerCall = 500
 	eventsTimeout    = 3 * time.Second
 	minEventsRetry   = 200 * time.Millisecond
@@ -39,16 +39,16 @@
 func (o *owner) emit(t *task, e plan.Event) { o.emitTo(t.shard, e) }
 
 func (o *owner) emitTo(shard plan.Shard, e plan.Event) {
-	box := o.out[shard]
+	box := o.outboxes[shard]
 	if box == nil {
 		box = &outbox{shard: shard}
-		o.out[shard] = box
+		o.outboxes[shard] = box
 	}
 	box.pending = append(box.pending, e)
 }
 
 func (o *owner) eventsWaiting() bool {
-	for _, box := range o.out {
+	for _, box := range o.outboxes {
 		if len(box.pending) > 0 {
 			return true
 		}
@@ -56,9 +56,9 @@
 	return false
 }
 
-// sendEvents sends one message to each shard that has events waiting.
+// sendEvents sends one message to each shard that has pending events.
 func (o *owner) sendEvents(now time.Time) {
-	for _, box := range o.out {
+	for _, box := range o.outboxes {
 		if len(box.pending) == 0 || box.busy || now.Before(box.after) || box.shard == unknownShard {
 			continue
 		}
@@ -67,11 +67,11 @@
 			box.failed(now)
 			continue
 		}
-		o.sendBox(box, c)
+		o.sendOutbox(box, c)
 	}
 }
 
-func (o *owner) sendBox(box *outbox, c ownership.Claim) {
+func (o *owner) sendOutbox(box *outbox, c ownership.Claim) {
 	n := min(len(box.pending), maxEventsPerCall)
 	msg := plan.Events{Partition: o.name, Epoch: o.claim.Epoch, Shard: box.shard, Events: box.pending[:n:n]}
 	box.busy = true
@@ -82,8 +82,8 @@
 		o.post(func() {
 			box.busy = false
 			if err != nil {
-				// Kept and sent again, also when they did arrive: the
-				// receiver takes each at most once.
+				// Kept and sent again even though they may have arrived:
+				// the receiver processes each event at most once.
 				box.failed(time.Now())
 				return
 			}
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -11,32 +11,33 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// The memo of a partition lists its workers. A worker that leaves the VM list
-// just before its owner dies is unknown to a daemon that reads the list for the
-// first time afterwards; its tasks, which may go on until their lease runs out,
-// would be missing from the answer to a Fence and be started elsewhere. So a
-// worker takes tasks only once it is in the memo, and leaves the memo only once
-// nothing can run there. The memo also holds the limits of services, see
-// serviceLimits.
+// The memo of a partition, kept in the store, lists its workers. Suppose a
+// worker leaves the VM list just before its owner fails: a daemon that reads the
+// list for the first time afterwards does not see it. The worker's tasks, which
+// may run until their lease expires, would be missing from the reply to a Fence
+// and be started elsewhere. Therefore a worker accepts tasks only once the
+// stored memo names it, and is dropped from the memo only once nothing can run
+// there. The memo also holds the limits of services, see serviceLimits.
 
-// recall enters the workers that the memo names and the VM list does not.
-func (o *owner) recall(notes []string) {
-	o.noted = make(map[worker.ID]bool, len(notes))
-	notes = o.limits.recall(notes)
+// loadMemo reads an earlier owner's memo and adds the workers that it names and
+// the VM list does not.
+func (o *owner) loadMemo(notes []string) {
+	o.inMemo = make(map[worker.ID]bool, len(notes))
+	notes = o.limits.load(notes)
 	listed := o.h.o.Racks.Workers(o.name)
 	for _, note := range notes {
 		id := worker.ID(note)
-		o.noted[id] = true
+		o.inMemo[id] = true
 		if !slices.ContainsFunc(listed, func(vm vmlist.VM) bool { return vm.Name == note }) {
 			n := o.addNode(id, vmlist.VM{Name: note})
-			n.gone = true
+			n.unlisted = true
 		}
 	}
 }
 
-// remember brings the memo up to date.
-func (o *owner) remember(now time.Time) {
-	if o.noting || now.Before(o.noteAt) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
+// updateMemo writes the memo to the store if the stored one is out of date.
+func (o *owner) updateMemo(now time.Time) {
+	if o.memoWriting || now.Before(o.memoRetry) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
 		return
 	}
 	memo := ownership.Memo{Settled: o.settled || o.canSettle()}
@@ -44,63 +45,63 @@
 		memo.Notes = append(memo.Notes, string(id))
 	}
 	workers := slices.Clone(memo.Notes)
-	o.forgetLimits()
+	o.pruneLimits()
 	memo.Notes = append(memo.Notes, o.limits.notes()...)
 	slices.Sort(memo.Notes)
 	limits := o.limits.seq
-	o.noting = true
+	o.memoWriting = true
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
 		err := o.h.o.Claims.Remember(ctx, o.claim, memo)
-		o.post(func() { o.remembered(memo.Settled, workers, limits, err) })
+		o.post(func() { o.memoWritten(memo.Settled, workers, limits, err) })
 	}()
 }
 
-// remembered notes what the store holds now: workers, and limits up to a
-// position.
-func (o *owner) remembered(settled bool, workers []string, limits uint64, err error) {
-	o.noting = false
+// memoWritten records the outcome of a memo write. On success the stored memo
+// names workers and holds the limits up to seq limits.
+func (o *owner) memoWritten(settled bool, workers []string, limits uint64, err error) {
+	o.memoWriting = false
 	if err != nil {
-		o.noteAt = time.Now().Add(storeRetry)
-		o.log.Warn().Err(err).Msg("workers not written down")
+		o.memoRetry = time.Now().Add(storeRetry)
+		o.log.Warn().Err(err).Msg("writing the partition memo to the store failed")
 		return
 	}
 	o.settled = settled
-	o.limits.written(limits)
-	before := o.noted
-	o.noted = make(map[worker.ID]bool, len(workers))
+	o.limits.markSaved(limits)
+	before := o.inMemo
+	o.inMemo = make(map[worker.ID]bool, len(workers))
 	for _, id := range workers {
-		o.noted[worker.ID(id)] = true
+		o.inMemo[worker.ID(id)] = true
 	}
-	if maps.Equal(before, o.noted) {
+	if maps.Equal(before, o.inMemo) {
 		return
 	}
 	for _, n := range o.nodes {
-		o.touch(n)
+		o.markChanged(n)
 	}
 }
 
 func (o *owner) memoIsCurrent() bool {
-	if len(o.noted) != len(o.nodes) {
+	if len(o.inMemo) != len(o.nodes) {
 		return false
 	}
 	for id := range o.nodes {
-		if !o.noted[id] {
+		if !o.inMemo[id] {
 			return false
 		}
 	}
 	return true
 }
 
-// canSettle reports whether the store does not know yet that no earlier owner
-// can start anything any more.
+// canSettle reports whether the memo is to be marked as settled: no earlier
+// owner can start tasks any more, and the stored memo does not say so yet.
 func (o *owner) canSettle() bool {
 	if o.settled || len(o.nodes) == 0 {
 		return false
 	}
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			return false
 		}
 	}
--- a/process/partition/partition_test.go
+++ b/process/partition/partition_test.go
@@ -20,15 +20,15 @@
 		s.Start.RunTime = spec.Duration(10 * time.Second)
 		c.author.mustStart(d, s)
 		c.eventually(20*time.Second, "result", func() bool {
-			return c.author.saw(func(e plan.Event) bool { return e.Task == taskID(1) && e.State == worker.Succeeded })
+			return c.author.received(func(e plan.Event) bool { return e.Task == taskID(1) && e.State == worker.Succeeded })
 		})
 		reply, err := c.author.fence(d)
 		require.NoError(t, err)
 		require.Len(t, reply.Tasks, 1)
 		require.NoError(t, c.author.call(d, plan.MethodAck, plan.Ack{
-			Partition: testPartition, Author: c.author.as(), Tasks: []worker.Ref{ref(1)},
+			Partition: testPartition, Author: c.author.authorship(), Tasks: []worker.Ref{ref(1)},
 		}, nil))
-		c.eventually(5*time.Second, "forgotten", func() bool {
+		c.eventually(5*time.Second, "dropped", func() bool {
 			reply, err := c.author.fence(d)
 			return err == nil && len(reply.Tasks) == 0
 		})
--- a/process/partition/random_test.go
+++ b/process/partition/random_test.go
@@ -47,11 +47,11 @@
 // randomRun is a cell under random faults.
 type randomRun struct {
 	*cell
-	dead    map[peer.Ref]bool
-	gone    map[peer.Ref]bool
-	shards  []*modelShard
-	durable *progress
-	seed    uint64
+	killed         map[peer.Ref]bool
+	reportedFailed map[peer.Ref]bool
+	shards         []*modelShard
+	durable        *progress
+	seed           uint64
 }
 
 func (r *randomRun) newShard() {
@@ -60,13 +60,13 @@
 	claim := ownership.Claim{Resource: shardResource(testShard), Owner: s.ref, Epoch: epoch}
 	if err := replaceClaim(r.cell, claim); err != nil && epoch > 1 {
 		r.net.Stop(s.ref)
-		return // the store is down: nobody can take the shard over
+		return // the store is down: no process can take the shard over
 	}
 	r.shards = append(r.shards, s)
 	go s.run()
 }
 
-// apply does one action; what makes no sense now is left out.
+// apply performs one action; an action that is not possible now is skipped.
 func (r *randomRun) apply(a action) {
 	d := r.daemons[a.A%len(r.daemons)]
 	id := workerID(a.B % r.workers)
@@ -75,18 +75,18 @@
 	case "pause":
 		r.pause(d)
 	case "resume":
-		if !r.dead[d.ref] {
+		if !r.killed[d.ref] {
 			r.resume(d)
 		}
 	case "kill":
 		r.kill(d)
 	case "restart":
 		r.kill(d)
-		r.rack.Resume(d.key()) // what was on the wire arrives
-		r.reborn(d)
+		r.rack.Resume(d.key()) // calls in flight arrive
+		r.restart(d)
 	case "gone":
-		if r.dead[d.ref] || a.B%2 == 0 {
-			r.declareGone(d)
+		if r.killed[d.ref] || a.B%2 == 0 {
+			r.declareFailed(d)
 		}
 	case "cutStore":
 		d.gate.setCut(true)
@@ -124,12 +124,12 @@
 		}
 	case "shardTakeover":
 		if !r.whole && len(r.shards) < 4 {
-			r.shards[len(r.shards)-1].deaf.Store(a.A%2 == 0)
+			r.shards[len(r.shards)-1].staleClaims.Store(a.A%2 == 0)
 			r.newShard()
 		}
 	case "shardDeaf":
 		if !r.whole {
-			r.shards[len(r.shards)-1].deaf.Store(a.A%2 == 0)
+			r.shards[len(r.shards)-1].staleClaims.Store(a.A%2 == 0)
 		}
 	case "holdStore":
 		d.gate.hold()
@@ -155,20 +155,20 @@
 }
 
 func (r *randomRun) kill(d *daemon) {
-	if !r.dead[d.ref] {
-		r.dead[d.ref] = true
+	if !r.killed[d.ref] {
+		r.killed[d.ref] = true
 		d.kill()
 	}
 }
 
-func (r *randomRun) declareGone(d *daemon) {
-	d.freezeRenewal(true) // gone means that its store lease has lapsed
-	r.gone[d.ref] = true
-	r.sayGone(d)
+func (r *randomRun) declareFailed(d *daemon) {
+	d.freezeRenewal(true) // a member counts as failed only once its store lease has expired
+	r.reportedFailed[d.ref] = true
+	r.reportFailed(d)
 }
 
-// reborn starts the next life of a dead daemon.
-func (r *randomRun) reborn(d *daemon) {
+// restart starts the next incarnation of a killed daemon.
+func (r *randomRun) restart(d *daemon) {
 	d.gate.open()
 	for i, other := range r.daemons {
 		if other != d {
@@ -176,9 +176,9 @@
 		}
 		next := r.startDaemon(peer.Ref{ID: d.ref.ID, Incarnation: d.ref.Incarnation + 1})
 		r.replaceDaemon(i, next)
-		r.buried = append(r.buried, d)
+		r.earlierDaemons = append(r.earlierDaemons, d)
 		for _, o := range r.daemons {
-			for ref := range r.gone {
+			for ref := range r.reportedFailed {
 				if o.ref != ref {
 					o.view.SetGone(ref)
 				}
@@ -187,7 +187,7 @@
 	}
 }
 
-// repair ends every fault and gives every daemon a fresh life.
+// repair ends every fault and restarts every daemon.
 func (r *randomRun) repair() {
 	r.calm()
 	r.kv.SetFaults(kv.Faults{})
@@ -196,12 +196,12 @@
 		r.rack.SetDown(workerID(i), false)
 	}
 	if !r.whole {
-		r.shards[len(r.shards)-1].deaf.Store(false)
+		r.shards[len(r.shards)-1].staleClaims.Store(false)
 	}
 	for _, d := range r.daemons {
 		r.kill(d)
 		r.rack.Resume(d.key())
-		r.reborn(d)
+		r.restart(d)
 	}
 	for _, d := range r.daemons {
 		for _, s := range r.shards {
@@ -213,11 +213,11 @@
 	}
 }
 
-// runActions returns what went wrong, or "".
+// runActions runs a cell under the actions and returns the violations found, or "".
 func runActions(t *testing.T, actions []action, seed uint64) (fault string) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 3, 4, 2, large)
-		r := &randomRun{cell: c, dead: make(map[peer.Ref]bool), gone: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
+		r := &randomRun{cell: c, killed: make(map[peer.Ref]bool), reportedFailed: make(map[peer.Ref]bool), durable: &progress{done: make(map[int]bool)}, seed: seed}
 		defer c.shutDown()
 		r.newShard()
 		time.Sleep(5 * time.Second)
@@ -242,7 +242,7 @@
 	return fault
 }
 
-// listWorkers puts workers that left the VM list back on it.
+// listWorkers adds workers that left the VM list to it again.
 func (r *randomRun) listWorkers() {
 	for i := range r.workers {
 		id := string(workerID(i))
@@ -253,9 +253,9 @@
 	}
 }
 
-// TestRandomFaultsNeverRunATaskTwice drives the real owners, claims and store
-// client through random faults, alone and together. With FENNEL_LONG=1 it runs
-// a hundred times as long.
+// TestRandomFaultsNeverRunATaskTwice exposes the real owners, claims and store
+// client to random faults, single and combined. With FENNEL_LONG=1 it makes a
+// hundred times as many runs.
 func TestRandomFaultsNeverRunATaskTwice(t *testing.T) {
 	rounds := 1
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/process/partition/shardmodel_test.go
+++ b/process/partition/shardmodel_test.go
@@ -16,7 +16,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// progress is what all owners of the shard share: what the store would hold.
+// progress is the state that all owners of the shard share, as through the store.
 type progress struct {
 	mu     sync.Mutex
 	done   map[int]bool
@@ -24,10 +24,11 @@
 	closed bool // no more tasks are issued
 }
 
-// openTasks is how many tasks are not finished at a time.
+// openTasks is how many tasks are unfinished at a time.
 const openTasks = 8
 
-// issue returns the numbers of new tasks, so that there is always work.
+// issue issues new tasks up to openTasks unfinished ones and returns their
+// numbers, from inclusive, to exclusive.
 func (p *progress) issue() (from, to int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,7 +39,7 @@
 	return from, p.issued
 }
 
-// open returns how many tasks are not finished; no more are issued after it.
+// close stops issuing tasks and returns how many are unfinished.
 func (p *progress) close() (open int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -61,59 +62,59 @@
 type modelState int
 
 const (
-	doubtful modelState = iota // a new owner has not heard of all partitions yet
+	uncertain modelState = iota // a new owner has not had replies of all partitions yet
 	idle
-	held // may run in a partition
+	assigned // may run in a partition
 )
 
 type modelTask struct {
 	state     modelState
 	partition string
-	worker    worker.ID // empty while it may be any of the partition's
-	number    int
+	worker    worker.ID // empty while it may be on any worker of the partition
+	attempt   int
 }
 
-// mayBeAt reports whether the task may run at one of the workers.
-func (t *modelTask) mayBeAt(ids []worker.ID) bool {
+// mayRunOn reports whether the task may run on one of the workers.
+func (t *modelTask) mayRunOn(ids []worker.ID) bool {
 	return t.worker == "" && len(ids) > 0 || slices.Contains(ids, t.worker)
 }
 
-// modelPartition is what a shard knows of a partition.
+// modelPartition is a shard's record of a partition.
 type modelPartition struct {
 	claim       ownership.Claim
-	fenced      uint64 // epoch of the owner that answered a fence
-	doubt       bool
+	fenced      uint64 // epoch of the owner that replied to the last fence
+	uncertain   bool
 	unaccounted []worker.ID
 }
 
-// modelShard is a small owner of a shard that keeps the rules of package plan:
-// a task is started again only after it is known not to run. It reads claims
-// from the store until it is deaf; then it goes on with what it believes.
+// modelShard is a minimal owner of a shard that follows the rules of package
+// plan: a task is started again only after it is known not to run. While
+// staleClaims is set it does not look up claims and uses the last ones it saw.
 type modelShard struct {
-	c          *cell
-	ref        peer.Ref
-	epoch      uint64
-	caller     peer.Caller
-	rng        *rand.Rand
-	durable    *progress
-	cancel     context.CancelFunc
-	deaf       atomic.Bool
-	seq        uint64
-	attempts   int
-	partitions map[string]*modelPartition
+	c           *cell
+	ref         peer.Ref
+	epoch       uint64
+	caller      peer.Caller
+	rng         *rand.Rand
+	progress    *progress
+	cancel      context.CancelFunc
+	staleClaims atomic.Bool
+	seq         uint64
+	attempts    int
+	partitions  map[string]*modelPartition
 
 	mu    sync.Mutex
-	known map[int]*modelTask
+	tasks map[int]*modelTask
 	acks  map[string][]worker.Ref
 }
 
 func newModelShard(c *cell, epoch uint64, durable *progress, seed uint64) *modelShard {
 	s := &modelShard{
-		c: c, epoch: epoch, durable: durable,
+		c: c, epoch: epoch, progress: durable,
 		ref:        peer.Ref{ID: peer.MemberID(fmt.Sprintf("shard-%d", epoch)), Incarnation: 1},
 		rng:        rand.New(rand.NewPCG(seed, epoch)),
 		partitions: make(map[string]*modelPartition),
-		known:      make(map[int]*modelTask),
+		tasks:      make(map[int]*modelTask),
 		acks:       make(map[string][]worker.Ref),
 	}
 	caller, mux := c.net.Node(s.ref)
@@ -126,7 +127,7 @@
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		for _, e := range msg.Events {
-			s.take(msg.Partition, e)
+			s.apply(msg.Partition, e)
 		}
 		return nil, nil
 	})
@@ -140,35 +141,35 @@
 		s.issue()
 		for _, name := range s.c.partitionNames() {
 			if s.partitions[name] == nil {
-				s.partitions[name] = &modelPartition{doubt: true}
+				s.partitions[name] = &modelPartition{uncertain: true}
 			}
 			s.lookUp(name)
 			s.fenceIfNeeded(ctx, name)
 			s.sendAcks(ctx, name)
 		}
-		s.settleDoubt()
+		s.settleUncertain()
 		s.place(ctx)
 		time.Sleep(500 * time.Millisecond)
 	}
 }
 
-// issue takes up new tasks. Those that another owner of the shard issued may
-// run anywhere until every partition has been asked.
+// issue adds new tasks. Those that another owner of the shard issued may run
+// anywhere until every partition has been fenced.
 func (s *modelShard) issue() {
-	from, to := s.durable.issue()
+	from, to := s.progress.issue()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for i := range to {
-		if s.known[i] != nil {
+		if s.tasks[i] != nil {
 			continue
 		}
-		s.known[i] = &modelTask{}
+		s.tasks[i] = &modelTask{}
 		if i >= from {
-			s.known[i].state = idle
+			s.tasks[i].state = idle
 			continue
 		}
 		for _, p := range s.partitions {
-			p.doubt = true
+			p.uncertain = true
 		}
 	}
 }
@@ -176,24 +177,25 @@
 func (s *modelShard) lookUp(name string) {
 	p := s.partitions[name]
 	if s.rng.IntN(40) == 0 {
-		p.doubt = true // as after a lost answer
+		p.uncertain = true // as after a lost reply
 	}
-	if s.deaf.Load() {
+	if s.staleClaims.Load() {
 		return
 	}
 	d := s.c.anyDaemon(s.rng)
 	if claim, ok := d.manager.Owner(resourceOf(name)); ok && claim.Epoch > p.claim.Epoch {
 		p.claim = claim
-		p.doubt = true
+		p.uncertain = true
 	}
 }
 
-func (s *modelShard) as() plan.Authorship {
+func (s *modelShard) authorship() plan.Authorship {
 	return plan.Authorship{Shard: testShard, Epoch: s.epoch, Owner: s.ref}
 }
 
-// callLate gives up after two seconds; the message may arrive later all the same.
-func callLate[Resp any](ctx context.Context, s *modelShard, p *modelPartition, m peer.Method, req any) (Resp, error) {
+// callWithLateArrival returns ErrUnknown after two seconds, but the message may
+// still arrive later.
+func callWithLateArrival[Resp any](ctx context.Context, s *modelShard, p *modelPartition, m peer.Method, req any) (Resp, error) {
 	type answer struct {
 		value Resp
 		err   error
@@ -217,69 +219,69 @@
 
 func (s *modelShard) fenceIfNeeded(ctx context.Context, name string) {
 	p := s.partitions[name]
-	if p.claim.Epoch == 0 || (!p.doubt && len(p.unaccounted) == 0) {
+	if p.claim.Epoch == 0 || (!p.uncertain && len(p.unaccounted) == 0) {
 		return
 	}
 	s.seq++
-	reply, err := callLate[plan.FenceReply](ctx, s, p, plan.MethodFence, plan.Fence{
-		Partition: name, Author: s.as(), MinSeq: s.seq, Jobs: []string{"survey"},
+	reply, err := callWithLateArrival[plan.FenceReply](ctx, s, p, plan.MethodFence, plan.Fence{
+		Partition: name, Author: s.authorship(), MinSeq: s.seq, Jobs: []string{"survey"},
 	})
 	if err != nil {
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	p.fenced, p.doubt, p.unaccounted = p.claim.Epoch, false, reply.Unaccounted
+	p.fenced, p.uncertain, p.unaccounted = p.claim.Epoch, false, reply.Unaccounted
 	listed := make(map[worker.Ref]bool)
 	for _, e := range reply.Tasks {
 		listed[worker.Ref{Task: e.Task, Attempt: e.Attempt}] = true
-		s.take(name, e)
+		s.apply(name, e)
 	}
-	for i, t := range s.known {
-		ref := worker.Ref{Task: taskID(i), Attempt: t.number}
-		if t.state == held && t.partition == name && !listed[ref] && !t.mayBeAt(p.unaccounted) {
+	for i, t := range s.tasks {
+		ref := worker.Ref{Task: taskID(i), Attempt: t.attempt}
+		if t.state == assigned && t.partition == name && !listed[ref] && !t.mayRunOn(p.unaccounted) {
 			t.state = idle
 		}
 	}
 }
 
-// settleDoubt ends the doubt of a new owner once every partition has answered
-// and every worker is accounted for.
-func (s *modelShard) settleDoubt() {
+// settleUncertain makes the uncertain tasks of a new owner idle once every
+// partition has replied to a fence and every worker is accounted for.
+func (s *modelShard) settleUncertain() {
 	for _, p := range s.partitions {
-		if p.fenced == 0 || p.doubt || len(p.unaccounted) > 0 {
+		if p.fenced == 0 || p.uncertain || len(p.unaccounted) > 0 {
 			return
 		}
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, t := range s.known {
-		if t.state == doubtful {
+	for _, t := range s.tasks {
+		if t.state == uncertain {
 			t.state = idle
 		}
 	}
 }
 
-// take takes one event; the caller holds mu.
-func (s *modelShard) take(partition string, e plan.Event) {
-	t := s.known[e.Task.Index]
+// apply processes one event. The caller holds mu.
+func (s *modelShard) apply(partition string, e plan.Event) {
+	t := s.tasks[e.Task.Index]
 	if t == nil {
 		t = &modelTask{}
-		s.known[e.Task.Index] = t
+		s.tasks[e.Task.Index] = t
 	}
 	ended := e.Lost || e.NotStarted || e.State.Ended()
 	if ended && !e.Lost && !e.NotStarted {
 		if e.State == worker.Succeeded {
-			s.durable.finish(e.Task.Index)
+			s.progress.finish(e.Task.Index)
 		}
 		s.acks[partition] = append(s.acks[partition], worker.Ref{Task: e.Task, Attempt: e.Attempt})
 	}
 	switch {
-	case !ended && (t.state == doubtful || t.number < e.Attempt):
-		*t = modelTask{state: held, partition: partition, worker: e.Worker, number: e.Attempt}
-	case !ended && t.state == held && t.number == e.Attempt:
+	case !ended && (t.state == uncertain || t.attempt < e.Attempt):
+		*t = modelTask{state: assigned, partition: partition, worker: e.Worker, attempt: e.Attempt}
+	case !ended && t.state == assigned && t.attempt == e.Attempt:
 		t.worker = e.Worker
-	case ended && t.state == held && t.number == e.Attempt:
+	case ended && t.state == assigned && t.attempt == e.Attempt:
 		t.state = idle
 	}
 }
@@ -292,7 +294,7 @@
 	if len(refs) == 0 {
 		return
 	}
-	_, err := callLate[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.as(), Tasks: refs})
+	_, err := callWithLateArrival[struct{}](ctx, s, s.partitions[name], plan.MethodAck, plan.Ack{Partition: name, Author: s.authorship(), Tasks: refs})
 	if err != nil {
 		s.mu.Lock()
 		s.acks[name] = append(s.acks[name], refs...)
@@ -303,12 +305,12 @@
 // place proposes one start for each idle task.
 func (s *modelShard) place(ctx context.Context) {
 	names := s.c.partitionNames()
-	for i := range len(s.known) {
+	for i := range len(s.tasks) {
 		name := names[s.rng.IntN(len(names))]
 		p := s.partitions[name]
 		s.mu.Lock()
-		t := s.known[i]
-		ok := t != nil && t.state == idle && !s.durable.finished(i) && p.fenced == p.claim.Epoch && !p.doubt
+		t := s.tasks[i]
+		ok := t != nil && t.state == idle && !s.progress.finished(i) && p.fenced == p.claim.Epoch && !p.uncertain
 		if !ok {
 			s.mu.Unlock()
 			continue
@@ -317,7 +319,7 @@
 		s.attempts++
 		number := int(s.epoch)*100000 + s.attempts
 		step := step(i, workers[s.rng.IntN(len(workers))])
-		*t = modelTask{state: held, partition: name, number: number}
+		*t = modelTask{state: assigned, partition: name, attempt: number}
 		s.mu.Unlock()
 		step.Start.Attempt = number
 		step.Start.RunTime = spec.Duration(time.Duration(1+s.rng.IntN(120)) * time.Second)
@@ -328,11 +330,11 @@
 func (s *modelShard) commit(ctx context.Context, name string, t *modelTask, step plan.Step) {
 	p := s.partitions[name]
 	s.seq++
-	r, err := callLate[plan.Result](ctx, s, p, plan.MethodCommit, plan.Plan{
-		Partition: name, Author: s.as(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
+	r, err := callWithLateArrival[plan.Result](ctx, s, p, plan.MethodCommit, plan.Plan{
+		Partition: name, Author: s.authorship(), Seq: s.seq, Steps: []plan.Step{step}, MayRebind: true,
 	})
 	if err != nil {
-		p.doubt = true // a fence tells whether it was committed
+		p.uncertain = true // a fence shows whether it was committed
 		return
 	}
 	if r.Steps[0].Outcome == plan.Accepted {
@@ -340,20 +342,20 @@
 		return
 	}
 	if r.Steps[0].Outcome == plan.NotOwner || r.Steps[0].Outcome == plan.Duplicate {
-		p.doubt = true
+		p.uncertain = true
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state == held && t.number == step.Start.Attempt {
+	if t.state == assigned && t.attempt == step.Start.Attempt {
 		t.state = idle
 	}
 }
 
-// accepted notes the worker that the answer names, unless the task has ended.
+// accepted records the worker of an accepted step, unless the task has ended.
 func (s *modelShard) accepted(t *modelTask, step *plan.Step, r *plan.StepResult) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if t.state != held || t.number != step.Start.Attempt {
+	if t.state != assigned || t.attempt != step.Start.Attempt {
 		return
 	}
 	t.worker = step.Worker
--- a/process/partition/state.go
+++ b/process/partition/state.go
@@ -14,41 +14,42 @@
 )
 
 const (
-	// flushInterval gathers changes of workers; changes of endpoints are sent
-	// at once, because callers' requests go there.
+	// flushInterval batches changes of workers. Changes of endpoints are
+	// published at once, because callers' requests are routed by them.
 	flushInterval = 200 * time.Millisecond
 	// maxStateWait bounds one long poll.
 	maxStateWait = 30 * time.Second
 )
 
-// publisher numbers the changes of a partition and wakes those who wait.
+// publisher numbers the changes of a partition and wakes pending long polls.
 type publisher struct {
-	name    string
-	epoch   uint64
-	seq     uint64 // of the last change
-	flushed uint64 // seq that readers were told of
-	at      time.Time
-	changed chan struct{}
+	name      string
+	epoch     uint64
+	seq       uint64 // of the last change
+	flushed   uint64 // seq that readers may have seen
+	lastFlush time.Time
+	changed   chan struct{}
 
 	endpointsDirty bool
 	endpointsSeq   uint64
-	departed       []departedWorker // workers removed lately, in order
-	// departedSince is the position from which on departed is complete.
-	departedSince uint64
+	removed        []removedWorker // recently removed workers, in order
+	// removedSince is the position after which removed is complete.
+	removedSince uint64
 }
 
-// departedWorker is a worker that was removed, with the position of that.
-type departedWorker struct {
+// removedWorker is a removed worker with the position of its removal.
+type removedWorker struct {
 	id worker.ID
 	at uint64
 }
 
-// maxDepartedWorkers bounds the list; a reader further behind gets everything.
-const maxDepartedWorkers = 512
+// maxRemovedWorkers bounds the list; a reader whose position is older gets the
+// full state.
+const maxRemovedWorkers = 512
 
 func (p *publisher) init(name string, epoch uint64) {
 	p.name, p.epoch = name, epoch
-	p.seq = 1 // 0 asks for everything
+	p.seq = 1 // 0 requests the full state
 	p.endpointsSeq = 1
 	p.changed = make(chan struct{})
 }
@@ -58,26 +59,27 @@
 	return p.seq
 }
 
-func (p *publisher) gone(id worker.ID) {
-	p.departed = append(p.departed, departedWorker{id, p.next()})
-	if len(p.departed) > maxDepartedWorkers {
-		half := len(p.departed) / 2
-		p.departedSince = p.departed[half-1].at
-		p.departed = append(p.departed[:0], p.departed[half:]...)
+func (p *publisher) workerRemoved(id worker.ID) {
+	p.removed = append(p.removed, removedWorker{id, p.next()})
+	if len(p.removed) > maxRemovedWorkers {
+		half := len(p.removed) / 2
+		p.removedSince = p.removed[half-1].at
+		p.removed = append(p.removed[:0], p.removed[half:]...)
 	}
 }
 
-// flush wakes the readers when something changed.
+// flush wakes the readers if there were changes, at most every flushInterval
+// unless endpoints changed.
 func (p *publisher) flush(now time.Time) {
 	if p.endpointsDirty {
 		p.endpointsDirty = false
 		p.endpointsSeq = p.next()
-		p.at = time.Time{}
+		p.lastFlush = time.Time{}
 	}
-	if p.seq == p.flushed || now.Sub(p.at) < flushInterval {
+	if p.seq == p.flushed || now.Sub(p.lastFlush) < flushInterval {
 		return
 	}
-	p.at = now
+	p.lastFlush = now
 	p.flushed = p.seq
 	close(p.changed)
 	p.changed = make(chan struct{})
@@ -85,15 +87,16 @@
 
 func (p *publisher) close() { close(p.changed) }
 
-// poll is the answer to one look at the state.
+// poll is the result of one read of the state.
 type poll struct {
 	state   plan.State
 	ready   bool
 	changed <-chan struct{}
 }
 
-// look returns what changed after the request's position.
-func (o *owner) look(req plan.StateRequest) poll {
+// readState returns the changes after the request's position, or a channel that
+// is closed at the next change if there are none.
+func (o *owner) readState(req plan.StateRequest) poll {
 	p := &o.state
 	since := req.Since
 	if req.Epoch != p.epoch {
@@ -107,7 +110,7 @@
 
 func (o *owner) stateSince(since uint64) plan.State {
 	p := &o.state
-	if since < p.departedSince {
+	if since < p.removedSince {
 		since = 0
 	}
 	s := plan.State{Partition: p.name, Epoch: p.epoch, Seq: p.seq, Full: since == 0}
@@ -117,7 +120,7 @@
 		}
 	}
 	listed := make(map[worker.ID]bool)
-	for _, d := range p.departed {
+	for _, d := range p.removed {
 		if since != 0 && d.at > since && o.nodes[d.id] == nil && !listed[d.id] {
 			listed[d.id] = true
 			s.Workers = append(s.Workers, plan.WorkerState{ID: d.id, Gone: true})
@@ -130,8 +133,8 @@
 	return s
 }
 
-// workerState returns what changed at a worker after a position, or everything
-// when that is not remembered.
+// workerState returns the changes of a worker after a position, or its full
+// state if the changes are not recorded that far back.
 func (o *owner) workerState(n *node, since uint64) plan.WorkerState {
 	w := plan.WorkerState{
 		ID:       n.id,
@@ -141,17 +144,17 @@
 		Reserved: o.ledger.Held(n.id),
 		Unusable: n.unusable(),
 	}
-	if w.Unusable == "" && !o.noted[n.id] {
-		w.Unusable = notNoted
+	if w.Unusable == "" && !o.inMemo[n.id] {
+		w.Unusable = notInMemo
 	}
-	w.Partial = since != 0 && since >= n.departed.since && since >= n.added
+	w.Partial = since != 0 && since >= n.ended.since && since >= n.added
 	for _, t := range n.tasks {
 		if t.live() && (!w.Partial || t.changed > since) {
-			w.Tasks = append(w.Tasks, t.inState())
+			w.Tasks = append(w.Tasks, t.runningTask())
 		}
 	}
 	if w.Partial {
-		for _, d := range n.departed.list {
+		for _, d := range n.ended.list {
 			if d.at > since {
 				w.Ended = append(w.Ended, d.ref)
 			}
@@ -165,7 +168,7 @@
 	return cmp.Or(strings.Compare(a.Job, b.Job), cmp.Compare(a.Generation, b.Generation), cmp.Compare(a.Index, b.Index))
 }
 
-func (t *task) inState() plan.RunningTask {
+func (t *task) runningTask() plan.RunningTask {
 	r := plan.RunningTask{
 		Ref: t.ref, Size: t.start.Size, Class: t.class, Team: t.team, Kind: t.start.Kind,
 		NonIdempotent: t.nonIdempotent, Work: t.report.Work,
@@ -176,7 +179,7 @@
 	return r
 }
 
-// endpoints lists the service instances that listen.
+// endpoints lists the running service instances whose address is known.
 func (o *owner) endpoints() []plan.Endpoint {
 	var list []plan.Endpoint
 	for _, n := range o.nodes {
@@ -188,7 +191,7 @@
 				Service: t.start.Service, Task: t.ref.Task, Attempt: t.ref.Attempt,
 				Worker: n.id, Zone: n.vm.Zone, Address: t.report.Address,
 				Slots: t.start.Slots, Conns: t.start.Conns,
-				Leaving: t.leaving || t.stopWanted || n.draining || t.limitless,
+				Leaving: t.leaving || t.stopWanted || n.draining || t.limitsUnknown,
 			})
 		}
 	}
@@ -196,7 +199,7 @@
 	return list
 }
 
-// serveState answers a long poll.
+// serveState serves a long poll for the state.
 func (h *Host) serveState(ctx context.Context, req plan.StateRequest) (any, error) {
 	o, err := h.owner(req.Partition)
 	if err != nil {
@@ -206,7 +209,7 @@
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
-		p, err := call(ctx, o, func() poll { return o.look(req) })
+		p, err := call(ctx, o, func() poll { return o.readState(req) })
 		if err != nil {
 			return nil, err
 		}
@@ -223,10 +226,10 @@
 	}
 }
 
-// serveFence refuses older authors from now on and lists what the partition
-// holds of the shard. The claim is read from the store after the fence is set:
-// a daemon that lost the partition without knowing would otherwise answer for
-// an owner that never heard of the fence.
+// serveFence refuses older authors from now on and lists the shard's tasks in the
+// partition. The claim is read from the store after the fence is set: otherwise
+// a daemon that lost the partition, and has not noticed, could answer although
+// the present owner has not received the fence.
 func (h *Host) serveFence(ctx context.Context, req plan.Fence) (any, error) {
 	o, err := h.owner(req.Partition)
 	if err != nil {
@@ -236,7 +239,7 @@
 		h.o.Metrics.Stale.Add(1)
 		return nil, &peer.RemoteError{Code: CodeStale, Message: "the shard was taken over"}
 	}
-	if err := o.confirms.do(ctx); err != nil {
+	if err := o.confirmer.do(ctx); err != nil {
 		return nil, &peer.RemoteError{Code: CodeNotFenced, Message: "claim not confirmed: " + err.Error()}
 	}
 	return call(ctx, o, func() plan.FenceReply { return o.fenceReply(req) })
@@ -246,13 +249,13 @@
 	var r plan.FenceReply
 	shard := req.Author.Shard
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			r.Unaccounted = append(r.Unaccounted, n.id)
 		}
 		for _, t := range n.tasks {
 			if t.shard != shard && !slices.Contains(req.Jobs, t.ref.Task.Job) {
 				if t.shard == unknownShard && !slices.Contains(r.Unaccounted, n.id) {
-					r.Unaccounted = append(r.Unaccounted, n.id) // it may be of this shard
+					r.Unaccounted = append(r.Unaccounted, n.id) // the task may belong to this shard
 				}
 				continue
 			}
@@ -264,18 +267,18 @@
 	return r
 }
 
-// undelivered returns the ends of tasks that have left the books and that no
-// owner of the shard has been told of yet. Without them the shard, which may
-// not know either that the task was started, would take a task that ran for
-// one that never did, and start it again.
+// undelivered returns the final events of tasks that are no longer recorded here
+// and that no owner of the shard has received yet. The shard may not have
+// received the reports of their start either; without these events it would
+// conclude that such a task never ran, and start it again.
 func (o *owner) undelivered(req plan.Fence) []plan.Event {
-	var ends []plan.Event
-	for _, box := range o.out {
+	var events []plan.Event
+	for _, box := range o.outboxes {
 		for _, e := range box.pending {
 			if (e.Lost || e.NotStarted) && (box.shard == req.Author.Shard || slices.Contains(req.Jobs, e.Task.Job)) {
-				ends = append(ends, e)
+				events = append(events, e)
 			}
 		}
 	}
-	return ends
+	return events
 }
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -21,8 +21,8 @@
 // find returns the task and its worker, or nil.
 func (o *owner) find(ref worker.Ref) (*node, *task) {
 	for _, t := range []*task{o.live[ref.Task], o.results[ref.Task]} {
-		if t != nil && t.ref == ref && o.nodes[t.at] != nil {
-			return o.nodes[t.at], t
+		if t != nil && t.ref == ref && o.nodes[t.workerID] != nil {
+			return o.nodes[t.workerID], t
 		}
 	}
 	return nil, nil
@@ -46,11 +46,12 @@
 	return nil
 }
 
-// stopUnknown answers the stop of a task that is not in the books. While a
-// worker is not fenced the task may still be found there.
+// stopUnknown reports a task that is not recorded here as lost, in answer to a
+// request to stop it. It does nothing while a worker is not fenced, because the
+// task may still be found there.
 func (o *owner) stopUnknown(shard plan.Shard, ref worker.Ref) {
 	for _, n := range o.nodes {
-		if !n.everKnown && !n.accounted {
+		if !n.everFenced && !n.accounted {
 			return
 		}
 	}
@@ -64,19 +65,20 @@
 	switch {
 	case t.phase == ended:
 	case t.phase == waiting || t.phase == queued:
-		o.notStarted(n, t, "stopped before the start was sent")
+		o.markNotStarted(n, t, "stopped before the start was sent")
 	case t.start.Kind == spec.Service && drain > 0:
 		o.drainEndpoint(t, drain)
 	case mode == plan.StopCheckpoint && t.phase == running:
-		t.saveWanted = true
+		t.checkpointWanted = true
 	default:
 		t.stopWanted = true
 	}
-	o.wake(n)
+	o.markDirty(n)
 }
 
-// drainEndpoint marks a service instance as leaving at once and stops it after
-// its requests had time to end. An earlier end of the drain is kept.
+// drainEndpoint marks a service instance as leaving and has it stopped after
+// drain, so that its requests can finish. If a drain that ends earlier is in
+// progress, that end is kept.
 func (o *owner) drainEndpoint(t *task, drain time.Duration) {
 	at := time.Now().Add(drain)
 	if t.stopAt.IsZero() || at.Before(t.stopAt) {
@@ -88,32 +90,32 @@
 	}
 }
 
-// startDraining moves the work off a VM that is leaving.
+// startDraining ends the work on a VM that is leaving.
 func (o *owner) startDraining(n *node) {
 	n.draining = true
 	o.log.Info().Str("worker", string(n.id)).Msg("VM is leaving")
-	o.touch(n)
+	o.markChanged(n)
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
-			o.notStarted(n, t, "VM is leaving")
+			o.markNotStarted(n, t, "VM is leaving")
 		} else if t.live() {
 			o.drainTask(t)
 		}
 	}
 }
 
-// drainTask ends a task on a leaving VM with the least work lost. A task that
-// must not start twice is left to finish.
+// drainTask ends a task on a leaving VM so that the least work is lost. A
+// non-idempotent task is left to finish.
 func (o *owner) drainTask(t *task) {
 	switch {
 	case t.start.Kind == spec.Service:
 		o.drainEndpoint(t, o.t.VMDrain)
 	case !t.nonIdempotent && t.phase == running:
-		t.saveWanted = true
+		t.checkpointWanted = true
 	}
 }
 
-// ack lets workers forget results that are durable in the shard's progress.
+// ack has workers drop results that are durable in the shard's progress.
 func (o *owner) ack(req plan.Ack) error {
 	if err := o.authorize(req.Author); err != nil {
 		return err
@@ -124,15 +126,15 @@
 			continue
 		}
 		held.acked = true
-		if n := o.nodes[held.at]; n != nil {
+		if n := o.nodes[held.workerID]; n != nil {
 			n.acks = append(n.acks, ref)
 		}
 	}
 	return nil
 }
 
-// preempt takes the place of victims at the worker: it stops them, and the
-// task starts when the last one has confirmed its stop.
+// preempt stops the victims on the worker to make room for t. The start of t is
+// sent once the worker has confirmed the stop of the last victim.
 func (o *owner) preempt(n *node, t *task, victims []worker.Ref) plan.StepResult {
 	capacity, _ := o.ledger.Capacity(n.id)
 	free := capacity.Sub(o.ledger.Held(n.id))
@@ -140,7 +142,7 @@
 	for _, ref := range victims {
 		v := n.tasks[ref]
 		if v == nil || !v.live() {
-			continue // its place is free already
+			continue // its capacity is free already
 		}
 		if reason := mayPreempt(n, t, v); reason != "" {
 			return reject(plan.NoRoom, reason)
@@ -153,8 +155,8 @@
 		return reject(plan.NoRoom, "the victims do not make enough room")
 	}
 	t.enter(waiting)
-	t.at = n.id
-	n.tasks[t.ref] = t // before the victims stop: some do at once
+	t.workerID = n.id
+	n.tasks[t.ref] = t // before the victims are stopped: some stop at once
 	o.live[t.ref.Task] = t
 	o.reserveFree(n, t)
 	for ref := range t.victims {
@@ -163,7 +165,7 @@
 	return plan.StepResult{}
 }
 
-// mayPreempt returns why v can not be a victim of t, or "".
+// mayPreempt returns why v cannot be a victim of t, or "".
 func mayPreempt(n *node, t, v *task) string {
 	if v.class.Rank() >= t.class.Rank() {
 		return "a victim is not of a lower class"
@@ -179,22 +181,22 @@
 	return ""
 }
 
-// reserveFree holds what is free now of the task's size, so that nobody else
-// takes it while the victims stop.
+// reserveFree reserves for t as much of its size as is free now, so that no
+// other task takes that capacity while the victims stop.
 func (o *owner) reserveFree(n *node, t *task) {
 	o.ledger.Free(n.id, t.holder())
 	capacity, _ := o.ledger.Capacity(n.id)
 	free := capacity.Sub(o.ledger.Held(n.id))
-	part := spec.Resources{
+	available := spec.Resources{
 		MilliCPU:     max(0, min(free.MilliCPU, t.start.Size.MilliCPU)),
 		MemoryMB:     max(0, min(free.MemoryMB, t.start.Size.MemoryMB)),
 		Accelerators: max(0, min(free.Accelerators, t.start.Size.Accelerators)),
 	}
-	if part.IsZero() {
+	if available.IsZero() {
 		return
 	}
-	if err := o.ledger.Reserve(n.id, t.holder(), part); err != nil {
-		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("free part not reserved")
+	if err := o.ledger.Reserve(n.id, t.holder(), available); err != nil {
+		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("reserving free capacity for a preempting task failed")
 	}
 }
 
@@ -202,17 +204,18 @@
 	v.preempted = true
 	switch {
 	case v.phase == queued || v.phase == waiting:
-		o.notStarted(n, v, "preempted before the start was sent")
+		o.markNotStarted(n, v, "preempted before the start was sent")
 	case v.start.Kind == spec.Service:
 		o.drainEndpoint(v, o.t.PreemptDrain)
 	case v.phase == running:
-		v.saveWanted = true
+		v.checkpointWanted = true
 	default:
 		v.stopWanted = true
 	}
 }
 
-// victimStopped moves the tasks on that wait for v's place.
+// victimStopped gives the capacity of v to the tasks that wait for it, and
+// queues those that wait for no other victim.
 func (o *owner) victimStopped(n *node, v *task) {
 	for _, t := range n.tasks {
 		if t.phase != waiting || !t.victims[v.ref] {
@@ -224,11 +227,11 @@
 			continue
 		}
 		if held, _ := o.ledger.Holds(n.id, t.holder()); held != t.start.Size {
-			o.notStarted(n, t, "the victims' place was not enough")
+			o.markNotStarted(n, t, "the victims' place was not enough")
 			continue
 		}
 		t.victims = nil
 		t.enter(queued)
-		o.touch(n)
+		o.markChanged(n)
 	}
 }
