--- a/request/forward/answer.go
+++ b/request/forward/answer.go
@@ -14,24 +14,24 @@
 )
 
 const (
-	// bufferSize is how much of an answer is held at once; an answer up to it
-	// is known to be whole before its first byte is passed on.
+	// bufferSize is the size of the copy buffer, in bytes. An answer that fits into
+	// it is known to be complete before its first byte is passed on.
 	bufferSize = 32 << 10
-	// drainLimit bounds what is read of an answer that nobody waits for, to
-	// learn that the endpoint has ended.
+	// drainLimit bounds how much of a discarded answer is read, in bytes, to learn
+	// that the endpoint has finished.
 	drainLimit = 1 << 20
 )
 
 var buffers = sync.Pool{New: func() any { return new([bufferSize]byte) }}
 
-// errEndUnknown refuses a body that ends with the connection: an instance's
-// death in the middle of it would look like its end, and half an answer would be
-// passed on, or kept for a key, as a whole one.
+// errEndUnknown rejects a body that ends with the connection: a crash of the
+// instance in the middle of it would look like its end, and half an answer would
+// be passed on, or kept for an idempotency key, as a complete one.
 var errEndUnknown = errors.New("the answer's body has neither a length nor chunks")
 
 var errCallerGone = errors.New("the caller's connection is gone")
 
-// Answer is the answer of an endpoint, its body not read yet.
+// Answer is an endpoint's answer whose body has not been read yet.
 type Answer struct {
 	Status     int
 	Header     http.Header
@@ -45,7 +45,7 @@
 	closed   bool
 }
 
-// check refuses answers that must not be passed on.
+// check rejects answers that must not be passed on.
 func (a *Answer) check(x *exchange, id string) *verdict.Error {
 	got := a.Header.Get(RequestIDHeader)
 	if !x.belongs(got, id) {
@@ -66,17 +66,18 @@
 	return nil
 }
 
-// delimited reports whether the body's end can be told from a broken connection.
+// delimited reports whether the body's end can be distinguished from a broken
+// connection.
 func (a *Answer) delimited() bool {
 	return a.resp.ContentLength >= 0 || len(a.resp.TransferEncoding) > 0 || a.resp.Body == http.NoBody
 }
 
-// Whole reports whether the whole body was read: then the endpoint has ended
-// its work on the request.
+// Whole reports whether the whole body was read, in which case the endpoint has
+// finished its work on the request.
 func (a *Answer) Whole() bool { return a.whole }
 
-// Close ends the use of the answer. Unless the answer is whole its connection
-// is closed.
+// Close releases the answer's resources. It closes the connection unless the
+// whole body was read.
 func (a *Answer) Close() {
 	if a.closed {
 		return
@@ -88,7 +89,8 @@
 	a.target.end()
 }
 
-// read reads up to a full buffer; known tells that it may wait to fill it.
+// read reads into buf. When the length is known it waits until buf is full or
+// the body ends, otherwise it returns after the first bytes.
 func (a *Answer) read(buf []byte, known bool) (int, error) {
 	n, err := 0, error(nil)
 	for n < len(buf) && err == nil {
@@ -105,7 +107,7 @@
 	return n, err
 }
 
-// truncated is the error of a body that ended early.
+// truncated returns the error for a body that ended early.
 func (a *Answer) truncated(err error) *verdict.Error {
 	if a.ctx.Err() != nil && errors.Is(context.Cause(a.ctx), context.DeadlineExceeded) {
 		return newError(verdict.MayHaveRun, http.StatusGatewayTimeout, CodeDeadline, errDeadline)
@@ -113,8 +115,8 @@
 	return newError(verdict.MayHaveRun, http.StatusBadGateway, CodeTruncated, err)
 }
 
-// Discard reads the rest of the body and drops it, within a limit, to learn
-// that the endpoint has ended.
+// Discard reads and discards the rest of the body, up to a limit, to learn that
+// the endpoint has finished.
 func (a *Answer) Discard() {
 	n, err := io.Copy(io.Discard, io.LimitReader(a.resp.Body, drainLimit))
 	if err == nil && n < drainLimit {
@@ -122,9 +124,9 @@
 	}
 }
 
-// ReadWhole reads the body into memory. tooLarge is set, and the body so far
-// returned, when it is longer than limit; the rest can then be streamed with
-// Deliver. The error is a *verdict.Error.
+// ReadWhole reads the body into memory. When it is longer than limit, tooLarge is
+// set and body is nil; the answer can then still be streamed whole with Deliver.
+// The error is a *verdict.Error.
 func (a *Answer) ReadWhole(limit int) (body []byte, tooLarge bool, err error) {
 	body, err = io.ReadAll(io.LimitReader(a.resp.Body, int64(limit)+1))
 	switch {
@@ -143,8 +145,8 @@
 	io.Closer
 }
 
-// Trailer returns the answer's trailers, without those that have the name of
-// one of this system's headers; complete once the body was read.
+// Trailer returns the answer's trailers, except those that have the name of one
+// of this system's headers. They are complete once the body has been read.
 func (a *Answer) Trailer() http.Header {
 	var out http.Header
 	for name, values := range a.resp.Trailer {
@@ -159,11 +161,11 @@
 	return out
 }
 
-// Deliver passes the answer on to the caller. sent tells whether anything was
-// given to w: if so and err is not nil the caller's connection must be cut,
-// because a body that ended early must not look complete. When the caller is
-// gone the rest of the answer is read and dropped, to learn that the endpoint
-// has ended.
+// Deliver streams the answer to the caller. sent reports whether anything was
+// written to w: if so, and err is not nil, the caller's connection must be
+// aborted, because a truncated body must not look complete. When the caller has
+// disconnected, the rest of the answer is read and discarded, to learn that the
+// endpoint has finished.
 func (a *Answer) Deliver(w http.ResponseWriter) (sent bool, err error) {
 	buf := buffers.Get().(*[bufferSize]byte)
 	defer buffers.Put(buf)
@@ -215,7 +217,7 @@
 	if len(trailer) == 0 {
 		return
 	}
-	// A trailer is only sent with a chunked body.
+	// Trailers are only sent with a chunked body, which Flush enforces.
 	_ = http.NewResponseController(w).Flush()
 	for name, values := range trailer {
 		w.Header()[name] = values
--- a/request/forward/conn.go
+++ b/request/forward/conn.go
@@ -17,23 +17,24 @@
 	errResend      = errors.New("forward: the connection broke after the request was written; not sent again")
 )
 
-// exchange follows one attempt down to the bytes on its connection.
+// exchange tracks one attempt down to the bytes written to its connection.
 //
-// What goes wrong without it: the Transport may resend a request, or its write
-// loop may write after RoundTrip has returned an error; a caller that was told
-// "not run" would find its request run. The exchange is asked before every
-// write, and sealed before an error is given a verdict.
+// The Transport may resend a request, and its write loop may write after
+// RoundTrip has returned an error; a request that was reported as not run would
+// then run. Therefore every write needs the permission of the exchange, and the
+// exchange is sealed before an error is given a verdict.
 type exchange struct {
 	cancel context.CancelCauseFunc
 
 	mu     sync.Mutex
 	conn   *conn
-	wrote  bool // a byte was, or is being, handed to the kernel
+	wrote  bool // a byte was, or is being, written to the kernel
 	sealed bool
 }
 
-// permit is asked before bytes are written; first tells that none was before.
-func (x *exchange) permit(c *conn) (first, ok bool) {
+// permitWrite must be called before bytes are written. ok reports whether they
+// may be, and first whether they are the first ones.
+func (x *exchange) permitWrite(c *conn) (first, ok bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	if x.sealed || x.conn != c {
@@ -44,8 +45,8 @@
 	return first, true
 }
 
-// unwrote takes back the mark of a first write that wrote nothing.
-func (x *exchange) unwrote() {
+// clearWrote resets wrote after a first write that wrote nothing.
+func (x *exchange) clearWrote() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.wrote = false
@@ -59,7 +60,7 @@
 	return x.wrote
 }
 
-// sealUnwritten forbids writing unless a byte was written, and reports whether
+// sealUnwritten forbids writes if no byte was written yet, and reports whether
 // one was.
 func (x *exchange) sealUnwritten() (wrote bool) {
 	x.mu.Lock()
@@ -68,10 +69,10 @@
 	return x.wrote
 }
 
-// belongs reports whether an answer with this id, which may be empty, is that
-// of the request with id want. An endpoint that sends the id back does so in
-// every answer, so that on a connection where it has done so an answer without
-// it is a late or doubled one of an earlier request.
+// belongs reports whether an answer with id got, which may be empty, is the
+// answer to the request with id want. An endpoint that echoes the id does so in
+// every answer; on a connection where it has done so, an answer without the id
+// is a late or duplicate answer to an earlier request.
 func (x *exchange) belongs(got, want string) bool {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -82,8 +83,9 @@
 	return got == "" && !x.conn.echoes.Load()
 }
 
-// mayConnect is called when the Transport looks for a connection, a second
-// time when it is about to send the request again.
+// mayConnect is called when the Transport looks for a connection. A second call
+// after a write means that it is about to send the request again, which is
+// prevented by cancelling the attempt.
 func (x *exchange) mayConnect(string) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -95,15 +97,16 @@
 
 // use binds the exchange to the connection that the Transport chose.
 func (x *exchange) use(info httptrace.GotConnInfo) {
-	c := guarded(info.Conn)
+	c := rawConn(info.Conn)
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	x.conn = c
 	c.bind(x)
 }
 
-// release unbinds the exchange from its connection, unless the next one has
-// taken it already: an idle connection keeps nothing of its last request.
+// release unbinds the exchange from its connection, unless the next one is
+// bound already, so that an idle connection holds no reference to its last
+// request.
 func (x *exchange) release() {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -117,25 +120,27 @@
 	net.Conn
 	target *target
 	closed atomic.Bool
-	// secure connections carry TLS records, which arrive at any time and whose
-	// order TLS itself guards; the handshake writes before any exchange.
+	// secure is set for connections that carry TLS records. These may arrive at any
+	// time, TLS itself guards their order, and the handshake writes before any
+	// exchange.
 	secure bool
 	socket tcpsocket.Socket
-	// echoes is set once an answer on this connection has carried its
-	// request's id; used by one exchange at a time.
+	// echoes is set once an answer on this connection has echoed its request's
+	// id; it is used by one exchange at a time.
 	echoes atomic.Bool
 
-	// armed is set from the first write of an exchange on, answered once bytes
-	// have come back, written counts what was given to the kernel; see Read.
-	armed    atomic.Bool
+	// started is set from the first write of an exchange on, answered once bytes
+	// of its answer have arrived; written counts the bytes written to the kernel.
+	// See Read.
+	started  atomic.Bool
 	answered atomic.Bool
 	written  atomic.Int64
 	exchange atomic.Pointer[exchange]
 }
 
-// bind starts a new exchange; nil forbids writing.
+// bind starts a new exchange on the connection.
 func (c *conn) bind(x *exchange) {
-	c.armed.Store(false)
+	c.started.Store(false)
 	c.answered.Store(false)
 	c.written.Store(0)
 	c.exchange.Store(x)
@@ -150,33 +155,34 @@
 	if x == nil {
 		return 0, errSealed
 	}
-	first, ok := x.permit(c)
+	first, ok := x.permitWrite(c)
 	if !ok {
 		return 0, errSealed
 	}
-	if first && c.byOrder() && c.socket.Readable() {
-		x.unwrote()
+	if first && c.matchedByOrder() && c.socket.Readable() {
+		x.clearWrote()
 		_ = c.Close()
 		return 0, errUnsolicited
 	}
-	c.armed.Store(true)
+	c.started.Store(true)
 	c.written.Add(int64(len(p)))
 	n, err := c.Conn.Write(p)
 	if first && n == 0 && err != nil {
-		x.unwrote()
+		x.clearWrote()
 	}
 	return n, err
 }
 
-// byOrder reports whether only the order on the connection tells which request
-// an answer belongs to, so that the kernel must be asked.
-func (c *conn) byOrder() bool { return !c.secure && !c.echoes.Load() }
+// matchedByOrder reports whether answers are matched to requests only by their order
+// on the connection, in which case the state of the kernel's socket is checked too.
+func (c *conn) matchedByOrder() bool { return !c.secure && !c.echoes.Load() }
 
-// Read implements net.Conn. It cuts the connection when bytes arrive that
-// cannot belong to the request in progress: those that arrive before it is
-// written, and those that were sent before the other side had received a byte
-// of it, which then has none acknowledged. They are a late or doubled answer to
-// an earlier request, and would reach the wrong caller.
+// Read implements net.Conn. It closes the connection when bytes arrive that
+// can not belong to the request in progress: those that arrive before the
+// request is written, and those that were sent before the other side had
+// received a byte of it, which shows in that no byte of it is acknowledged. They
+// are a late or duplicate answer to an earlier request, and would reach the
+// wrong caller.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 || c.secure {
@@ -186,7 +192,7 @@
 	if c.answered.Load() && !idle {
 		return n, err
 	}
-	if idle || !c.armed.Load() || c.byOrder() && c.socket.Unacknowledged() >= c.written.Load() {
+	if idle || !c.started.Load() || c.matchedByOrder() && c.socket.Unacknowledged() >= c.written.Load() {
 		_ = c.Close()
 		return 0, errUnsolicited
 	}
--- a/request/forward/doc.go
+++ b/request/forward/doc.go
@@ -1,22 +1,23 @@
-// Package forward makes one attempt of a request at one endpoint and says
-// exactly what is known of its fate.
+// Package forward sends a request to one endpoint, once, and returns a verdict
+// that states exactly what is known of its outcome.
 //
 // Guarantees:
-//   - one call of Send writes the request to at most one connection: the silent
-//     resend of net/http's Transport on a broken kept-alive connection is
-//     prevented;
+//   - one call of Send writes the request to at most one connection: the
+//     automatic retry of net/http's Transport on a broken kept-alive connection
+//     is prevented;
 //   - verdict NotRun is given only when no byte of the request was accepted by
 //     the kernel for the endpoint and none can be later, or when the endpoint
 //     refused the request before work;
-//   - an answer that belongs to another request is never taken for this one's
-//     when the endpoint sends RequestIDHeader back in its answers. Without it,
-//     HTTP/1.1 binds answers to requests by their order only; then an answer is
-//     still refused when it arrives before the request is written, or when the
+//   - an answer to another request is never returned for this one when the
+//     endpoint echoes RequestIDHeader in its answers. Without the echo, HTTP/1.1
+//     matches answers to requests by their order only; then an answer is still
+//     rejected when it arrives before the request is written, or when the
 //     endpoint's side had not received a byte of the request when it sent it;
-//   - a body that ends early gives an error, never an end; so does one with
-//     neither Content-Length nor chunks, whose end can not be told from a cut;
+//   - a truncated body results in an error, never in io.EOF; so does one with
+//     neither Content-Length nor chunks, whose end can not be distinguished from
+//     a broken connection;
 //   - this daemon keeps at most Options.IdleShare idle connections per endpoint
-//     beside those that requests in progress use.
+//     in addition to those that requests in progress use.
 package forward
 
 import (
@@ -28,14 +29,14 @@
 // Headers between a daemon and an endpoint.
 const (
 	// RefusedHeader with the value RefusedBeforeWork on an answer with status
-	// 503 tells that the endpoint did not begin to work on the request.
+	// 503 means that the endpoint did not begin to work on the request.
 	RefusedHeader     = "Fennel-Refused"
 	RefusedBeforeWork = "before-work"
-	// RequestIDHeader carries the request's id; an endpoint that echoes it lets
-	// the daemon find answers that belong to another request.
+	// RequestIDHeader carries the request's id. When an endpoint echoes it, the
+	// daemon can detect answers to another request.
 	RequestIDHeader = "Fennel-Request-Id"
-	// LeavingHeader on an endpoint's answer, with any value, tells that it
-	// takes no new requests soon.
+	// LeavingHeader on an endpoint's answer, with any value, is a leaving notice:
+	// the endpoint will soon accept no new requests.
 	LeavingHeader = "Fennel-Leaving"
 )
 
@@ -45,8 +46,8 @@
 	CodeNotSent      = "not_sent"           // NotRun: the connection broke before the first byte
 	CodeRefused      = "endpoint_refused"   // NotRun: the endpoint refused before work
 	CodeLost         = "connection_lost"    // MayHaveRun: broke after the first byte
-	CodeBadAnswer    = "bad_answer"         // MayHaveRun: not an HTTP answer, or its end is not marked
-	CodeForeign      = "foreign_answer"     // MayHaveRun: the answer names another request
+	CodeBadAnswer    = "bad_answer"         // MayHaveRun: unexpected status, or a body without length and chunks
+	CodeForeign      = "foreign_answer"     // MayHaveRun: the answer has the id of another request
 	CodeTruncated    = "answer_truncated"   // MayHaveRun: the answer's body ended early
 	CodeDeadline     = "deadline_exceeded"  // by the verdict
 	CodeCallerBody   = "request_body_broke" // by the verdict: the caller's body ended early
@@ -57,7 +58,7 @@
 	return &verdict.Error{Verdict: v, Status: status, Code: code, Err: err}
 }
 
-// unsent reports how an attempt ended of which no byte was sent.
+// unsent returns the error of an attempt that the endpoint has not worked on.
 func unsent(code string, err error) *verdict.Error {
 	return newError(verdict.NotRun, http.StatusServiceUnavailable, code, err)
 }
--- a/request/forward/forward.go
+++ b/request/forward/forward.go
@@ -17,8 +17,8 @@
 	DefaultMaxAnswerHeader = 64 << 10
 	DefaultMemberMargin    = 2
 
-	transportBuffer = 8 << 10
-	sweepInterval   = 30 * time.Second
+	transportBufferSize = 8 << 10
+	sweepInterval       = 30 * time.Second
 )
 
 // Options configure a Forwarder; zero values take the defaults.
@@ -26,19 +26,20 @@
 	// Members returns how many daemons share the endpoints' connections; nil
 	// means one.
 	Members func() int
-	// MemberMargin multiplies Members, for daemons that joined unseen and for
-	// connections of dead ones that an endpoint has not noticed yet.
+	// MemberMargin multiplies Members, to allow for daemons that have joined but are
+	// not in the member list yet, and for connections of crashed daemons that an
+	// endpoint has not detected yet.
 	MemberMargin int
-	// DialTimeout bounds opening a connection.
+	// DialTimeout is the timeout for opening a connection.
 	DialTimeout time.Duration
-	// IdleTimeout closes connections that are not used; it must be below the
-	// endpoints' own idle timeout.
+	// IdleTimeout is the time after which an idle connection is closed. It must be
+	// below the endpoints' own idle timeout.
 	IdleTimeout time.Duration
 	// KeepAlive is the interval of TCP keep-alive probes.
 	KeepAlive time.Duration
-	// TLS, when set, is used towards the endpoints; nil means plain TCP.
+	// TLS is the configuration for connections to endpoints; nil means plain TCP.
 	TLS *tls.Config
-	// MaxAnswerHeader bounds an answer's header in bytes.
+	// MaxAnswerHeader bounds the size of an answer's header, in bytes.
 	MaxAnswerHeader int64
 }
 
@@ -63,7 +64,8 @@
 	}
 }
 
-// Forwarder keeps connections to endpoints. It is safe for concurrent use.
+// Forwarder sends requests to endpoints over pooled connections. It is safe for
+// concurrent use.
 type Forwarder struct {
 	opts Options
 
@@ -77,11 +79,11 @@
 	return &Forwarder{opts: o, targets: map[targetKey]*target{}}
 }
 
-// IdleShare returns how many idle connections one of members daemons may keep
-// to an endpoint: what its limit leaves beside one connection per slot, shared
-// evenly. The requests of all daemons together hold at most slots connections,
-// because each holds a slot, so that idle and used ones together stay within
-// the limit.
+// IdleShare returns how many idle connections each of members daemons may keep
+// to an endpoint: an even share of what the endpoint's connection limit leaves
+// after one connection per slot. The requests of all daemons together use at
+// most slots connections, because each holds a slot, so that idle and used
+// connections together stay within the limit.
 func IdleShare(connections, slots, members int) int {
 	if members < 1 {
 		members = 1
@@ -89,7 +91,8 @@
 	return max(0, min(slots, (connections-slots)/members))
 }
 
-// target returns the endpoint's target with the current share.
+// target returns the endpoint's target. It replaces one whose idle share is no
+// longer current.
 func (f *Forwarder) target(e plan.Endpoint) *target {
 	share := IdleShare(e.Conns, e.Slots, f.opts.Members()*f.opts.MemberMargin)
 	k := keyOf(e)
@@ -106,7 +109,7 @@
 		return t
 	}
 	if t != nil {
-		// Connections of the old transport are closed as their requests end.
+		// The old transport's other connections are closed as their requests end.
 		t.transport.CloseIdleConnections()
 	}
 	t = newTarget(&f.opts, share)
@@ -114,7 +117,7 @@
 	return t
 }
 
-// Serve forgets endpoints that are no longer used, until ctx ends; then it
+// Serve removes endpoints that are no longer used, until ctx is done; then it
 // closes the idle connections.
 func (f *Forwarder) Serve(ctx context.Context) error {
 	tick := time.NewTicker(sweepInterval)
@@ -130,7 +133,7 @@
 	}
 }
 
-// CloseIdle closes the connections that no request uses.
+// CloseIdle closes all connections that no request uses.
 func (f *Forwarder) CloseIdle() {
 	f.mu.RLock()
 	defer f.mu.RUnlock()
--- a/request/forward/header.go
+++ b/request/forward/header.go
@@ -6,22 +6,21 @@
 	"strings"
 )
 
-// hopHeaders concern one connection only and are never passed on.
+// hopHeaders are the hop-by-hop headers, which are never forwarded.
 var hopHeaders = []string{
 	"Connection", "Proxy-Connection", "Keep-Alive", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade",
 }
 
-// ownPrefix begins the names of this system's own headers.
+// ownPrefix is the prefix of this system's own headers.
 const ownPrefix = "Fennel-"
 
-// endToEnd reports whether a header, by its canonical name, decides what a
-// request asks for, for whom, or what an answer says.
-//
-// What goes wrong without it: a Connection header that names one makes the next
-// daemon or the instance see another request than the one that was checked, for
-// example an idempotent one, which is retried. RFC 9110 (7.6.1) forbids senders
-// to name headers meant for all recipients.
+// endToEnd reports whether a header, by its canonical name, affects the meaning
+// of a request or an answer, or identifies its sender, and so must not be removed
+// when Connection names it. Otherwise the next daemon or the instance would see
+// another request than the one that was checked, for example an idempotent one,
+// which is retried. RFC 9110 (7.6.1) forbids senders to name headers in
+// Connection that are meant for all recipients.
 func endToEnd(name string) bool {
 	switch name {
 	case "Idempotency-Key", "Content-Type", "Content-Encoding", "Authorization", "Cookie":
@@ -31,8 +30,8 @@
 	}
 }
 
-// RemoveHopHeaders deletes the headers that concern one connection only, those
-// named by Connection included unless they are meant for all recipients.
+// RemoveHopHeaders deletes the hop-by-hop headers, including those named by
+// Connection unless they are meant for all recipients.
 func RemoveHopHeaders(h http.Header) {
 	for _, line := range h["Connection"] {
 		for name := range strings.SplitSeq(line, ",") {
@@ -47,15 +46,15 @@
 	}
 }
 
-// PrepareRequest turns the headers of a caller's request, in place, into those
+// PrepareRequest converts the headers of a caller's request, in place, to those
 // of the request to an endpoint.
 func PrepareRequest(h http.Header, requestID string) {
 	RemoveHopHeaders(h)
-	// The body is sent at once: the caller was told to go on when the daemon
-	// began to read it.
+	// The body is sent without waiting: the caller got its 100 Continue when the
+	// daemon began to read the body.
 	delete(h, "Expect")
 	if _, ok := h["User-Agent"]; !ok {
-		h["User-Agent"] = []string{""} // else net/http names itself
+		h["User-Agent"] = []string{""} // otherwise net/http sets its own
 	}
 	h[RequestIDHeader] = []string{requestID}
 }
--- a/request/forward/reserved.go
+++ b/request/forward/reserved.go
@@ -8,13 +8,13 @@
 )
 
 // reserved reports whether a trailer has the name of one of this system's
-// headers. As trailers they mean nothing, and a caller that merges trailers
-// into the header would take an endpoint's for the daemon's verdict.
+// headers. They have no meaning as trailers, and a caller that merges trailers
+// into the header would take an endpoint's verdict for the daemon's.
 func reserved(trailer string) bool { return strings.HasPrefix(trailer, ownPrefix) }
 
 // RemoveReserved deletes from an endpoint's answer the headers that only a
-// daemon may give to callers, and the sign of a refusal, which would mean the
-// daemon's own to another daemon.
+// daemon may send to callers, and RefusedHeader, which another daemon would take
+// for a refusal by this one.
 func RemoveReserved(h http.Header) {
 	delete(h, verdict.Header)
 	delete(h, verdict.CodeHeader)
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -23,8 +23,8 @@
 	errRefused  = errors.New("the endpoint refused the request before work")
 )
 
-// Outgoing is a request as it is sent to an endpoint. Header is shared by all
-// attempts and not changed by them.
+// Outgoing is a request to endpoints. Header is shared by all attempts and not
+// modified by them.
 type Outgoing struct {
 	Method        string
 	URL           *url.URL // path and query only
@@ -37,22 +37,22 @@
 
 	mu      sync.Mutex
 	current *exchange // of the attempt in progress
-	sent    bool      // by an attempt that may have run
+	sent    bool      // an earlier attempt may have run
 	givenUp bool
 	took    time.Duration
 	leaving bool
 }
 
-// Leaving reports whether the endpoint announced in the last attempt, in a
-// refusal too, that it takes no new requests soon.
+// Leaving reports whether the endpoint's answer in the last attempt, which may
+// also be a refusal, carried LeavingHeader.
 func (o *Outgoing) Leaving() bool { return o.leaving }
 
-// Took returns how long the last attempt took that failed in Send.
+// Took returns the duration of the last attempt for which Send got no answer.
 func (o *Outgoing) Took() time.Duration { return o.took }
 
-// GiveUp forbids what has not been sent yet: an attempt in progress that has
-// written nothing will write nothing, and no other begins. It reports whether
-// the request may have run; an attempt that has been sent goes on.
+// GiveUp prevents further sending: an attempt in progress that has written
+// nothing will write nothing, and no new one starts. An attempt that has written
+// something continues. GiveUp reports whether the request may have run.
 func (o *Outgoing) GiveUp() (sent bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -60,9 +60,9 @@
 	return o.sent || o.current != nil && o.current.sealUnwritten()
 }
 
-// Cut ends an attempt in progress, its answer included, with that cause, and
-// lets no other begin.
-func (o *Outgoing) Cut(cause error) {
+// Abort cancels the attempt in progress, including the reading of its answer,
+// with the given cause, and prevents new attempts.
+func (o *Outgoing) Abort(cause error) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.givenUp = true
@@ -71,9 +71,9 @@
 	}
 }
 
-// begin makes x the attempt in progress; false after GiveUp or Cut. An attempt
-// before it that Send did not fail was answered, so that the request may have
-// run, whatever became of the answer.
+// begin makes x the attempt in progress. It returns false after GiveUp or Abort.
+// If Send returned an answer for the previous attempt the request may have run,
+// even if that answer was then truncated.
 func (o *Outgoing) begin(x *exchange) bool {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -82,15 +82,15 @@
 	return !o.givenUp
 }
 
-// NotRun tells that the last attempt was answered by a daemon which said that
-// the request did not run.
+// NotRun records that the last attempt was answered by a daemon with verdict
+// NotRun.
 func (o *Outgoing) NotRun() {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.current = nil
 }
 
-// end notes how the attempt in progress failed.
+// end records the failure of the attempt in progress.
 func (o *Outgoing) end(err *verdict.Error) error {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -99,8 +99,8 @@
 	return err
 }
 
-// callerBody remembers an error of the caller's body, to tell it from the
-// endpoint's.
+// callerBody records an error in reading the caller's body, to distinguish it
+// from an error of the endpoint.
 type callerBody struct {
 	io.Reader
 	err atomic.Pointer[error]
@@ -117,7 +117,7 @@
 
 func (*callerBody) Close() error { return nil }
 
-// sending is what one attempt needs, allocated at once.
+// sending is the state of one attempt, in a single allocation.
 type sending struct {
 	exchange exchange
 	trace    httptrace.ClientTrace
@@ -126,8 +126,8 @@
 	answer   Answer
 }
 
-// request builds the Transport's request. GetBody stays nil, so that the
-// Transport can not rewind a body.
+// request builds the request for the Transport. GetBody stays nil, so that the
+// Transport can not rewind the body.
 func (s *sending) request(ctx context.Context, o *Outgoing, scheme, address string) *http.Request {
 	s.url = *o.URL
 	s.url.Scheme, s.url.Host, s.url.User = scheme, address, nil
@@ -144,8 +144,8 @@
 	return r
 }
 
-// Send makes one attempt at the endpoint, for whose slot the caller has the
-// right. The Answer must be closed. The error is a *verdict.Error.
+// Send makes one attempt at the endpoint, of which the caller must hold a slot.
+// The Answer must be closed. The error is a *verdict.Error.
 func (f *Forwarder) Send(ctx context.Context, e plan.Endpoint, o *Outgoing) (*Answer, error) {
 	s := &sending{}
 	x := &s.exchange
@@ -181,16 +181,16 @@
 	return a, nil
 }
 
-// guarded returns the connection beneath TLS.
-func guarded(c net.Conn) *conn {
+// rawConn returns the connection beneath TLS.
+func rawConn(c net.Conn) *conn {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
 	return c.(*conn)
 }
 
-// classify gives a failed attempt its verdict. wrote tells whether a byte of
-// the request can have reached the endpoint.
+// classify returns the error for a failed attempt. wrote reports whether a byte
+// of the request can have reached the endpoint.
 func classify(ctx context.Context, err error, wrote bool, body *callerBody) *verdict.Error {
 	v := verdict.NotRun
 	if wrote {
--- a/request/forward/target.go
+++ b/request/forward/target.go
@@ -13,8 +13,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// targetKey names one life of an instance, so that a connection to an earlier
-// task at the same address is never used for a later one.
+// targetKey identifies one run of an instance, so that a connection to an
+// earlier task at the same address is never used for a later one.
 type targetKey struct {
 	address string
 	task    spec.TaskID
@@ -55,8 +55,8 @@
 		MaxIdleConnsPerHost:    share,
 		IdleConnTimeout:        o.IdleTimeout,
 		MaxResponseHeaderBytes: o.MaxAnswerHeader,
-		WriteBufferSize:        transportBuffer,
-		ReadBufferSize:         transportBuffer,
+		WriteBufferSize:        transportBufferSize,
+		ReadBufferSize:         transportBufferSize,
 	}
 	if o.TLS != nil {
 		t.scheme = "https"
@@ -64,10 +64,10 @@
 	return t
 }
 
-// dial opens a connection within the daemon's share: open connections never
-// exceed the attempts in progress, each of which holds a slot, plus the idle
-// share. Without this the Transport dials beyond it, because a request that
-// finds an idle connection leaves its own dial running.
+// dial opens a connection within the daemon's share: the number of open
+// connections never exceeds the attempts in progress, each of which holds a
+// slot, plus the idle share. The Transport alone would exceed that, because a
+// request that finds an idle connection leaves its own dial running.
 func (t *target) dial(ctx context.Context, network, address string) (net.Conn, error) {
 	if err := t.reserve(ctx); err != nil {
 		return nil, err
@@ -105,7 +105,7 @@
 	t.notifyLocked()
 }
 
-// notifyLocked wakes dials that wait; only needed when the share was used up.
+// notifyLocked wakes dials that wait for a connection in reserve.
 func (t *target) notifyLocked() {
 	close(t.changed)
 	t.changed = make(chan struct{})
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -15,12 +15,12 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// elsewhereWait is how long a retry waits for a slot of another instance than
-// the one that has just failed.
-const elsewhereWait = 2 * time.Millisecond
+// otherInstanceWait bounds how long a retry waits for a slot of an instance
+// other than the one that has just failed.
+const otherInstanceWait = 2 * time.Millisecond
 
-// deliver consumes an endpoint's answer. final is set when the caller has been
-// given anything, so that no other attempt may follow.
+// deliver consumes an endpoint's answer. final is set when anything has been
+// written to the caller, so that no other attempt may follow.
 type deliver func(a *forward.Answer) (final bool, err error)
 
 // servePlain serves a request without idempotency key.
@@ -31,12 +31,12 @@
 		return
 	}
 	final, err := g.attemptAll(c, pass, c.deliver)
-	pass.Done(endOf(err))
+	pass.Done(outcomeOf(err))
 	c.finish(final, err)
 }
 
-// endOf tells admission how the attempts ended.
-func endOf(err error) admission.End {
+// outcomeOf maps the error of the attempts to the outcome for admission.
+func outcomeOf(err error) admission.End {
 	switch {
 	case err == nil:
 		return admission.Whole
@@ -49,7 +49,7 @@
 	}
 }
 
-// deliver passes the answer on as it comes.
+// deliver streams the answer to the caller.
 func (c *call) deliver(a *forward.Answer) (bool, error) {
 	if !c.reply.claim() {
 		a.Discard()
@@ -73,9 +73,9 @@
 	h[verdict.RequestIDHeader] = c.values[1:]
 }
 
-// finish ends the call after its last attempt. When a part of an answer was
-// given to the caller and the rest is missing, the connection is cut: a body
-// that ended early must not look complete.
+// finish ends the call after its last attempt. When only part of an answer was
+// written to the caller it aborts the connection: a truncated body must not
+// look complete.
 func (c *call) finish(final bool, err error) {
 	switch {
 	case err == nil, errors.Is(err, errAnswered):
@@ -90,10 +90,10 @@
 	}
 }
 
-// reset cuts the connection of an HTTP/1.0 caller so that it sees an error.
-//
-// What goes wrong without it: HTTP/1.0 has no chunks, a body of unknown length
-// ends with the connection, and a part of an answer ends like a whole one.
+// reset closes the connection of an HTTP/1.0 caller with a TCP reset, so that
+// the caller sees an error. HTTP/1.0 has no chunks: a body of unknown length
+// ends with the connection, so that after an orderly close a truncated answer
+// would look complete.
 func (c *call) reset() {
 	if c.in.ProtoAtLeast(1, 1) {
 		return
@@ -103,7 +103,7 @@
 		return
 	}
 	if secure, ok := conn.(*tls.Conn); ok {
-		conn = secure.NetConn() // without TLS's own sign of an orderly end
+		conn = secure.NetConn() // without the close_notify of TLS, which marks an orderly end
 	}
 	if tcp, ok := conn.(*net.TCPConn); ok {
 		_ = tcp.SetLinger(0)
@@ -111,8 +111,8 @@
 	_ = conn.Close()
 }
 
-// attemptAll makes attempts until one is answered, the verdict or the budget
-// forbids another, or the deadline passes.
+// attemptAll makes attempts until one is answered, the verdict or the retry
+// budget forbids another, or the deadline passes.
 func (g *Gateway) attemptAll(c *call, pass *admission.Pass, deliver deliver) (final bool, err error) {
 	attempts := g.budget(c.service).Request(c.idempotent)
 	out := c.outgoing()
@@ -121,7 +121,7 @@
 	for {
 		reader, ok := c.body.attempt()
 		if !ok {
-			return false, err // the attempt before has used up the body
+			return false, err // the previous attempt has consumed the body
 		}
 		out.Body = reader
 		final, err = g.attempt(c, out, pass, deliver)
@@ -136,20 +136,20 @@
 	}
 }
 
-// reached reports whether a failed attempt came as far as an endpoint.
+// reached reports whether a failed attempt reached an endpoint.
 func reached(err error) bool {
 	code := verdict.As(err).Code
 	return code != forward.CodeConnect && code != forward.CodeNotSent
 }
 
 // acquire takes a slot. After a failed attempt it prefers another instance: a
-// slot that has just been given back is often the first to be handed out.
+// slot that has just been released is often the first to be granted again.
 func (g *Gateway) acquire(c *call) (slots.Slot, error) {
 	slot, err := g.opts.Slots.Acquire(c.wait, c.service)
 	if err != nil || c.endpoint == "" || slot.Endpoint().Address != c.endpoint {
 		return slot, err
 	}
-	ctx, cancel := context.WithTimeout(c.wait, elsewhereWait)
+	ctx, cancel := context.WithTimeout(c.wait, otherInstanceWait)
 	defer cancel()
 	other, err := g.opts.Slots.Acquire(ctx, c.service)
 	if err != nil {
@@ -159,7 +159,7 @@
 	return other, nil
 }
 
-// attempt takes a slot and makes one attempt at its endpoint.
+// attempt acquires a slot and makes one attempt at its endpoint.
 func (g *Gateway) attempt(c *call, out *forward.Outgoing, pass *admission.Pass, deliver deliver) (final bool, err error) {
 	slot, err := g.acquire(c)
 	if err != nil {
@@ -170,7 +170,7 @@
 	defer func() { slot.Release(end) }()
 	if !pass.InTime(c.start, c.deadline) {
 		end = slots.Ended
-		return false, g.refuseForNow(c, forward.CodeDeadline, errNoTime)
+		return false, g.refuseTemporarily(c, forward.CodeDeadline, errNoTime)
 	}
 	endpoint := slot.Endpoint()
 	c.endpoint = endpoint.Address
@@ -202,7 +202,7 @@
 	return final, err
 }
 
-// report tells the outlier tracker what an attempt says of the instance.
+// report passes the result of an attempt to the outlier tracker.
 func (g *Gateway) report(c *call, address string, err error, status int, d time.Duration) {
 	if g.opts.Outliers == nil {
 		return
@@ -214,11 +214,11 @@
 	if err != nil && !errors.Is(err, errAnswered) {
 		switch verdict.As(err).Code {
 		case forward.CodeCallerBody, forward.CodeCallerClosed:
-			return // says nothing of the instance
+			return // caused by the caller, not by the instance
 		case forward.CodeDeadline:
 			if d >= c.limit {
 				outcome = outlier.Failed
-			} // else the caller chose the time; a slow instance shows in d
+			} // otherwise the caller chose a shorter timeout; a slow instance shows in d
 		default:
 			outcome = outlier.Failed
 		}
@@ -226,7 +226,7 @@
 	g.opts.Outliers.Report(c.service, address, outcome, d)
 }
 
-// count adds a failed attempt to what is known of the request.
+// count adds a failed attempt to the call's attempts and verdict.
 func (c *call) count(err error) {
 	c.attempts++
 	c.tried = c.tried.Join(verdict.Of(err))
--- a/request/gateway/body.go
+++ b/request/gateway/body.go
@@ -19,33 +19,33 @@
 	errBodyTooLarge = errors.New("gateway: body larger than the limit")
 )
 
-// body is a caller's request body that several attempts can read. What was
-// read is kept up to a limit; beyond it no further attempt is possible.
+// body is a caller's request body that several attempts can read. Bytes that
+// were read are kept up to a limit; beyond it no further attempt is possible.
 type body struct {
 	ctl     *http.ResponseController
 	timeout time.Duration
 	max     int64
 
-	mu     sync.Mutex
-	src    io.Reader
-	read   int64  // bytes taken from src
-	kept   []byte // the first bytes of src
-	keep   int
-	err    error // how src ended
-	reader *bodyReader
+	mu        sync.Mutex
+	src       io.Reader
+	read      int64  // bytes taken from src
+	kept      []byte // the first bytes of src
+	keepLimit int
+	err       error // how src ended
+	reader    *bodyReader
 }
 
 func (b *body) init(w http.ResponseWriter, r *http.Request, o *Options) {
 	b.ctl, b.timeout, b.max = http.NewResponseController(w), o.BodyTimeout, o.MaxBody
-	b.src, b.keep = r.Body, o.RewindBody
+	b.src, b.keepLimit = r.Body, o.RewindBody
 	if r.ContentLength == 0 {
 		b.err = io.EOF
 	}
 }
 
-// newWholeBody returns a body that is in memory.
+// newWholeBody returns a body whose bytes are all in memory.
 func newWholeBody(data []byte) *body {
-	return &body{kept: data, read: int64(len(data)), keep: len(data), err: io.EOF}
+	return &body{kept: data, read: int64(len(data)), keepLimit: len(data), err: io.EOF}
 }
 
 // preload reads a body of known, small size into memory.
@@ -63,29 +63,31 @@
 	return nil
 }
 
-// interrupt ends a read in progress with os.ErrDeadlineExceeded.
+// interrupt makes a read in progress fail with os.ErrDeadlineExceeded.
 func (b *body) interrupt() { _ = b.ctl.SetReadDeadline(time.Unix(1, 0)) }
 
-// arm gives the caller BodyTimeout for the next part of its body. Without it a
-// caller that stops sending would hold a slot until the request's deadline.
-func (b *body) arm() {
+// setReadDeadline allows the caller BodyTimeout to send the next part of its
+// body. Otherwise a caller that stops sending would occupy a slot until the
+// request's deadline.
+func (b *body) setReadDeadline() {
 	if b.ctl != nil && b.timeout > 0 {
 		_ = b.ctl.SetReadDeadline(time.Now().Add(b.timeout))
 	}
 }
 
-// disarm takes the time limit away once the body has ended. Left in place it
-// would end the server's watch on the connection, which then takes a caller
-// that waits for its answer for one that has gone.
-func (b *body) disarm() {
+// clearReadDeadline removes the read deadline once the body has ended. If it
+// were left in place it would end the server's background read of the
+// connection, and the server would take a caller that waits for its answer for
+// one that has disconnected.
+func (b *body) clearReadDeadline() {
 	if b.ctl != nil && b.timeout > 0 {
 		_ = b.ctl.SetReadDeadline(time.Time{})
 	}
 }
 
-// attempt returns a reader from the body's beginning and ends the reader of
-// the attempt before; false when the beginning is no longer there or an
-// earlier attempt still waits for the caller.
+// attempt returns a reader from the start of the body and invalidates that of
+// the previous attempt. It returns false when the start is no longer kept, or
+// when an earlier attempt is still blocked reading from the caller.
 func (b *body) attempt() (io.Reader, bool) {
 	if !b.mu.TryLock() {
 		return nil, false
@@ -99,8 +101,8 @@
 	}
 	b.reader = nil
 	if b.err == io.EOF {
-		// All in memory: a plain reader needs no lock, and an attempt that has
-		// ended may still read it.
+		// The body is in memory: a plain reader needs no lock, and an attempt that
+		// has ended may still read from it.
 		return bytes.NewReader(b.kept), true
 	}
 	b.reader = &bodyReader{body: b}
@@ -134,11 +136,11 @@
 	return n, err
 }
 
-// next takes bytes from the caller.
+// next reads bytes from the caller.
 func (b *body) next(p []byte) (int, error) {
-	b.arm()
+	b.setReadDeadline()
 	n, err := b.src.Read(p)
-	if b.read == int64(len(b.kept)) && len(b.kept)+n <= b.keep {
+	if b.read == int64(len(b.kept)) && len(b.kept)+n <= b.keepLimit {
 		b.kept = append(b.kept, p[:n]...)
 	}
 	b.read += int64(n)
@@ -147,7 +149,7 @@
 	}
 	b.err = err
 	if err != nil {
-		b.disarm()
+		b.clearReadDeadline()
 	}
 	return n, err
 }
@@ -155,28 +157,29 @@
 // complete reports whether the whole body has arrived.
 func (b *body) complete() bool {
 	if !b.mu.TryLock() {
-		return false // an attempt waits for the caller
+		return false // an attempt is blocked reading from the caller
 	}
 	defer b.mu.Unlock()
 	return b.err == io.EOF
 }
 
-// readWhole reads the whole body, of size bytes or -1 when that is not known,
-// into memory taken from r, up to limit.
+// readWhole reads the whole body into memory that it reserves with r, up to
+// limit bytes. size is the body's length, or -1 when that is not known.
 func (b *body) readWhole(size, limit int64, r *reservation) ([]byte, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if b.err == io.EOF {
 		return b.kept, nil
 	}
-	b.arm()
-	defer b.disarm()
+	b.setReadDeadline()
+	defer b.clearReadDeadline()
 	data, err := readAll(b.src, size, limit, r)
 	b.read = int64(len(data))
 	return data, err
 }
 
-// describeBody names the cause when the caller's body broke off an attempt.
+// describeBody sets status and code when the caller's body made an attempt
+// fail because it was too large or too slow.
 func describeBody(e *verdict.Error) {
 	switch {
 	case e.Code != forward.CodeCallerBody:
@@ -187,8 +190,8 @@
 	}
 }
 
-// bodyError gives an error of the caller's body, met before any attempt, its
-// answer.
+// bodyError returns the refusal for an error in reading the caller's body
+// before any attempt.
 func bodyError(err error) *verdict.Error {
 	switch {
 	case errors.Is(err, errBodyTooLarge):
--- a/request/gateway/call.go
+++ b/request/gateway/call.go
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// call is one caller's request on its way through the gateway.
+// call is the state of one request in the gateway.
 type call struct {
 	w  http.ResponseWriter
 	in *http.Request
@@ -21,18 +21,18 @@
 	service    string
 	job        *spec.VersionedJob
 	identity   Identity
-	team       *spec.Team // nil when the configuration does not know it
+	team       *spec.Team // nil when it is not in the configuration
 	key        string
 	idempotent bool
 	forwarded  bool // from another daemon
 	start      time.Time
 	deadline   time.Time
-	limit      time.Duration // of the service's requests
+	limit      time.Duration // request timeout of the service
 	body       *body
 
-	// wait ends when the caller goes away or at the deadline. Attempts do not
-	// run under it: when the caller is gone the answer is read and dropped,
-	// because only its end tells that the endpoint's slot is free.
+	// wait ends when the caller disconnects or at the deadline. Attempts do not
+	// run under it: when the caller has disconnected the answer is read and
+	// discarded, because only its end shows that the endpoint's slot is free.
 	wait *waitContext
 
 	// tried joins the verdicts of all attempts so far.
@@ -40,34 +40,36 @@
 	attempts int
 	endpoint string
 
-	passedOn bool // the answer is that of the key's home
-	cut      bool // the caller got a part of an answer
+	fromOwner bool // the answer was forwarded from the key owner
+	cut       bool // the caller got a truncated answer
 
 	reply reply
-	left  atomic.Bool // no longer counted as in progress
+	left  atomic.Bool // set once the request is no longer counted as in progress
 
-	counted bool // in its caller's and its team's share
+	counted bool // against the shares of its caller and its team
 
-	// What most requests need, allocated with the call.
+	// Embedded so that most requests need a single allocation.
 	firstBody body
 	firstWait waitContext
 	bodyAlarm alarm
-	watch     watch
+	watch     deadlineWatch
 	out       forward.Outgoing
-	values    [2]string // of the answer's headers
+	values    [2]string // backing store of the two headers that answerHeader sets
 }
 
-// leave counts the request as no longer in progress, once.
+// leave removes the request from the counts of those in progress. Only the
+// first call has an effect.
 func (g *Gateway) leave(c *call) {
 	if c.left.CompareAndSwap(false, true) {
 		g.inFlight.Add(-1)
 		if c.counted {
-			g.shares.leave(c.share())
+			g.shares.leave(c.callerKey())
 		}
 	}
 }
 
-// newCall checks the request; nothing has run yet when it returns an error.
+// newCall validates the request. The call is not nil even when it returns an
+// error, and nothing has run by then.
 func (g *Gateway) newCall(w http.ResponseWriter, r *http.Request, forwarded bool) (*call, *verdict.Error) {
 	c := &call{w: w, in: r, start: time.Now(), forwarded: forwarded, tried: verdict.NotRun}
 	c.id = g.requestID(r, forwarded)
@@ -96,7 +98,7 @@
 	c.service = ServiceName(h.Get(ServiceHeader), c.in.Host)
 	job, failure := findService(g.opts.Config.Current(), c.service)
 	if failure != nil {
-		c.service = "" // not a name to be kept in metrics
+		c.service = "" // keeps unknown names out of the metrics
 		return failure
 	}
 	c.job = job
@@ -126,7 +128,8 @@
 	return nil
 }
 
-// identify tells who sent the request; a daemon that forwards one says so.
+// identify returns the sender of the request; for a forwarded one, the identity
+// that the forwarding daemon has set in the headers.
 func (g *Gateway) identify(c *call) Identity {
 	if c.forwarded {
 		return Identity{Team: c.in.Header.Get(TeamHeader), Caller: c.in.Header.Get(CallerHeader)}
@@ -134,8 +137,8 @@
 	return g.opts.Identify(c.in)
 }
 
-// outgoing returns the request for endpoints, with the headers cleaned in
-// place.
+// outgoing returns the request to send to endpoints. It strips the hop-by-hop
+// and internal headers in place.
 func (c *call) outgoing() *forward.Outgoing {
 	forward.PrepareRequest(c.in.Header, c.id)
 	delete(c.in.Header, ForwardedHeader)
@@ -146,11 +149,10 @@
 	return o
 }
 
-// setIdentity names team and caller to the instance as this daemon knows them.
-//
-// What goes wrong without it: a caller with a certificate sends the name of
-// another team in a header, which the daemon does not believe but the instance
-// does.
+// setIdentity sets the team and caller headers from the identity that this
+// daemon has established. Otherwise a caller with a certificate could send
+// another team's name in a header, which the daemon ignores but the instance
+// would trust.
 func (c *call) setIdentity() {
 	setOrDelete(c.in.Header, TeamHeader, c.identity.Team)
 	setOrDelete(c.in.Header, CallerHeader, c.identity.name())
@@ -165,9 +167,9 @@
 	}
 }
 
-// teamName returns the team for limits and fair shares. Teams that the
-// configuration does not know share one name, so that callers can not multiply
-// their share by inventing teams.
+// teamName returns the team for limits and fair shares. All teams that are not
+// in the configuration share one name, so that callers can not multiply their
+// share by inventing teams.
 func (c *call) teamName() string {
 	if c.team == nil {
 		return ""
@@ -175,13 +177,12 @@
 	return c.team.Name
 }
 
-func (c *call) share() share { return share{c.teamName(), c.identity.Caller} }
+func (c *call) callerKey() callerKey { return callerKey{c.teamName(), c.identity.Caller} }
 
-// remaining returns the time until the deadline.
 func (c *call) remaining() time.Duration { return time.Until(c.deadline) }
 
-// fail answers the caller with an error. The verdict counts all attempts: when
-// an earlier one may have run, "not run" would be false.
+// fail answers the caller with an error. The verdict covers all attempts: when
+// an earlier one may have run, NotRun would be false.
 func (c *call) fail(err error) {
 	e := *verdict.As(err)
 	describeBody(&e)
@@ -194,7 +195,8 @@
 	}
 }
 
-// pause waits before the next attempt; false when the deadline comes first.
+// pause waits before the next attempt. It returns false when the call's wait
+// context ends first.
 func (c *call) pause(d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
@@ -206,7 +208,7 @@
 	}
 }
 
-// endedInBody reports whether err came from the caller's own body.
+// endedInBody reports whether err was caused by the caller's request body.
 func endedInBody(err error) bool {
 	var e *verdict.Error
 	return errors.As(err, &e) && e.Code == forward.CodeCallerBody
--- a/request/gateway/cell_test.go
+++ b/request/gateway/cell_test.go
@@ -96,7 +96,7 @@
 
 // kill cuts the daemon's connections for good and gives its keys to another. It
 // is not told, as one that is paused: what it had begun goes on.
-func (c *cell) kill(t testing.TB, i, heir int) {
+func (c *cell) kill(t testing.TB, i, successor int) {
 	t.Helper()
 	for _, s := range c.servers[i] {
 		require.NoError(t, s.Listener.Close())
@@ -105,7 +105,7 @@
 	for n := range idem.Shards {
 		r := ownership.Resource(ownership.KeysPrefix + strconv.Itoa(n))
 		if c.claims.Claim(r).Owner == c.members[i].Ref {
-			c.keys[heir].Acquired(t.Context(), c.claims.Set(r, c.members[heir].Ref))
+			c.keys[successor].Acquired(t.Context(), c.claims.Set(r, c.members[successor].Ref))
 		}
 	}
 }
@@ -190,8 +190,8 @@
 	c.setFaults(endpoint.Faults{Delay: 2 * time.Millisecond})
 	var wg sync.WaitGroup
 	var whole, unknown atomic.Int32
-	const orders, killAt = 240, 80
-	for i := range orders {
+	const total, killAt = 240, 80
+	for i := range total {
 		if i == killAt {
 			c.kill(t, 0, 1)
 		}
@@ -225,10 +225,10 @@
 		time.Sleep(time.Millisecond)
 	}
 	wg.Wait()
-	for i := range orders {
+	for i := range total {
 		require.LessOrEqual(t, c.runs("pallet-"+strconv.Itoa(i)), 1, "order %d", i)
 	}
-	require.Greater(t, whole.Load(), int32(orders*9/10), "%d may have run", unknown.Load())
+	require.Greater(t, whole.Load(), int32(total*9/10), "%d may have run", unknown.Load())
 	t.Logf("whole %d, may have run %d", whole.Load(), unknown.Load())
 }
 
@@ -247,16 +247,16 @@
 	//   a certificate, or with one of another authority.
 	// Cause: a TLS configuration that checks the other side by itself leaves
 	//   the verified chains empty, by which the handler tells daemons.
-	home, err := keys.Ephemeral("127.0.0.1")
+	own, err := keys.Ephemeral("127.0.0.1")
 	require.NoError(t, err)
 	stranger, err := keys.Ephemeral("127.0.0.1")
 	require.NoError(t, err)
-	table := &homeOfAll{}
+	table := &ownerOfAll{}
 	g := New(Options{Config: testConfig(5 * time.Second), Slots: newPool(), Forwarder: forward.New(forward.Options{}), Keys: table})
 	server := httptest.NewUnstartedServer(nil)
 	server.Config = NewServer(g.PeerHandler())
 	server.Config.ErrorLog = log.New(io.Discard, "", 0) // refused handshakes
-	server.Listener = tls.NewListener(server.Listener, home.PeerHTTPConfig())
+	server.Listener = tls.NewListener(server.Listener, own.PeerHTTPConfig())
 	server.Start()
 	defer server.Close()
 
@@ -266,12 +266,12 @@
 		return forward.New(forward.Options{TLS: c}).Send(t.Context(), plan.Endpoint{Address: server.Listener.Addr().String(), Slots: 1, Conns: 2},
 			&forward.Outgoing{Method: "POST", URL: &url.URL{Path: "/"}, Host: testService, Header: h, ID: "id"})
 	}
-	a, err := send(home.PeerConfig())
+	a, err := send(own.PeerConfig())
 	require.NoError(t, err)
 	defer a.Close()
 	require.Equal(t, http.StatusOK, a.Status)
 	require.EqualValues(t, 1, table.begun.Load())
-	without := home.PeerConfig()
+	without := own.PeerConfig()
 	without.GetCertificate, without.GetClientCertificate = nil, nil
 	for name, c := range map[string]*tls.Config{"without a certificate": without, "stranger": stranger.PeerConfig()} {
 		_, err := send(c)
@@ -280,12 +280,12 @@
 	require.EqualValues(t, 1, table.begun.Load(), "a refused request was served")
 }
 
-// homeOfAll is the home of every key, and has an answer for each.
-type homeOfAll struct{ begun atomic.Int32 }
+// ownerOfAll is the home of every key, and has an answer for each.
+type ownerOfAll struct{ begun atomic.Int32 }
 
-func (*homeOfAll) Home(idem.Key) (fleet.Member, bool, bool) { return fleet.Member{}, true, true }
+func (*ownerOfAll) Owner(idem.Key) (fleet.Member, bool, bool) { return fleet.Member{}, true, true }
 
-func (h *homeOfAll) Begin(context.Context, idem.Request) (*idem.Attempt, *idem.Answer, error) {
+func (h *ownerOfAll) Begin(context.Context, idem.Request) (*idem.Attempt, *idem.Answer, error) {
 	h.begun.Add(1)
 	return nil, &idem.Answer{Status: http.StatusOK}, nil
 }
--- a/request/gateway/deadline.go
+++ b/request/gateway/deadline.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// deadlines calls functions at the requests' deadlines with one timer for all.
-// A timer per request costs more than the rest of the gateway's own work: each
-// one that is due before those already set wakes the thread that waits for the
-// network.
+// deadlines calls functions at the requests' deadlines, with a single timer for
+// all. A timer per request would cost more than the rest of the gateway's own
+// work: each timer that is due before those already set wakes the thread that
+// waits in the network poller.
 type deadlines struct {
 	mu    sync.Mutex
 	heap  deadlineHeap
@@ -18,15 +18,15 @@
 	due   time.Time // when the timer fires; zero: not set
 }
 
-// alarm is one function to be called; it is called at most once, in its own
-// goroutine.
+// alarm is a function to be called at a given time. It is called at most once,
+// in its own goroutine.
 type alarm struct {
 	at    time.Time
 	call  func()
 	index int // in the heap; -1 when not in it
 }
 
-// set arranges that call is called at that time; a must not be set.
+// set schedules call for the given time; a must not be scheduled already.
 func (d *deadlines) set(a *alarm, at time.Time, call func()) {
 	a.at, a.call = at, call
 	d.mu.Lock()
@@ -35,7 +35,7 @@
 	d.scheduleLocked()
 }
 
-// stop takes the alarm back; false when it has gone off.
+// stop cancels the alarm. It returns false when the alarm has already fired.
 func (d *deadlines) stop(a *alarm) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -46,8 +46,8 @@
 	return true
 }
 
-// scheduleLocked sets the timer for the first alarm unless it is set for that
-// time or an earlier one already.
+// scheduleLocked sets the timer for the first alarm unless it is already set
+// for that time or an earlier one.
 func (d *deadlines) scheduleLocked() {
 	if len(d.heap) == 0 || !d.due.IsZero() && !d.due.After(d.heap[0].at) {
 		return
@@ -99,8 +99,8 @@
 	return a
 }
 
-// waitContext ends at a deadline or with its parent. Its timer is only set when
-// someone waits for Done, which most requests never do.
+// waitContext is a context with a deadline whose timer is created lazily, at the
+// first call of Done, which most requests never make.
 type waitContext struct {
 	context.Context
 	deadline time.Time
@@ -114,7 +114,7 @@
 func (w *waitContext) Deadline() (time.Time, bool) { return w.deadline, true }
 
 // Done implements context.Context.
-func (w *waitContext) Done() <-chan struct{} { return w.force().Done() }
+func (w *waitContext) Done() <-chan struct{} { return w.ensureInner().Done() }
 
 // Err implements context.Context.
 func (w *waitContext) Err() error {
@@ -128,12 +128,12 @@
 		return err
 	}
 	if !time.Now().Before(w.deadline) {
-		return w.force().Err()
+		return w.ensureInner().Err()
 	}
 	return nil
 }
 
-func (w *waitContext) force() context.Context {
+func (w *waitContext) ensureInner() context.Context {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.inner == nil {
@@ -142,7 +142,7 @@
 	return w.inner
 }
 
-// stop frees the timer.
+// stop releases the timer.
 func (w *waitContext) stop() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -1,7 +1,11 @@
-// Package gateway carries callers' requests to the instances of services: it
-// finds the service, gives the request a deadline, keeps idempotency keys,
-// takes a slot, forwards, retries as the verdict allows, and answers with a
-// verdict.
+// Package gateway is the HTTP reverse proxy between callers and the instances
+// of services. For each request it finds the service, sets a deadline, applies
+// the idempotency key, acquires a slot, forwards, retries where the verdict
+// allows it, and answers.
+//
+// Guarantees: the answer to every request carries a verdict; verdict NotRun is
+// given only when no attempt of the request can have run; a truncated answer is
+// never passed on as a complete one.
 package gateway
 
 import (
@@ -29,12 +33,13 @@
 )
 
 const (
-	// drainPoll is how often Drain looks whether the last request has ended.
+	// drainPoll is the interval at which Drain checks for requests in progress.
 	drainPoll = 10 * time.Millisecond
-	// quiet is for how long no caller has sent anything once the balancer has gone elsewhere.
-	quiet = 500 * time.Millisecond
-	// noticeLimit bounds the wait for the balancer beyond the grace.
-	noticeLimit = 8 * time.Second
+	// quietPeriod is the time without a new request after which the load balancer is taken
+	// to have stopped sending requests here.
+	quietPeriod = 500 * time.Millisecond
+	// maxQuietWait bounds the wait for a quiet period after Drain's grace period.
+	maxQuietWait = 8 * time.Second
 )
 
 // Gateway serves callers' requests. Its methods are safe for concurrent use.
@@ -43,12 +48,12 @@
 	idPrefix string
 	idSeq    atomic.Uint64
 
-	inFlight atomic.Int64
-	lastCall atomic.Int64 // when a caller's request came last while unready, in Unix nanoseconds
-	shares   shares
-	bodies   bodyMemory
-	state    atomic.Int32
-	counts   Counters
+	inFlight    atomic.Int64
+	lastArrival atomic.Int64 // of a caller's request while not serving, in Unix nanoseconds
+	shares      shares
+	bodies      bodyMemory
+	state       atomic.Int32
+	counts      Counters
 
 	deadlines deadlines
 
@@ -59,11 +64,11 @@
 // States of a gateway.
 const (
 	serving int32 = iota
-	unready       // the balancer is told to go elsewhere; requests are served
+	unready       // the readiness check fails; requests are still served
 	refusing
 )
 
-// New returns a gateway that serves as soon as Options.Ready says so.
+// New returns a gateway that serves once Options.Ready is closed.
 func New(o Options) *Gateway {
 	o.setDefaults()
 	g := &Gateway{
@@ -85,14 +90,14 @@
 	inFlight := g.inFlight.Add(1)
 	c, failure := g.newCall(w, r, forwarded)
 	defer g.leave(c)
-	defer g.ended(c)
+	defer g.recordOutcome(c)
 	if failure == nil {
 		defer c.wait.stop()
-		failure = g.gate(c, inFlight)
+		failure = g.precheck(c, inFlight)
 	}
 	if !forwarded && g.state.Load() != serving {
-		g.lastCall.Store(c.start.UnixNano())
-		w.Header().Set("Connection", "close") // the balancer opens the next one elsewhere
+		g.lastArrival.Store(c.start.UnixNano())
+		w.Header().Set("Connection", "close") // the load balancer reconnects to another daemon
 	}
 	if failure != nil {
 		c.fail(failure)
@@ -111,8 +116,8 @@
 	g.servePlain(c)
 }
 
-// preload reads a small body before a slot is taken, so that a slow caller
-// holds no slot.
+// preload reads a small body before a slot is acquired, so that a slow caller
+// does not occupy a slot.
 func (g *Gateway) preload(c *call) error {
 	size := c.in.ContentLength
 	if size <= 0 || size > int64(g.opts.RewindBody) {
@@ -124,8 +129,8 @@
 	return c.body.preload(size)
 }
 
-// ready reports whether the configuration is known. Without this question a daemon that
-// has just begun answers 404 for services that exist, and their callers do not come back.
+// ready reports whether the configuration has been loaded. Without this check a daemon that
+// has just started would answer 404 for services that exist, and callers do not retry a 404.
 func (g *Gateway) ready() bool {
 	select {
 	case <-g.opts.Ready:
@@ -135,19 +140,20 @@
 	}
 }
 
-// gate refuses work that this daemon must not take on.
-func (g *Gateway) gate(c *call, inFlight int64) *verdict.Error {
+// precheck refuses a request when the gateway is stopping or when a concurrency
+// or rate limit is reached.
+func (g *Gateway) precheck(c *call, inFlight int64) *verdict.Error {
 	if g.state.Load() == refusing {
 		return refuse(http.StatusServiceUnavailable, CodeDraining, errDraining)
 	}
 	if inFlight > int64(g.opts.MaxConcurrent) {
-		return g.refuseForNow(c, CodeOverloaded, errOverloaded)
+		return g.refuseTemporarily(c, CodeOverloaded, errOverloaded)
 	}
 	if c.forwarded {
-		return nil // counted where it arrived
+		return nil // counted by the daemon that received it from the caller
 	}
-	if err := g.shares.enter(c.share()); err != nil {
-		return g.refuseForNow(c, CodeOverloaded, err)
+	if err := g.shares.enter(c.callerKey()); err != nil {
+		return g.refuseTemporarily(c, CodeOverloaded, err)
 	}
 	c.counted = true
 	teamRate := 0.0
@@ -174,7 +180,7 @@
 	return r
 }
 
-// requestID returns a new id, or that which another daemon gave the request.
+// requestID returns a new id, or the id that the forwarding daemon assigned.
 func (g *Gateway) requestID(r *http.Request, forwarded bool) string {
 	if id := r.Header.Get(verdict.RequestIDHeader); forwarded && id != "" && len(id) <= maxName {
 		return id
@@ -196,14 +202,15 @@
 	return b
 }
 
-// Drain stops the gateway as planned: for grace it serves on while its
-// readiness check fails, so that the balancer goes elsewhere, and longer while
-// callers still come; then it refuses new requests as not run and waits until
-// those in progress have ended or ctx ends.
+// Drain stops the gateway gracefully. For the grace period it keeps serving
+// while its readiness check fails, so that the load balancer moves to other
+// daemons, and for longer while new requests still arrive. Then it refuses new
+// requests as not run and waits until those in progress have completed or ctx
+// is done.
 func (g *Gateway) Drain(ctx context.Context, grace time.Duration) error {
 	g.state.CompareAndSwap(serving, unready)
-	_ = sleep.For(ctx, grace) // ends with ctx, which the loops see
-	g.awaitQuiet(ctx)
+	_ = sleep.For(ctx, grace) // an ended ctx is detected by the loops below
+	g.awaitQuietPeriod(ctx)
 	g.state.Store(refusing)
 	tick := time.NewTicker(drainPoll)
 	defer tick.Stop()
@@ -217,20 +224,21 @@
 	return nil
 }
 
-// awaitQuiet waits until callers come no more.
+// awaitQuietPeriod waits until no new request has arrived for quietPeriod, at
+// most for maxQuietWait.
 //
-// What goes wrong with a fixed time: a balancer whose check is answered late, or that checks
-// seldom, sends callers here for longer. They are refused by a daemon that could serve them,
-// and those that come at the very end meet closed connections.
-func (g *Gateway) awaitQuiet(ctx context.Context) {
-	ctx, cancel := context.WithTimeout(ctx, noticeLimit)
+// A fixed wait is not enough: a load balancer whose check is answered late, or that checks
+// seldom, keeps sending requests here for longer. They would be refused by a daemon that
+// could serve them, and the last ones would find their connections closed.
+func (g *Gateway) awaitQuietPeriod(ctx context.Context) {
+	ctx, cancel := context.WithTimeout(ctx, maxQuietWait)
 	defer cancel()
-	for time.Since(time.Unix(0, g.lastCall.Load())) < quiet {
+	for time.Since(time.Unix(0, g.lastArrival.Load())) < quietPeriod {
 		if sleep.For(ctx, drainPoll) != nil {
 			return
 		}
 	}
 }
 
-// InFlight returns how many requests are in progress, waiting ones included.
+// InFlight returns the number of requests in progress, including waiting ones.
 func (g *Gateway) InFlight() int64 { return g.inFlight.Load() }
--- a/request/gateway/keyed.go
+++ b/request/gateway/keyed.go
@@ -17,35 +17,35 @@
 
 var (
 	errKeysOff = errors.New("idempotency keys are not served here")
-	errNoHome  = errors.New("no daemon is known as the key's home")
+	errNoOwner = errors.New("no daemon is known as the key's home")
 )
 
-// Waits between two looks for a key's home.
+// Pauses between two tries to reach a key's owner.
 const (
-	homePause    = 20 * time.Millisecond
-	homePauseMax = 250 * time.Millisecond
+	ownerPause    = 20 * time.Millisecond
+	maxOwnerPause = 250 * time.Millisecond
 )
 
-// writeGrace is how long after the deadline an answer in memory may still be
-// written.
+// writeGrace is the time after the deadline in which an answer in memory may
+// still be written.
 const writeGrace = time.Second
 
-// serveKeyed serves a request with an idempotency key: at the key's home, which
-// is this daemon or another.
+// serveKeyed serves a request with an idempotency key. Every such request is
+// handled by the key's owner, which is this daemon or another.
 func (g *Gateway) serveKeyed(c *call) {
 	if g.opts.Keys == nil {
 		c.fail(refuse(http.StatusNotImplemented, CodeKeysOff, errKeysOff))
 		return
 	}
-	held := &reservation{memory: &g.bodies, holder: c.share()}
-	defer held.free()
-	data, err := c.body.readWhole(c.in.ContentLength, g.opts.MaxKeyedBody, held)
+	reserved := &reservation{memory: &g.bodies, holder: c.callerKey()}
+	defer reserved.free()
+	data, err := c.body.readWhole(c.in.ContentLength, g.opts.MaxKeyedBody, reserved)
 	if err != nil {
 		c.fail(bodyError(err))
 		return
 	}
 	c.body = newWholeBody(data)
-	// Others may join this arrival, so it does not end with its caller.
+	// Other requests may join this one, so it continues when its caller disconnects.
 	c.wait.stop()
 	c.wait = &waitContext{Context: context.WithoutCancel(c.in.Context()), deadline: c.deadline}
 	defer c.wait.stop()
@@ -56,16 +56,17 @@
 		Fingerprint:   idem.FingerprintOf(c.in, c.identity.name(), data),
 		NonIdempotent: !c.idempotent,
 	}
-	g.findHome(c, req)
+	g.serveAtOwner(c, req)
 }
 
-// findHome serves the request at the key's home, looking again while the home
-// is changing hands. Sending a keyed request to a home again is safe whatever
-// became of the first: the home joins both, or knows that it was sent.
-func (g *Gateway) findHome(c *call, req idem.Request) {
-	until := time.Now().Add(g.opts.HomeWait)
-	for pause := homePause; ; pause = min(2*pause, homePauseMax) {
-		done, err := g.tryHome(c, req)
+// serveAtOwner serves the request at the key's owner and retries while the
+// ownership is moving. Sending a keyed request to an owner again is safe
+// whatever the outcome of the first try: the owner joins both, or has a record
+// that the request was sent.
+func (g *Gateway) serveAtOwner(c *call, req idem.Request) {
+	until := time.Now().Add(g.opts.OwnerWait)
+	for pause := ownerPause; ; pause = min(2*pause, maxOwnerPause) {
+		done, err := g.tryOwner(c, req)
 		if done {
 			return
 		}
@@ -76,26 +77,26 @@
 	}
 }
 
-// tryHome makes one try; done is false when another may find the home.
-func (g *Gateway) tryHome(c *call, req idem.Request) (done bool, err error) {
-	home, self, ok := g.opts.Keys.Home(req.Key)
+// tryOwner makes one try; done is false when another try may reach the owner.
+func (g *Gateway) tryOwner(c *call, req idem.Request) (done bool, err error) {
+	owner, self, ok := g.opts.Keys.Owner(req.Key)
 	switch {
 	case !ok:
-		return false, refuse(http.StatusServiceUnavailable, idem.CodeNoHome, errNoHome)
+		return false, refuse(http.StatusServiceUnavailable, idem.CodeOwnerNotReady, errNoOwner)
 	case self:
-		return g.atHome(c, req)
+		return g.serveAsOwner(c, req)
 	case c.forwarded:
-		return false, refuse(http.StatusServiceUnavailable, idem.CodeNotHome, errNoHome)
+		return false, refuse(http.StatusServiceUnavailable, idem.CodeNotOwner, errNoOwner)
 	default:
-		return g.toHome(c, home)
+		return g.forwardToOwner(c, owner)
 	}
 }
 
-// atHome begins or joins the key's request on this daemon.
-func (g *Gateway) atHome(c *call, req idem.Request) (done bool, err error) {
+// serveAsOwner runs the key's request on this daemon, or joins the one that runs.
+func (g *Gateway) serveAsOwner(c *call, req idem.Request) (done bool, err error) {
 	attempt, answer, err := g.opts.Keys.Begin(c.wait, req)
 	switch {
-	case err != nil && elsewhere(verdict.As(err).Code):
+	case err != nil && ownerMoving(verdict.As(err).Code):
 		return false, err
 	case err != nil:
 		c.fail(err)
@@ -107,14 +108,15 @@
 	return true, nil
 }
 
-// elsewhere reports whether an error says that the home changes hands: the
-// claim of a home that is stopping, or has begun anew, is another daemon's soon.
-func elsewhere(code string) bool {
-	return code == idem.CodeNotHome || code == idem.CodeNoHome || code == CodeDraining || code == CodeStarting
+// ownerMoving reports whether an error code means that the key's ownership is
+// moving: the claim of an owner that is stopping, or that has restarted, will
+// soon belong to another daemon.
+func ownerMoving(code string) bool {
+	return code == idem.CodeNotOwner || code == idem.CodeOwnerNotReady || code == CodeDraining || code == CodeStarting
 }
 
-// runKeyed runs the key's request. It goes on when this caller goes away,
-// because others may have joined.
+// runKeyed runs the key's request. It continues when this caller disconnects,
+// because other requests may have joined.
 func (g *Gateway) runKeyed(c *call, attempt *idem.Attempt) {
 	defer attempt.Close()
 	pass, err := g.intendAndAdmit(c, attempt)
@@ -123,10 +125,10 @@
 		c.fail(err)
 		return
 	}
-	defer func() { pass.Done(endOf(err)) }()
+	defer func() { pass.Done(outcomeOf(err)) }()
 	var final bool
 	final, err = g.attemptAll(c, pass, func(a *forward.Answer) (bool, error) {
-		return c.keep(a, attempt)
+		return c.keepAnswer(a, attempt)
 	})
 	if err != nil && !errors.Is(err, errAnswered) {
 		e := *verdict.As(err)
@@ -138,11 +140,12 @@
 
 // intendAndAdmit makes the intent durable and then waits for admission.
 //
-// What goes wrong in the other order: admission counts a request as about to
-// take a slot while it waits for the store, takes the store's pace for that of
-// the slots, and with a slow store refuses requests of every kind while slots
-// stand idle. A request that would be refused is told so before its intent is
-// written; one that is refused afterwards did not run, and its key is free.
+// In the other order admission would count a request as about to take a slot
+// while it waits for the store, would mistake the store's service rate for that
+// of the slots, and with a slow store would refuse requests of every kind while
+// slots are idle. A request that admission would refuse is refused before its
+// intent is written; one that is refused afterwards did not run, and its key
+// can be used again.
 func (g *Gateway) intendAndAdmit(c *call, attempt *idem.Attempt) (*admission.Pass, error) {
 	if err := g.opts.Admission.Check(c.admission()); err != nil {
 		return nil, err
@@ -153,8 +156,9 @@
 	return g.admit(c)
 }
 
-// keep hands a whole answer to the key's other arrivals and to this caller.
-func (c *call) keep(a *forward.Answer, attempt *idem.Attempt) (bool, error) {
+// keepAnswer passes a complete answer to the joined requests of the key and to
+// this caller. An answer that is too large to keep is streamed to this caller.
+func (c *call) keepAnswer(a *forward.Answer, attempt *idem.Attempt) (bool, error) {
 	body, tooLarge, err := a.ReadWhole(idem.DefaultMaxAnswer)
 	if err != nil {
 		return false, err
@@ -171,10 +175,10 @@
 	answer := &idem.Answer{Status: a.Status, Header: a.Header, Body: body, Trailer: a.Trailer()}
 	attempt.Finish(answer)
 	c.writeKept(answer)
-	return true, nil // when the deadline's answer came first, this one is dropped
+	return true, nil // writeKept does nothing when the deadline was answered first
 }
 
-// writeKept answers the caller from memory.
+// writeKept answers the caller with an answer that is held in memory.
 func (c *call) writeKept(answer *idem.Answer) {
 	if !c.reply.claim() {
 		return
@@ -187,7 +191,7 @@
 		h["Content-Length"] = []string{strconv.Itoa(len(answer.Body))}
 	}
 	if len(answer.Trailer) > 0 && c.in.ProtoAtLeast(1, 1) {
-		delete(h, "Content-Length") // trailers come with chunks only
+		delete(h, "Content-Length") // trailers need a chunked body
 		for name := range answer.Trailer {
 			h.Add("Trailer", name)
 		}
@@ -202,47 +206,47 @@
 	}
 }
 
-// boundWrites lets a caller that does not read its answer block the write until
-// the deadline only; the returned function lifts the bound.
+// boundWrites sets a write deadline of writeGrace after the request's deadline,
+// for callers that do not read their answer; the returned function removes it.
 func (c *call) boundWrites() func() {
 	ctl := http.NewResponseController(c.w)
 	_ = ctl.SetWriteDeadline(c.deadline.Add(writeGrace))
 	return func() { _ = ctl.SetWriteDeadline(time.Time{}) }
 }
 
-// toHome sends the request to its home daemon.
-func (g *Gateway) toHome(c *call, home fleet.Member) (done bool, err error) {
+// forwardToOwner forwards the request to the key's owner.
+func (g *Gateway) forwardToOwner(c *call, owner fleet.Member) (done bool, err error) {
 	if g.opts.Peers == nil {
-		return false, refuse(http.StatusServiceUnavailable, idem.CodeNoHome, errNoHome)
+		return false, refuse(http.StatusServiceUnavailable, idem.CodeOwnerNotReady, errNoOwner)
 	}
 	out := c.outgoing()
 	out.Header = out.Header.Clone()
 	g.forwardHeader(c, out.Header)
 	out.Body = bytes.NewReader(c.body.kept)
-	answer, err := g.opts.Peers.Send(c.wait, peerEndpoint(home), out)
+	answer, err := g.opts.Peers.Send(c.wait, peerEndpoint(owner), out)
 	if err != nil {
 		c.count(err)
 		return false, err
 	}
 	defer answer.Close()
 	v, perr := verdict.Parse(answer.Header.Get(verdict.Header))
-	if perr == nil && v == verdict.NotRun && elsewhere(answer.Header.Get(verdict.CodeHeader)) {
+	if perr == nil && v == verdict.NotRun && ownerMoving(answer.Header.Get(verdict.CodeHeader)) {
 		out.NotRun()
-		return false, refuse(http.StatusServiceUnavailable, answer.Header.Get(verdict.CodeHeader), errNoHome)
+		return false, refuse(http.StatusServiceUnavailable, answer.Header.Get(verdict.CodeHeader), errNoOwner)
 	}
-	c.deliverHome(answer, v)
+	c.deliverFromOwner(answer, v)
 	return true, nil
 }
 
-// deliverHome passes the home's answer on. Its verdict speaks of this arrival
-// at the home only; an earlier try may have run.
-func (c *call) deliverHome(a *forward.Answer, v verdict.Verdict) {
+// deliverFromOwner passes the owner's answer on to the caller. The owner's
+// verdict covers this try only, so it is joined with that of earlier tries.
+func (c *call) deliverFromOwner(a *forward.Answer, v verdict.Verdict) {
 	if c.attempts > 0 {
 		v = c.tried.Join(v)
 	}
 	c.answerHeader(v)
 	c.reply.claim()
-	c.passedOn = true
+	c.fromOwner = true
 	c.reply.note(a.Status, v, a.Header.Get(verdict.CodeHeader))
 	defer c.boundWrites()()
 	sent, err := a.Deliver(c.w)
--- a/request/gateway/memory.go
+++ b/request/gateway/memory.go
@@ -8,40 +8,38 @@
 	"golang.org/x/sync/semaphore"
 )
 
-// firstBuffer is what a body's buffer begins with, in bytes. It grows as the
-// body arrives, so that a caller that announces a body and sends nothing holds
-// no more.
+// firstBuffer is the initial size of a body's buffer, in bytes. The buffer
+// grows as the body arrives, so that a caller that announces a body and sends
+// nothing reserves no more than this.
 const firstBuffer = 4 << 10
 
 var errBodyMemory = errors.New("this daemon holds too many bodies of requests with keys in memory")
 
-// bodyMemory bounds the bodies of keyed requests that are in memory together,
-// and one caller's part of them to a half.
-//
-// What goes wrong without it: these bodies are read before admission, and the
-// requests in progress can have gigabytes of them.
+// bodyMemory bounds the total size of the keyed requests' bodies in memory, and
+// that of one caller's to half of it. These bodies are read before admission,
+// and without a bound the requests in progress could hold gigabytes of them.
 type bodyMemory struct {
 	total     *semaphore.Weighted
 	callerMax int64
 
 	mu      sync.Mutex
-	callers map[share]int64
+	callers map[callerKey]int64
 }
 
 func (m *bodyMemory) init(limit int64) {
 	m.total = semaphore.NewWeighted(limit)
-	m.callerMax = limit / callerShareOf
-	m.callers = map[share]int64{}
+	m.callerMax = limit / callerShareDivisor
+	m.callers = map[callerKey]int64{}
 }
 
-// reservation is one request's part of the memory.
+// reservation is the memory that is reserved for the body of one request.
 type reservation struct {
 	memory *bodyMemory
-	holder share
+	holder callerKey
 	size   int64
 }
 
-// grow adds n bytes.
+// grow reserves n more bytes. It fails when the total or the caller's half is used up.
 func (r *reservation) grow(n int) error {
 	m := r.memory
 	m.mu.Lock()
@@ -54,7 +52,7 @@
 	return nil
 }
 
-// free gives all bytes back.
+// free releases all bytes of the reservation.
 func (r *reservation) free() {
 	if r.size == 0 {
 		return
@@ -69,14 +67,14 @@
 	r.size = 0
 }
 
-// readAll reads src to its end into memory that it takes from r. size is the
-// length of src, -1 when that is not known; more than limit bytes are
-// errBodyTooLarge.
+// readAll reads src to its end into memory that it reserves with r. size is the
+// length of src, or -1 when that is not known. It returns errBodyTooLarge when
+// there are more than limit bytes.
 func readAll(src io.Reader, size, limit int64, r *reservation) ([]byte, error) {
 	if size > limit {
 		return nil, errBodyTooLarge
 	}
-	most := size // known: the last read also tells the end
+	most := size // known length: the end needs no further read
 	if size < 0 {
 		most = limit + 1
 	}
--- a/request/gateway/memory_test.go
+++ b/request/gateway/memory_test.go
@@ -48,7 +48,7 @@
 func (m *bodyMemory) heldBy(caller string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return m.callers[share{caller: caller}]
+	return m.callers[callerKey{caller: caller}]
 }
 
 func TestKeyedBodiesAreBoundedTogether(t *testing.T) {
--- a/request/gateway/metrics.go
+++ b/request/gateway/metrics.go
@@ -10,18 +10,18 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// Counters are the gateway's metrics. The daemon publishes them.
+// Counters are the gateway's metrics, which the daemon publishes.
 type Counters struct {
 	Requests   expvar.Int
 	Ran        expvar.Int
 	NotRun     expvar.Int
 	MayHaveRun expvar.Int
 	Retries    expvar.Int
-	Cut        expvar.Int // answers cut because they were not whole
-	Codes      expvar.Map // errors given to callers, by code
+	Cut        expvar.Int // truncated answers, whose callers' connections were aborted
+	Codes      expvar.Map // error answers by code
 }
 
-// Publish adds the counters to m, with the requests in progress.
+// Publish adds the counters and the gauges of requests in progress to m.
 func (g *Gateway) Publish(m *expvar.Map) {
 	m.Set("requests", &g.counts.Requests)
 	m.Set("ran", &g.counts.Ran)
@@ -37,15 +37,15 @@
 	m.Set("in_flight", expvar.Func(func() any { return g.inFlight.Load() }))
 }
 
-// ended counts, observes and logs the end of a call; deferred, so that it also
-// runs when the caller's connection is cut.
-func (g *Gateway) ended(c *call) {
+// recordOutcome counts, observes and logs the outcome of a call. It is deferred,
+// so that it also runs when the caller's connection is aborted.
+func (g *Gateway) recordOutcome(c *call) {
 	status, v, code, latency := c.reply.outcome(c.start)
 	g.counts.Requests.Add(1)
 	if c.cut {
 		g.counts.Cut.Add(1)
 	}
-	if code != "" && !c.passedOn {
+	if code != "" && !c.fromOwner {
 		g.counts.Codes.Add(code, 1)
 	}
 	switch v {
@@ -62,10 +62,10 @@
 	g.log(c, status, v, code, latency)
 }
 
-// log writes the access log's line: no query, header or body of the caller,
-// which may hold secrets. What went well is logged at level debug, because a
-// line per request costs a tenth of the whole path; what did not, at warn for
-// the daemon's or an endpoint's failures and at info for the rest.
+// log writes an access log line, without the caller's query, headers and body,
+// which may hold secrets. Successful requests are logged at level debug, because
+// a line per request costs a tenth of the whole request path; failures of the
+// daemon or of an endpoint at warn, and the rest at info.
 func (g *Gateway) log(c *call, status int, v verdict.Verdict, code string, latency time.Duration) {
 	var e *zerolog.Event
 	switch {
--- a/request/gateway/options.go
+++ b/request/gateway/options.go
@@ -21,23 +21,23 @@
 
 // Request headers that callers may set.
 const (
-	// ServiceHeader names the service; without it the first label of the host
-	// does.
+	// ServiceHeader names the service. The default is the first label of the host.
 	ServiceHeader = "Fennel-Service"
-	// TimeoutHeader bounds the request, for example "1.5s".
+	// TimeoutHeader sets the timeout of the request, for example "1.5s".
 	TimeoutHeader = "Fennel-Timeout"
-	// IdempotentHeader with "true" or "false" overrides what the method says.
+	// IdempotentHeader with "true" or "false" overrides the idempotency that
+	// follows from the method.
 	IdempotentHeader = "Fennel-Idempotent"
 	// KeyHeader carries the idempotency key.
 	KeyHeader = "Idempotency-Key"
-	// TeamHeader and CallerHeader name who asks, where no client certificate
-	// does.
+	// TeamHeader and CallerHeader identify the sender when there is no client
+	// certificate.
 	TeamHeader   = "Fennel-Team"
 	CallerHeader = "Fennel-Caller"
 )
 
-// ForwardedHeader marks a request that another daemon forwarded; it holds the
-// daemon's name and is only believed on the daemons' own listener.
+// ForwardedHeader marks a request that another daemon forwarded and holds that
+// daemon's name. It is trusted only on the listener for other daemons.
 const ForwardedHeader = "Fennel-Forwarded-By"
 
 // Defaults of Options.
@@ -49,25 +49,25 @@
 	DefaultRewindBody      = 64 << 10
 	DefaultBodyTimeout     = 10 * time.Second
 	DefaultMaxConcurrent   = 4096
-	// DefaultHomeWait covers a home that is stopping, which may hold its keys
-	// until its requests have ended, and the new owner's claim.
-	DefaultHomeWait = ownership.DefaultReleaseTimeout + 2*time.Second
+	// DefaultOwnerWait covers the time in which a stopping owner may keep its keys
+	// until its requests have completed, and that of the new owner's claim.
+	DefaultOwnerWait = ownership.DefaultReleaseTimeout + 2*time.Second
 )
 
-// Observer learns of every request's end, for the report on service-level
-// burn. Calls come from the requests' goroutines and must be quick.
+// Observer is called with the outcome of every request, for the report on SLO
+// burn. It is called from the requests' goroutines and must return quickly.
 type Observer func(service, team, caller string, status int, v verdict.Verdict, latency time.Duration)
 
-// Identity tells who sent a request.
+// Identity identifies the sender of a request.
 type Identity struct {
 	Team   string
 	Caller string
 	// Unnamed is set when Caller is only the connection's address, which may be
-	// a proxy's and change between two tries of a request.
+	// that of a proxy and may change between two tries of a request.
 	Unnamed bool
 }
 
-// name returns the caller's name, empty when it has given none.
+// name returns the caller's name, or "" when Caller is only an address.
 func (i Identity) name() string {
 	if i.Unnamed {
 		return ""
@@ -75,55 +75,56 @@
 	return i.Caller
 }
 
-// Options configure a Gateway. Config, Slots and Forwarder are required; zero
-// values of the numbers take the defaults.
+// Options configure a Gateway. Config, Slots and Forwarder are required; numbers
+// that are zero take the defaults.
 type Options struct {
 	Self   peer.MemberID
 	Config spec.Source
-	// Ready is closed once Config is known. Until then the balancer is told to go
-	// elsewhere and every request is refused as not run; nil means known from the start.
+	// Ready is closed once Config has been loaded. Until then the readiness check fails
+	// and every request is refused as not run; nil means that it is loaded from the start.
 	Ready     <-chan struct{}
 	Slots     slots.Acquirer
 	Forwarder *forward.Forwarder
-	// Admission may be shared with nobody; nil takes one with its defaults.
+	// Admission must not be shared with another gateway; nil means one with defaults.
 	Admission *admission.Controller
-	// Outliers learns of every attempt; nil for none.
+	// Outliers receives the result of every attempt; nil for none.
 	Outliers *outlier.Tracker
-	// OnLeaving is told of an endpoint that announces in an answer that it is
-	// leaving; nil for none. It must be quick.
+	// OnLeaving is called when an endpoint's answer carries a leaving notice; nil
+	// for none. It must return quickly.
 	OnLeaving func(address string)
-	// Keys gives idempotency keys their homes; nil refuses keys.
+	// Keys is the table of idempotency keys; if nil, requests with keys are refused.
 	Keys idem.Table
 	// Peers sends keyed requests to other daemons' ForwardAddr.
 	Peers *forward.Forwarder
 	// AllowPlainPeers accepts forwarded requests without mutual TLS, for tests
-	// and the demonstration on loopback.
+	// and for the demo on loopback.
 	AllowPlainPeers bool
-	// Identify tells who sent a request; nil uses DefaultIdentity.
+	// Identify returns the sender of a request; nil means DefaultIdentity.
 	Identify func(*http.Request) Identity
 	Observe  Observer
 	Log      zerolog.Logger
 	Retry    retry.Options
 
-	// Timeout bounds requests to services that declare no limit.
+	// Timeout is the limit for requests to services that declare none.
 	Timeout time.Duration
 	// MaxBody bounds a request's body, in bytes.
 	MaxBody int64
 	// MaxKeyedBody bounds the body of a request with an idempotency key, which
 	// is held in memory.
 	MaxKeyedBody int64
-	// KeyedBodyMemory bounds these bodies together, in bytes; one caller has at
-	// most half of it, so it should be at least twice MaxKeyedBody.
+	// KeyedBodyMemory bounds the total size of these bodies, in bytes. One caller
+	// may use at most half of it, so it should be at least twice MaxKeyedBody.
 	KeyedBodyMemory int64
-	// RewindBody is how much of a body is kept for another attempt, in bytes.
+	// RewindBody bounds the part of a body that is kept for further attempts, in
+	// bytes.
 	RewindBody int
 	// BodyTimeout bounds the wait for the next part of a caller's body.
 	BodyTimeout time.Duration
-	// MaxConcurrent bounds the requests of this daemon, waiting ones included.
+	// MaxConcurrent bounds this daemon's requests in progress, including waiting ones.
 	MaxConcurrent int
-	// HomeWait bounds the wait for a key's home that changes hands; the
-	// request's deadline does too.
-	HomeWait time.Duration
+	// OwnerWait bounds the wait for a key's owner while the ownership is moving.
+	// The request's deadline bounds it too.
+	OwnerWait time.Duration
 }
 
 func (o *Options) setDefaults() {
@@ -134,7 +135,7 @@
 	o.RewindBody = cmp.Or(o.RewindBody, DefaultRewindBody)
 	o.BodyTimeout = cmp.Or(o.BodyTimeout, DefaultBodyTimeout)
 	o.MaxConcurrent = cmp.Or(o.MaxConcurrent, DefaultMaxConcurrent)
-	o.HomeWait = cmp.Or(o.HomeWait, DefaultHomeWait)
+	o.OwnerWait = cmp.Or(o.OwnerWait, DefaultOwnerWait)
 	if o.Ready == nil {
 		known := make(chan struct{})
 		close(known)
--- a/request/gateway/home_test.go
+++ b/request/gateway/owner_test.go
@@ -12,12 +12,12 @@
 	"fennelshunt.example/fennelshunt/request/idem"
 )
 
-// keyElsewhere returns a key whose home, seen from the first daemon, is another one.
-func (c *cell) keyElsewhere(t *testing.T) string {
+// keyOwnedElsewhere returns a key whose home, seen from the first daemon, is another one.
+func (c *cell) keyOwnedElsewhere(t *testing.T) string {
 	t.Helper()
 	for i := range 1000 {
 		key := fmt.Sprintf("order-%d", i)
-		if _, self, ok := c.keys[0].Home(idem.Key{Service: testService, Text: key}); ok && !self {
+		if _, self, ok := c.keys[0].Owner(idem.Key{Service: testService, Text: key}); ok && !self {
 			return key
 		}
 	}
@@ -32,7 +32,7 @@
 	// Cause: the home's refusal "draining" is passed on to the caller instead of
 	//   looking for the home again.
 	c := newCell(t, 2, 1, Options{})
-	key := c.keyElsewhere(t)
+	key := c.keyOwnedElsewhere(t)
 	c.gateways[1].state.Store(refusing)
 	answer := make(chan result, 1)
 	go func() { answer <- do(t, "POST", c.urls[0], key, "x", KeyHeader, key) }()
@@ -46,7 +46,7 @@
 }
 
 func TestHomeIsAwaitedForAsLongAsItMayTakeToMove(t *testing.T) {
-	require.Greater(t, DefaultHomeWait, ownership.DefaultReleaseTimeout)
+	require.Greater(t, DefaultOwnerWait, ownership.DefaultReleaseTimeout)
 }
 
 // TestHomeGivesUpInTimeToSaySo guards against callers that are told "may have run" of requests
--- a/request/gateway/parse.go
+++ b/request/gateway/parse.go
@@ -13,7 +13,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Limits of what callers may put into headers.
+// Limits of header values that callers set.
 const (
 	maxName    = 128 // bytes of a service, team or caller name
 	maxKey     = 255 // bytes of an idempotency key
@@ -30,12 +30,13 @@
 	CodeKeysOff        = "keys_not_served"
 	CodeUpgrade        = "upgrade_not_served"
 	CodeDraining       = "draining"
-	CodeStarting       = "starting" // this daemon does not know the configuration yet
+	CodeStarting       = "starting" // this daemon has not loaded the configuration yet
 	CodeOverloaded     = "overloaded"
 	CodePeerNotAllowed = "peer_not_authenticated"
 )
 
-// retryAfterMillis is what a caller is told when another daemon can serve it.
+// retryAfterMillis is the retry delay for refusals where another daemon may be
+// able to serve the request.
 const retryAfterMillis = 100
 
 var (
@@ -52,9 +53,9 @@
 	return e
 }
 
-// refuseForNow refuses what came of a lack of slots or room, and has the caller come back
-// when its service can be expected to have some.
-func (g *Gateway) refuseForNow(c *call, code string, err error) *verdict.Error {
+// refuseTemporarily refuses a request for lack of slots or capacity. Its retry delay is the
+// time after which the service can be expected to have some.
+func (g *Gateway) refuseTemporarily(c *call, code string, err error) *verdict.Error {
 	e := refuse(http.StatusServiceUnavailable, code, err)
 	e.RetryAfterMillis = max(e.RetryAfterMillis, g.opts.Admission.ComeBack(c.service).Milliseconds())
 	return e
@@ -62,8 +63,8 @@
 
 func badRequest(err error) *verdict.Error { return refuse(http.StatusBadRequest, CodeBadRequest, err) }
 
-// ServiceName returns the name of the service that a request is for: the
-// header's, else the first label of the host.
+// ServiceName returns the name of the service that a request is for: the value
+// of the header, or the first label of the host when that is empty.
 func ServiceName(header, host string) string {
 	if header != "" {
 		return header
@@ -75,8 +76,9 @@
 	return label
 }
 
-// wantsWebSocket reports whether the caller can do nothing with a plain answer.
-// Other upgrades, such as to HTTP/2, are offers that a server may ignore.
+// wantsWebSocket reports whether the caller requests an upgrade to WebSocket,
+// for which a plain answer is of no use. Other upgrades, such as to HTTP/2, are
+// offers that a server may ignore.
 func wantsWebSocket(h http.Header) bool {
 	for _, line := range h["Upgrade"] {
 		for protocol := range strings.SplitSeq(line, ",") {
@@ -88,8 +90,8 @@
 	return false
 }
 
-// ParseTimeout returns the value of the timeout header, limit when it is empty
-// or asks for more than limit.
+// ParseTimeout returns the value of the timeout header, or limit when it is
+// empty or above limit.
 func ParseTimeout(s string, limit time.Duration) (time.Duration, error) {
 	if s == "" {
 		return limit, nil
@@ -101,7 +103,8 @@
 	return min(d, limit), nil
 }
 
-// ParseKey checks an idempotency key: 1 to 255 visible ASCII characters.
+// ParseKey returns the idempotency key, "" when the header is absent. A key must
+// be given once and have 1 to 255 visible ASCII characters.
 func ParseKey(values []string) (string, error) {
 	if len(values) == 0 {
 		return "", nil
@@ -122,8 +125,8 @@
 	return true
 }
 
-// ParseIdempotent tells whether a request may be sent again without harm: what
-// the header says, else what the method promises.
+// ParseIdempotent reports whether a request is idempotent: by the header if it
+// is set, otherwise by the method.
 func ParseIdempotent(header, method string) (bool, error) {
 	if header != "" {
 		v, err := strconv.ParseBool(header)
@@ -141,8 +144,8 @@
 }
 
 // DefaultIdentity takes the team from the organisation and the caller from the
-// common name of a verified client certificate; without one it takes them from
-// the headers, and the caller from the connection's address.
+// common name of a verified client certificate. Without one it takes them from
+// the headers; if no caller is set there, from the connection's address.
 func DefaultIdentity(r *http.Request) Identity {
 	if r.TLS != nil && len(r.TLS.VerifiedChains) > 0 {
 		subject := r.TLS.VerifiedChains[0][0].Subject
@@ -160,7 +163,7 @@
 	return id
 }
 
-// findService returns the service's job.
+// findService returns the job of the service with that name.
 func findService(c *spec.Config, name string) (*spec.VersionedJob, *verdict.Error) {
 	job := c.Jobs[name]
 	if job == nil || job.Kind != spec.Service || job.Service == nil {
--- a/request/gateway/random_test.go
+++ b/request/gateway/random_test.go
@@ -20,12 +20,12 @@
 )
 
 // order is one request of a caller, with what became of its arrivals.
-type order struct {
+type trackedRequest struct {
 	key, body  string
 	method     string
 	keyed      bool
 	arrivals   int // on the wire
-	patience   time.Duration
+	timeout    time.Duration
 	idempotent bool
 	sends      int // by the test; arrivals counts the transport's own too
 
@@ -38,18 +38,18 @@
 
 // event keeps what happened to the order and when, so that a single failure
 // can be traced: runs in real time do not repeat by seed.
-func (o *order) event(format string, args ...any) {
+func (o *trackedRequest) event(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.events = append(o.events, time.Now().Format("05.000000 ")+fmt.Sprintf(format, args...))
 }
 
-// testPatience is how long a caller waits that does not give up.
-const testPatience = time.Minute
+// testTimeout is how long a caller waits that does not give up.
+const testTimeout = time.Minute
 
-func drawOrder(rng *rand.Rand, i int) *order {
-	o := &order{key: fmt.Sprintf("order-%d", i), body: strings.Repeat("b", rng.IntN(3000)), method: "POST",
-		arrivals: 1, patience: testPatience, verdicts: map[string]int{}}
+func drawRequest(rng *rand.Rand, i int) *trackedRequest {
+	o := &trackedRequest{key: fmt.Sprintf("order-%d", i), body: strings.Repeat("b", rng.IntN(3000)), method: "POST",
+		arrivals: 1, timeout: testTimeout, verdicts: map[string]int{}}
 	if rng.IntN(3) == 0 {
 		o.method, o.body, o.idempotent = "GET", "", true
 	}
@@ -58,14 +58,14 @@
 	}
 	o.sends = o.arrivals
 	if rng.IntN(8) == 0 {
-		o.patience = time.Duration(rng.IntN(20)) * time.Millisecond
+		o.timeout = time.Duration(rng.IntN(20)) * time.Millisecond
 	}
 	return o
 }
 
 // send makes one arrival and checks the answer.
-func (o *order) send(t *testing.T, url string) {
-	ctx, cancel := context.WithTimeout(t.Context(), o.patience)
+func (o *trackedRequest) send(t *testing.T, url string) {
+	ctx, cancel := context.WithTimeout(t.Context(), o.timeout)
 	defer cancel()
 	conns := 0
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -103,7 +103,7 @@
 	o.note(v, whole, err != nil)
 }
 
-func (o *order) note(v string, whole, cut bool) {
+func (o *trackedRequest) note(v string, whole, cut bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if cut {
@@ -117,7 +117,7 @@
 }
 
 // check holds the order's fate against what the endpoints saw.
-func (o *order) check(t *testing.T, runs int) {
+func (o *trackedRequest) check(t *testing.T, runs int) {
 	defer func() {
 		if t.Failed() {
 			t.Logf("%s ran %d times; its arrivals: %s", o.key, runs, strings.Join(o.events, "; "))
@@ -144,7 +144,7 @@
 // sends an idempotent request again when a kept-alive connection breaks before
 // the answer begins. The arrival before was cut, and may have run; the verdict
 // that comes back speaks of the last arrival only.
-func (o *order) noteResent(n int) {
+func (o *trackedRequest) noteResent(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.arrivals += max(n, 0)
@@ -165,12 +165,12 @@
 // TestRandomFaults sends orders through several daemons while endpoints fail in
 // every way they can. With FENNEL_LONG=1 it runs many more seeds.
 func TestRandomFaults(t *testing.T) {
-	seeds, orders := 2, 300
+	seeds, requests := 2, 300
 	if os.Getenv("FENNEL_LONG") == "1" {
-		seeds, orders = 40, 2000
+		seeds, requests = 40, 2000
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomRun(t, uint64(seed), orders) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomRun(t, uint64(seed), requests) })
 	}
 }
 
@@ -180,14 +180,14 @@
 	c := newCell(t, 3, 5, Options{Config: testConfig(limit)})
 	c.pool.returnUnknown = 2 * limit
 	var wg sync.WaitGroup
-	all := make([]*order, n)
+	all := make([]*trackedRequest, n)
 	for i := range all {
 		if i%50 == 0 {
 			for _, e := range c.endpoints {
 				e.SetFaults(drawFaults(rng))
 			}
 		}
-		o := drawOrder(rng, i)
+		o := drawRequest(rng, i)
 		all[i] = o
 		for range o.sends {
 			url := c.urls[rng.IntN(len(c.urls))]
--- a/request/gateway/reply.go
+++ b/request/gateway/reply.go
@@ -17,18 +17,19 @@
 
 var errDeadline = errors.New("the request's deadline has passed")
 
-// reply is what the caller gets. Two goroutines may give it: that which makes
-// the attempts, and the alarm at the deadline. The one that claims it does.
+// reply is the answer to the caller. Two goroutines may write it, the one that
+// makes the attempts and the alarm at the deadline; the first to claim it does.
 type reply struct {
 	mu      sync.Mutex
 	claimed bool
 	status  int
 	verdict verdict.Verdict
 	code    string
-	at      time.Time // when the deadline's answer was given
+	at      time.Time // when the answer at the deadline was written
 }
 
-// claim takes the right to answer the caller.
+// claim acquires the right to answer the caller. It returns false when that is
+// already taken.
 func (r *reply) claim() bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -39,15 +40,15 @@
 	return true
 }
 
-// unclaim gives the right back; nothing was sent.
+// unclaim returns the right to answer when nothing was sent.
 func (r *reply) unclaim() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.claimed = false
 }
 
-// note keeps the outcome for metrics and the log; status 0 keeps the one noted
-// before.
+// note records the outcome for metrics and the access log; status 0 leaves the
+// recorded status as it is.
 func (r *reply) note(status int, v verdict.Verdict, code string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -67,57 +68,59 @@
 	return r.status, r.verdict, r.code, end.Sub(start)
 }
 
-// watch guards a request's attempts against its deadline.
+// deadlineWatch enforces a request's deadline during its attempts. It answers
+// the caller at the deadline, and lets the attempt continue for up to the
+// service's limit to learn its end.
 //
-// What goes wrong without it: when an attempt is cut at the deadline nobody
-// learns whether the endpoint has ended, and its slot counts as taken for the
-// service's whole time limit; under overload, when many requests meet their
-// deadlines, the slots run out. So the caller is answered at its deadline, and
-// the attempt goes on for up to the service's limit to learn its end.
-type watch struct {
+// If the attempt were aborted at the deadline, the daemon could not tell whether
+// the endpoint had finished, and its slot would count as taken for the service's
+// whole time limit. Under overload, when many requests reach their deadlines,
+// the slots would run out.
+type deadlineWatch struct {
 	gateway *Gateway
 	call    *call
 	out     *forward.Outgoing
 	alarm   alarm
-	expired sync.WaitGroup // done when the alarm's work is done
+	expired sync.WaitGroup // done when expire has returned
 
-	// lingering is set after the deadline, linger then ends the attempt.
+	// lingering is set when the attempt continues after the deadline; linger is
+	// the alarm that then aborts it.
 	lingering bool
 	linger    alarm
 }
 
-func (w *watch) start(g *Gateway, c *call, out *forward.Outgoing) {
+func (w *deadlineWatch) start(g *Gateway, c *call, out *forward.Outgoing) {
 	w.gateway, w.call, w.out = g, c, out
 	w.expired.Add(1)
 	g.deadlines.set(&w.alarm, c.deadline, w.expire)
 }
 
-// stop ends the watch; afterwards the alarm does not touch the caller.
-func (w *watch) stop() {
+// stop ends the watch; when it has returned, expire no longer writes to the caller.
+func (w *deadlineWatch) stop() {
 	if w.gateway.deadlines.stop(&w.alarm) {
 		return
 	}
 	w.expired.Wait()
 	if w.lingering {
 		w.gateway.deadlines.stop(&w.linger)
-		_ = http.NewResponseController(w.call.w).SetWriteDeadline(time.Time{}) // the connection's next answer has its own
+		_ = http.NewResponseController(w.call.w).SetWriteDeadline(time.Time{}) // the next request on the connection sets its own
 	}
 }
 
-func (w *watch) cut() { w.out.Cut(context.DeadlineExceeded) }
+func (w *deadlineWatch) abort() { w.out.Abort(context.DeadlineExceeded) }
 
 // expire answers the caller at its deadline.
-func (w *watch) expire() {
+func (w *deadlineWatch) expire() {
 	defer w.expired.Done()
 	c := w.call
 	if !c.reply.claim() {
-		// The answer is on its way. A caller that does not read it would block the
-		// write, and with it the slot, for good.
+		// The answer is being written. A caller that does not read it would block
+		// the write, and occupy the slot, forever.
 		until := time.Now()
 		if c.body.complete() {
-			until = w.lingerOn()
+			until = w.startLinger()
 		} else {
-			w.cut() // the caller is not done either
+			w.abort() // the caller has not sent its whole request either
 		}
 		_ = http.NewResponseController(c.w).SetWriteDeadline(until)
 		return
@@ -129,32 +132,32 @@
 	w.answer(v)
 	w.gateway.leave(c)
 	if v == verdict.NotRun || !c.body.complete() {
-		w.cut() // there is no end to be learnt
+		w.abort() // nothing was sent, or the request can not be completed
 		return
 	}
-	w.lingerOn()
+	w.startLinger()
 }
 
-// lingerOn lets the attempt go on for as long as its slot is counted as taken, and returns
-// until when.
-func (w *watch) lingerOn() time.Time {
+// startLinger lets the attempt continue for as long as its slot is counted as taken. It
+// returns the time at which the attempt is aborted.
+func (w *deadlineWatch) startLinger() time.Time {
 	w.lingering = true
 	limit := w.call.limit
 	until := time.Now().Add(slots.AttemptLimit(limit) - limit)
-	w.gateway.deadlines.set(&w.linger, until, w.cut)
+	w.gateway.deadlines.set(&w.linger, until, w.abort)
 	return until
 }
 
-// answer tells the caller that the deadline has passed. The connection is not
-// used again, because its next request would wait for this one's attempt.
-func (w *watch) answer(v verdict.Verdict) {
+// answer sends the caller the deadline error. The connection is not reused,
+// because its next request would wait for this one's attempt.
+func (w *deadlineWatch) answer(v verdict.Verdict) {
 	c := w.call
 	ctl := http.NewResponseController(c.w)
-	_ = ctl.EnableFullDuplex() // else the rest of the body is awaited first
+	_ = ctl.EnableFullDuplex() // otherwise net/http first waits for the rest of the body
 	c.w.Header().Set("Connection", "close")
 	e := &verdict.Error{Verdict: v, Status: http.StatusGatewayTimeout, Code: forward.CodeDeadline, Err: errDeadline}
 	if v == verdict.NotRun {
-		e = w.gateway.refuseForNow(c, forward.CodeDeadline, errDeadline)
+		e = w.gateway.refuseTemporarily(c, forward.CodeDeadline, errDeadline)
 	}
 	c.reply.note(e.Status, v, e.Code)
 	e.WriteHTTP(c.w, c.id)
--- a/request/gateway/resend_test.go
+++ b/request/gateway/resend_test.go
@@ -36,7 +36,7 @@
 	require.NoError(t, err)
 	require.NoError(t, resp.Body.Close())
 
-	o := &order{key: "k", method: "GET", arrivals: 1, idempotent: true, patience: testPatience, verdicts: map[string]int{}}
+	o := &trackedRequest{key: "k", method: "GET", arrivals: 1, idempotent: true, timeout: testTimeout, verdicts: map[string]int{}}
 	o.send(t, server.URL)
 	require.EqualValues(t, 3, arrivals.Load())
 	require.Equal(t, 1, o.verdicts["not-run"])
--- a/request/gateway/scenario_test.go
+++ b/request/gateway/scenario_test.go
@@ -202,7 +202,7 @@
 // under a request, where the balancer notices a stop later than the grace.
 func TestStoppingDaemonServesWhileCallersStillCome(t *testing.T) {
 	for _, c := range []struct{ coming, drained time.Duration }{
-		{0, quiet}, {3 * time.Second, 3*time.Second + quiet}, {time.Minute, quiet + noticeLimit},
+		{0, quietPeriod}, {3 * time.Second, 3*time.Second + quietPeriod}, {time.Minute, quietPeriod + maxQuietWait},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			g := New(Options{Config: testConfig(time.Second)})
@@ -210,14 +210,14 @@
 			go func() {
 				for time.Since(began) < c.coming {
 					g.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://unknown/", nil))
-					if refused := g.state.Load() == refusing; refused != (time.Since(began) > quiet+noticeLimit) {
+					if refused := g.state.Load() == refusing; refused != (time.Since(began) > quietPeriod+maxQuietWait) {
 						t.Errorf("refused as stopping: %v after %v", refused, time.Since(began))
 					}
 					time.Sleep(90 * time.Millisecond)
 				}
 			}()
 			synctest.Wait()
-			require.NoError(t, g.Drain(t.Context(), quiet))
+			require.NoError(t, g.Drain(t.Context(), quietPeriod))
 			require.InDelta(t, c.drained.Seconds(), time.Since(began).Seconds(), 0.2)
 			time.Sleep(c.coming) // for the goroutine's end
 		})
@@ -315,7 +315,7 @@
 // is passed on to a home that is stopping.
 func TestDrainingHomeKeepsItsPeersConnections(t *testing.T) {
 	c := newCell(t, 2, 2, Options{})
-	key := c.keyElsewhere(t)
+	key := c.keyOwnedElsewhere(t)
 	c.gateways[1].state.Store(unready)
 	for range 10 {
 		r := do(t, "POST", c.urls[0], key, "deed", KeyHeader, key)
--- a/request/gateway/server.go
+++ b/request/gateway/server.go
@@ -12,28 +12,28 @@
 	maxHeaderBytes = 32 << 10
 )
 
-// Paths of the checks for the platform's balancer.
+// Paths of the health checks for the load balancer.
 const (
 	HealthPath = "/healthz"
 	ReadyPath  = "/readyz"
 )
 
-// NewServer returns a server for callers or for other daemons. It bounds the
-// header in size and time, so that a slow caller holds no more than a
-// connection. The answer has no time limit of its own: the request's deadline
-// and the body's timeouts bound it.
+// NewServer returns a server for callers or for other daemons. It limits the
+// header in size and time, so that a slow caller occupies no more than a
+// connection. It sets no timeout for writing the answer, which is bounded by the
+// request's deadline and the body's timeouts.
 func NewServer(h http.Handler) *http.Server {
 	return &http.Server{
 		Handler:           h,
 		ReadHeaderTimeout: headerTimeout,
 		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    maxHeaderBytes,
-		// net/http would answer "OPTIONS *" by itself, without a verdict.
+		// Otherwise net/http answers "OPTIONS *" itself, without a verdict.
 		DisableGeneralOptionsHandler: true,
 	}
 }
 
-// CallerHandler serves callers and, on any host, the balancer's checks.
+// CallerHandler serves callers and, on any host, the load balancer's health checks.
 func (g *Gateway) CallerHandler() http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Header.Get(ServiceHeader) == "" {
@@ -50,7 +50,8 @@
 	})
 }
 
-// ServeReady answers 200 while this daemon wants requests from the balancer.
+// ServeReady answers the readiness check: 200 while this daemon accepts requests
+// from the load balancer, otherwise 503.
 func (g *Gateway) ServeReady(w http.ResponseWriter, _ *http.Request) {
 	if g.state.Load() != serving || !g.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
--- a/request/gateway/shares.go
+++ b/request/gateway/shares.go
@@ -5,11 +5,11 @@
 	"sync"
 )
 
-// Of the requests that a daemon may have in progress, one caller gets at most
-// one half and one team at most three quarters.
+// Of the requests that a daemon may have in progress, one caller may have at
+// most one half and one team at most three quarters.
 const (
-	callerShareOf = 2 // a half
-	teamShareOf   = 4 // all but a quarter
+	callerShareDivisor = 2 // one half
+	teamReserveDivisor = 4 // all but a quarter
 )
 
 var (
@@ -17,30 +17,29 @@
 	errTeamShare   = errors.New("the team has its full share of requests in progress on this daemon")
 )
 
-// shares counts the requests in progress by caller and by team.
-//
-// What goes wrong without it: a caller that announces bodies and sends nothing,
-// or one that floods, has all the requests that this daemon takes on, and every
-// other caller is refused as overloaded.
+// shares limits the requests in progress per caller and per team. Without it a
+// caller that announces bodies and sends nothing, or one that floods the daemon,
+// could use up MaxConcurrent, and all other callers would be refused as
+// overloaded.
 type shares struct {
 	callerMax, teamMax int
 
 	mu      sync.Mutex
-	callers map[share]int
+	callers map[callerKey]int
 	teams   map[string]int
 }
 
-// share names who has a part of the requests in progress.
-type share struct{ team, caller string }
+// callerKey identifies a caller within its team.
+type callerKey struct{ team, caller string }
 
 func (s *shares) init(maxConcurrent int) {
-	s.callerMax = max(1, maxConcurrent/callerShareOf)
-	s.teamMax = max(1, maxConcurrent-maxConcurrent/teamShareOf)
-	s.callers, s.teams = map[share]int{}, map[string]int{}
+	s.callerMax = max(1, maxConcurrent/callerShareDivisor)
+	s.teamMax = max(1, maxConcurrent-maxConcurrent/teamReserveDivisor)
+	s.callers, s.teams = map[callerKey]int{}, map[string]int{}
 }
 
-// enter counts a request unless its caller or team has its full share.
-func (s *shares) enter(k share) error {
+// enter counts a request. It fails when its caller or team has its full share.
+func (s *shares) enter(k callerKey) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
@@ -54,9 +53,9 @@
 	return nil
 }
 
-// leave takes back an enter. Names without requests are forgotten, so that
-// callers who invent names do not fill the memory.
-func (s *shares) leave(k share) {
+// leave undoes enter. Names without requests are removed, so that callers that
+// invent names do not use up memory.
+func (s *shares) leave(k callerKey) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	release(s.callers, k)
--- a/request/gateway/shares_test.go
+++ b/request/gateway/shares_test.go
@@ -25,8 +25,8 @@
 		flood func(i int) string
 		held  int64
 	}{
-		{"one caller", func(int) string { return "flood" }, limit / callerShareOf},
-		{"names invented", strconv.Itoa, limit - limit/teamShareOf},
+		{"one caller", func(int) string { return "flood" }, limit / callerShareDivisor},
+		{"names invented", strconv.Itoa, limit - limit/teamReserveDivisor},
 	}
 	for _, tc := range cases {
 		t.Run(tc.name, func(t *testing.T) {
--- a/request/idem/answers.go
+++ b/request/idem/answers.go
@@ -7,7 +7,7 @@
 )
 
 // answerCache bounds the kept answers of all shards by size and age. Answers
-// leave in the order in which their requests ended.
+// are evicted in the order in which their requests completed.
 type answerCache struct {
 	mu     sync.Mutex
 	limit  int
@@ -27,26 +27,26 @@
 	c.oldest = list.New()
 }
 
-// add keeps e's answer and drops older ones until the bound holds.
+// add keeps e's answer and evicts older ones until the size limit holds.
 func (c *answerCache) add(s *shard, e *entry, expires time.Time) {
 	c.mu.Lock()
 	c.oldest.PushBack(keptAnswer{shard: s, entry: e, expires: expires})
 	c.size += e.cost
-	dropped := c.take(func(k keptAnswer) bool { return c.size > c.limit })
+	evicted := c.take(func(k keptAnswer) bool { return c.size > c.limit })
 	c.mu.Unlock()
-	drop(dropped)
+	evict(evicted)
 }
 
-// expire drops answers whose retention is over.
+// expire evicts answers whose retention has expired.
 func (c *answerCache) expire(now time.Time) {
 	c.mu.Lock()
-	dropped := c.take(func(k keptAnswer) bool { return !now.Before(k.expires) })
+	evicted := c.take(func(k keptAnswer) bool { return !now.Before(k.expires) })
 	c.mu.Unlock()
-	drop(dropped)
+	evict(evicted)
 }
 
-// forget removes every answer of s.
-func (c *answerCache) forget(s *shard) {
+// removeShard removes all answers of s.
+func (c *answerCache) removeShard(s *shard) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for el := c.oldest.Front(); el != nil; {
@@ -59,7 +59,7 @@
 	}
 }
 
-// take removes answers from the front while the condition holds.
+// take removes and returns the oldest answers while the condition holds.
 func (c *answerCache) take(cond func(keptAnswer) bool) []keptAnswer {
 	var out []keptAnswer
 	for el := c.oldest.Front(); el != nil; el = c.oldest.Front() {
@@ -74,10 +74,10 @@
 	return out
 }
 
-// drop runs without the cache's lock: a shard takes its own lock first and the
-// cache's second, never the other way round.
-func drop(dropped []keptAnswer) {
-	for _, k := range dropped {
-		k.shard.drop(k.entry)
+// evict removes the entries from their shards. It must be called without the
+// cache's lock: the lock order is shard first, cache second.
+func evict(evicted []keptAnswer) {
+	for _, k := range evicted {
+		k.shard.evict(k.entry)
 	}
 }
--- a/request/idem/answers_test.go
+++ b/request/idem/answers_test.go
@@ -19,21 +19,21 @@
 		large := http.Header{"X-Large": {strings.Repeat("h", 3000)}}
 		c := newCell(t, 1, func(o *Options) { o.AnswerMemory = 8000 })
 		defer c.close()
-		home := c.homes[0]
+		daemon := c.daemons[0]
 		for n := range Shards {
-			c.own(n, home)
+			c.own(n, daemon)
 		}
 		answers := []*Answer{{Header: large}, {Trailer: large}, {Header: large}}
 		for i, answer := range answers {
 			answer.Status = http.StatusOK
-			a := begun(t, home, order(strings.Repeat("k", i+1)))
+			a := begun(t, daemon, newRequest(strings.Repeat("k", i+1)))
 			require.NoError(t, a.Intend(t.Context()))
 			a.Finish(answer)
 		}
-		_, _, err := home.Begin(t.Context(), order("k"))
+		_, _, err := daemon.Begin(t.Context(), newRequest("k"))
 		require.ErrorContains(t, err, CodeAnswerNotKept, "the oldest has made room")
 		for _, key := range []string{"kk", "kkk"} {
-			_, kept, err := home.Begin(t.Context(), order(key))
+			_, kept, err := daemon.Begin(t.Context(), newRequest(key))
 			require.NoError(t, err)
 			require.NotNil(t, kept)
 		}
--- a/request/idem/attempt.go
+++ b/request/idem/attempt.go
@@ -11,10 +11,11 @@
 
 var errAbandoned = errors.New("the arrival that ran the request ended without a result")
 
-// Attempt is the right and duty of one arrival to run the key's request. The
-// holder calls Intend (for a non-idempotent request) before it sends, then one
-// of Finish and Fail, and defers Close. It should run the request under a
-// context that outlives its own caller, because others may have joined.
+// Attempt is held by the one arrival that runs the key's request. The holder
+// calls Intend (for a non-idempotent request) before it sends, then either
+// Finish or Fail, and defers Close. It should run the request under a context
+// that is not cancelled when its caller disconnects, because other arrivals may
+// have joined.
 type Attempt struct {
 	shard *shard
 	entry *entry
@@ -24,10 +25,10 @@
 	ended    bool
 }
 
-// Intend makes the intent durable; only after it returned nil may a
-// non-idempotent request be sent, and only once. On an error, which has
-// verdict NotRun, the request must not be sent; the holder passes the error to
-// Fail and to its caller. For an idempotent request it does nothing.
+// Intend makes the intent durable. A non-idempotent request may be sent only
+// after Intend has returned nil, and only once. On an error, which has verdict
+// NotRun, the request must not be sent, and the holder passes the error to Fail
+// and to its caller. For an idempotent request Intend does nothing.
 func (a *Attempt) Intend(ctx context.Context) error {
 	if !a.entry.nonIdempotent {
 		return nil
@@ -41,24 +42,24 @@
 	return nil
 }
 
-// Finish ends the attempt with a whole answer and hands it to joined arrivals.
+// Finish ends the attempt with a complete answer and passes it to joined arrivals.
 func (a *Attempt) Finish(answer *Answer) {
-	if a.end() {
+	if a.endOnce() {
 		a.shard.finish(a.entry, answer)
 	}
 }
 
-// Fail ends the attempt without a whole answer. The error's verdict decides
-// what becomes of the key: NotRun frees it, Ran or MayHaveRun of a
-// non-idempotent request burn it, so that it is never sent again. Joined
-// arrivals get the same error.
+// Fail ends the attempt without a complete answer. The error's verdict decides
+// whether the key can be used again: after NotRun it can, after Ran or
+// MayHaveRun of a non-idempotent request it can not, so that the request is
+// never sent again. Joined arrivals get the same error.
 func (a *Attempt) Fail(err error) {
-	if a.end() {
+	if a.endOnce() {
 		a.shard.fail(a.entry, err)
 	}
 }
 
-// Close ends an attempt that neither Finish nor Fail ended.
+// Close ends an attempt for which neither Finish nor Fail was called.
 func (a *Attempt) Close() {
 	a.mu.Lock()
 	sent := a.intended || !a.entry.nonIdempotent
@@ -70,7 +71,8 @@
 	a.Fail(&verdict.Error{Verdict: v, Status: http.StatusBadGateway, Code: CodeAbandoned, Err: errAbandoned})
 }
 
-func (a *Attempt) end() bool {
+// endOnce reports whether this call is the one that ends the attempt.
+func (a *Attempt) endOnce() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	first := !a.ended
--- a/request/idem/cell_test.go
+++ b/request/idem/cell_test.go
@@ -20,7 +20,7 @@
 )
 
 // home is one daemon under test.
-type home struct {
+type daemon struct {
 	*Manager
 	ref       peer.Ref
 	directory *ownershiptest.Directory
@@ -29,24 +29,24 @@
 
 // cell is several homes over one store.
 type cell struct {
-	t      testing.TB
-	kv     *kv.Memory
-	claims *ownershiptest.Cell
-	homes  []*home
+	t       testing.TB
+	kv      *kv.Memory
+	claims  *ownershiptest.Cell
+	daemons []*daemon
 }
 
-func newCell(t testing.TB, homes int, change func(*Options)) *cell {
+func newCell(t testing.TB, daemons int, change func(*Options)) *cell {
 	c := &cell{t: t, kv: kv.New(), claims: ownershiptest.NewCell()}
-	for i := range homes {
+	for i := range daemons {
 		c.add(i, 1, change)
 	}
 	return c
 }
 
 // add starts a life of a daemon.
-func (c *cell) add(i int, life uint64, change func(*Options)) *home {
-	ref := peer.Ref{ID: peer.MemberID(fmt.Sprintf("d%d", i)), Incarnation: life}
-	h := &home{ref: ref, directory: c.claims.Directory(ref)}
+func (c *cell) add(i int, incarnation uint64, change func(*Options)) *daemon {
+	ref := peer.Ref{ID: peer.MemberID(fmt.Sprintf("d%d", i)), Incarnation: incarnation}
+	h := &daemon{ref: ref, directory: c.claims.Directory(ref)}
 	client := store.NewClient(c.kv, store.Options{OperationTimeout: 2 * time.Second})
 	opts := Options{
 		Self: ref, Directory: h.directory, Members: fleettest.NewView(fleet.Member{Ref: ref}),
@@ -59,34 +59,34 @@
 	var ctx context.Context
 	ctx, h.stop = context.WithCancel(context.Background())
 	go func() { _ = h.Serve(ctx) }()
-	if i < len(c.homes) {
-		c.homes[i] = h
+	if i < len(c.daemons) {
+		c.daemons[i] = h
 	} else {
-		c.homes = append(c.homes, h)
+		c.daemons = append(c.daemons, h)
 	}
 	return h
 }
 
 func (c *cell) close() {
-	for _, h := range c.homes {
+	for _, h := range c.daemons {
 		h.stop()
 	}
 }
 
 // own gives the shard to h; the earlier owner is not told, as when it is paused.
-func (c *cell) own(n int, h *home) {
+func (c *cell) own(n int, h *daemon) {
 	h.Acquired(c.t.Context(), c.claims.Set(resource(n), h.ref))
 }
 
 // order is a request for a non-idempotent tile order.
-func order(text string) Request {
+func newRequest(text string) Request {
 	return Request{Key: Key{Team: "guild", Service: "remodel-desk", Text: text}, Fingerprint: 7, NonIdempotent: true}
 }
 
 func (r Request) shard() int { return r.Key.hash().shard() }
 
 // begun begins r at h and requires the attempt.
-func begun(t testing.TB, h *home, r Request) *Attempt {
+func begun(t testing.TB, h *daemon, r Request) *Attempt {
 	t.Helper()
 	a, _, err := h.Begin(t.Context(), r)
 	require.NoError(t, err)
@@ -95,7 +95,7 @@
 }
 
 // requireCode requires that beginning r at h fails so.
-func requireCode(t testing.TB, h *home, r Request, code string, v verdict.Verdict) {
+func requireCode(t testing.TB, h *daemon, r Request, code string, v verdict.Verdict) {
 	t.Helper()
 	_, _, err := h.Begin(t.Context(), r)
 	var e *verdict.Error
--- a/request/idem/churn_test.go
+++ b/request/idem/churn_test.go
@@ -18,9 +18,9 @@
 )
 
 const (
-	churnHomes = 3
-	churnKeys  = 400
-	churnTime  = 2 * time.Minute
+	churnDaemons = 3
+	churnKeys    = 400
+	churnTime    = 2 * time.Minute
 )
 
 var errRefused = errors.New("connection refused")
@@ -28,13 +28,13 @@
 // churn sends keys with retries through faults and counts the sends.
 type churn struct {
 	*cell
-	r     *rand.Rand
-	lives uint64
+	r            *rand.Rand
+	incarnations uint64
 
 	mu      sync.Mutex
 	ran     map[string]int  // sends that ran at the endpoint
 	answers map[string]bool // keys with an answer
-	dead    map[*home]bool
+	killed  map[*daemon]bool
 }
 
 // TestChurnSendsAtMostOnce retries non-idempotent keys at random homes through
@@ -55,12 +55,12 @@
 
 func runChurn(t *testing.T, seed uint64) {
 	c := &churn{
-		cell: newCell(t, churnHomes, churnOptions), r: rand.New(rand.NewPCG(seed, 3)), lives: 1,
-		ran: map[string]int{}, answers: map[string]bool{}, dead: map[*home]bool{},
+		cell: newCell(t, churnDaemons, churnOptions), r: rand.New(rand.NewPCG(seed, 3)), incarnations: 1,
+		ran: map[string]int{}, answers: map[string]bool{}, killed: map[*daemon]bool{},
 	}
 	defer c.close()
 	for n := range Shards {
-		c.own(n, c.homes[n%churnHomes])
+		c.own(n, c.daemons[n%churnDaemons])
 	}
 	var running sync.WaitGroup
 	end := time.Now().Add(churnTime)
@@ -68,9 +68,9 @@
 		if c.r.IntN(20) == 0 {
 			c.fault()
 		}
-		k, h := c.r.IntN(churnKeys), c.homes[c.r.IntN(churnHomes)]
+		k, h := c.r.IntN(churnKeys), c.daemons[c.r.IntN(churnDaemons)]
 		fate := c.r.Float64()
-		running.Go(func() { c.arrive(h, order(fmt.Sprint(k)), fate) })
+		running.Go(func() { c.arrive(h, newRequest(fmt.Sprint(k)), fate) })
 		time.Sleep(time.Duration(c.r.IntN(60)) * time.Millisecond)
 	}
 	running.Wait()
@@ -79,7 +79,7 @@
 		require.LessOrEqual(t, n, 1, "seed %d: key %s ran %d times", seed, key, n)
 	}
 	require.Greater(t, len(c.answers), churnKeys/20, "seed %d: too little ran", seed)
-	c.requireAlive()
+	c.requireServing()
 }
 
 func churnOptions(o *Options) {
@@ -88,7 +88,7 @@
 }
 
 // arrive is one arrival at h, which may not be the key's home any more.
-func (c *churn) arrive(h *home, r Request, fate float64) {
+func (c *churn) arrive(h *daemon, r Request, fate float64) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 3*time.Second)
 	defer cancel()
 	a, answer, err := h.Begin(ctx, r)
@@ -106,7 +106,7 @@
 	}
 }
 
-func (c *churn) run(ctx context.Context, h *home, r Request, a *Attempt, fate float64) {
+func (c *churn) run(ctx context.Context, h *daemon, r Request, a *Attempt, fate float64) {
 	defer a.Close()
 	if err := a.Intend(ctx); err != nil {
 		if verdict.Of(err) != verdict.NotRun {
@@ -116,7 +116,7 @@
 		return
 	}
 	time.Sleep(time.Duration(fate * float64(200*time.Millisecond)))
-	if c.isDead(h) {
+	if c.isKilled(h) {
 		return // the process died after its intent, before or after it sent
 	}
 	switch {
@@ -140,23 +140,23 @@
 	c.ran[r.Key.Text]++
 }
 
-func (c *churn) isDead(h *home) bool {
+func (c *churn) isKilled(h *daemon) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.dead[h]
+	return c.killed[h]
 }
 
 func (c *churn) fault() {
-	i := c.r.IntN(churnHomes)
+	i := c.r.IntN(churnDaemons)
 	switch c.r.IntN(8) {
 	case 0:
 		c.kill(i)
 	case 1, 2:
 		// The old owner is not told: it is paused or cut off.
-		c.own(c.r.IntN(Shards), c.homes[i])
+		c.own(c.r.IntN(Shards), c.daemons[i])
 	case 3:
 		n := c.r.IntN(Shards)
-		old := c.homes[c.r.IntN(churnHomes)]
+		old := c.daemons[c.r.IntN(churnDaemons)]
 		go func() {
 			ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 			defer cancel()
@@ -175,28 +175,28 @@
 
 // kill ends a home and starts its next life; its shards go to whoever claims.
 func (c *churn) kill(i int) {
-	old := c.homes[i]
+	old := c.daemons[i]
 	c.mu.Lock()
-	c.dead[old] = true
+	c.killed[old] = true
 	c.mu.Unlock()
 	old.stop()
-	c.lives++
-	c.add(i, c.lives, churnOptions)
+	c.incarnations++
+	c.add(i, c.incarnations, churnOptions)
 	for n := range Shards {
 		if c.claims.Claim(resource(n)).Owner == old.ref {
-			c.own(n, c.homes[c.r.IntN(churnHomes)])
+			c.own(n, c.daemons[c.r.IntN(churnDaemons)])
 		}
 	}
 }
 
-// requireAlive asserts that a new key can be run at every shard again.
-func (c *churn) requireAlive() {
+// requireServing asserts that a new key can be run at every shard again.
+func (c *churn) requireServing() {
 	time.Sleep(time.Minute)
 	for n := range Shards {
-		h := c.homes[n%churnHomes]
+		h := c.daemons[n%churnDaemons]
 		c.own(n, h)
 		time.Sleep(10 * time.Second)
-		r := order("new")
+		r := newRequest("new")
 		for r.shard() != n {
 			r.Key.Text += "x"
 		}
--- a/request/idem/cost_test.go
+++ b/request/idem/cost_test.go
@@ -33,11 +33,11 @@
 }
 
 func costOf(t *testing.T, perSecond int) {
-	const homes, seconds = 6, 60
-	c := newCell(t, homes, nil)
+	const daemons, seconds = 6, 60
+	c := newCell(t, daemons, nil)
 	defer c.close()
 	for n := range Shards {
-		c.own(n, c.homes[n%homes])
+		c.own(n, c.daemons[n%daemons])
 	}
 	time.Sleep(time.Second)
 	c.kv.SetFaults(kv.Faults{Delay: 3 * time.Millisecond})
@@ -50,8 +50,8 @@
 	for i := range n {
 		time.Sleep(time.Duration(r.ExpFloat64() / float64(perSecond) * float64(time.Second)))
 		running.Go(func() {
-			o := order(fmt.Sprint(i))
-			a := begun(t, c.homes[o.shard()%homes], o)
+			o := newRequest(fmt.Sprint(i))
+			a := begun(t, c.daemons[o.shard()%daemons], o)
 			began := time.Now()
 			if err := a.Intend(t.Context()); err != nil {
 				t.Errorf("intent refused: %v", err)
@@ -66,13 +66,13 @@
 	running.Wait()
 	writes := c.kv.Counts().Writes() - before
 	var bytes int64
-	for _, m := range c.homes {
+	for _, m := range c.daemons {
 		bytes += m.counts.WrittenBytes.Value()
 	}
 	t.Logf("%9d | %.2f %.2f %.2f | %.1f %.2f | %d", perSecond, h.Mean()/1000,
 		float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
-		float64(writes)/seconds, float64(writes)/float64(n), bytes/seconds/homes)
-	require.LessOrEqual(t, float64(writes), maxWritesPerIntent*float64(n)+seconds*Shards/DefaultEndFlush.Seconds())
+		float64(writes)/seconds, float64(writes)/float64(n), bytes/seconds/daemons)
+	require.LessOrEqual(t, float64(writes), maxWritesPerIntent*float64(n)+seconds*Shards/DefaultOutcomeFlush.Seconds())
 }
 
 // BenchmarkKeyMemory reports what one known key of the log holds, beside a
@@ -91,16 +91,16 @@
 	}
 	for b.Loop() {
 		b.ReportMetric(measure(func() any {
-			s := &shard{m: New(Options{}), known: map[keyHash]knownKey{}}
+			s := &shard{m: New(Options{}), logged: map[keyHash]loggedKey{}}
 			for i := range keys {
-				s.remember(record{Key: order(fmt.Sprint(i)).Key.hash(), At: time.Now().Unix()})
+				s.noteRecord(record{Key: newRequest(fmt.Sprint(i)).Key.hash(), At: time.Now().Unix()})
 			}
 			return s
 		}), "B/key")
 		b.ReportMetric(measure(func() any {
 			m := map[string]Request{}
 			for i := range keys {
-				o := order(fmt.Sprintf("%036d", i))
+				o := newRequest(fmt.Sprintf("%036d", i))
 				m[o.Key.Text] = o
 			}
 			return m
@@ -112,11 +112,11 @@
 func BenchmarkJoin(b *testing.B) {
 	c := newCell(b, 1, nil)
 	defer c.close()
-	r := order("a")
+	r := newRequest("a")
 	r.NonIdempotent = false
-	c.own(r.shard(), c.homes[0])
-	begun(b, c.homes[0], r).Finish(&Answer{Status: 200, Body: []byte("ok")})
+	c.own(r.shard(), c.daemons[0])
+	begun(b, c.daemons[0], r).Finish(&Answer{Status: 200, Body: []byte("ok")})
 	for b.Loop() {
-		_, _, _ = c.homes[0].Begin(b.Context(), r)
+		_, _, _ = c.daemons[0].Begin(b.Context(), r)
 	}
 }
--- a/request/idem/handover_test.go
+++ b/request/idem/handover_test.go
@@ -21,25 +21,25 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		home, r := c.homes[0], order("slow")
-		c.own(r.shard(), home)
-		a := begun(t, home, r)
+		daemon, r := c.daemons[0], newRequest("slow")
+		c.own(r.shard(), daemon)
+		a := begun(t, daemon, r)
 		require.NoError(t, a.Intend(t.Context()))
 		release := func() error {
 			ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 			defer cancel()
-			return home.Releasing(ctx, resource(r.shard()))
+			return daemon.Releasing(ctx, resource(r.shard()))
 		}
 		for range 2 {
 			require.Error(t, release())
 		}
 		a.Finish(&Answer{Status: http.StatusOK, Body: []byte("whole")})
-		_, answer, err := home.Begin(t.Context(), r)
+		_, answer, err := daemon.Begin(t.Context(), r)
 		require.NoError(t, err, "the claim is still this home's")
 		require.Equal(t, "whole", string(answer.Body))
 
 		require.NoError(t, release(), "nothing runs any more")
-		_, _, err = home.Begin(t.Context(), r)
+		_, _, err = daemon.Begin(t.Context(), r)
 		require.Error(t, err, "handed over")
 	})
 }
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		a := begun(t, h, r)
 		joined := make(chan *Answer)
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, func(o *Options) { o.MaxAnswer = 10 })
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		a := begun(t, h, r)
 		require.NoError(t, a.Intend(t.Context()))
@@ -68,8 +68,8 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second := c.homes[0], c.homes[1]
-		unknown, ran, refused := order("u"), order("r"), order("n")
+		first, second := c.daemons[0], c.daemons[1]
+		unknown, ran, refused := newRequest("u"), newRequest("r"), newRequest("n")
 		for _, r := range []Request{unknown, ran, refused} {
 			c.own(r.shard(), first)
 		}
@@ -81,7 +81,7 @@
 		}
 		attempts["r"].Finish(&Answer{Status: 200})
 		attempts["n"].Fail(&verdict.Error{Verdict: verdict.NotRun, Err: errors.New("connection refused")})
-		time.Sleep(2 * DefaultEndFlush)
+		time.Sleep(2 * DefaultOutcomeFlush)
 		first.stop()
 		for _, r := range []Request{unknown, ran, refused} {
 			c.own(r.shard(), second)
@@ -101,7 +101,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
 		old := begun(t, first, r)
 		synctest.Wait()
@@ -118,13 +118,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		require.NoError(t, begun(t, h, r).Intend(t.Context()))
 		for _, f := range []kv.Faults{{Down: true}, {Hang: true}} {
 			c.kv.SetFaults(f)
 			for range 10 {
-				r := order2(r)
+				r := sameShardRequest(r)
 				a := begun(t, h, r)
 				began := time.Now()
 				err := a.Intend(t.Context())
@@ -138,7 +138,7 @@
 			c.kv.SetFaults(kv.Faults{})
 			time.Sleep(5 * time.Second)
 		}
-		r = order2(r)
+		r = sameShardRequest(r)
 		require.Eventually(t, func() bool {
 			a := begun(t, h, r)
 			err := a.Intend(t.Context())
@@ -158,9 +158,9 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
-		require.NoError(t, begun(t, first, order2(r)).Intend(t.Context()))
+		require.NoError(t, begun(t, first, sameShardRequest(r)).Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{LoseAnswers: 1})
 		a := begun(t, first, r)
 		err := a.Intend(t.Context())
@@ -174,23 +174,23 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
-		require.NoError(t, begun(t, first, order2(r)).Intend(t.Context()))
+		require.NoError(t, begun(t, first, sameShardRequest(r)).Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{LoseAnswers: 1})
 		a := begun(t, first, r)
 		a.Fail(a.Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{})
 		// The same home knows that nothing was sent and takes the intent out of
 		// the log with its next write; then a new home may run the key too.
-		time.Sleep(4 * DefaultEndFlush)
+		time.Sleep(4 * DefaultOutcomeFlush)
 		c.own(r.shard(), second)
 		begun(t, second, r).Close()
 	})
 }
 
-// order2 returns another key of the same shard.
-func order2(r Request) Request {
+// sameShardRequest returns another key of the same shard.
+func sameShardRequest(r Request) Request {
 	o := r
 	for o.Key == r.Key || o.shard() != r.shard() {
 		o.Key.Text += "x"
@@ -202,14 +202,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
 		a := begun(t, first, r)
 		require.NoError(t, a.Intend(t.Context()))
 		released := make(chan error, 1)
 		go func() { released <- first.Releasing(context.Background(), resource(r.shard())) }()
 		synctest.Wait()
-		requireCode(t, first, order2(r), CodeNoHome, verdict.NotRun)
+		requireCode(t, first, sameShardRequest(r), CodeOwnerNotReady, verdict.NotRun)
 		a.Finish(&Answer{Status: 200})
 		require.NoError(t, <-released)
 		c.own(r.shard(), second)
--- a/request/idem/log.go
+++ b/request/idem/log.go
@@ -13,15 +13,17 @@
 )
 
 const (
-	// readyWait is how long an arrival waits for a new home to read its log.
+	// readyWait bounds how long an arrival waits for a new owner to read the key log.
 	readyWait = time.Second
-	// downPause is how long intents are refused at once after a write failed.
+	// downPause is the time after a failed write in which intents are refused
+	// without a write.
 	downPause = 500 * time.Millisecond
-	// budgetPause is the pause after a write that the budget did not admit.
+	// budgetPause is the pause after a write that exceeded the store's budget.
 	budgetPause = 50 * time.Millisecond
-	// upkeepInterval is how often expired archives are looked for.
-	upkeepInterval = time.Minute
-	// sweepRounds is the number of upkeep rounds between sweeps of the memory.
+	// maintenanceInterval is the interval at which expired archives are deleted.
+	maintenanceInterval = time.Minute
+	// sweepRounds is the number of maintenance rounds between sweeps of the keys in
+	// memory.
 	sweepRounds = 10
 )
 
@@ -32,44 +34,45 @@
 	errStillReads = errors.New("the key log is not read yet")
 )
 
-// keyLog is the durable log of one shard under one epoch. Its run goroutine
-// alone talks to the store; the fields below mu pass work to it.
+// keyLog is the durable log of one shard under one epoch. Only its run goroutine
+// accesses the store; the fields guarded by mu pass work to it.
 type keyLog struct {
 	s      *shard
 	ctx    context.Context
 	cancel context.CancelFunc
-	ready  chan struct{} // closed when this owner has fenced and read the log
+	ready  chan struct{} // closed when this owner has fenced the previous one and read the log
 	wake   chan struct{} // capacity 1
 
 	mu        sync.Mutex
 	pending   []*intent
-	ends      []record
+	outcomes  []record
 	flushes   []chan error
 	down      bool      // the last write failed
-	downUntil time.Time // until then intents are refused at once
+	downUntil time.Time // until then intents are refused without a write
 	stopped   bool
 
 	w writer // used by run only
 }
 
-// intent is one waiting Attempt.Intend.
+// intent is a waiting call of Attempt.Intend.
 type intent struct {
 	record record
 	queued time.Time
 	result chan error // capacity 1
-	// decided and cancelled are guarded by the shard's mu; at most one is set.
-	decided, cancelled bool
+	// resolved and cancelled are guarded by the shard's mu; at most one is set.
+	resolved, cancelled bool
 }
 
 func newKeyLog(ctx context.Context, s *shard) *keyLog {
 	l := &keyLog{s: s, ready: make(chan struct{}), wake: make(chan struct{}, 1)}
-	// The grant's context bounds the call, not the ownership.
+	// ctx bounds the call that delivers the grant, not the ownership itself.
 	l.ctx, l.cancel = context.WithCancel(context.WithoutCancel(ctx))
 	l.w = writer{s: s}
 	return l
 }
 
-// waitReady waits until this owner may decide about non-idempotent keys.
+// waitReady waits until the log has been read, so that this owner has the record
+// of every non-idempotent key.
 func (l *keyLog) waitReady(ctx context.Context) error {
 	select {
 	case <-l.ready:
@@ -95,7 +98,7 @@
 }
 
 // append makes the record durable. After an error the request must not be
-// sent; the record may be in the log all the same, and is then marked as not
+// sent. The record may be in the log nevertheless, and is then marked as not
 // run by the next write.
 func (l *keyLog) append(ctx context.Context, r record) error {
 	in := &intent{record: r, queued: time.Now(), result: make(chan error, 1)}
@@ -107,7 +110,7 @@
 	case err := <-in.result:
 		return err
 	case <-ctx.Done():
-		if l.cancelIntent(in) {
+		if l.withdraw(in) {
 			return refused(errNotInTime)
 		}
 		return <-in.result
@@ -120,7 +123,7 @@
 	if l.stopped {
 		return errLogClosed
 	}
-	// With the store down a caller is told at once instead of at the end of a
+	// While the store is down callers are refused at once instead of after a
 	// write timeout; one intent after each pause probes the store.
 	if l.down {
 		now := time.Now()
@@ -134,28 +137,28 @@
 	return nil
 }
 
-// cancelIntent withdraws an intent whose caller stopped waiting; false when
-// its fate was decided before.
-func (l *keyLog) cancelIntent(in *intent) bool {
+// withdraw cancels an intent whose caller stopped waiting. It returns false when
+// the intent has been resolved already.
+func (l *keyLog) withdraw(in *intent) bool {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
-	if in.decided {
+	if in.resolved {
 		return false
 	}
 	in.cancelled = true
 	return true
 }
 
-// noteEnd queues the end of a request; a later write carries it.
-func (l *keyLog) noteEnd(r record) {
+// noteOutcome queues the outcome of a request for a later write.
+func (l *keyLog) noteOutcome(r record) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if !l.stopped {
-		l.ends = append(l.ends, r)
+		l.outcomes = append(l.outcomes, r)
 	}
 }
 
-// flush writes queued ends and waits for it.
+// flush writes the queued outcomes and waits until they are durable.
 func (l *keyLog) flush(ctx context.Context) error {
 	done := make(chan error, 1)
 	l.mu.Lock()
@@ -183,7 +186,7 @@
 	}
 }
 
-// stop ends run and refuses what waits.
+// stop ends run and refuses the waiting intents.
 func (l *keyLog) stop() {
 	l.cancel()
 	l.mu.Lock()
@@ -191,21 +194,21 @@
 	pending := l.pending
 	l.pending = nil
 	l.mu.Unlock()
-	l.decide(pending, refused(errLogClosed))
+	l.resolve(pending, refused(errLogClosed))
 }
 
-// run fences the previous owner, reads the log and then commits until the
-// log is stopped or fenced.
+// run fences the previous owner, reads the log, and then commits until the log
+// is stopped or fenced.
 func (l *keyLog) run() {
 	defer l.stop()
 	if !l.open() {
 		return
 	}
 	close(l.ready)
-	flush := time.NewTicker(l.s.m.opts.EndFlush)
+	flush := time.NewTicker(l.s.m.opts.OutcomeFlush)
 	defer flush.Stop()
-	upkeep := time.NewTicker(upkeepInterval)
-	defer upkeep.Stop()
+	maintenance := time.NewTicker(maintenanceInterval)
+	defer maintenance.Stop()
 	for round := 0; ; {
 		var err error
 		select {
@@ -215,7 +218,7 @@
 			err = l.commit()
 		case <-flush.C:
 			err = l.commit()
-		case <-upkeep.C:
+		case <-maintenance.C:
 			round++
 			l.w.deleteExpired(l.ctx)
 			if round%sweepRounds == 0 {
@@ -224,13 +227,14 @@
 		}
 		if errors.Is(err, errFenced) {
 			l.s.m.counts.Fenced.Add(1)
-			l.s.m.opts.Log.Warn().Int("shard", l.s.n).Uint64("epoch", l.s.epoch).Msg("key log has a newer owner")
+			l.s.m.opts.Log.Warn().Int("shard", l.s.n).Uint64("epoch", l.s.epoch).Msg("key log fenced by a newer owner")
 			return
 		}
 	}
 }
 
-// open retries the takeover until it succeeds; false when it never will.
+// open retries the takeover of the log until it succeeds. It returns false when
+// the log is fenced or stopped.
 func (l *keyLog) open() bool {
 	retry := sleep.NewBackoff(firstOpenRetry, lastOpenRetry)
 	for {
@@ -241,27 +245,27 @@
 		if errors.Is(err, errFenced) || l.ctx.Err() != nil {
 			return false
 		}
-		l.s.m.opts.Log.Warn().Err(err).Int("shard", l.s.n).Msg("key log not read yet")
+		l.s.m.opts.Log.Warn().Err(err).Int("shard", l.s.n).Msg("reading the key log failed; will retry")
 		if sleep.For(l.ctx, retry.NextBackOff()) != nil {
 			return false
 		}
 	}
 }
 
-// commit writes one group: what gathered while the last write was in flight
-// or the limiter held this one back.
+// commit writes one group: all that was queued while the previous write was in
+// flight or while the rate limiter delayed this one.
 func (l *keyLog) commit() error {
 	if err := l.s.m.limiter.Wait(l.ctx); err != nil {
 		return err
 	}
 	l.mu.Lock()
-	pending, ends, flushes := l.pending, l.ends, l.flushes
-	l.pending, l.ends, l.flushes = nil, nil, nil
+	pending, outcomes, flushes := l.pending, l.outcomes, l.flushes
+	l.pending, l.outcomes, l.flushes = nil, nil, nil
 	l.mu.Unlock()
 	pending = l.withoutCancelled(pending)
-	l.w.noteEnds(ends)
+	l.w.noteOutcomes(outcomes)
 	if len(pending) == 0 && !l.w.dirty {
-		answerAll(flushes, nil)
+		notifyFlushes(flushes, nil)
 		return nil
 	}
 	err := l.w.write(l.ctx, pending)
@@ -269,20 +273,21 @@
 		l.requeue(pending, flushes)
 		return nil
 	}
-	answerAll(flushes, err)
+	notifyFlushes(flushes, err)
 	if err != nil {
 		l.noteFailure(err)
-		l.decide(pending, refused(errors.Join(errStoreDown, err)))
+		l.resolve(pending, refused(errors.Join(errStoreDown, err)))
 		return err
 	}
 	l.noteSuccess()
-	l.decide(pending, nil)
+	l.resolve(pending, nil)
 	l.w.archiveIfLarge(l.ctx)
 	return nil
 }
 
-// requeue keeps a group that the store's budget did not admit: it certainly was
-// not written. Intents that have waited too long are refused.
+// requeue queues a group again that exceeded the store's write budget and
+// therefore was certainly not written. Intents that have waited too long are
+// refused.
 func (l *keyLog) requeue(pending []*intent, flushes []chan error) {
 	var late, kept []*intent
 	for _, in := range pending {
@@ -292,7 +297,7 @@
 			kept = append(kept, in)
 		}
 	}
-	l.decide(late, refused(store.ErrOverBudget))
+	l.resolve(late, refused(store.ErrOverBudget))
 	l.mu.Lock()
 	stopped := l.stopped
 	if !stopped {
@@ -301,7 +306,7 @@
 	}
 	l.mu.Unlock()
 	if stopped {
-		l.decide(kept, refused(errLogClosed))
+		l.resolve(kept, refused(errLogClosed))
 	}
 	time.AfterFunc(budgetPause, l.signal)
 }
@@ -334,34 +339,35 @@
 	return out
 }
 
-// decide tells the waiting attempts. An intent that was cancelled while its
-// write was in flight is in the log though nothing was sent: its end is noted.
-func (l *keyLog) decide(intents []*intent, err error) {
+// resolve returns the result to the waiting attempts. An intent that was
+// cancelled while its write was in flight is in the log although nothing was
+// sent, so its outcome is recorded as not run.
+func (l *keyLog) resolve(intents []*intent, err error) {
 	l.s.mu.Lock()
 	defer l.s.mu.Unlock()
 	for _, in := range intents {
 		switch {
 		case in.cancelled && err == nil:
 			r := in.record
-			r.End = endNotRun
-			l.s.remember(r)
-			l.noteEnd(r)
+			r.End = outcomeNotRun
+			l.s.noteRecord(r)
+			l.noteOutcome(r)
 		case in.cancelled:
 		case err == nil:
-			in.decided = true
-			l.s.assertFree(in.record)
-			l.s.remember(in.record)
+			in.resolved = true
+			l.s.assertNoIntent(in.record)
+			l.s.noteRecord(in.record)
 			l.s.m.counts.Intents.Add(1)
 			in.result <- nil
 		default:
-			in.decided = true
+			in.resolved = true
 			l.s.m.counts.Refused.Add(1)
 			in.result <- err
 		}
 	}
 }
 
-func answerAll(flushes []chan error, err error) {
+func notifyFlushes(flushes []chan error, err error) {
 	for _, f := range flushes {
 		f <- err
 	}
--- a/request/idem/manager.go
+++ b/request/idem/manager.go
@@ -18,20 +18,20 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// sweepInterval is how often answers past their retention are dropped.
+// sweepInterval is the interval at which answers past their retention are evicted.
 const sweepInterval = 5 * time.Second
 
-// retryAfterMillis is what refused callers are told when a home or the store
-// is not ready.
+// retryAfterMillis is the retry delay for callers that are refused because the
+// key owner or the store is not ready.
 const retryAfterMillis = 1000
 
 var (
-	errNotHome  = errors.New("this daemon is not the home of the key")
+	errNotOwner = errors.New("this daemon is not the home of the key")
 	errMismatch = errors.New("the key was used before for another request")
 )
 
-// Manager is one daemon's part of the key table: home of the shards it owns.
-// It implements Table and ownership.User for ownership.KeysPrefix.
+// Manager is one daemon's part of the key table: the keys of the shards that it
+// owns. It implements Table and ownership.User for ownership.KeysPrefix.
 type Manager struct {
 	opts    Options
 	limiter *rate.Limiter
@@ -46,7 +46,7 @@
 	_ ownership.User = (*Manager)(nil)
 )
 
-// New returns a manager; it is home of nothing until it is told of grants.
+// New returns a manager. It owns no shard until Acquired is called.
 func New(opts Options) *Manager {
 	opts.setDefaults()
 	m := &Manager{opts: opts}
@@ -55,7 +55,7 @@
 	return m
 }
 
-// writeShare returns this daemon's share of the cell's writes and the burst.
+// writeShare returns this daemon's share of the cell's write rate, and the burst.
 func (m *Manager) writeShare() (rate.Limit, int) {
 	share := m.opts.WritesPerSecond / float64(max(1, len(m.opts.Members.Members())))
 	return rate.Limit(share), int(share) + 1
@@ -80,9 +80,9 @@
 	return n, err == nil && n >= 0 && n < Shards
 }
 
-// keyHash stands for a Key in memory and in the log. It is a cryptographic
-// hash because callers choose the text: with a weak one a caller could find
-// two keys that collide.
+// keyHash represents a Key in memory and in the log. It is a cryptographic hash
+// because callers choose the text: with a weak one a caller could construct two
+// keys that collide.
 type keyHash [16]byte
 
 func (k Key) hash() keyHash {
@@ -95,8 +95,8 @@
 
 func (h keyHash) shard() int { return int(h[0]) % Shards }
 
-// Home implements Table.
-func (m *Manager) Home(k Key) (fleet.Member, bool, bool) {
+// Owner implements Table.
+func (m *Manager) Owner(k Key) (fleet.Member, bool, bool) {
 	claim, ok := m.opts.Directory.Owner(resource(k.hash().shard()))
 	if !ok {
 		return fleet.Member{}, false, false
@@ -116,7 +116,7 @@
 	h := r.Key.hash()
 	s := m.shards[h.shard()].Load()
 	if s == nil {
-		return nil, nil, notRun(http.StatusServiceUnavailable, CodeNotHome, errNotHome)
+		return nil, nil, notRun(http.StatusServiceUnavailable, CodeNotOwner, errNotOwner)
 	}
 	e, attempt, err := s.begin(ctx, h, r)
 	if err != nil || attempt != nil {
@@ -125,7 +125,7 @@
 	return join(ctx, e)
 }
 
-// join waits for the end of another arrival's attempt.
+// join waits for another arrival's attempt to complete.
 func join(ctx context.Context, e *entry) (*Attempt, *Answer, error) {
 	select {
 	case <-e.done:
@@ -164,11 +164,11 @@
 	}
 }
 
-// Releasing implements ownership.User: it begins nothing new, waits for the
-// requests that run under this home, and makes their ends durable. When that
-// does not succeed the claim stays this daemon's, and so does the shard: it
-// begins requests again. If it dropped the shard nobody would serve its keys,
-// and a request that still runs would be told outcome_unknown.
+// Releasing implements ownership.User: it starts no new requests in the shard,
+// waits for the running ones, and makes their outcomes durable. When that fails
+// this daemon keeps the claim and the shard, and starts requests again. If it
+// dropped the shard, no daemon would serve its keys, and retries of a request
+// that still runs would be refused with outcome_unknown.
 func (m *Manager) Releasing(ctx context.Context, r ownership.Resource) error {
 	n, ok := shardOf(r)
 	if !ok {
@@ -188,7 +188,8 @@
 	return nil
 }
 
-// Serve drops what is past its retention until ctx ends.
+// Serve evicts answers past their retention and adapts the write rate to the
+// number of members, until ctx is done.
 func (m *Manager) Serve(ctx context.Context) error {
 	t := time.NewTicker(sweepInterval)
 	defer t.Stop()
--- a/request/idem/options.go
+++ b/request/idem/options.go
@@ -14,9 +14,9 @@
 )
 
 // Shards is the number of ownership resources that the keys are hashed to. Each
-// is a log of its own with its own store writes, so there are about as many as
-// a cell has daemons: with twice as many, intents waited twice as long for the
-// same number of writes.
+// shard has its own log and store writes, so there are about as many as a cell
+// has daemons: with twice as many, intents waited twice as long for the same
+// number of writes.
 const Shards = 8
 
 // Defaults of Options.
@@ -29,12 +29,12 @@
 	DefaultMaxKeys         = 400_000
 	DefaultWritesPerSecond = 100
 	DefaultWriteTimeout    = time.Second
-	DefaultEndFlush        = 5 * time.Second
+	DefaultOutcomeFlush    = 5 * time.Second
 	DefaultHeadSize        = 40
 )
 
-// Store is the part of a store handle that the key log uses; *store.Handle of
-// role RoleIntents implements it.
+// Store is the subset of a store handle that the key log uses. It is
+// implemented by a *store.Handle of role RoleIntents.
 type Store interface {
 	Get(ctx context.Context, key string) (store.Item, error)
 	List(ctx context.Context, prefix string) ([]store.Item, store.Revision, error)
@@ -42,7 +42,7 @@
 	Delete(ctx context.Context, key string, prev store.Revision) error
 }
 
-// Options configure a Manager. Zero values of the numbers take the defaults.
+// Options configure a Manager. Numbers that are zero take the defaults.
 type Options struct {
 	Self      peer.Ref
 	Directory ownership.Directory
@@ -50,29 +50,29 @@
 	Store     Store
 	Log       zerolog.Logger
 
-	// MaxAnswer is the largest body kept of one answer, in bytes.
+	// MaxAnswer is the largest body of an answer that is kept, in bytes.
 	MaxAnswer int
-	// AnswerMemory bounds the kept answers of all shards together, in bytes.
+	// AnswerMemory bounds the total size of the kept answers of all shards, in bytes.
 	AnswerMemory int
-	// AnswerRetention is how long an answer is kept after the request's end.
+	// AnswerRetention is how long an answer is kept after its request completed.
 	AnswerRetention time.Duration
-	// IntentRetention is how long a non-idempotent key is remembered after its
-	// intent. A caller must not use a key again after it.
+	// IntentRetention is how long a non-idempotent key is recorded after its
+	// intent. A caller must not retry with a key after that time.
 	IntentRetention time.Duration
-	// ClockSkew bounds how far the wall clocks of two daemons are apart; the
-	// log is kept that much longer than IntentRetention.
+	// ClockSkew is the largest assumed difference between the wall clocks of two
+	// daemons. Archives are kept that much longer than IntentRetention.
 	ClockSkew time.Duration
-	// MaxKeys bounds the keys in memory over all shards of this daemon.
+	// MaxKeys bounds the number of keys in memory in all shards of this daemon.
 	MaxKeys int
-	// WritesPerSecond bounds the store writes of all daemons' key logs; each
-	// daemon takes an equal share.
+	// WritesPerSecond bounds the rate of store writes of all daemons' key logs;
+	// each daemon gets an equal share.
 	WritesPerSecond float64
-	// WriteTimeout bounds one write of the key log.
+	// WriteTimeout is the timeout of one write of the key log.
 	WriteTimeout time.Duration
-	// EndFlush is how long the end of a request may wait to become durable
-	// when no intent carries it along.
-	EndFlush time.Duration
-	// HeadSize is the number of records at which a log's head is archived.
+	// OutcomeFlush is the interval at which the outcomes of requests are written
+	// when no write of an intent includes them.
+	OutcomeFlush time.Duration
+	// HeadSize is the number of records in a log's head at which they are archived.
 	HeadSize int
 }
 
@@ -85,6 +85,6 @@
 	o.MaxKeys = cmp.Or(o.MaxKeys, DefaultMaxKeys)
 	o.WritesPerSecond = cmp.Or(o.WritesPerSecond, DefaultWritesPerSecond)
 	o.WriteTimeout = cmp.Or(o.WriteTimeout, DefaultWriteTimeout)
-	o.EndFlush = cmp.Or(o.EndFlush, DefaultEndFlush)
+	o.OutcomeFlush = cmp.Or(o.OutcomeFlush, DefaultOutcomeFlush)
 	o.HeadSize = cmp.Or(o.HeadSize, DefaultHeadSize)
 }
--- a/request/idem/record.go
+++ b/request/idem/record.go
@@ -9,16 +9,16 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// end is what is known of the end of a request with an intent.
-type end uint8
+// outcome is the recorded outcome of a request with an intent.
+type outcome uint8
 
 const (
-	endUnknown end = iota // sent or about to be sent: may have run
-	endRan                // ran; the answer may still be in the home's memory
-	endNotRun             // certainly not sent or refused before work: free again
+	outcomeUnknown outcome = iota // sent or about to be sent: may have run
+	outcomeRan                    // ran; the owner may still keep the answer in memory
+	outcomeNotRun                 // certainly not sent, or refused before work: the key can be used again
 )
 
-// record is one line of the key log. A later record of a key replaces an
+// record is one entry of the key log. A later record of a key replaces an
 // earlier one.
 type record struct {
 	_           struct{} `cbor:",toarray"`
@@ -26,12 +26,12 @@
 	Fingerprint uint64
 	// At is the wall-clock time of the intent in Unix seconds.
 	At  int64
-	End end
+	End outcome
 }
 
-// head is the value of a shard's head key. Every write of the log goes through
-// a compare-and-swap of this one key, which is never deleted; so a new owner's
-// first write makes every later write of the previous owner fail.
+// head is the value of a shard's head key. Every write of the log is a
+// compare-and-swap of this one key, which is never deleted, so that the first
+// write of a new owner makes all later writes of the previous owner fail.
 type head struct {
 	Epoch   uint64   `cbor:"1,keyasint"`
 	Owner   peer.Ref `cbor:"2,keyasint"`
@@ -39,7 +39,7 @@
 	Records []record `cbor:"4,keyasint"`
 }
 
-// archive is the value of an archived part of the log; it never changes.
+// archive is the value of an archived part of the log. It is immutable.
 type archive struct {
 	Records []record `cbor:"1,keyasint"`
 }
@@ -56,7 +56,7 @@
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		// Only a type that CBOR can't hold gets here: a programming error.
+		// Only a type that CBOR can not represent fails, which is a programming error.
 		panic(fmt.Sprintf("idem: encode %T: %v", v, err))
 	}
 	return data
@@ -66,11 +66,12 @@
 
 func headKey(shard int) string { return logPrefix + strconv.Itoa(shard) + "/head" }
 
-// archivePrefix ends with a slash, so that shard 1 does not list shard 11.
+// archivePrefix ends with a slash, so that it matches no archive of another
+// shard: without the slash shard 1 would list shard 11.
 func archivePrefix(shard int) string { return logPrefix + strconv.Itoa(shard) + "/archive/" }
 
-// archiveKey carries the epoch, so that an archive that a paused owner writes
-// late can not take the name of its successor's.
+// archiveKey includes the epoch, so that an archive that a suspended owner
+// writes late can not take the key of one of its successor.
 func archiveKey(shard int, seq, epoch uint64) string {
 	return fmt.Sprintf("%s%016d-%016d", archivePrefix(shard), seq, epoch)
 }
--- a/request/idem/shard.go
+++ b/request/idem/shard.go
@@ -11,23 +11,23 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// What is charged to a kept answer besides its bytes, in bytes. Without the
-// headers an answer with 64 KB of them would count as an empty one.
+// Memory overhead charged for a kept answer, in bytes. Headers are charged too:
+// otherwise an answer with 64 KB of headers would count as an empty one.
 const (
 	entryOverhead  = 512
-	headerOverhead = 48 // a header's name and its list of values
-	stringOverhead = 16 // a value
+	headerOverhead = 48 // per header: its name and its list of values
+	stringOverhead = 16 // per value
 )
 
 var (
-	errUnknownEnd = errors.New("an earlier arrival of the key was sent and its end is not known")
-	errNotKept    = errors.New("the request ran and its answer is no longer kept")
-	errTableFull  = errors.New("too many keys in memory")
-	errDraining   = errors.New("the home of the key is being handed over")
+	errOutcomeUnknown = errors.New("an earlier arrival of the key was sent and its end is not known")
+	errNotKept        = errors.New("the request ran and its answer is no longer kept")
+	errTableFull      = errors.New("too many keys in memory")
+	errDraining       = errors.New("the home of the key is being handed over")
 )
 
-// entry is a key whose request runs or whose answer is kept. The fields above
-// done never change; answer and err are set before done is closed.
+// entry is a key whose request is running or whose answer is kept. The fields
+// above done are immutable; answer and err are set before done is closed.
 type entry struct {
 	hash          keyHash
 	fingerprint   uint64
@@ -38,7 +38,7 @@
 	cost          int
 }
 
-// shard is this daemon's table of one shard's keys under one epoch.
+// shard is this daemon's table of the keys of one shard under one epoch.
 type shard struct {
 	m     *Manager
 	n     int
@@ -47,27 +47,28 @@
 
 	mu       sync.Mutex
 	entries  map[keyHash]*entry
-	known    map[keyHash]knownKey // non-idempotent keys with a record in the log
+	logged   map[keyHash]loggedKey // non-idempotent keys with a record in the log
 	running  int
 	draining bool
 	closed   bool
-	idle     chan struct{} // closed when draining and nothing runs
+	idle     chan struct{} // closed when the shard is draining and no request runs
 }
 
-// knownKey is what memory holds of a key in the log.
-type knownKey struct {
+// loggedKey is the in-memory copy of a key's latest record in the log.
+type loggedKey struct {
 	fingerprint uint64
 	at          int64
-	end         end
+	outcome     outcome
 }
 
 func newShard(ctx context.Context, m *Manager, n int, epoch uint64) *shard {
-	s := &shard{m: m, n: n, epoch: epoch, entries: map[keyHash]*entry{}, known: map[keyHash]knownKey{}, idle: make(chan struct{})}
+	s := &shard{m: m, n: n, epoch: epoch, entries: map[keyHash]*entry{}, logged: map[keyHash]loggedKey{}, idle: make(chan struct{})}
 	s.log = newKeyLog(ctx, s)
 	return s
 }
 
-// fingerprint64 mixes the flag in: a key may not change its nature.
+// fingerprint64 includes NonIdempotent in the fingerprint, so that a key can not
+// be used again with another value of it.
 func fingerprint64(r Request) uint64 {
 	f := uint64(r.Fingerprint)
 	if r.NonIdempotent {
@@ -76,12 +77,12 @@
 	return f
 }
 
-// begin returns an attempt for the first arrival and the entry to join for
-// every other.
+// begin returns an attempt for the first arrival of a key, and for every other
+// one the entry to join.
 func (s *shard) begin(ctx context.Context, h keyHash, r Request) (*entry, *Attempt, error) {
 	if r.NonIdempotent {
 		if err := s.log.waitReady(ctx); err != nil {
-			return nil, nil, notRun(http.StatusServiceUnavailable, CodeNoHome, err)
+			return nil, nil, notRun(http.StatusServiceUnavailable, CodeOwnerNotReady, err)
 		}
 	}
 	s.mu.Lock()
@@ -95,10 +96,10 @@
 		return e, nil, nil
 	}
 	if s.closed || s.draining {
-		return nil, nil, notRun(http.StatusServiceUnavailable, CodeNoHome, errDraining)
+		return nil, nil, notRun(http.StatusServiceUnavailable, CodeOwnerNotReady, errDraining)
 	}
 	if r.NonIdempotent {
-		if err := s.checkKnown(h, fp); err != nil {
+		if err := s.checkLogged(h, fp); err != nil {
 			return nil, nil, err
 		}
 	}
@@ -112,23 +113,24 @@
 	return nil, &Attempt{shard: s, entry: e}, nil
 }
 
-// checkKnown refuses a key whose request was sent before.
-func (s *shard) checkKnown(h keyHash, fp uint64) error {
-	k, ok := s.known[h]
+// checkLogged refuses a key for which the log says that its request was or may
+// have been sent.
+func (s *shard) checkLogged(h keyHash, fp uint64) error {
+	k, ok := s.logged[h]
 	if !ok || s.m.expired(k.at) {
 		return nil
 	}
 	if k.fingerprint != fp {
 		return notRun(http.StatusUnprocessableEntity, CodeMismatch, errMismatch)
 	}
-	switch k.end {
-	case endNotRun:
+	switch k.outcome {
+	case outcomeNotRun:
 		return nil
-	case endRan:
+	case outcomeRan:
 		return answerNotKept()
 	default:
 		s.m.counts.OutcomeUnknown.Add(1)
-		return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusConflict, Code: CodeOutcomeUnknown, Err: errUnknownEnd}
+		return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusConflict, Code: CodeOutcomeUnknown, Err: errOutcomeUnknown}
 	}
 }
 
@@ -136,7 +138,7 @@
 	return &verdict.Error{Verdict: verdict.Ran, Status: http.StatusGone, Code: CodeAnswerNotKept, Err: errNotKept}
 }
 
-// expired reports whether a key with an intent at that time is forgotten.
+// expired reports whether the retention of an intent of that time has expired.
 func (m *Manager) expired(at int64) bool {
 	return time.Since(time.Unix(at, 0)) > m.opts.IntentRetention
 }
@@ -146,7 +148,7 @@
 	return s.log.append(ctx, record{Key: e.hash, Fingerprint: e.fingerprint, At: time.Now().Unix()})
 }
 
-// finish ends e with its answer.
+// finish completes e with its answer.
 func (s *shard) finish(e *entry, a *Answer) {
 	kept := !a.NotKept && len(a.Body) <= s.m.opts.MaxAnswer
 	s.mu.Lock()
@@ -155,10 +157,10 @@
 		e.cost = a.size() + entryOverhead
 	} else {
 		e.err = answerNotKept()
-		s.forget(e)
+		s.remove(e)
 	}
-	s.setEnd(e, endRan)
-	s.ended(e)
+	s.setOutcome(e, outcomeRan)
+	s.complete(e)
 	keep := kept && !s.closed
 	s.mu.Unlock()
 	if keep {
@@ -166,35 +168,35 @@
 	}
 }
 
-// fail ends e without an answer.
+// fail completes e without an answer.
 func (s *shard) fail(e *entry, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	e.err = err
-	s.forget(e)
+	s.remove(e)
 	switch verdict.Of(err) {
 	case verdict.NotRun:
-		s.setEnd(e, endNotRun)
+		s.setOutcome(e, outcomeNotRun)
 	case verdict.Ran:
-		s.setEnd(e, endRan)
+		s.setOutcome(e, outcomeRan)
 	}
-	s.ended(e)
+	s.complete(e)
 }
 
-// setEnd notes the end of a non-idempotent request with an intent; it becomes
-// durable with a later write of the log. The caller holds mu.
-func (s *shard) setEnd(e *entry, to end) {
-	k, ok := s.known[e.hash]
+// setOutcome records the outcome of a non-idempotent request with an intent. It
+// becomes durable with a later write of the log. The caller holds mu.
+func (s *shard) setOutcome(e *entry, to outcome) {
+	k, ok := s.logged[e.hash]
 	if !e.nonIdempotent || !ok {
 		return
 	}
-	k.end = to
-	s.known[e.hash] = k
-	s.log.noteEnd(record{Key: e.hash, Fingerprint: k.fingerprint, At: k.at, End: to})
+	k.outcome = to
+	s.logged[e.hash] = k
+	s.log.noteOutcome(record{Key: e.hash, Fingerprint: k.fingerprint, At: k.at, End: to})
 }
 
-// ended wakes whoever joined e or drains the shard. The caller holds mu.
-func (s *shard) ended(e *entry) {
+// complete wakes the arrivals that joined e, and drain. The caller holds mu.
+func (s *shard) complete(e *entry) {
 	close(e.done)
 	s.running--
 	if s.running < 0 {
@@ -214,54 +216,54 @@
 	}
 }
 
-// forget removes e from the entries. The caller holds mu.
-func (s *shard) forget(e *entry) {
+// remove deletes e from the entries. The caller holds mu.
+func (s *shard) remove(e *entry) {
 	if s.entries[e.hash] == e {
 		delete(s.entries, e.hash)
 		s.m.keys.Add(-1)
 	}
 }
 
-// drop removes an entry whose answer is no longer kept.
-func (s *shard) drop(e *entry) {
+// evict removes an entry whose answer is no longer kept.
+func (s *shard) evict(e *entry) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.forget(e)
+	s.remove(e)
 }
 
-// remember stores what the log holds of a key. The caller holds mu.
-func (s *shard) remember(r record) {
+// noteRecord updates the in-memory copy of a key's record. The caller holds mu.
+func (s *shard) noteRecord(r record) {
 	if s.closed {
 		return
 	}
-	if _, ok := s.known[r.Key]; !ok {
+	if _, ok := s.logged[r.Key]; !ok {
 		s.m.keys.Add(1)
 	}
-	s.known[r.Key] = knownKey{fingerprint: r.Fingerprint, at: r.At, end: r.End}
+	s.logged[r.Key] = loggedKey{fingerprint: r.Fingerprint, at: r.At, outcome: r.End}
 }
 
-// assertFree is the invariant that a key has at most one intent that may have
-// been sent. The caller holds mu.
-func (s *shard) assertFree(r record) {
-	k, ok := s.known[r.Key]
-	if ok && k.end != endNotRun && !s.m.expired(k.at) {
+// assertNoIntent checks the invariant that a key has at most one intent that may
+// have been sent. The caller holds mu.
+func (s *shard) assertNoIntent(r record) {
+	k, ok := s.logged[r.Key]
+	if ok && k.outcome != outcomeNotRun && !s.m.expired(k.at) {
 		panic(fmt.Sprintf("idem: shard %d: second intent of key %x", s.n, r.Key))
 	}
 }
 
-// sweep forgets keys past their retention.
+// sweep removes keys past their retention.
 func (s *shard) sweep() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for h, k := range s.known {
+	for h, k := range s.logged {
 		if s.m.expired(k.at) {
-			delete(s.known, h)
+			delete(s.logged, h)
 			s.m.keys.Add(-1)
 		}
 	}
 }
 
-// drain begins nothing new, waits until nothing runs and writes the ends.
+// drain stops new requests, waits for the running ones and writes their outcomes.
 func (s *shard) drain(ctx context.Context) error {
 	s.mu.Lock()
 	s.draining = true
@@ -271,12 +273,12 @@
 	select {
 	case <-idle:
 	case <-ctx.Done():
-		return fmt.Errorf("requests with keys still run: %w", ctx.Err())
+		return fmt.Errorf("requests with keys are still in progress: %w", ctx.Err())
 	}
 	return s.log.flush(ctx)
 }
 
-// resume begins requests again after a drain that did not succeed.
+// resume allows new requests again after a drain that failed.
 func (s *shard) resume() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -284,16 +286,16 @@
 	s.idle = make(chan struct{})
 }
 
-// close stops the log and drops the keys. Requests that run go on and end by
-// their entries; nothing new begins.
+// close stops the log and drops the keys. Running requests continue and complete
+// their entries; no new ones start.
 func (s *shard) close() {
 	s.log.stop()
 	s.mu.Lock()
 	if !s.closed {
 		s.closed = true
-		s.m.keys.Add(-int64(len(s.entries) + len(s.known)))
-		s.entries, s.known = nil, nil
+		s.m.keys.Add(-int64(len(s.entries) + len(s.logged)))
+		s.entries, s.logged = nil, nil
 	}
 	s.mu.Unlock()
-	s.m.answers.forget(s)
+	s.m.answers.removeShard(s)
 }
--- a/request/idem/writer.go
+++ b/request/idem/writer.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// readTimeouts is how many times the timeout of a write the reading of a
-	// whole log may take.
+	// readTimeouts is the timeout for reading a whole log, in units of
+	// Options.WriteTimeout.
 	readTimeouts = 10
 	// firstOpenRetry and lastOpenRetry bound the pause after a failed takeover.
 	firstOpenRetry = 100 * time.Millisecond
@@ -23,20 +23,21 @@
 
 var errFenced = errors.New("a newer owner wrote the key log")
 
-// writer holds the log's content that is not archived yet and writes it.
-// Memory is the truth: a write that failed or whose outcome is unknown leaves
-// no trace in records, so the next write that succeeds undoes it.
+// writer holds the records of the log that are not archived yet and writes them.
+// The state in memory is authoritative: a write that failed or whose outcome is
+// unknown leaves no trace in records, so that the next successful write undoes
+// it.
 type writer struct {
 	s        *shard
 	revision store.Revision
 	seq      uint64
 	records  []record
-	// frozen is the number of records in an archive whose write has begun; they
-	// do not change until the archive is known written, because its key may
+	// frozen is the number of records in an archive whose write has begun. They
+	// do not change until that write is confirmed, because the archive's key may
 	// already hold them.
 	frozen   int
-	dirty    bool // records differ from the stored head
-	reread   bool // the stored revision is not known for sure
+	dirty    bool // records differ from those in the stored head
+	reread   bool // the stored revision is uncertain; the head must be read again
 	archives []archived
 }
 
@@ -50,11 +51,11 @@
 // open fences the previous owner by a compare-and-swap of the head and then
 // reads every record.
 //
-// What could go wrong: the previous owner, paused or cut off, makes an intent
-// durable after its successor has read the log; the key would be sent by both.
-// One would notice a key with two runs. It can't happen: an intent is durable
-// only by a compare-and-swap on the revision its owner saw, and this write
-// changes the revision before the records are read.
+// The order matters: if the previous owner, suspended or partitioned, could make
+// an intent durable after its successor has read the log, both would send the
+// key's request and it would run twice. It can not, because an intent becomes
+// durable only by a compare-and-swap on the revision that its owner has read,
+// and this write changes the revision before the records are read.
 func (w *writer) open(ctx context.Context) error {
 	old, err := w.readHead(ctx)
 	if err != nil {
@@ -68,7 +69,7 @@
 	return w.readAll(ctx)
 }
 
-// readHead reads the head and refuses one of a newer owner.
+// readHead reads the head. It returns errFenced for a head of a newer owner.
 func (w *writer) readHead(ctx context.Context) (head, error) {
 	ctx, cancel := context.WithTimeout(ctx, w.s.m.opts.WriteTimeout)
 	defer cancel()
@@ -93,7 +94,7 @@
 	return h, nil
 }
 
-// readAll takes every archive and the head into memory, oldest first.
+// readAll reads all archives into memory, oldest first, and then the head's records.
 func (w *writer) readAll(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readTimeouts*w.s.m.opts.WriteTimeout)
 	defer cancel()
@@ -108,17 +109,17 @@
 			return fmt.Errorf("decode %s: %w", it.Key, err)
 		}
 		w.archives = append(w.archives, archived{key: it.Key, revision: it.Revision, newest: newest(a.Records)})
-		w.remember(a.Records)
+		w.noteRecords(a.Records)
 	}
-	w.remember(w.records)
+	w.noteRecords(w.records)
 	return nil
 }
 
-func (w *writer) remember(records []record) {
+func (w *writer) noteRecords(records []record) {
 	w.s.mu.Lock()
 	defer w.s.mu.Unlock()
 	for _, r := range records {
-		w.s.remember(r)
+		w.s.noteRecord(r)
 	}
 }
 
@@ -132,7 +133,7 @@
 	return w.s.m.opts.Store.Swap(ctx, key, data, prev, 0)
 }
 
-// writeHead writes the records that are not archived.
+// writeHead writes the head with the records that are not archived.
 func (w *writer) writeHead(ctx context.Context) error {
 	h := head{Epoch: w.s.epoch, Owner: w.s.m.opts.Self, Seq: w.seq, Records: w.records}
 	revision, err := w.put(ctx, headKey(w.s.n), h, w.revision)
@@ -144,10 +145,10 @@
 	return nil
 }
 
-// noteEnds applies ends to the records in the head, or appends them when the
-// intent is archived.
-func (w *writer) noteEnds(ends []record) {
-	for _, r := range ends {
+// noteOutcomes applies outcomes to the records in the head, or appends them when
+// the intent is archived.
+func (w *writer) noteOutcomes(outcomes []record) {
+	for _, r := range outcomes {
 		w.dirty = true
 		if i := w.find(r.Key); i >= 0 {
 			w.records[i].End = r.End
@@ -157,7 +158,7 @@
 	}
 }
 
-// find returns the index of the key's last record that may still change.
+// find returns the index of the key's last record that may still change, or -1.
 func (w *writer) find(k keyHash) int {
 	for i := len(w.records) - 1; i >= w.frozen; i-- {
 		if w.records[i].Key == k {
@@ -167,7 +168,7 @@
 	return -1
 }
 
-// write makes the intents durable together with everything noted before.
+// write makes the intents durable, together with all outcomes noted before.
 func (w *writer) write(ctx context.Context, intents []*intent) error {
 	before := len(w.records)
 	for _, in := range intents {
@@ -182,11 +183,11 @@
 	return err
 }
 
-// swap writes the head, and once more after a conflict with a write of this
-// same owner: one whose outcome was unknown and which took effect late.
+// swap writes the head. It retries once after a conflict with an earlier write of
+// this same owner whose outcome was unknown and that took effect late.
 func (w *writer) swap(ctx context.Context) error {
 	if w.reread {
-		if err := w.relearn(ctx); err != nil {
+		if err := w.rereadHead(ctx); err != nil {
 			return err
 		}
 	}
@@ -194,14 +195,15 @@
 	if !errors.Is(err, store.ErrConflict) {
 		return err
 	}
-	if err := w.relearn(ctx); err != nil {
+	if err := w.rereadHead(ctx); err != nil {
 		return err
 	}
 	return w.writeHead(ctx)
 }
 
-// relearn reads the head's revision; errFenced when another owner wrote it.
-func (w *writer) relearn(ctx context.Context) error {
+// rereadHead updates the head's revision. It returns errFenced when another owner
+// wrote the head.
+func (w *writer) rereadHead(ctx context.Context) error {
 	if _, err := w.readHead(ctx); err != nil {
 		return err
 	}
@@ -210,8 +212,8 @@
 }
 
 // archiveIfLarge moves the head's records to an archive, so that a commit
-// never rewrites more than about HeadSize records. The records leave the
-// stored head with the next commit; until then they stand in both places.
+// never rewrites more than about HeadSize records. The records are removed from
+// the stored head with the next commit; until then they are in both places.
 func (w *writer) archiveIfLarge(ctx context.Context) {
 	if w.frozen == 0 && len(w.records) < w.s.m.opts.HeadSize {
 		return
@@ -222,7 +224,7 @@
 	a := archived{key: archiveKey(w.s.n, w.seq, w.s.epoch), newest: newest(w.records[:w.frozen])}
 	revision, err := w.put(ctx, a.key, archive{Records: w.records[:w.frozen]}, 0)
 	// A conflict means that an earlier try of this owner took effect: the key
-	// holds its epoch and the frozen records have not changed since.
+	// includes its epoch, and the frozen records have not changed since.
 	if err != nil && !errors.Is(err, store.ErrConflict) {
 		return
 	}
@@ -234,8 +236,8 @@
 	w.dirty = true
 }
 
-// deleteExpired deletes archives whose records are all past their retention,
-// as far as the write budget allows now.
+// deleteExpired deletes archives whose records are all past their retention, as
+// far as the write rate limit currently allows.
 func (w *writer) deleteExpired(ctx context.Context) {
 	o := &w.s.m.opts
 	cutoff := time.Now().Add(-o.IntentRetention - o.ClockSkew).Unix()
@@ -248,7 +250,7 @@
 	w.archives = kept
 }
 
-// delete removes one archive; false when it may still be there.
+// delete deletes one archive. It returns false when the archive may still exist.
 func (w *writer) delete(ctx context.Context, a archived) bool {
 	ctx, cancel := context.WithTimeout(ctx, w.s.m.opts.WriteTimeout)
 	defer cancel()
