--- a/request/forward/tls_test.go
+++ b/request/forward/tls_test.go
@@ -18,11 +18,10 @@
 )
 
 func TestAttemptsOverTLS(t *testing.T) {
-	// Symptom: over TLS each request failed, or the silent resend came back.
-	// Sequence: requests on a kept-alive connection, one of which the other
-	//   side breaks after it has read it.
-	// Cause: the guard sits beneath TLS, whose handshake and session tickets
-	//   are bytes outside any request.
+	// Guards against failures of every request over TLS, and against automatic
+	// resends when the server breaks a kept-alive connection after it has read a
+	// request. The checks of conn are made beneath TLS, whose handshake and session
+	// tickets are bytes outside any request.
 	var requests atomic.Int32
 	server := httptest.NewTLSServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
--- a/request/forward/whole_test.go
+++ b/request/forward/whole_test.go
@@ -12,11 +12,10 @@
 )
 
 func TestAnswerEndedByCloseIsNotTakenForWhole(t *testing.T) {
-	// Symptom: a loan officer got half of a structural report as a whole one.
-	// Sequence: an instance answers without Content-Length and without chunks,
-	//   and dies in the middle of the body.
-	// Cause: such a body ends with the connection, so that its end and the
-	//   instance's death look the same.
+	// Guards against half an answer that is taken for a complete one: an instance
+	// answers without Content-Length and without chunks, and crashes in the middle
+	// of the body. Such a body ends with the connection, so that its end and a
+	// crash look the same.
 	for _, header := range []string{"HTTP/1.1 200 OK\r\n", "HTTP/1.1 200 OK\r\nConnection: close\r\n", "HTTP/1.0 200 OK\r\n"} {
 		w := newWire(t, func(w *wire, c net.Conn, r *bufio.Reader) {
 			if _, ok := w.read(r); ok {
@@ -24,7 +23,7 @@
 			}
 		})
 		body, err := sendOnce(t.Context(), New(Options{}), w.endpoint(), outgoing("POST", "1", "x"))
-		require.Error(t, err, "%q passed on as whole: %q", header, body)
+		require.Error(t, err, "%q: passed on as complete: %q", header, body)
 		require.Equal(t, verdict.MayHaveRun, verdict.Of(err))
 		require.Equal(t, CodeBadAnswer, verdict.As(err).Code)
 	}
--- a/request/forward/wire_test.go
+++ b/request/forward/wire_test.go
@@ -22,14 +22,15 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// wire is a server that a test scripts on the raw connection.
+// wire is a server whose behaviour on the raw connection is scripted by a test.
 type wire struct {
 	ln       net.Listener
-	requests atomic.Int32 // read whole, or seen in part
+	requests atomic.Int32 // read completely by read
 	accepted atomic.Int32
 }
 
-// newWire serves each connection with script until it returns.
+// newWire starts a server that calls script for each connection and closes it
+// when script returns.
 func newWire(t *testing.T, script func(w *wire, c net.Conn, r *bufio.Reader)) *wire {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -56,7 +57,7 @@
 	return plan.Endpoint{Service: "s", Address: w.ln.Addr().String(), Slots: 8, Conns: 64}
 }
 
-// read takes one request from the connection.
+// read reads one request from the connection and returns its id.
 func (w *wire) read(r *bufio.Reader) (string, bool) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -70,7 +71,7 @@
 }
 
 func TestMain(m *testing.M) {
-	log.SetOutput(io.Discard) // net/http reports answers that nobody asked for
+	log.SetOutput(io.Discard) // net/http logs unsolicited answers
 	os.Exit(m.Run())
 }
 
@@ -83,7 +84,7 @@
 
 const ok = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok"
 
-// sendOnce makes one attempt and reads the answer whole.
+// sendOnce makes one attempt and returns the body of the answer.
 func sendOnce(ctx context.Context, f *Forwarder, e plan.Endpoint, o *Outgoing) (string, error) {
 	a, err := f.Send(ctx, e, o)
 	if err != nil {
@@ -98,11 +99,10 @@
 }
 
 func TestNoSilentResendOnBrokenKeptAliveConnection(t *testing.T) {
-	// Symptom: a tile order marked non-idempotent ran twice at an endpoint.
-	// Sequence: a request uses a kept-alive connection; the endpoint reads it,
-	//   works, and the connection breaks before the answer.
-	// Cause: net/http's Transport sends it again by itself when the method
-	//   looks idempotent or an Idempotency-Key header is present.
+	// Guards against a non-idempotent request that runs twice: the endpoint reads
+	// it on a kept-alive connection, which breaks before the answer, and net/http's
+	// Transport resends it on its own when the method is idempotent or an
+	// Idempotency-Key header is present.
 	for _, method := range []string{http.MethodGet, http.MethodPost, http.MethodPut, http.MethodDelete} {
 		for _, body := range []string{"", "tiles"} {
 			t.Run(method+body, func(t *testing.T) {
@@ -110,7 +110,7 @@
 					if _, read := w.read(r); read {
 						_, _ = io.WriteString(c, ok)
 					}
-					w.read(r) // the second request is worked on, then the connection ends
+					w.read(r) // the second request is read, then the connection is closed
 				})
 				f := New(Options{})
 				got, err := sendOnce(t.Context(), f, w.endpoint(), outgoing(method, "1", body))
@@ -118,16 +118,16 @@
 				require.Equal(t, "ok", got)
 				_, err = sendOnce(t.Context(), f, w.endpoint(), outgoing(method, "2", body))
 				require.Equal(t, verdict.MayHaveRun, verdict.Of(err), "%v", err)
-				require.EqualValues(t, 2, w.requests.Load(), "requests at the wire")
+				require.EqualValues(t, 2, w.requests.Load(), "requests that reached the server")
 			})
 		}
 	}
 }
 
 func TestVerdictByPointOfFailure(t *testing.T) {
-	// Symptom: a caller was told "not run" and its certificate was issued.
-	// Sequence: a fault at each point of an attempt in turn.
-	// Cause: a verdict taken from the error's text instead of from the bytes.
+	// Guards against a "not run" for a request that ran, because the verdict is
+	// taken from the error's text instead of from the bytes that were written. Each
+	// case has a fault at another point of the attempt.
 	head := "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\n"
 	cases := []struct {
 		name   string
@@ -178,9 +178,9 @@
 }
 
 func TestConnectFailureIsNotRun(t *testing.T) {
-	// Symptom: requests to an endpoint that has left end as "may have run".
-	// Sequence: the endpoint's port is closed.
-	// Cause: an error of the dial taken for an error of the exchange.
+	// Guards against a "may have run" for requests to an endpoint that has left: its
+	// port is closed, and the dial error is taken for an error after the connection
+	// was established.
 	w := newWire(t, nil)
 	require.NoError(t, w.ln.Close())
 	_, err := sendOnce(t.Context(), New(Options{}), w.endpoint(), outgoing("POST", "1", "order"))
@@ -189,9 +189,8 @@
 }
 
 func TestDeadlineVerdict(t *testing.T) {
-	// Symptom: a request that hung at an endpoint was reported "not run".
-	// Sequence: the endpoint reads the request and never answers.
-	// Cause: the deadline's error says nothing of what was written.
+	// Guards against a "not run" for a request that an endpoint reads and never
+	// answers: the deadline's error does not show what was written.
 	w := newWire(t, func(w *wire, _ net.Conn, r *bufio.Reader) {
 		w.read(r)
 		_, _ = r.ReadByte()
@@ -204,13 +203,12 @@
 }
 
 func TestUnsolicitedAnswerNeverReachesTheNextCaller(t *testing.T) {
-	// Symptom: a designer got another firm's layout.
-	// Sequence: an endpoint answers a request twice on a kept-alive connection;
-	//   the second answer arrives while the connection is given to another
-	//   request.
-	// Cause: HTTP/1.1 binds answers to requests by their order only. What
-	//   arrives before the request is written is dropped with its connection;
-	//   what arrives after it is told apart by the id that the endpoint echoes.
+	// Guards against a caller that gets the answer to another caller's request: an
+	// endpoint answers a request twice on a kept-alive connection, and the second
+	// answer arrives while the connection is assigned to another request. HTTP/1.1
+	// matches answers to requests by their order only. Bytes that arrive before the
+	// request is written are discarded with their connection; later ones are
+	// distinguished by the id that the endpoint echoes.
 	w := newWire(t, func(w *wire, c net.Conn, r *bufio.Reader) {
 		for {
 			id, read := w.read(r)
@@ -237,10 +235,9 @@
 }
 
 func TestBytesBeforeTheRequestCutTheConnection(t *testing.T) {
-	// Symptom: as above, with an endpoint that echoes no id.
-	// Sequence: a connection is given to a request; bytes arrive; only then is
-	//   the request written.
-	// Cause: they can only belong to an earlier request.
+	// Guards against the same failure with an endpoint that does not echo the id:
+	// bytes arrive after a connection was assigned to a request and before that is
+	// written, so that they can only belong to an earlier request.
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	target := &target{changed: make(chan struct{}), open: 1}
@@ -258,10 +255,9 @@
 }
 
 func TestNothingIsWrittenAfterTheSeal(t *testing.T) {
-	// Symptom: a caller was told "not run", and then its request ran.
-	// Sequence: the deadline passes between the choice of a connection and the
-	//   write; RoundTrip returns; the Transport's write loop writes.
-	// Cause: RoundTrip does not wait for its write loop.
+	// Guards against a request that runs after its caller got "not run": the
+	// deadline passes between the choice of a connection and the write, RoundTrip
+	// returns without waiting for the Transport's write loop, and that writes.
 	near, far := net.Pipe()
 	defer func() { _ = far.Close() }()
 	c := &conn{Conn: near, target: &target{changed: make(chan struct{})}}
@@ -272,11 +268,10 @@
 	require.ErrorIs(t, err, errSealed)
 }
 
-func TestGiveUpRemembersAnAnsweredAttempt(t *testing.T) {
-	// Symptom: callers were told "not run" at their deadline, and it had run.
-	// Sequence: an attempt is answered and the answer breaks off; a retry has
-	//   begun, and has written nothing when the deadline passes.
-	// Cause: only the attempt in progress was asked.
+func TestGiveUpCountsAnAnsweredAttempt(t *testing.T) {
+	// Guards against a "not run" at the deadline for a request that ran: the answer
+	// to an attempt was truncated, a retry has started and has written nothing when
+	// the deadline passes, and only the attempt in progress is considered.
 	w := newWire(t, func(w *wire, c net.Conn, r *bufio.Reader) {
 		w.read(r)
 		_, _ = io.WriteString(c, "HTTP/1.1 200 OK\r\nContent-Length: 100\r\n\r\nhalf")
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -30,7 +30,7 @@
 // Callers, forwarder and endpoint share the cores. A ratio is the median over
 // short blocks of the run, with its quartiles.
 
-// bareForwarder is the baseline: a forwarder of a few lines.
+// bareForwarder returns the baseline: a minimal reverse proxy.
 func bareForwarder(address string) http.Handler {
 	transport := &http.Transport{MaxIdleConnsPerHost: 1024}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -52,7 +52,7 @@
 
 const benchBody = "a quick defect lookup for plot 7"
 
-// benchService answers like an endpoint without any bookkeeping.
+// benchService answers like the test endpoint, without recording requests.
 var benchService = http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 	if id := r.Header[forward.RequestIDHeader]; id != nil {
 		w.Header()[forward.RequestIDHeader] = id
@@ -72,8 +72,8 @@
 }
 
 // benchTargets returns the addresses of the service itself, of the bare
-// forwarder, of the gateway, and of a second bare forwarder as a control: a run
-// in which the two bare ones differ shows the machine or the method.
+// forwarder, of the gateway, and of a second bare forwarder as a control: where
+// the two bare ones differ, the difference comes from the machine or the method.
 func benchTargets(b testing.TB) []struct{ name, address string } {
 	direct := listen(b, benchService)
 	bare := listen(b, bareForwarder(direct))
@@ -112,45 +112,45 @@
 
 const (
 	benchCallers = 32
-	benchRound   = 1000 // requests to one target before the next has its turn
+	benchRound   = 1000 // requests to one target before the next one
 	benchBlock   = 100  // requests to each target of one block, one at a time
 )
 
-// spread holds one figure per block. A block is short and meets each target, so
-// that what disturbs the machine meets all of them; the median of the blocks
-// leaves the disturbed ones out, and the quartiles tell how much to believe it.
+// spread holds one sample per block. A block is short and includes each target,
+// so that a disturbance of the machine affects all of them. The median over the
+// blocks excludes the disturbed ones, and the quartiles show its uncertainty.
 type spread []float64
 
-func (s spread) at(q float64) float64 {
+func (s spread) quantile(q float64) float64 {
 	slices.Sort(s)
 	return s[min(len(s)-1, int(q*float64(len(s))))]
 }
 
 func (s spread) report(b *testing.B, name string) {
-	b.ReportMetric(s.at(0.5), name)
-	b.ReportMetric(s.at(0.25), name+"-q1")
-	b.ReportMetric(s.at(0.75), name+"-q3")
+	b.ReportMetric(s.quantile(0.5), name)
+	b.ReportMetric(s.quantile(0.25), name+"-q1")
+	b.ReportMetric(s.quantile(0.75), name+"-q3")
 }
 
-// turns calls f with each target's index, in a new order each time: one that
-// always came after the same other gained or lost a twentieth by it.
-func turns(rng *rand.Rand, targets int, f func(i int)) {
+// inRandomOrder calls f with each target's index, in a new random order each time: in a
+// fixed order a target gained or lost a twentieth from the one that ran before it.
+func inRandomOrder(rng *rand.Rand, targets int, f func(i int)) {
 	for _, i := range rng.Perm(targets) {
 		f(i)
 	}
 }
 
-func newOrder() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
+func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// BenchmarkThroughput gives each target a round of requests per block, which is
-// one operation. The processor time counts callers and endpoint too.
+// BenchmarkThroughput sends each target a round of requests per block, which is
+// one operation. The CPU time includes that of the callers and the endpoint.
 func BenchmarkThroughput(b *testing.B) {
 	targets, c := benchTargets(b), benchClient(b)
 	rates, used := make([]spread, len(targets)), make([]spread, len(targets))
 	var throughput, cpu, control spread
-	rng := newOrder()
+	rng := newRand()
 	for block := 0; b.Loop(); block++ {
-		turns(rng, len(targets), func(i int) {
+		inRandomOrder(rng, len(targets), func(i int) {
 			start, before := time.Now(), processorTime(b)
 			round(b, c, targets[i].address)
 			rates[i] = append(rates[i], benchRound/time.Since(start).Seconds())
@@ -162,14 +162,14 @@
 	}
 	throughput.report(b, "throughput-ratio")
 	cpu.report(b, "cpu-ratio")
-	b.ReportMetric(control.at(0.5), "control-ratio")
+	b.ReportMetric(control.quantile(0.5), "control-ratio")
 	for i, t := range targets {
-		b.ReportMetric(rates[i].at(0.5), t.name+"-req/s")
-		b.ReportMetric(used[i].at(0.5), t.name+"-cpu-µs")
+		b.ReportMetric(rates[i].quantile(0.5), t.name+"-req/s")
+		b.ReportMetric(used[i].quantile(0.5), t.name+"-cpu-µs")
 	}
 }
 
-// processorTime returns what this process has used so far.
+// processorTime returns the CPU time that this process has used so far.
 func processorTime(b testing.TB) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
@@ -195,16 +195,16 @@
 	return hdrhistogram.New(1, int64(time.Minute), 3)
 }
 
-// BenchmarkLatency sends one request at a time, to the targets in turn; a block
-// is benchBlock requests to each.
+// BenchmarkLatency sends one request at a time, to all targets in random order;
+// a block is benchBlock requests to each.
 func BenchmarkLatency(b *testing.B) {
 	targets, c := benchTargets(b), benchClient(b)
-	medians, rng := make([]spread, len(targets)), newOrder()
+	medians, rng := make([]spread, len(targets)), newRand()
 	var overhead, control spread
 	for block := 0; b.Loop(); block++ {
 		times := make([]spread, len(targets))
 		for range benchBlock {
-			turns(rng, len(targets), func(i int) {
+			inRandomOrder(rng, len(targets), func(i int) {
 				start := time.Now()
 				_, err := post(c, targets[i].address)
 				require.NoError(b, err)
@@ -212,21 +212,22 @@
 			})
 		}
 		for i := range targets {
-			medians[i] = append(medians[i], times[i].at(0.5))
+			medians[i] = append(medians[i], times[i].quantile(0.5))
 		}
 		over := func(i int) float64 { return medians[i][block] - medians[0][block] }
 		overhead = append(overhead, over(2)/over(1))
 		control = append(control, over(3)/over(1))
 	}
 	overhead.report(b, "overhead-ratio")
-	b.ReportMetric(control.at(0.5), "control-ratio")
+	b.ReportMetric(control.quantile(0.5), "control-ratio")
 	for i, t := range targets {
-		b.ReportMetric(medians[i].at(0.5), t.name+"-p50-µs")
+		b.ReportMetric(medians[i].quantile(0.5), t.name+"-p50-µs")
 	}
 }
 
-// offer sends requests at a rate whatever becomes of them (an open loop), and
-// measures each from the time at which it was due.
+// offer sends requests at a fixed rate, without waiting for their answers (an
+// open loop). Latency is to be measured from the time due at which a request
+// should have been sent.
 func offer(n int, rate float64, send func(i int, due time.Time)) {
 	var wg sync.WaitGroup
 	start := time.Now()
@@ -242,16 +243,17 @@
 	wg.Wait()
 }
 
-// BenchmarkHalfLoad offers half of what the bare forwarder carries here and
-// now, in an open loop, to each target in turn; a block is a slice for each.
+// BenchmarkHalfLoad sends requests to all targets in random order, in an open
+// loop at half of the current throughput of the bare forwarder; a block is one
+// slice of requests for each target.
 func BenchmarkHalfLoad(b *testing.B) {
 	const slice = 500
 	targets, c := benchTargets(b), benchClient(b)
 	c.Transport.(*http.Transport).MaxConnsPerHost = 256
-	rng, rate := newOrder(), 0.0
+	rng, rate := newRand(), 0.0
 	block := func(p50, p99 []spread) {
 		rate = capacityOf(b, c, targets[1].address) / 2
-		turns(rng, len(targets), func(i int) {
+		inRandomOrder(rng, len(targets), func(i int) {
 			hist, mu := newHistogram(), sync.Mutex{}
 			offer(slice, rate, func(_ int, due time.Time) {
 				if _, err := post(c, targets[i].address); err != nil {
@@ -274,15 +276,15 @@
 		control = append(control, p99[3][n]/p99[1][n])
 	}
 	ratio.report(b, "p99-ratio")
-	b.ReportMetric(control.at(0.5), "control-ratio")
+	b.ReportMetric(control.quantile(0.5), "control-ratio")
 	for i, t := range targets {
-		b.ReportMetric(p50[i].at(0.5), t.name+"-p50-µs")
-		b.ReportMetric(p99[i].at(0.5), t.name+"-p99-µs")
+		b.ReportMetric(p50[i].quantile(0.5), t.name+"-p50-µs")
+		b.ReportMetric(p99[i].quantile(0.5), t.name+"-p99-µs")
 	}
 	b.ReportMetric(rate, "req/s")
 }
 
-// capacityOf measures what a target carries now, in requests per second.
+// capacityOf measures a target's current throughput, in requests per second.
 func capacityOf(b testing.TB, c *http.Client, address string) float64 {
 	start := time.Now()
 	round(b, c, address)
--- a/request/gateway/cell_test.go
+++ b/request/gateway/cell_test.go
@@ -35,7 +35,8 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// cell is several gateways with homes for keys, over one pool of slots.
+// cell is a group of daemons with a gateway and a key table each, over one pool
+// of slots.
 type cell struct {
 	pool      *pool
 	claims    *ownershiptest.Cell
@@ -44,8 +45,8 @@
 	urls      []string
 	keys      []*idem.Manager
 	members   []fleet.Member
-	servers   [][]*httptest.Server // for callers and for other daemons
-	opened    []*atomic.Int64      // connections of other daemons, for each
+	servers   [][]*httptest.Server // of each daemon: for callers and for other daemons
+	opened    []*atomic.Int64      // of each daemon: connections accepted from other daemons
 }
 
 func newCell(t testing.TB, daemons, instances int, o Options) *cell {
@@ -94,8 +95,9 @@
 	return c
 }
 
-// kill cuts the daemon's connections for good and gives its keys to another. It
-// is not told, as one that is paused: what it had begun goes on.
+// kill closes the daemon's listeners and connections and assigns its keys to
+// another one. The daemon is not notified, as if it were suspended: requests
+// that it has started continue.
 func (c *cell) kill(t testing.TB, i, successor int) {
 	t.Helper()
 	for _, s := range c.servers[i] {
@@ -110,7 +112,7 @@
 	}
 }
 
-// runs counts how often the request of that key ran at any endpoint.
+// runs returns how often the request with that key ran, at all endpoints.
 func (c *cell) runs(key string) int {
 	n := 0
 	for _, e := range c.endpoints {
@@ -133,7 +135,7 @@
 }
 
 // TestManyForwardedRequestsKeepTheirConnections guards against a handshake for each request
-// that is passed on to its key's home, where many are at once.
+// that is forwarded to its key owner, when many are forwarded at once.
 func TestManyForwardedRequestsKeepTheirConnections(t *testing.T) {
 	c := newCell(t, 2, 16, Options{})
 	c.setFaults(endpoint.Faults{Delay: 20 * time.Millisecond})
@@ -150,14 +152,13 @@
 		}
 		wg.Wait()
 	}
-	require.LessOrEqual(t, c.opened[0].Load()+c.opened[1].Load(), int64(together), "more than requests were at once")
+	require.LessOrEqual(t, c.opened[0].Load()+c.opened[1].Load(), int64(together), "more connections than concurrent requests")
 }
 
 func TestKeyRunsOnceWhicheverDaemonsItReaches(t *testing.T) {
-	// Symptom: a buyer was billed twice for one survey.
-	// Sequence: the caller sends a request with a key, gets no answer in time,
-	//   and its retry reaches another daemon behind the balancer.
-	// Cause: each daemon knows only its own requests.
+	// Guards against a key that runs twice because the caller's retry reaches
+	// another daemon behind the load balancer, which has no record of the first
+	// request.
 	c := newCell(t, 3, 2, Options{})
 	c.setFaults(endpoint.Faults{Delay: 30 * time.Millisecond})
 	results := make(chan result)
@@ -182,10 +183,9 @@
 }
 
 func TestKeyRunsAtMostOnceThroughTheDeathOfItsHome(t *testing.T) {
-	// Symptom: two pallets of tiles arrived for one order.
-	// Sequence: the key's home dies, or is cut off, after it has sent the
-	//   request; the caller's retry reaches the new home.
-	// Cause: only the old home knew that the request had been sent.
+	// Guards against a key that runs twice because its owner crashes, or is
+	// partitioned, after it has sent the request, and the caller's retry reaches
+	// the new owner: only the old one had a record that the request was sent.
 	c := newCell(t, 3, 4, Options{})
 	c.setFaults(endpoint.Faults{Delay: 2 * time.Millisecond})
 	var wg sync.WaitGroup
@@ -210,9 +210,9 @@
 				case r.verdict() == "may-have-run":
 					unknown.Add(1)
 				case r.header.Get("Fennel-Code") == idem.CodeAnswerNotKept:
-					// The old home had made the end durable; the answer died with it.
+					// The old owner had made the outcome durable, but kept the answer in memory.
 					if c.runs(key) != 1 {
-						t.Errorf("%s was told that it ran", key)
+						t.Errorf("%s got answer_not_kept, but did not run once", key)
 					}
 					unknown.Add(1)
 				default:
@@ -242,14 +242,13 @@
 }
 
 func TestForwardedRequestsOverMutualTLS(t *testing.T) {
-	// Symptom: every keyed request whose home was another daemon was refused.
-	// Sequence: a daemon forwards one over mutual TLS; so does somebody without
-	//   a certificate, or with one of another authority.
-	// Cause: a TLS configuration that checks the other side by itself leaves
-	//   the verified chains empty, by which the handler tells daemons.
+	// Guards against a refusal of every keyed request that another daemon
+	// forwards over mutual TLS: the handler identifies daemons by the verified
+	// chains, which a TLS configuration with its own verification leaves empty.
+	// Peers without a certificate, or with one of another CA, must be refused.
 	own, err := keys.Ephemeral("127.0.0.1")
 	require.NoError(t, err)
-	stranger, err := keys.Ephemeral("127.0.0.1")
+	foreign, err := keys.Ephemeral("127.0.0.1")
 	require.NoError(t, err)
 	table := &ownerOfAll{}
 	g := New(Options{Config: testConfig(5 * time.Second), Slots: newPool(), Forwarder: forward.New(forward.Options{}), Keys: table})
@@ -273,14 +272,14 @@
 	require.EqualValues(t, 1, table.begun.Load())
 	without := own.PeerConfig()
 	without.GetCertificate, without.GetClientCertificate = nil, nil
-	for name, c := range map[string]*tls.Config{"without a certificate": without, "stranger": stranger.PeerConfig()} {
+	for name, c := range map[string]*tls.Config{"without a certificate": without, "stranger": foreign.PeerConfig()} {
 		_, err := send(c)
 		require.Error(t, err, name)
 	}
 	require.EqualValues(t, 1, table.begun.Load(), "a refused request was served")
 }
 
-// ownerOfAll is the home of every key, and has an answer for each.
+// ownerOfAll is a key table that owns every key and has an answer for each.
 type ownerOfAll struct{ begun atomic.Int32 }
 
 func (*ownerOfAll) Owner(idem.Key) (fleet.Member, bool, bool) { return fleet.Member{}, true, true }
--- a/request/gateway/edge_test.go
+++ b/request/gateway/edge_test.go
@@ -20,8 +20,8 @@
 	"fennelshunt.example/fennelshunt/standin/endpoint"
 )
 
-// startRaw adds an instance that answers each request with those bytes and
-// closes the connection.
+// startRaw adds an instance that answers each request with the bytes of answer
+// and closes the connection.
 func startRaw(t *testing.T, p *pool, answer string) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -47,10 +47,9 @@
 }
 
 func TestEndpointCanNotForgeWhatADaemonSays(t *testing.T) {
-	// Symptom: a caller sent a certificate's issue again, told that it had not
-	//   run.
-	// Sequence: an instance's answer carries the daemons' own headers.
-	// Cause: they were passed on, as headers or as trailers.
+	// Guards against a caller that sends a request again which has run, because
+	// the instance's answer carries the daemons' own headers, as headers or as
+	// trailers, and they are passed on.
 	for _, answer := range []string{
 		"HTTP/1.1 200 OK\r\nFennel-Verdict: not-run\r\nFennel-Code: queue_full\r\nFennel-Refused: x\r\n" +
 			"Connection: Fennel-Request-Id\r\nContent-Length: 2\r\n\r\nok",
@@ -102,7 +101,7 @@
 	}
 }
 
-// raw sends bytes as a caller and returns a reader of what comes back.
+// raw sends bytes as a caller and returns the connection and a reader of the answer.
 func raw(t *testing.T, url, request string) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", strings.TrimPrefix(url, "http://"))
@@ -115,9 +114,9 @@
 }
 
 func TestCutAnswerIsAnErrorToAnOldCaller(t *testing.T) {
-	// Symptom: an old client at a patwari office stored half of an overlay.
-	// Sequence: an HTTP/1.0 caller's answer of unknown length breaks off.
-	// Cause: without chunks its end is that of the connection, cut or not.
+	// Guards against an HTTP/1.0 caller that takes a truncated answer of unknown
+	// length for a complete one: without chunks, it ends with the connection in
+	// both cases.
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
 	_, url := startGateway(t, Options{Slots: p})
@@ -135,14 +134,14 @@
 	e.SetFaults(endpoint.Faults{Truncate: 1})
 	_, r := raw(t, url, fmt.Sprintf(request, 200000))
 	_, err := io.ReadAll(r)
-	require.True(t, errors.Is(err, syscall.ECONNRESET), "the connection ended in good order: %v", err)
+	require.True(t, errors.Is(err, syscall.ECONNRESET), "the connection was closed without a reset: %v", err)
 }
 
 func TestUnusualRequests(t *testing.T) {
 	const head = "Host: " + testService + "\r\n"
 	cases := []struct {
 		name, request string
-		before        string // a first line before the answer
+		before        string // an interim status line before the answer
 		status        int
 		verdict       string
 		body          string
--- a/request/gateway/fuzz_test.go
+++ b/request/gateway/fuzz_test.go
@@ -19,7 +19,7 @@
 	"fennelshunt.example/fennelshunt/standin/endpoint"
 )
 
-// FuzzHeaders feeds the parsers of callers' headers.
+// FuzzHeaders checks the parsers of callers' headers with arbitrary input.
 func FuzzHeaders(f *testing.F) {
 	f.Add("survey-desk", "survey-desk.cell:80", "1.5s", "key-1", "true", "POST")
 	f.Add("", "[::1]:80", "-1s", "a b", "maybe", "GET")
@@ -43,8 +43,8 @@
 	})
 }
 
-// FuzzWire writes raw bytes to a gateway: each answer that comes back has a
-// verdict or is a refusal of net/http, and the gateway goes on to serve.
+// FuzzWire writes raw bytes to a gateway: each answer has a verdict or is an
+// error of net/http itself, and the gateway continues to serve.
 func FuzzWire(f *testing.F) {
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: survey-desk\r\nContent-Length: 3\r\n\r\nabc"))
 	f.Add([]byte("POST / HTTP/1.1\r\nHost: survey-desk\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nX: y\r\n\r\n"))
@@ -74,8 +74,8 @@
 	})
 }
 
-// FuzzErrorBody checks that what WriteHTTP writes is always JSON with the same
-// verdict as the header.
+// FuzzErrorBody checks that the body written by WriteHTTP is always JSON with
+// the same verdict as the header.
 func FuzzErrorBody(f *testing.F) {
 	f.Add("code", "message \x00 \xff", int64(1500), 1)
 	f.Fuzz(func(t *testing.T, code, message string, retry int64, v int) {
@@ -96,12 +96,12 @@
 
 func (e *forwardError) Error() string { return e.text }
 
-// forAll matches headers that are meant for all recipients, which a Connection
-// header may not name.
+// forAll matches headers that are meant for all recipients, which Connection
+// must not name.
 var forAll = regexp.MustCompile(`(?i)^(fennel-.*|idempotency-key|content-type|content-encoding|authorization|cookie)$`)
 
-// FuzzHopHeaders checks that no header named by Connection survives, but for
-// those that are meant for all recipients, which do.
+// FuzzHopHeaders checks that all headers named by Connection are removed, except
+// those that are meant for all recipients, which are kept.
 func FuzzHopHeaders(f *testing.F) {
 	f.Add("close, X-Secret", "X-Secret")
 	f.Add(", ,\t", "Te")
--- a/request/gateway/gateway_test.go
+++ b/request/gateway/gateway_test.go
@@ -27,13 +27,13 @@
 
 const testService = "survey-desk"
 
-// pool is a central pool of slots, shared by the daemons of a test.
+// pool is a pool of slots that is shared by the daemons of a test.
 type pool struct {
 	mu      sync.Mutex
 	free    []plan.Endpoint
 	changed chan struct{}
-	// unknown holds slots that were not known free at their release; they come
-	// back after returnUnknown, if that is set.
+	// unknown holds slots that were released with slots.Unknown. They are returned
+	// to the pool after returnUnknown, if that is set.
 	unknown       []plan.Endpoint
 	returnUnknown time.Duration
 }
@@ -89,7 +89,7 @@
 		if end == slots.Unknown {
 			s.pool.unknown = append(s.pool.unknown, s.endpoint)
 			if s.pool.returnUnknown > 0 {
-				time.AfterFunc(s.pool.returnUnknown, s.giveBack)
+				time.AfterFunc(s.pool.returnUnknown, s.putBack)
 			}
 			return
 		}
@@ -98,7 +98,7 @@
 	})
 }
 
-func (s *poolSlot) giveBack() {
+func (s *poolSlot) putBack() {
 	s.pool.mu.Lock()
 	defer s.pool.mu.Unlock()
 	s.pool.free = append(s.pool.free, s.endpoint)
@@ -150,7 +150,7 @@
 }
 
 func TestMain(m *testing.M) {
-	log.SetOutput(io.Discard) // net/http reports answers that nobody asked for
+	log.SetOutput(io.Discard) // net/http logs unsolicited answers
 	rapidtest.MainChecks(m, 200)
 }
 
--- a/request/gateway/headers_test.go
+++ b/request/gateway/headers_test.go
@@ -15,8 +15,8 @@
 	"fennelshunt.example/fennelshunt/standin/endpoint"
 )
 
-// scripted is an instance that answers every request with script.
-func scripted(t *testing.T, p *pool, script func(c net.Conn, r *http.Request)) {
+// startScripted starts an instance that calls script to answer each request.
+func startScripted(t *testing.T, p *pool, script func(c net.Conn, r *http.Request)) {
 	t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -28,12 +28,12 @@
 			if err != nil {
 				return
 			}
-			go serveScript(c, script)
+			go serveScripted(c, script)
 		}
 	}()
 }
 
-func serveScript(c net.Conn, script func(c net.Conn, r *http.Request)) {
+func serveScripted(c net.Conn, script func(c net.Conn, r *http.Request)) {
 	defer func() { _ = c.Close() }()
 	in := bufio.NewReader(c)
 	for {
@@ -49,23 +49,22 @@
 const emptyAnswer = "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n"
 
 func TestConnectionHeaderDoesNotChangeTheRequestsNature(t *testing.T) {
-	// Symptom: a PUT marked as non-idempotent ran three times.
-	// Sequence: a proxy of the caller lists Fennel-Idempotent in Connection;
-	//   the key's home is another daemon; an instance breaks the connection.
-	// Cause: the forwarding daemon drops the header after it has read it; the
-	//   home then goes by the method, and retries.
+	// Guards against retries of a PUT that is marked as non-idempotent: when a
+	// proxy of the caller lists Fennel-Idempotent in Connection, the forwarding
+	// daemon would drop the header after reading it, and the key owner would go by
+	// the method and retry, so that the request ran three times.
 	for _, listed := range []string{IdempotentHeader, KeyHeader, "Content-Type"} {
 		t.Run(listed, func(t *testing.T) {
 			c := newCell(t, 2, 1, Options{})
 			c.pool.returnUnknown = time.Millisecond
 			c.setFaults(endpoint.Faults{Reset: 1})
-			for i := range 8 { // some key's home is the other daemon
+			for i := range 8 { // some keys are owned by the other daemon
 				key := fmt.Sprintf("put-%d", i)
 				r := do(t, "PUT", c.urls[0], key, "x", KeyHeader, key, IdempotentHeader, "false",
 					"Content-Type", "text/plain", "Connection", listed)
 				require.Equal(t, "may-have-run", r.verdict(), "%s", r.body)
 				require.LessOrEqual(t, c.runs(key), 1, key)
-				// The same request by another way is the same.
+				// The same request through the other daemon has the same outcome.
 				again := do(t, "PUT", c.urls[1], key, "x", KeyHeader, key, IdempotentHeader, "false",
 					"Content-Type", "text/plain")
 				require.Equal(t, "may-have-run", again.verdict(), "%s", again.body)
@@ -75,14 +74,13 @@
 }
 
 func TestInstanceSeesTheVerifiedIdentity(t *testing.T) {
-	// Symptom: an instance works for a team that the caller is not of.
-	// Sequence: a caller with a verified certificate also sends Fennel-Team.
-	// Cause: the forged header is passed on, though the daemon itself does not
-	//   believe it.
+	// Guards against an instance that works for a team to which the caller does
+	// not belong: a caller with a verified certificate also sends Fennel-Team, and
+	// the forged header, which the daemon itself ignores, is passed on.
 	for _, id := range []Identity{{Team: "authority", Caller: "officer-1"}, {}} {
 		p := newPool()
 		seen := make(chan http.Header, 1)
-		scripted(t, p, func(c net.Conn, r *http.Request) {
+		startScripted(t, p, func(c net.Conn, r *http.Request) {
 			seen <- r.Header
 			_, _ = io.WriteString(c, emptyAnswer)
 		})
--- a/request/gateway/memory_test.go
+++ b/request/gateway/memory_test.go
@@ -15,7 +15,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestReadAllIsThatOfIO(t *testing.T) {
+func TestReadAllReadsLikeIO(t *testing.T) {
 	const limit = 40 << 10
 	rapid.Check(t, func(t *rapid.T) {
 		data := bytes.Repeat([]byte("x"), rapid.IntRange(0, limit+100).Draw(t, "size"))
@@ -37,14 +37,14 @@
 			require.NoError(t, err)
 			require.True(t, bytes.Equal(data, got))
 		}
-		require.Equal(t, int64(cap(got)), r.size, "what is held is what was taken")
+		require.Equal(t, int64(cap(got)), r.size, "the reservation equals the memory that is used")
 		r.free()
 		require.Empty(t, m.callers)
-		require.True(t, m.total.TryAcquire(4*limit), "all of it is free again")
+		require.True(t, m.total.TryAcquire(4*limit), "all memory is released")
 	})
 }
 
-// heldBy returns what the caller, of no known team, holds.
+// heldBy returns the memory reserved for the caller, of no known team.
 func (m *bodyMemory) heldBy(caller string) int64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -52,15 +52,14 @@
 }
 
 func TestKeyedBodiesAreBoundedTogether(t *testing.T) {
-	// Symptom: a daemon was killed for its memory.
-	// Sequence: an instance hangs; many callers send keyed requests with large
-	//   bodies.
-	// Cause: the bodies are held from before admission on, bounded only by the
-	//   number of requests: 4 GB.
+	// Guards against a daemon that runs out of memory because an instance hangs
+	// while many callers send keyed requests with large bodies. The bodies are
+	// held from before admission on, and the limit on requests alone allows 4 GB
+	// of them.
 	const body = 64 << 10
 	c := newCell(t, 1, 0, Options{KeyedBodyMemory: 4 * body})
 	g, gate := c.gateways[0], make(chan struct{})
-	scripted(t, c.pool, func(conn net.Conn, _ *http.Request) {
+	startScripted(t, c.pool, func(conn net.Conn, _ *http.Request) {
 		<-gate
 		_, _ = io.WriteString(conn, emptyAnswer)
 	})
@@ -76,10 +75,10 @@
 		hold(caller+"1", caller, 1)
 		hold(caller+"2", caller, 2)
 		refused := send(caller+"3", caller)
-		require.Equal(t, "not-run", refused.verdict(), "caller %d has its half", i)
+		require.Equal(t, "not-run", refused.verdict(), "caller %d has used its half", i)
 		require.Equal(t, CodeOverloaded, refused.header.Get("Fennel-Code"))
 	}
-	require.Equal(t, CodeOverloaded, send("late", "late").header.Get("Fennel-Code"), "all is held")
+	require.Equal(t, CodeOverloaded, send("late", "late").header.Get("Fennel-Code"), "all memory is in use")
 	close(gate)
 	for range 4 {
 		require.Equal(t, http.StatusOK, (<-answers).status)
@@ -89,9 +88,9 @@
 }
 
 func TestAnnouncedBodyHoldsNoMemory(t *testing.T) {
-	// Symptom: requests with keys are refused as overloaded on an idle daemon.
-	// Sequence: a caller announces large bodies and sends nothing.
-	// Cause: the memory of a body is taken when it is announced.
+	// Guards against refusals of keyed requests on an idle daemon: a caller
+	// announces large bodies and sends nothing, and the memory of a body is
+	// reserved when it is announced.
 	c := newCell(t, 1, 1, Options{KeyedBodyMemory: 2 << 20, MaxConcurrent: 100})
 	for i := range 16 {
 		raw(t, c.urls[0], "POST / HTTP/1.1\r\nHost: "+testService+"\r\nFennel-Caller: flood\r\nIdempotency-Key: "+
--- a/request/gateway/owner_test.go
+++ b/request/gateway/owner_test.go
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/request/idem"
 )
 
-// keyOwnedElsewhere returns a key whose home, seen from the first daemon, is another one.
+// keyOwnedElsewhere returns a key that is owned by another daemon than the first.
 func (c *cell) keyOwnedElsewhere(t *testing.T) string {
 	t.Helper()
 	for i := range 1000 {
@@ -21,16 +21,14 @@
 			return key
 		}
 	}
-	t.Fatal("every key's home is the first daemon")
+	t.Fatal("every key is owned by the first daemon")
 	return ""
 }
 
-func TestKeyedRequestsAreServedWhileTheirHomeDrains(t *testing.T) {
-	// Symptom: callers are refused during a planned upgrade though other
-	//   daemons serve.
-	// Sequence: the home of a key has begun to refuse; its claim moves later.
-	// Cause: the home's refusal "draining" is passed on to the caller instead of
-	//   looking for the home again.
+func TestKeyedRequestsAreServedWhileTheirOwnerDrains(t *testing.T) {
+	// Guards against refusals during a planned upgrade: a key's owner refuses with
+	// "draining" before its claim moves to another daemon, and the refusal is
+	// passed on to the caller instead of looking up the owner again.
 	c := newCell(t, 2, 1, Options{})
 	key := c.keyOwnedElsewhere(t)
 	c.gateways[1].state.Store(refusing)
@@ -45,12 +43,12 @@
 	require.Equal(t, 1, c.runs(key))
 }
 
-func TestHomeIsAwaitedForAsLongAsItMayTakeToMove(t *testing.T) {
+func TestOwnerWaitExceedsReleaseTimeout(t *testing.T) {
 	require.Greater(t, DefaultOwnerWait, ownership.DefaultReleaseTimeout)
 }
 
-// TestHomeGivesUpInTimeToSaySo guards against callers that are told "may have run" of requests
-// that their key's home refuses: its answer came a little after the deadline.
+// TestHomeGivesUpInTimeToSaySo guards against a "may have run" for requests that their key
+// owner refuses as not run, but a little after the deadline.
 func TestHomeGivesUpInTimeToSaySo(t *testing.T) {
 	c := newCell(t, 2, 1, Options{})
 	for left, margin := range map[time.Duration]time.Duration{
--- a/request/gateway/privacy_test.go
+++ b/request/gateway/privacy_test.go
@@ -10,10 +10,10 @@
 )
 
 func TestKeptAnswerIsNotGivenToAnotherCaller(t *testing.T) {
-	// Symptom: one buyer got another buyer's report.
-	// Sequence: two callers without a team, or of one, use the same key text,
-	//   path and body with credentials of their own.
-	// Cause: scope and fingerprint hold neither the caller nor its credentials.
+	// Guards against a caller that gets the answer made for another one. Two
+	// callers without a team, or of the same team, use the same key text, path and
+	// body with different credentials, and neither scope nor fingerprint includes
+	// the caller and its credentials.
 	asha := []string{CallerHeader, "asha", "Authorization", "Bearer asha", "Cookie", "s=asha"}
 	for _, differs := range []int{1, 3, 5} {
 		bilal := append([]string(nil), asha...)
@@ -25,7 +25,7 @@
 			second := do(t, "POST", c.urls[0], "a", "mine", append(bilal, KeyHeader, "1")...)
 			require.Equal(t, "not-run", second.verdict(), "got the answer of asha's request")
 			require.Equal(t, idem.CodeMismatch, second.header.Get("Fennel-Code"))
-			// Whichever daemon the same caller reaches, its key is the same.
+			// The key of the same caller is the same at every daemon.
 			again := do(t, "POST", c.urls[1], "a", "mine", append(asha, KeyHeader, "1")...)
 			require.Equal(t, first.body, again.body)
 			require.Equal(t, 1, c.runs("a"))
--- a/request/gateway/random_test.go
+++ b/request/gateway/random_test.go
@@ -19,32 +19,32 @@
 	"fennelshunt.example/fennelshunt/standin/endpoint"
 )
 
-// order is one request of a caller, with what became of its arrivals.
+// trackedRequest is one request of a caller, with the outcomes of its arrivals.
 type trackedRequest struct {
 	key, body  string
 	method     string
 	keyed      bool
-	arrivals   int // on the wire
+	arrivals   int // sent on the wire, by the test or by the client's transport
 	timeout    time.Duration
 	idempotent bool
-	sends      int // by the test; arrivals counts the transport's own too
+	sends      int // sent by the test
 
 	mu       sync.Mutex
 	verdicts map[string]int
 	whole    int
-	cut      int // no answer, or a part of one: the connection was cut
+	cut      int // without an answer or with a truncated one
 	events   []string
 }
 
-// event keeps what happened to the order and when, so that a single failure
-// can be traced: runs in real time do not repeat by seed.
+// event records an event of the request with its time, so that a single failure
+// can be traced: tests in real time can not be reproduced from their seed.
 func (o *trackedRequest) event(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.events = append(o.events, time.Now().Format("05.000000 ")+fmt.Sprintf(format, args...))
 }
 
-// testTimeout is how long a caller waits that does not give up.
+// testTimeout is the timeout of a caller that does not give up early.
 const testTimeout = time.Minute
 
 func drawRequest(rng *rand.Rand, i int) *trackedRequest {
@@ -116,7 +116,8 @@
 	}
 }
 
-// check holds the order's fate against what the endpoints saw.
+// check compares the verdicts of the request with its number of runs at the
+// endpoints.
 func (o *trackedRequest) check(t *testing.T, runs int) {
 	defer func() {
 		if t.Failed() {
@@ -127,23 +128,23 @@
 	for _, n := range o.verdicts {
 		answered += n
 	}
-	require.Equal(t, o.arrivals, answered, "%s: arrivals lost", o.key)
+	require.Equal(t, o.arrivals, answered, "%s: arrivals without an outcome", o.key)
 	if !o.idempotent {
-		require.LessOrEqual(t, runs, 1, "%s doubled", o.key)
+		require.LessOrEqual(t, runs, 1, "%s ran more than once", o.key)
 	}
 	if o.verdicts["not-run"] == o.arrivals {
-		require.Zero(t, runs, "%s was told not run by all its arrivals: method %s, keyed %t, arrivals %d, cut %d, verdicts %v",
+		require.Zero(t, runs, "all arrivals of %s got not-run, but it ran: method %s, keyed %t, arrivals %d, cut %d, verdicts %v",
 			o.key, o.method, o.keyed, o.arrivals, o.cut, o.verdicts)
 	}
 	if o.verdicts["ran"] > 0 {
-		require.Positive(t, runs, "%s was told that it ran", o.key)
+		require.Positive(t, runs, "%s got verdict ran, but did not run", o.key)
 	}
 }
 
-// noteResent counts arrivals that the client's transport sent by itself: it
-// sends an idempotent request again when a kept-alive connection breaks before
-// the answer begins. The arrival before was cut, and may have run; the verdict
-// that comes back speaks of the last arrival only.
+// noteResent counts arrivals that the client's transport sent on its own: it
+// resends an idempotent request when a kept-alive connection breaks before the
+// answer begins. The previous arrival was cut and may have run; the verdict of
+// the answer applies to the last arrival only.
 func (o *trackedRequest) noteResent(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
@@ -162,8 +163,8 @@
 		ResetMidAnswer: share(), Truncate: share(), Hang: share() / 10, Error: share(), CloseIdle: share(), Unsolicited: share()}
 }
 
-// TestRandomFaults sends orders through several daemons while endpoints fail in
-// every way they can. With FENNEL_LONG=1 it runs many more seeds.
+// TestRandomFaults sends requests through several daemons while the endpoints
+// have every kind of fault. With FENNEL_LONG=1 it runs many more seeds.
 func TestRandomFaults(t *testing.T) {
 	seeds, requests := 2, 300
 	if os.Getenv("FENNEL_LONG") == "1" {
--- a/request/gateway/resend_test.go
+++ b/request/gateway/resend_test.go
@@ -12,13 +12,11 @@
 )
 
 func TestResentArrivalIsCounted(t *testing.T) {
-	// Symptom: the randomised run reports, once in some hundred runs, an order
-	//   that was told "not run" by all its arrivals though it ran.
-	// Sequence: a GET goes out on a kept-alive connection and runs; the
-	//   connection is cut before a byte of the answer; the client's transport
-	//   sends the GET again by itself; the second arrival is told "not run".
-	// Cause: the test counted one arrival where the daemon saw two. The verdict
-	//   of each arrival was true.
+	// Guards against a false report of TestRandomFaults, once in some hundred
+	// runs, of a request that ran although all its arrivals got "not run". A GET
+	// runs, its kept-alive connection breaks before the first byte of the answer,
+	// and the client's transport resends it: the second arrival gets "not run",
+	// which is true, and the first one must be counted too.
 	var arrivals atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		switch arrivals.Add(1) {
--- a/request/gateway/scenario_test.go
+++ b/request/gateway/scenario_test.go
@@ -23,9 +23,9 @@
 )
 
 func TestTruncatedAnswerNeverLooksComplete(t *testing.T) {
-	// Symptom: a tile takeoff lacked its last rows, and nobody noticed.
-	// Sequence: the endpoint's connection ends in the middle of the body.
-	// Cause: what had arrived was passed on and the answer ended in good order.
+	// Guards against a truncated answer that looks complete: the endpoint's
+	// connection ends in the middle of the body, the part that has arrived is
+	// passed on, and the caller's connection is closed in an orderly way.
 	for _, fault := range []endpoint.Faults{{Truncate: 1}, {ResetMidAnswer: 1}} {
 		p := newPool()
 		e := startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
@@ -44,11 +44,10 @@
 	}
 }
 
-func TestDeadlineIsAnsweredAtOnceAndTheSlotIsLearnt(t *testing.T) {
-	// Symptom: after a slow minute the service's slots were used up by requests
-	//   that had long ended.
-	// Sequence: an instance answers after the caller's deadline.
-	// Cause: the attempt was cut at the deadline, so nobody learnt its end.
+func TestDeadlineIsAnsweredAtOnceAndTheSlotReturns(t *testing.T) {
+	// Guards against slots that stay taken by requests that have long completed:
+	// an instance answers after the caller's deadline, and the attempt was aborted
+	// at the deadline, so that its completion is never detected.
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 1, Connections: 64})
 	release := make(chan struct{})
@@ -61,7 +60,7 @@
 			t.Errorf("status %d, verdict %s, %v", r.status, r.verdict(), r.err)
 		}
 		if got := e.Report().Completed; got != 0 {
-			t.Error("the answer was held back until the endpoint had ended")
+			t.Error("the answer was delayed until the endpoint had finished")
 		}
 	}()
 	<-release
@@ -72,8 +71,8 @@
 	require.Equal(t, 1, e.Report().PeakRunning)
 }
 
-// TestRequestWithLittleTimeLeftIsNotBegun guards against "may have run" of a request that waited
-// for most of its time and was sent when its service takes longer than the rest.
+// TestRequestWithLittleTimeLeftIsNotBegun guards against a "may have run" for a request that
+// waited for most of its time and is sent although its service takes longer than the rest.
 func TestRequestWithLittleTimeLeftIsNotBegun(t *testing.T) {
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 1, Connections: 64})
@@ -95,8 +94,8 @@
 	require.Equal(t, http.StatusOK, do(t, "POST", url, "after", "").status)
 }
 
-// TestAnswerOnItsWayAtTheDeadlineIsDelivered guards against an answer that an instance gave in
-// time and that is cut since the daemon, or the caller, had not come to pass it on.
+// TestAnswerOnItsWayAtTheDeadlineIsDelivered guards against an aborted answer that the instance
+// began in time, but that the daemon or the caller had not yet finished transferring.
 func TestAnswerOnItsWayAtTheDeadlineIsDelivered(t *testing.T) {
 	p := newPool()
 	body := strings.Repeat("plot ", 2000)
@@ -117,7 +116,7 @@
 		require.NoError(t, r.err)
 		require.Equal(t, http.StatusOK, r.status)
 		require.Equal(t, body, string(r.body))
-		time.Sleep(250 * time.Millisecond) // beyond any bound on the writing of that answer
+		time.Sleep(250 * time.Millisecond) // past any write deadline of that answer
 	}
 	require.Empty(t, p.unknown)
 }
@@ -135,9 +134,9 @@
 }
 
 func TestSignOfLeavingIsPassedOnFromAnyAnswer(t *testing.T) {
-	// Symptom: an instance got new requests until its VM was gone.
-	// Sequence: it announces its leaving in a refusal, or in an answer.
-	// Cause: the sign was read from whole answers only.
+	// Guards against an instance that gets new requests until its VM is removed:
+	// its leaving notice comes in a refusal or in an answer, and was read from
+	// complete answers only.
 	for _, refuse := range []float64{0, 1} {
 		p := newPool()
 		e := startEndpoint(t, p, endpoint.Options{Slots: 4, Connections: 64})
@@ -151,9 +150,9 @@
 }
 
 func TestLossOfAZoneFailsNoRequestThatAnotherInstanceCanServe(t *testing.T) {
-	// Symptom: a third of the requests failed for a minute after a zone's loss.
-	// Sequence: a third of the instances refuse connections.
-	// Cause: the retries used up the budget, or met the same instance again.
+	// Guards against failures after the loss of a zone: a third of the instances
+	// refuse connections, and a third of the requests fail for a minute because
+	// retries use up the budget or get the same instance again.
 	p := newPool()
 	for i := range 6 {
 		e := startEndpoint(t, p, endpoint.Options{Slots: 2, Connections: 64})
@@ -169,9 +168,8 @@
 }
 
 func TestDrainCutsNothing(t *testing.T) {
-	// Symptom: the nightly upgrade cut reports in flight.
-	// Sequence: a daemon is told to stop while it carries requests.
-	// Cause: it closed its connections before their answers.
+	// Guards against a stopping daemon that closes its callers' connections before
+	// the requests in flight are answered.
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
 	e.SetFaults(endpoint.Faults{Delay: 100 * time.Millisecond})
@@ -199,7 +197,7 @@
 }
 
 // TestStoppingDaemonServesWhileCallersStillCome guards against refusals, and connections closed
-// under a request, where the balancer notices a stop later than the grace.
+// during a request, when the load balancer detects a stop only after the grace period.
 func TestStoppingDaemonServesWhileCallersStillCome(t *testing.T) {
 	for _, c := range []struct{ coming, drained time.Duration }{
 		{0, quietPeriod}, {3 * time.Second, 3*time.Second + quietPeriod}, {time.Minute, quietPeriod + maxQuietWait},
@@ -211,7 +209,7 @@
 				for time.Since(began) < c.coming {
 					g.ServeHTTP(httptest.NewRecorder(), httptest.NewRequestWithContext(t.Context(), http.MethodGet, "http://unknown/", nil))
 					if refused := g.state.Load() == refusing; refused != (time.Since(began) > quietPeriod+maxQuietWait) {
-						t.Errorf("refused as stopping: %v after %v", refused, time.Since(began))
+						t.Errorf("refused with draining: %v after %v", refused, time.Since(began))
 					}
 					time.Sleep(90 * time.Millisecond)
 				}
@@ -219,15 +217,15 @@
 			synctest.Wait()
 			require.NoError(t, g.Drain(t.Context(), quietPeriod))
 			require.InDelta(t, c.drained.Seconds(), time.Since(began).Seconds(), 0.2)
-			time.Sleep(c.coming) // for the goroutine's end
+			time.Sleep(c.coming) // until the goroutine has ended
 		})
 	}
 }
 
 func TestSlowCallerHoldsNoSlot(t *testing.T) {
-	// Symptom: a few stalled mobile callers blocked a service.
-	// Sequence: a caller sends a header and half of a body, then nothing.
-	// Cause: the slot was taken before the body had arrived.
+	// Guards against stalled callers that block a service: a caller sends a header
+	// and half of a body, then nothing, and a slot is acquired before the body has
+	// arrived.
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 1, Connections: 64})
 	_, url := startGateway(t, Options{Slots: p, BodyTimeout: 50 * time.Millisecond})
@@ -246,9 +244,9 @@
 }
 
 func TestCallerThatDoesNotReadHoldsNoSlotForGood(t *testing.T) {
-	// Symptom: a service's slots were taken while its instances were idle.
-	// Sequence: a caller asks for a large layout and never reads it.
-	// Cause: the write to the caller blocked beyond the request's deadline.
+	// Guards against slots that stay taken while the instances are idle: a caller
+	// requests a large answer and never reads it, and the write to it blocks beyond
+	// the request's deadline.
 	p := newPool()
 	startEndpoint(t, p, endpoint.Options{Slots: 1, Connections: 64})
 	g, url := startGateway(t, Options{Slots: p})
@@ -264,9 +262,9 @@
 }
 
 func TestConnectionsStayWithinTheInstancesLimit(t *testing.T) {
-	// Symptom: an instance refused connections while its slots were free.
-	// Sequence: eight daemons and two that join unseen send in bursts.
-	// Cause: each daemon kept as many idle connections as it had ever used.
+	// Guards against an instance that refuses connections while it has free slots:
+	// eight daemons, and two more that they do not count yet, send in bursts, and
+	// each keeps as many idle connections as it has ever used.
 	p := newPool()
 	e := startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
 	const daemons = 10
@@ -298,7 +296,7 @@
 	r := do(t, "POST", url, "big", big)
 	require.Equal(t, http.StatusOK, r.status)
 	require.Equal(t, string(endpoint.Answer("big", []byte(big))), string(r.body))
-	// A body of unknown length that grows past the limit ends in an error.
+	// A body of unknown length that exceeds the limit results in an error.
 	req, err := http.NewRequestWithContext(t.Context(), "POST", url, io.MultiReader(strings.NewReader(big), strings.NewReader("x")))
 	require.NoError(t, err)
 	req.Header.Set(ServiceHeader, testService)
@@ -308,11 +306,11 @@
 	defer func() { _ = resp.Body.Close() }()
 	require.Equal(t, http.StatusRequestEntityTooLarge, resp.StatusCode)
 	require.Equal(t, "may-have-run", resp.Header.Get("Fennel-Verdict"))
-	require.Equal(t, 1, e.Report().Completed, "a cut body was taken for a whole one")
+	require.Equal(t, 1, e.Report().Completed, "a truncated body was taken for a complete one")
 }
 
 // TestDrainingHomeKeepsItsPeersConnections guards against a handshake for each request that
-// is passed on to a home that is stopping.
+// is forwarded to a key owner that is stopping.
 func TestDrainingHomeKeepsItsPeersConnections(t *testing.T) {
 	c := newCell(t, 2, 2, Options{})
 	key := c.keyOwnedElsewhere(t)
--- a/request/gateway/shares_test.go
+++ b/request/gateway/shares_test.go
@@ -14,11 +14,10 @@
 )
 
 func TestCallerThatSendsNoBodyDoesNotRefuseOthers(t *testing.T) {
-	// Symptom: every caller is refused as overloaded.
-	// Sequence: one caller opens MaxConcurrent connections, announces a body of
-	//   one byte on each and never sends it.
-	// Cause: requests count as in progress before their body has arrived, and no
-	//   caller's share of them is bounded.
+	// Guards against a caller that makes the daemon refuse all others as
+	// overloaded: it opens MaxConcurrent connections, announces a body of one byte
+	// on each and never sends it. Requests count as in progress before their body
+	// has arrived, so each caller's share of them must be bounded.
 	const limit = 64
 	cases := []struct {
 		name  string
@@ -49,7 +48,7 @@
 	}
 }
 
-func TestSharesAreGivenBack(t *testing.T) {
+func TestSharesAreReleased(t *testing.T) {
 	p := newPool()
 	startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
 	g, url := startGateway(t, Options{Slots: p, MaxConcurrent: 4})
--- a/request/gateway/starting_test.go
+++ b/request/gateway/starting_test.go
@@ -10,15 +10,15 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// laterSource is a configuration that is not known at first.
+// laterSource is a configuration source that is empty at first.
 type laterSource struct{ config *spec.Config }
 
 func (s *laterSource) Current() *spec.Config { return s.config }
 
 func (*laterSource) Changed() <-chan struct{} { return nil }
 
-// TestServicesAreNotUnknownBeforeTheConfigurationIs guards against callers that are told
-// 404 for a service that exists, by a daemon that has just begun, and do not come back.
+// TestServicesAreNotUnknownBeforeTheConfigurationIs guards against a daemon that has just
+// started and answers 404 for a service that exists, which callers do not retry.
 func TestServicesAreNotUnknownBeforeTheConfigurationIs(t *testing.T) {
 	p := newPool()
 	startEndpoint(t, p, endpoint.Options{Slots: 8, Connections: 64})
--- a/request/gateway/target_test.go
+++ b/request/gateway/target_test.go
@@ -12,13 +12,12 @@
 )
 
 func TestTargetWithoutPathIsRefused(t *testing.T) {
-	// Symptom: an instance got a target that no path of it has.
-	// Sequence: a caller sends "GET http:admin HTTP/1.1".
-	// Cause: net/url takes what follows the scheme as opaque, and net/http writes
-	//   it to the instance as it is, past every check of the path.
+	// Guards against request targets without a path: for "GET http:admin HTTP/1.1"
+	// net/url treats the part after the scheme as opaque, and net/http would send
+	// it to the instance unchanged, bypassing every check of the path.
 	p := newPool()
 	seen := make(chan string, 8)
-	scripted(t, p, func(c net.Conn, r *http.Request) {
+	startScripted(t, p, func(c net.Conn, r *http.Request) {
 		seen <- r.RequestURI
 		_, _ = io.WriteString(c, emptyAnswer)
 	})
--- a/request/gateway/trailer_test.go
+++ b/request/gateway/trailer_test.go
@@ -11,11 +11,10 @@
 )
 
 func TestKeptAnswerKeepsItsTrailers(t *testing.T) {
-	// Symptom: a designer's client could not check the sum of a layout render.
-	// Sequence: an instance sends the sum as a trailer; the request has a key.
-	// Cause: only header and body of the answer were kept.
+	// Guards against a kept answer without its trailers: an instance sends a
+	// checksum as a trailer, and only header and body of the answer are kept.
 	c := newCell(t, 2, 0, Options{})
-	scripted(t, c.pool, func(conn net.Conn, _ *http.Request) {
+	startScripted(t, c.pool, func(conn net.Conn, _ *http.Request) {
 		_, _ = io.WriteString(conn, "HTTP/1.1 200 OK\r\nTrailer: Sum, Fennel-Verdict\r\nTransfer-Encoding: chunked\r\n\r\n"+
 			"6\r\nlayout\r\n0\r\nSum: 7\r\nFennel-Verdict: not-run\r\n\r\n")
 	})
--- a/request/idem/cell_test.go
+++ b/request/idem/cell_test.go
@@ -19,7 +19,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// home is one daemon under test.
+// daemon is a Manager under test, with the identity of its daemon.
 type daemon struct {
 	*Manager
 	ref       peer.Ref
@@ -27,7 +27,7 @@
 	stop      context.CancelFunc
 }
 
-// cell is several homes over one store.
+// cell is a group of daemons over one store.
 type cell struct {
 	t       testing.TB
 	kv      *kv.Memory
@@ -43,7 +43,7 @@
 	return c
 }
 
-// add starts a life of a daemon.
+// add starts an incarnation of the i-th daemon.
 func (c *cell) add(i int, incarnation uint64, change func(*Options)) *daemon {
 	ref := peer.Ref{ID: peer.MemberID(fmt.Sprintf("d%d", i)), Incarnation: incarnation}
 	h := &daemon{ref: ref, directory: c.claims.Directory(ref)}
@@ -73,19 +73,20 @@
 	}
 }
 
-// own gives the shard to h; the earlier owner is not told, as when it is paused.
+// own assigns the shard to h. The previous owner is not notified, as if it were
+// suspended.
 func (c *cell) own(n int, h *daemon) {
 	h.Acquired(c.t.Context(), c.claims.Set(resource(n), h.ref))
 }
 
-// order is a request for a non-idempotent tile order.
+// newRequest returns a non-idempotent request with the key text.
 func newRequest(text string) Request {
 	return Request{Key: Key{Team: "guild", Service: "remodel-desk", Text: text}, Fingerprint: 7, NonIdempotent: true}
 }
 
 func (r Request) shard() int { return r.Key.hash().shard() }
 
-// begun begins r at h and requires the attempt.
+// begun calls Begin for r at h and requires that it returns an attempt.
 func begun(t testing.TB, h *daemon, r Request) *Attempt {
 	t.Helper()
 	a, _, err := h.Begin(t.Context(), r)
@@ -94,7 +95,7 @@
 	return a
 }
 
-// requireCode requires that beginning r at h fails so.
+// requireCode requires that Begin for r at h fails with that code and verdict.
 func requireCode(t testing.TB, h *daemon, r Request, code string, v verdict.Verdict) {
 	t.Helper()
 	_, _, err := h.Begin(t.Context(), r)
--- a/request/idem/churn_test.go
+++ b/request/idem/churn_test.go
@@ -25,24 +25,23 @@
 
 var errRefused = errors.New("connection refused")
 
-// churn sends keys with retries through faults and counts the sends.
+// churn sends keyed requests with retries under faults and counts the sends.
 type churn struct {
 	*cell
 	r            *rand.Rand
 	incarnations uint64
 
 	mu      sync.Mutex
-	ran     map[string]int  // sends that ran at the endpoint
+	ran     map[string]int  // number of sends that ran at the endpoint, by key
 	answers map[string]bool // keys with an answer
 	killed  map[*daemon]bool
 }
 
-// TestChurnSendsAtMostOnce retries non-idempotent keys at random homes through
-// kills, takeovers from owners that are not told, and every fault of the store.
-//
-// Symptom: a key runs twice, or a request that ran is told "not run".
-// Sequence: random; see churn.fault.
-// Cause: an intent that was not durable, not read, or written after the fence.
+// TestChurnSendsAtMostOnce retries non-idempotent keys at random daemons, with
+// crashes, takeovers from owners that are not notified, and every fault of the
+// store (see churn.fault). It guards against a key that runs twice, and against
+// "not run" for a request that ran, because an intent was not durable, not read,
+// or written after the fence.
 func TestChurnSendsAtMostOnce(t *testing.T) {
 	seeds := 6
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -69,8 +68,8 @@
 			c.fault()
 		}
 		k, h := c.r.IntN(churnKeys), c.daemons[c.r.IntN(churnDaemons)]
-		fate := c.r.Float64()
-		running.Go(func() { c.arrive(h, newRequest(fmt.Sprint(k)), fate) })
+		draw := c.r.Float64()
+		running.Go(func() { c.arrive(h, newRequest(fmt.Sprint(k)), draw) })
 		time.Sleep(time.Duration(c.r.IntN(60)) * time.Millisecond)
 	}
 	running.Wait()
@@ -78,7 +77,7 @@
 	for key, n := range c.ran {
 		require.LessOrEqual(t, n, 1, "seed %d: key %s ran %d times", seed, key, n)
 	}
-	require.Greater(t, len(c.answers), churnKeys/20, "seed %d: too little ran", seed)
+	require.Greater(t, len(c.answers), churnKeys/20, "seed %d: too few keys completed", seed)
 	c.requireServing()
 }
 
@@ -87,8 +86,8 @@
 	o.WritesPerSecond = 50 * float64(len(o.Members.Members()))
 }
 
-// arrive is one arrival at h, which may not be the key's home any more.
-func (c *churn) arrive(h *daemon, r Request, fate float64) {
+// arrive makes one arrival at h, which may no longer be the key owner.
+func (c *churn) arrive(h *daemon, r Request, draw float64) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 3*time.Second)
 	defer cancel()
 	a, answer, err := h.Begin(ctx, r)
@@ -98,15 +97,15 @@
 			c.t.Errorf("key %s got the answer of %s", r.Key.Text, answer.Body)
 		}
 	case err != nil:
-	case fate < 0.05:
-		time.Sleep(time.Second) // paused before its intent
-		c.run(ctx, h, r, a, fate)
+	case draw < 0.05:
+		time.Sleep(time.Second) // suspended before its intent
+		c.run(ctx, h, r, a, draw)
 	default:
-		c.run(ctx, h, r, a, fate)
+		c.run(ctx, h, r, a, draw)
 	}
 }
 
-func (c *churn) run(ctx context.Context, h *daemon, r Request, a *Attempt, fate float64) {
+func (c *churn) run(ctx context.Context, h *daemon, r Request, a *Attempt, draw float64) {
 	defer a.Close()
 	if err := a.Intend(ctx); err != nil {
 		if verdict.Of(err) != verdict.NotRun {
@@ -115,14 +114,14 @@
 		a.Fail(err)
 		return
 	}
-	time.Sleep(time.Duration(fate * float64(200*time.Millisecond)))
+	time.Sleep(time.Duration(draw * float64(200*time.Millisecond)))
 	if c.isKilled(h) {
-		return // the process died after its intent, before or after it sent
+		return // the process crashed after its intent, before or after sending
 	}
 	switch {
-	case fate < 0.2:
+	case draw < 0.2:
 		a.Fail(&verdict.Error{Verdict: verdict.NotRun, Err: errRefused})
-	case fate < 0.3:
+	case draw < 0.3:
 		c.count(r)
 		a.Fail(&verdict.Error{Verdict: verdict.MayHaveRun, Err: errRefused})
 	default:
@@ -152,7 +151,7 @@
 	case 0:
 		c.kill(i)
 	case 1, 2:
-		// The old owner is not told: it is paused or cut off.
+		// The old owner is not notified: it is suspended or partitioned.
 		c.own(c.r.IntN(Shards), c.daemons[i])
 	case 3:
 		n := c.r.IntN(Shards)
@@ -173,7 +172,8 @@
 	}
 }
 
-// kill ends a home and starts its next life; its shards go to whoever claims.
+// kill stops a daemon and starts its next incarnation. Its shards go to random
+// daemons.
 func (c *churn) kill(i int) {
 	old := c.daemons[i]
 	c.mu.Lock()
@@ -189,7 +189,7 @@
 	}
 }
 
-// requireServing asserts that a new key can be run at every shard again.
+// requireServing asserts that a new key can run in every shard again.
 func (c *churn) requireServing() {
 	time.Sleep(time.Minute)
 	for n := range Shards {
--- a/request/idem/cost_test.go
+++ b/request/idem/cost_test.go
@@ -16,11 +16,12 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// maxWritesPerIntent bounds the store writes per intent when nothing gathers.
+// maxWritesPerIntent bounds the store writes per intent when no intents are
+// grouped into one write.
 const maxWritesPerIntent = 1.5
 
-// TestCostOfIntents measures, in virtual time with 3 ms for each store write,
-// what a durable intent adds to a request and what it costs the store.
+// TestCostOfIntents measures, in virtual time with 3 ms per store write, the
+// latency that a durable intent adds to a request, and the store writes it takes.
 func TestCostOfIntents(t *testing.T) {
 	rates := []int{20}
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -75,8 +76,8 @@
 	require.LessOrEqual(t, float64(writes), maxWritesPerIntent*float64(n)+seconds*Shards/DefaultOutcomeFlush.Seconds())
 }
 
-// BenchmarkKeyMemory reports what one known key of the log holds, beside a
-// plain map of the same keys.
+// BenchmarkKeyMemory reports the memory used per key of the log, in comparison
+// with a plain map of the same keys.
 func BenchmarkKeyMemory(b *testing.B) {
 	const keys = 200_000
 	measure := func(fill func() any) float64 {
@@ -108,7 +109,7 @@
 	}
 }
 
-// BenchmarkJoin measures an arrival that finds a kept answer.
+// BenchmarkJoin measures an arrival for which an answer is kept.
 func BenchmarkJoin(b *testing.B) {
 	c := newCell(b, 1, nil)
 	defer c.close()
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -61,10 +61,10 @@
 	})
 }
 
-func TestNewHomeKnowsTheEnds(t *testing.T) {
-	// Symptom: a tile order is sent again after its home died.
-	// Sequence: intent, send, death of the home; the caller retries.
-	// Cause: the new home would not know of the intent.
+func TestNewOwnerReadsTheOutcomes(t *testing.T) {
+	// Guards against a request that is sent again after its key owner crashed
+	// between intent and answer: the caller retries, and the new owner has not read
+	// the intent.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
@@ -94,10 +94,9 @@
 }
 
 func TestPausedHomeIsFenced(t *testing.T) {
-	// Symptom: one key is sent by two daemons.
-	// Sequence: the old home begins a key and pauses before its intent; a new
-	// home takes over and runs the key; the old home resumes.
-	// Cause: the old home still believes that it owns the shard.
+	// Guards against a key that two daemons send: the old owner begins a key and is
+	// suspended before its intent, a new owner takes over and runs the key, and the
+	// old one resumes while it still assumes that it owns the shard.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
@@ -151,10 +150,11 @@
 }
 
 func TestLostAnswerOfAnIntent(t *testing.T) {
-	// Symptom: a request told "not run" is sent, or its key can never be used.
-	// Sequence: the store takes an intent and its answer is lost, so is the
-	// read-back; the caller retries, at the same home and after its death.
-	// Cause: nobody knows whether the intent is in the log.
+	// Guards against a request that is sent after it got "not run", and against a
+	// key that can never be used again. The store writes an intent, but the
+	// response is lost, and that of the read-back too, so that it is uncertain
+	// whether the intent is in the log. The caller retries, at the same owner and at
+	// a new one.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
@@ -167,7 +167,7 @@
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		a.Fail(err)
 		c.kv.SetFaults(kv.Faults{})
-		// The new home finds the intent and can't know that nothing was sent.
+		// The new owner reads the intent and can not tell that nothing was sent.
 		c.own(r.shard(), second)
 		requireCode(t, second, r, CodeOutcomeUnknown, verdict.MayHaveRun)
 	})
@@ -181,15 +181,15 @@
 		a := begun(t, first, r)
 		a.Fail(a.Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{})
-		// The same home knows that nothing was sent and takes the intent out of
-		// the log with its next write; then a new home may run the key too.
+		// The same owner has the information that nothing was sent, and removes the
+		// intent from the log with its next write; then a new owner may run the key.
 		time.Sleep(4 * DefaultOutcomeFlush)
 		c.own(r.shard(), second)
 		begun(t, second, r).Close()
 	})
 }
 
-// sameShardRequest returns another key of the same shard.
+// sameShardRequest returns a request with another key of the same shard.
 func sameShardRequest(r Request) Request {
 	o := r
 	for o.Key == r.Key || o.shard() != r.shard() {
@@ -198,7 +198,7 @@
 	return o
 }
 
-func TestReleaseHandsOverDurableEnds(t *testing.T) {
+func TestReleaseMakesOutcomesDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
