--- a/request/forward/doc.go
+++ b/request/forward/doc.go
@@ -16,7 +16,7 @@
 //   - a truncated body results in an error, never in io.EOF; so does one with
 //     neither Content-Length nor chunks, whose end can not be distinguished from
 //     a broken connection;
-//   - this daemon keeps at most Options.IdleShare idle connections per endpoint
+//   - this daemon keeps at most IdleShare idle connections per endpoint,
 //     in addition to those that requests in progress use.
 package forward
 
@@ -49,9 +49,9 @@
 	CodeBadAnswer    = "bad_answer"         // MayHaveRun: unexpected status, or a body without length and chunks
 	CodeForeign      = "foreign_answer"     // MayHaveRun: the answer has the id of another request
 	CodeTruncated    = "answer_truncated"   // MayHaveRun: the answer's body ended early
-	CodeDeadline     = "deadline_exceeded"  // by the verdict
-	CodeCallerBody   = "request_body_broke" // by the verdict: the caller's body ended early
-	CodeCallerClosed = "caller_gone"        // by the verdict
+	CodeDeadline     = "deadline_exceeded"  // verdict depends on what was sent: the deadline has passed
+	CodeCallerBody   = "request_body_broke" // verdict depends on what was sent: the caller's body ended early
+	CodeCallerClosed = "caller_gone"        // verdict depends on what was sent: the caller disconnected
 )
 
 func newError(v verdict.Verdict, status int, code string, err error) *verdict.Error {
--- a/request/gateway/call.go
+++ b/request/gateway/call.go
@@ -137,8 +137,8 @@
 	return g.opts.Identify(c.in)
 }
 
-// outgoing returns the request to send to endpoints. It strips the hop-by-hop
-// and internal headers in place.
+// outgoing returns the request to send to endpoints. It prepares the headers in
+// place: hop-by-hop headers are removed, request id and identity are set.
 func (c *call) outgoing() *forward.Outgoing {
 	forward.PrepareRequest(c.in.Header, c.id)
 	delete(c.in.Header, ForwardedHeader)
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -3,9 +3,9 @@
 // the idempotency key, acquires a slot, forwards, retries where the verdict
 // allows it, and answers.
 //
-// Guarantees: the answer to every request carries a verdict; verdict NotRun is
-// given only when no attempt of the request can have run; a truncated answer is
-// never passed on as a complete one.
+// Guarantees: the answer to every request that it handles carries a verdict;
+// verdict NotRun is given only when no attempt of the request can have run; a
+// truncated answer is never passed on as a complete one.
 package gateway
 
 import (
@@ -141,7 +141,8 @@
 }
 
 // precheck refuses a request when the gateway is stopping or when a concurrency
-// or rate limit is reached.
+// or rate limit is reached. Otherwise it counts the request against the shares
+// of its caller and team.
 func (g *Gateway) precheck(c *call, inFlight int64) *verdict.Error {
 	if g.state.Load() == refusing {
 		return refuse(http.StatusServiceUnavailable, CodeDraining, errDraining)
--- a/request/gateway/shares.go
+++ b/request/gateway/shares.go
@@ -9,7 +9,7 @@
 // most one half and one team at most three quarters.
 const (
 	callerShareDivisor = 2 // one half
-	teamReserveDivisor = 4 // all but a quarter
+	teamReserveDivisor = 4 // one quarter is reserved for other teams
 )
 
 var (
--- a/request/idem/api.go
+++ b/request/idem/api.go
@@ -67,7 +67,7 @@
 	_, _ = h.Write(part)
 }
 
-// Request is one arrival of a key.
+// Request is one arrival: a request that carries a key.
 type Request struct {
 	Key         Key
 	Fingerprint Fingerprint
--- a/request/idem/log.go
+++ b/request/idem/log.go
@@ -28,10 +28,10 @@
 )
 
 var (
-	errLogClosed  = errors.New("the key log belongs to another home now")
-	errStoreDown  = errors.New("the store does not take the intent")
-	errNotInTime  = errors.New("the intent was not durable in time")
-	errStillReads = errors.New("the key log is not read yet")
+	errLogClosed    = errors.New("the key log belongs to another home now")
+	errStoreDown    = errors.New("the store does not take the intent")
+	errNotInTime    = errors.New("the intent was not durable in time")
+	errStillReading = errors.New("the key log is not read yet")
 )
 
 // keyLog is the durable log of one shard under one epoch. Only its run goroutine
@@ -89,7 +89,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-t.C:
-		return errStillReads
+		return errStillReading
 	}
 }
 
--- a/request/idem/shard.go
+++ b/request/idem/shard.go
@@ -200,7 +200,7 @@
 	close(e.done)
 	s.running--
 	if s.running < 0 {
-		panic(fmt.Sprintf("idem: shard %d: more ends than attempts", s.n))
+		panic(fmt.Sprintf("idem: shard %d: more completions than attempts", s.n))
 	}
 	s.signalIdle()
 }
