--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -181,8 +181,8 @@
 		a := begun(t, first, r)
 		a.Fail(a.Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{})
-		// The same owner has the information that nothing was sent, and removes the
-		// intent from the log with its next write; then a new owner may run the key.
+		// The same owner has a record that nothing was sent, and removes the intent
+		// from the log with its next write; then a new owner may run the key too.
 		time.Sleep(4 * DefaultOutcomeFlush)
 		c.own(r.shard(), second)
 		begun(t, second, r).Close()
--- a/request/idem/record.go
+++ b/request/idem/record.go
@@ -71,7 +71,7 @@
 func archivePrefix(shard int) string { return logPrefix + strconv.Itoa(shard) + "/archive/" }
 
 // archiveKey includes the epoch, so that an archive that a suspended owner
-// writes late can not take the key of one of its successor.
+// writes late can not take the key of an archive of its successor.
 func archiveKey(shard int, seq, epoch uint64) string {
 	return fmt.Sprintf("%s%016d-%016d", archivePrefix(shard), seq, epoch)
 }
