--- a/request/gateway/home_test.go
+++ b/request/gateway/owner_test.go
@@ -12,27 +12,25 @@
 	"fennelshunt.example/fennelshunt/request/idem"
 )
 
-// keyElsewhere returns a key whose home, seen from the first daemon, is another one.
-func (c *cell) keyElsewhere(t *testing.T) string {
+// keyOwnedElsewhere returns a key that is owned by another daemon than the first.
+func (c *cell) keyOwnedElsewhere(t *testing.T) string {
 	t.Helper()
 	for i := range 1000 {
 		key := fmt.Sprintf("order-%d", i)
-		if _, self, ok := c.keys[0].Home(idem.Key{Service: testService, Text: key}); ok && !self {
+		if _, self, ok := c.keys[0].Owner(idem.Key{Service: testService, Text: key}); ok && !self {
 			return key
 		}
 	}
-	t.Fatal("every key's home is the first daemon")
+	t.Fatal("every key is owned by the first daemon")
 	return ""
 }
 
-func TestKeyedRequestsAreServedWhileTheirHomeDrains(t *testing.T) {
-	// Symptom: callers are refused during a planned upgrade though other
-	//   daemons serve.
-	// Sequence: the home of a key has begun to refuse; its claim moves later.
-	// Cause: the home's refusal "draining" is passed on to the caller instead of
-	//   looking for the home again.
+func TestKeyedRequestsAreServedWhileTheirOwnerDrains(t *testing.T) {
+	// Guards against refusals during a planned upgrade: a key's owner refuses with
+	// "draining" before its claim moves to another daemon, and the refusal is
+	// passed on to the caller instead of looking up the owner again.
 	c := newCell(t, 2, 1, Options{})
-	key := c.keyElsewhere(t)
+	key := c.keyOwnedElsewhere(t)
 	c.gateways[1].state.Store(refusing)
 	answer := make(chan result, 1)
 	go func() { answer <- do(t, "POST", c.urls[0], key, "x", KeyHeader, key) }()
@@ -45,12 +43,12 @@
 	require.Equal(t, 1, c.runs(key))
 }
 
-func TestHomeIsAwaitedForAsLongAsItMayTakeToMove(t *testing.T) {
-	require.Greater(t, DefaultHomeWait, ownership.DefaultReleaseTimeout)
+func TestOwnerWaitExceedsReleaseTimeout(t *testing.T) {
+	require.Greater(t, DefaultOwnerWait, ownership.DefaultReleaseTimeout)
 }
 
-// TestHomeGivesUpInTimeToSaySo guards against callers that are told "may have run" of requests
-// that their key's home refuses: its answer came a little after the deadline.
+// TestHomeGivesUpInTimeToSaySo guards against a "may have run" for requests that their key
+// owner refuses as not run, but a little after the deadline.
 func TestHomeGivesUpInTimeToSaySo(t *testing.T) {
 	c := newCell(t, 2, 1, Options{})
 	for left, margin := range map[time.Duration]time.Duration{
--- a/request/gateway/random_test.go
+++ b/request/gateway/random_test.go
@@ -19,37 +19,37 @@
 	"fennelshunt.example/fennelshunt/standin/endpoint"
 )
 
-// order is one request of a caller, with what became of its arrivals.
-type order struct {
+// trackedRequest is one request of a caller, with the outcomes of its arrivals.
+type trackedRequest struct {
 	key, body  string
 	method     string
 	keyed      bool
-	arrivals   int // on the wire
-	patience   time.Duration
+	arrivals   int // sent on the wire, by the test or by the client's transport
+	timeout    time.Duration
 	idempotent bool
-	sends      int // by the test; arrivals counts the transport's own too
+	sends      int // sent by the test
 
 	mu       sync.Mutex
 	verdicts map[string]int
 	whole    int
-	cut      int // no answer, or a part of one: the connection was cut
+	cut      int // without an answer or with a truncated one
 	events   []string
 }
 
-// event keeps what happened to the order and when, so that a single failure
-// can be traced: runs in real time do not repeat by seed.
-func (o *order) event(format string, args ...any) {
+// event records an event of the request with its time, so that a single failure
+// can be traced: tests in real time can not be reproduced from their seed.
+func (o *trackedRequest) event(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.events = append(o.events, time.Now().Format("05.000000 ")+fmt.Sprintf(format, args...))
 }
 
-// testPatience is how long a caller waits that does not give up.
-const testPatience = time.Minute
+// testTimeout is the timeout of a caller that does not give up early.
+const testTimeout = time.Minute
 
-func drawOrder(rng *rand.Rand, i int) *order {
-	o := &order{key: fmt.Sprintf("order-%d", i), body: strings.Repeat("b", rng.IntN(3000)), method: "POST",
-		arrivals: 1, patience: testPatience, verdicts: map[string]int{}}
+func drawRequest(rng *rand.Rand, i int) *trackedRequest {
+	o := &trackedRequest{key: fmt.Sprintf("order-%d", i), body: strings.Repeat("b", rng.IntN(3000)), method: "POST",
+		arrivals: 1, timeout: testTimeout, verdicts: map[string]int{}}
 	if rng.IntN(3) == 0 {
 		o.method, o.body, o.idempotent = "GET", "", true
 	}
@@ -58,14 +58,14 @@
 	}
 	o.sends = o.arrivals
 	if rng.IntN(8) == 0 {
-		o.patience = time.Duration(rng.IntN(20)) * time.Millisecond
+		o.timeout = time.Duration(rng.IntN(20)) * time.Millisecond
 	}
 	return o
 }
 
 // send makes one arrival and checks the answer.
-func (o *order) send(t *testing.T, url string) {
-	ctx, cancel := context.WithTimeout(t.Context(), o.patience)
+func (o *trackedRequest) send(t *testing.T, url string) {
+	ctx, cancel := context.WithTimeout(t.Context(), o.timeout)
 	defer cancel()
 	conns := 0
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{GotConn: func(info httptrace.GotConnInfo) {
@@ -103,7 +103,7 @@
 	o.note(v, whole, err != nil)
 }
 
-func (o *order) note(v string, whole, cut bool) {
+func (o *trackedRequest) note(v string, whole, cut bool) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	if cut {
@@ -116,8 +116,9 @@
 	}
 }
 
-// check holds the order's fate against what the endpoints saw.
-func (o *order) check(t *testing.T, runs int) {
+// check compares the verdicts of the request with its number of runs at the
+// endpoints.
+func (o *trackedRequest) check(t *testing.T, runs int) {
 	defer func() {
 		if t.Failed() {
 			t.Logf("%s ran %d times; its arrivals: %s", o.key, runs, strings.Join(o.events, "; "))
@@ -127,24 +128,24 @@
 	for _, n := range o.verdicts {
 		answered += n
 	}
-	require.Equal(t, o.arrivals, answered, "%s: arrivals lost", o.key)
+	require.Equal(t, o.arrivals, answered, "%s: arrivals without an outcome", o.key)
 	if !o.idempotent {
-		require.LessOrEqual(t, runs, 1, "%s doubled", o.key)
+		require.LessOrEqual(t, runs, 1, "%s ran more than once", o.key)
 	}
 	if o.verdicts["not-run"] == o.arrivals {
-		require.Zero(t, runs, "%s was told not run by all its arrivals: method %s, keyed %t, arrivals %d, cut %d, verdicts %v",
+		require.Zero(t, runs, "all arrivals of %s got not-run, but it ran: method %s, keyed %t, arrivals %d, cut %d, verdicts %v",
 			o.key, o.method, o.keyed, o.arrivals, o.cut, o.verdicts)
 	}
 	if o.verdicts["ran"] > 0 {
-		require.Positive(t, runs, "%s was told that it ran", o.key)
+		require.Positive(t, runs, "%s got verdict ran, but did not run", o.key)
 	}
 }
 
-// noteResent counts arrivals that the client's transport sent by itself: it
-// sends an idempotent request again when a kept-alive connection breaks before
-// the answer begins. The arrival before was cut, and may have run; the verdict
-// that comes back speaks of the last arrival only.
-func (o *order) noteResent(n int) {
+// noteResent counts arrivals that the client's transport sent on its own: it
+// resends an idempotent request when a kept-alive connection breaks before the
+// answer begins. The previous arrival was cut and may have run; the verdict of
+// the answer applies to the last arrival only.
+func (o *trackedRequest) noteResent(n int) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	o.arrivals += max(n, 0)
@@ -162,15 +163,15 @@
 		ResetMidAnswer: share(), Truncate: share(), Hang: share() / 10, Error: share(), CloseIdle: share(), Unsolicited: share()}
 }
 
-// TestRandomFaults sends orders through several daemons while endpoints fail in
-// every way they can. With FENNEL_LONG=1 it runs many more seeds.
+// TestRandomFaults sends requests through several daemons while the endpoints
+// have every kind of fault. With FENNEL_LONG=1 it runs many more seeds.
 func TestRandomFaults(t *testing.T) {
-	seeds, orders := 2, 300
+	seeds, requests := 2, 300
 	if os.Getenv("FENNEL_LONG") == "1" {
-		seeds, orders = 40, 2000
+		seeds, requests = 40, 2000
 	}
 	for seed := range seeds {
-		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomRun(t, uint64(seed), orders) })
+		t.Run(fmt.Sprint(seed), func(t *testing.T) { randomRun(t, uint64(seed), requests) })
 	}
 }
 
@@ -180,14 +181,14 @@
 	c := newCell(t, 3, 5, Options{Config: testConfig(limit)})
 	c.pool.returnUnknown = 2 * limit
 	var wg sync.WaitGroup
-	all := make([]*order, n)
+	all := make([]*trackedRequest, n)
 	for i := range all {
 		if i%50 == 0 {
 			for _, e := range c.endpoints {
 				e.SetFaults(drawFaults(rng))
 			}
 		}
-		o := drawOrder(rng, i)
+		o := drawRequest(rng, i)
 		all[i] = o
 		for range o.sends {
 			url := c.urls[rng.IntN(len(c.urls))]
--- a/request/idem/cost_test.go
+++ b/request/idem/cost_test.go
@@ -16,11 +16,12 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// maxWritesPerIntent bounds the store writes per intent when nothing gathers.
+// maxWritesPerIntent bounds the store writes per intent when no intents are
+// grouped into one write.
 const maxWritesPerIntent = 1.5
 
-// TestCostOfIntents measures, in virtual time with 3 ms for each store write,
-// what a durable intent adds to a request and what it costs the store.
+// TestCostOfIntents measures, in virtual time with 3 ms per store write, the
+// latency that a durable intent adds to a request, and the store writes it takes.
 func TestCostOfIntents(t *testing.T) {
 	rates := []int{20}
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -33,11 +34,11 @@
 }
 
 func costOf(t *testing.T, perSecond int) {
-	const homes, seconds = 6, 60
-	c := newCell(t, homes, nil)
+	const daemons, seconds = 6, 60
+	c := newCell(t, daemons, nil)
 	defer c.close()
 	for n := range Shards {
-		c.own(n, c.homes[n%homes])
+		c.own(n, c.daemons[n%daemons])
 	}
 	time.Sleep(time.Second)
 	c.kv.SetFaults(kv.Faults{Delay: 3 * time.Millisecond})
@@ -50,8 +51,8 @@
 	for i := range n {
 		time.Sleep(time.Duration(r.ExpFloat64() / float64(perSecond) * float64(time.Second)))
 		running.Go(func() {
-			o := order(fmt.Sprint(i))
-			a := begun(t, c.homes[o.shard()%homes], o)
+			o := newRequest(fmt.Sprint(i))
+			a := begun(t, c.daemons[o.shard()%daemons], o)
 			began := time.Now()
 			if err := a.Intend(t.Context()); err != nil {
 				t.Errorf("intent refused: %v", err)
@@ -66,17 +67,17 @@
 	running.Wait()
 	writes := c.kv.Counts().Writes() - before
 	var bytes int64
-	for _, m := range c.homes {
+	for _, m := range c.daemons {
 		bytes += m.counts.WrittenBytes.Value()
 	}
 	t.Logf("%9d | %.2f %.2f %.2f | %.1f %.2f | %d", perSecond, h.Mean()/1000,
 		float64(h.ValueAtQuantile(50))/1000, float64(h.ValueAtQuantile(99))/1000,
-		float64(writes)/seconds, float64(writes)/float64(n), bytes/seconds/homes)
-	require.LessOrEqual(t, float64(writes), maxWritesPerIntent*float64(n)+seconds*Shards/DefaultEndFlush.Seconds())
+		float64(writes)/seconds, float64(writes)/float64(n), bytes/seconds/daemons)
+	require.LessOrEqual(t, float64(writes), maxWritesPerIntent*float64(n)+seconds*Shards/DefaultOutcomeFlush.Seconds())
 }
 
-// BenchmarkKeyMemory reports what one known key of the log holds, beside a
-// plain map of the same keys.
+// BenchmarkKeyMemory reports the memory used per key of the log, in comparison
+// with a plain map of the same keys.
 func BenchmarkKeyMemory(b *testing.B) {
 	const keys = 200_000
 	measure := func(fill func() any) float64 {
@@ -91,16 +92,16 @@
 	}
 	for b.Loop() {
 		b.ReportMetric(measure(func() any {
-			s := &shard{m: New(Options{}), known: map[keyHash]knownKey{}}
+			s := &shard{m: New(Options{}), logged: map[keyHash]loggedKey{}}
 			for i := range keys {
-				s.remember(record{Key: order(fmt.Sprint(i)).Key.hash(), At: time.Now().Unix()})
+				s.noteRecord(record{Key: newRequest(fmt.Sprint(i)).Key.hash(), At: time.Now().Unix()})
 			}
 			return s
 		}), "B/key")
 		b.ReportMetric(measure(func() any {
 			m := map[string]Request{}
 			for i := range keys {
-				o := order(fmt.Sprintf("%036d", i))
+				o := newRequest(fmt.Sprintf("%036d", i))
 				m[o.Key.Text] = o
 			}
 			return m
@@ -108,15 +109,15 @@
 	}
 }
 
-// BenchmarkJoin measures an arrival that finds a kept answer.
+// BenchmarkJoin measures an arrival for which an answer is kept.
 func BenchmarkJoin(b *testing.B) {
 	c := newCell(b, 1, nil)
 	defer c.close()
-	r := order("a")
+	r := newRequest("a")
 	r.NonIdempotent = false
-	c.own(r.shard(), c.homes[0])
-	begun(b, c.homes[0], r).Finish(&Answer{Status: 200, Body: []byte("ok")})
+	c.own(r.shard(), c.daemons[0])
+	begun(b, c.daemons[0], r).Finish(&Answer{Status: 200, Body: []byte("ok")})
 	for b.Loop() {
-		_, _, _ = c.homes[0].Begin(b.Context(), r)
+		_, _, _ = c.daemons[0].Begin(b.Context(), r)
 	}
 }
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -17,7 +17,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		a := begun(t, h, r)
 		joined := make(chan *Answer)
@@ -52,7 +52,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, func(o *Options) { o.MaxAnswer = 10 })
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		a := begun(t, h, r)
 		require.NoError(t, a.Intend(t.Context()))
@@ -61,15 +61,15 @@
 	})
 }
 
-func TestNewHomeKnowsTheEnds(t *testing.T) {
-	// Symptom: a tile order is sent again after its home died.
-	// Sequence: intent, send, death of the home; the caller retries.
-	// Cause: the new home would not know of the intent.
+func TestNewOwnerReadsTheOutcomes(t *testing.T) {
+	// Guards against a request that is sent again after its key owner crashed
+	// between intent and answer: the caller retries, and the new owner has not read
+	// the intent.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second := c.homes[0], c.homes[1]
-		unknown, ran, refused := order("u"), order("r"), order("n")
+		first, second := c.daemons[0], c.daemons[1]
+		unknown, ran, refused := newRequest("u"), newRequest("r"), newRequest("n")
 		for _, r := range []Request{unknown, ran, refused} {
 			c.own(r.shard(), first)
 		}
@@ -81,7 +81,7 @@
 		}
 		attempts["r"].Finish(&Answer{Status: 200})
 		attempts["n"].Fail(&verdict.Error{Verdict: verdict.NotRun, Err: errors.New("connection refused")})
-		time.Sleep(2 * DefaultEndFlush)
+		time.Sleep(2 * DefaultOutcomeFlush)
 		first.stop()
 		for _, r := range []Request{unknown, ran, refused} {
 			c.own(r.shard(), second)
@@ -94,14 +94,13 @@
 }
 
 func TestPausedHomeIsFenced(t *testing.T) {
-	// Symptom: one key is sent by two daemons.
-	// Sequence: the old home begins a key and pauses before its intent; a new
-	// home takes over and runs the key; the old home resumes.
-	// Cause: the old home still believes that it owns the shard.
+	// Guards against a key that two daemons send: the old owner begins a key and is
+	// suspended before its intent, a new owner takes over and runs the key, and the
+	// old one resumes while it still assumes that it owns the shard.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
 		old := begun(t, first, r)
 		synctest.Wait()
@@ -118,13 +117,13 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.homes[0], order("a")
+		h, r := c.daemons[0], newRequest("a")
 		c.own(r.shard(), h)
 		require.NoError(t, begun(t, h, r).Intend(t.Context()))
 		for _, f := range []kv.Faults{{Down: true}, {Hang: true}} {
 			c.kv.SetFaults(f)
 			for range 10 {
-				r := order2(r)
+				r := sameShardRequest(r)
 				a := begun(t, h, r)
 				began := time.Now()
 				err := a.Intend(t.Context())
@@ -138,7 +137,7 @@
 			c.kv.SetFaults(kv.Faults{})
 			time.Sleep(5 * time.Second)
 		}
-		r = order2(r)
+		r = sameShardRequest(r)
 		require.Eventually(t, func() bool {
 			a := begun(t, h, r)
 			err := a.Intend(t.Context())
@@ -151,46 +150,47 @@
 }
 
 func TestLostAnswerOfAnIntent(t *testing.T) {
-	// Symptom: a request told "not run" is sent, or its key can never be used.
-	// Sequence: the store takes an intent and its answer is lost, so is the
-	// read-back; the caller retries, at the same home and after its death.
-	// Cause: nobody knows whether the intent is in the log.
+	// Guards against a request that is sent after it got "not run", and against a
+	// key that can never be used again. The store writes an intent, but the
+	// response is lost, and that of the read-back too, so that it is uncertain
+	// whether the intent is in the log. The caller retries, at the same owner and at
+	// a new one.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
-		require.NoError(t, begun(t, first, order2(r)).Intend(t.Context()))
+		require.NoError(t, begun(t, first, sameShardRequest(r)).Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{LoseAnswers: 1})
 		a := begun(t, first, r)
 		err := a.Intend(t.Context())
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		a.Fail(err)
 		c.kv.SetFaults(kv.Faults{})
-		// The new home finds the intent and can't know that nothing was sent.
+		// The new owner reads the intent and can not tell that nothing was sent.
 		c.own(r.shard(), second)
 		requireCode(t, second, r, CodeOutcomeUnknown, verdict.MayHaveRun)
 	})
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
-		require.NoError(t, begun(t, first, order2(r)).Intend(t.Context()))
+		require.NoError(t, begun(t, first, sameShardRequest(r)).Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{LoseAnswers: 1})
 		a := begun(t, first, r)
 		a.Fail(a.Intend(t.Context()))
 		c.kv.SetFaults(kv.Faults{})
-		// The same home knows that nothing was sent and takes the intent out of
-		// the log with its next write; then a new home may run the key too.
-		time.Sleep(4 * DefaultEndFlush)
+		// The same owner has a record that nothing was sent, and removes the intent
+		// from the log with its next write; then a new owner may run the key too.
+		time.Sleep(4 * DefaultOutcomeFlush)
 		c.own(r.shard(), second)
 		begun(t, second, r).Close()
 	})
 }
 
-// order2 returns another key of the same shard.
-func order2(r Request) Request {
+// sameShardRequest returns a request with another key of the same shard.
+func sameShardRequest(r Request) Request {
 	o := r
 	for o.Key == r.Key || o.shard() != r.shard() {
 		o.Key.Text += "x"
@@ -198,18 +198,18 @@
 	return o
 }
 
-func TestReleaseHandsOverDurableEnds(t *testing.T) {
+func TestReleaseMakesOutcomesDurable(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
-		first, second, r := c.homes[0], c.homes[1], order("a")
+		first, second, r := c.daemons[0], c.daemons[1], newRequest("a")
 		c.own(r.shard(), first)
 		a := begun(t, first, r)
 		require.NoError(t, a.Intend(t.Context()))
 		released := make(chan error, 1)
 		go func() { released <- first.Releasing(context.Background(), resource(r.shard())) }()
 		synctest.Wait()
-		requireCode(t, first, order2(r), CodeNoHome, verdict.NotRun)
+		requireCode(t, first, sameShardRequest(r), CodeOwnerNotReady, verdict.NotRun)
 		a.Finish(&Answer{Status: 200})
 		require.NoError(t, <-released)
 		c.own(r.shard(), second)
