--- a/connection/runner/directory.go
+++ b/connection/runner/directory.go
@@ -7,19 +7,19 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Change is a worker as it reports itself now, or that its entry is gone.
+// Change is the current registration of a worker, or the removal of its entry.
 type Change struct {
-	Worker Worker // with Gone only the id, or the name for whichever life has it
+	Worker Worker // if Gone, only the id is set: of an incarnation, or the name for any incarnation
 	Gone   bool
 }
 
-// Directory is the list in which workers register themselves. An entry that is
-// gone does not prove that the worker is.
+// Directory is the list in which workers register themselves. A removed entry
+// does not prove that the worker has exited.
 //
-// An error beside a result tells of entries that could not be read; the others
-// are in the result, whose revision is then not 0.
+// If some entries cannot be read, methods return an error together with the
+// entries that could be read; the revision is then not 0.
 type Directory interface {
 	List(ctx context.Context) ([]Worker, store.Revision, error)
-	// Watch waits up to wait for changes later than after.
+	// Watch returns the changes later than after; it waits up to wait for one.
 	Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]Change, store.Revision, error)
 }
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -1,10 +1,10 @@
-// Package runner reaches workers that compare epochs: a worker keeps the
-// highest epoch it was called with and does nothing for a lower one. Everything
-// that runs on a worker ends when its lease, measured on the worker's own
-// clock, lapses.
+// Package runner defines the interface to workers that compare epochs: a worker
+// records the highest epoch it was called with and rejects calls with a lower
+// one. Every run on a worker ends when the worker's lease, measured on the
+// worker's own clock, expires.
 //
 // Guarantees of implementations: a method returns an error that matches
-// ErrNotRun only when the worker certainly did nothing and will do nothing for
+// ErrNotRun only if the worker certainly did nothing and will do nothing for
 // this call; ErrUnknown means that it may have acted, or may act seconds later.
 package runner
 
@@ -19,48 +19,49 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// WorkerID names one life of a worker; a restarted worker has another. Where workers
-// begin another life under the name that they had, it is that of LifeID.
+// WorkerID identifies one incarnation of a worker; a restarted worker has another id.
+// Where workers restart under the same name, the id is the one that LifeID returns.
 type WorkerID string
 
-// LifeID returns the id of a life that began at some time, in milliseconds since 1970; 0
-// where names are not used again.
-func LifeID(name string, born int64) WorkerID {
-	if born == 0 {
+// LifeID returns the id of the incarnation that started at the given time, in
+// milliseconds since 1970. The time is 0 where worker names are not reused.
+func LifeID(name string, started int64) WorkerID {
+	if started == 0 {
 		return WorkerID(name)
 	}
-	return WorkerID(name + lifeMark + strconv.FormatInt(born, 10))
+	return WorkerID(name + startSeparator + strconv.FormatInt(started, 10))
 }
 
-// lifeMark stands between a worker's name and its birth.
-const lifeMark = "@"
+// startSeparator stands between a worker's name and the start time of the incarnation.
+const startSeparator = "@"
 
-// Life returns the worker's name, and when the life began, 0 if the id does not tell.
-func (id WorkerID) Life() (name string, born int64) {
-	name, text, found := strings.Cut(string(id), lifeMark)
+// Life returns the worker's name and the start time of the incarnation, in milliseconds
+// since 1970; 0 if the id has no start time.
+func (id WorkerID) Life() (name string, started int64) {
+	name, text, found := strings.Cut(string(id), startSeparator)
 	if !found {
 		return string(id), 0
 	}
-	born, err := strconv.ParseInt(text, 10, 64)
+	started, err := strconv.ParseInt(text, 10, 64)
 	if err != nil {
 		return string(id), 0
 	}
-	return name, born
+	return name, started
 }
 
-// Name returns the worker's name, which its lives share.
+// Name returns the worker's name, which all its incarnations share.
 func (id WorkerID) Name() string {
 	name, _ := id.Life()
 	return name
 }
 
-// Ref is where a life of a worker is reached.
+// Ref is the id and address of an incarnation of a worker.
 type Ref struct {
 	ID      WorkerID `cbor:"1,keyasint"`
 	Address string   `cbor:"2,keyasint"`
 }
 
-// Worker is a worker as it reports itself.
+// Worker is a worker as it registered itself.
 type Worker struct {
 	Ref
 	Service  string
@@ -70,35 +71,37 @@
 	Draining bool
 }
 
-// Errors of calls. Test with errors.Is.
+// Errors of calls. Test with errors.Is. A daemon that relays orders sends their texts to
+// the leader.
 var (
 	ErrNotRun  = errors.New("runner: the worker did nothing")
 	ErrUnknown = errors.New("runner: no answer, the worker may have acted")
-	// ErrFenced: a higher epoch has called the worker. Matches ErrNotRun.
+	// ErrFenced means that the worker was called with a higher epoch. Matches ErrNotRun.
 	ErrFenced = notRun("a higher epoch has called the worker")
-	// ErrGone: the address belongs to another life of the worker; this one has
-	// ended, with everything that ran on it. Matches ErrNotRun.
+	// ErrGone means that the address belongs to another incarnation of the worker;
+	// this one has ended, and so have all its runs. Matches ErrNotRun.
 	ErrGone = notRun("the worker's life has ended")
-	// ErrOld: the run, or a higher one, was stopped or has ended there.
+	// ErrOld means that the run, or a higher one of the task, was stopped or has ended
+	// on the worker.
 	ErrOld = notRun("the run is not higher than one that ended there")
-	// ErrLate: the lease that the start brought had already lapsed.
+	// ErrLate means that the lease in the start order had expired on arrival.
 	ErrLate = notRun("the lease had lapsed at arrival")
-	// ErrNoRoom: the worker guards its capacity and has none left.
+	// ErrNoRoom means that the worker enforces its capacity and has too little left.
 	ErrNoRoom = notRun("no room")
-	// ErrTicket: the ticket is missing, not of this step, or has expired.
+	// ErrTicket means that the ticket is missing, has expired or is of another step.
 	ErrTicket = notRun("ticket not valid")
-	// ErrUnhealthy: the worker takes no orders now.
+	// ErrUnhealthy means that the worker accepts no orders now.
 	ErrUnhealthy = notRun("the worker is not healthy")
-	// ErrNoConnection: the worker could not be connected to.
+	// ErrNoConnection means that no connection to the worker could be made.
 	ErrNoConnection = notRun("no connection")
-	// ErrBadOrder: the worker does not accept the order's form.
+	// ErrBadOrder means that the worker rejected the order as malformed.
 	ErrBadOrder = notRun("the worker does not accept the order")
 )
 
-// OtherLife is the error of a renewal that another life under the worker's name has
-// answered: it has been renewed, and said what it holds. Matches ErrGone.
+// OtherLife is the error of a renewal that another incarnation under the worker's name
+// has answered: its lease was renewed, and Report is its answer. Matches ErrGone.
 type OtherLife struct {
-	ID     WorkerID // that answered
+	ID     WorkerID // the incarnation that answered
 	Report Report
 }
 
@@ -107,7 +110,7 @@
 	return fmt.Sprintf("runner: %s answers, with %d runs and %d ends", o.ID, len(o.Report.Running), len(o.Report.Ended))
 }
 
-// Is makes it match ErrGone, and what that matches.
+// Is makes it match ErrGone and the errors that ErrGone matches.
 func (o *OtherLife) Is(target error) bool { return target == ErrGone || errors.Is(ErrGone, target) }
 
 type notRunError struct{ text string }
@@ -124,45 +127,46 @@
 type Start struct {
 	Task       work.TaskID
 	Run        uint64
-	Spec       string // "" may stand for one that is to be asked for at Home
-	Home       string // the daemon that keeps the job's spec; "" for none
+	Spec       string // "" if it is to be fetched from Home
+	Home       string // the daemon that accepted the job and has its spec; "" for none
 	Checkpoint string // "" for none
 	Ticket     string // "" for none
 	Epoch      uint64
-	// Until is when the worker's lease lapses unless it is renewed, on the
-	// worker's clock.
+	// Until is when the worker's lease expires unless renewed, on the worker's
+	// clock.
 	Until time.Duration
 }
 
-// Renewal renews a worker's lease, acknowledges ends and asks what runs there.
+// Renewal renews a worker's lease, acknowledges completions and requests a Report.
 type Renewal struct {
 	Epoch uint64
 	Until time.Duration // on the worker's clock; 0 renews nothing
-	// Acknowledge lets the worker forget the ends up to this number.
+	// Acknowledge lets the worker drop the completions up to this number.
 	Acknowledge int64
-	// Wait lets the answer wait for an end that is not acknowledged.
+	// Wait is how long the worker may delay its answer until there is a completion
+	// that is not acknowledged.
 	Wait time.Duration
 }
 
-// How tells how a run ended.
+// How is the way in which a run ended.
 type How uint8
 
-// Ends of runs.
+// Ways in which runs end.
 const (
 	Done    How = iota
 	Failed      // by its own fault or the worker's
-	Stopped     // on order
-	Lapsed      // the lease lapsed
+	Stopped     // by an order
+	Lapsed      // the worker's lease expired
 	Broken      // another member of the gang ended
 	Alone       // the other members of the gang did not start in time
 )
 
-// String returns the end's name.
+// String returns the name used in logs and reports.
 func (h How) String() string {
 	return [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
 
-// Live is one run that a worker holds.
+// Live is a run in progress on a worker.
 type Live struct {
 	Task       work.TaskID
 	Run        uint64
@@ -170,9 +174,9 @@
 	Percent    float64
 }
 
-// End is one run that has ended on a worker.
+// End is the completion report of a run on a worker.
 type End struct {
-	Number     int64 // rising in each life of a worker, from 1 on
+	Number     int64 // increasing from 1 in each incarnation of a worker
 	Task       work.TaskID
 	Run        uint64
 	How        How
@@ -186,19 +190,19 @@
 	Ended   []End
 }
 
-// MaxEnds is how many ends a report holds at most.
+// MaxEnds is the largest number of completions in one Report.
 const MaxEnds = 500
 
 // Runner calls workers.
 type Runner interface {
-	// Start returns nil when the run is there. A later life under the same name may
-	// carry the order out.
+	// Start returns nil if the run is on the worker. A later incarnation under the same
+	// name may carry out the order.
 	Start(ctx context.Context, to Ref, s Start) (clock time.Duration, err error)
-	// Stop returns nil when the run is being stopped, has ended, or will be
-	// refused should it still arrive.
+	// Stop returns nil if the run is being stopped, has ended, or will be
+	// refused if its start order arrives later.
 	Stop(ctx context.Context, to Ref, task work.TaskID, run, epoch uint64) error
-	// Renew returns what the worker holds. The error is an *OtherLife if another life
-	// under its name has answered.
+	// Renew returns the runs and completions of the worker. The error is an *OtherLife
+	// if another incarnation under its name has answered.
 	Renew(ctx context.Context, to Ref, r Renewal) (Report, error)
 }
 
@@ -211,8 +215,8 @@
 // ErrBusy is returned by an Adviser that has too many calls waiting.
 var ErrBusy = errors.New("runner: the advice service is busy")
 
-// Adviser knows which workers may run a step. Calls of one daemon are answered
-// one after the other.
+// Adviser calls the advice service, which says which workers may run a step. The
+// service answers the calls of one daemon one at a time.
 type Adviser interface {
 	Advise(ctx context.Context, step string, workers []WorkerID) (good []Ticket, err error)
 }
--- a/connection/store/breaker.go
+++ b/connection/store/breaker.go
@@ -11,31 +11,32 @@
 )
 
 const (
-	// breakerThreshold is how many calls must fail in a row to open.
+	// breakerThreshold is how many consecutive calls must fail for the breaker to
+	// open.
 	breakerThreshold = 3
 	// firstProbe and lastProbe bound the time between two probes in an outage.
-	// The last one bounds how late a daemon learns that the store is back.
+	// lastProbe also bounds the delay until the end of an outage is noticed.
 	firstProbe = 250 * time.Millisecond
 	lastProbe  = 2 * time.Second
 )
 
-// callResult is what one call says about the store.
+// callResult is what the breaker concludes from a call.
 type callResult int
 
 const (
-	callAnswered  callResult = iota // the store answered, if only to refuse
+	callAnswered  callResult = iota // the store answered, possibly with a refusal
 	callFailed                      // no answer
-	callAbandoned                   // the caller gave up first: says nothing
+	callAbandoned                   // the caller gave up first; ignored
 )
 
-// ticket names the breaker's state when a call began.
+// ticket records whether a call is the breaker's probe.
 type ticket struct{ probe bool }
 
-// breaker refuses calls during an outage. What goes wrong without it: every
-// call of every daemon waits for its timeout, callers pile up behind them, and
-// the moment the store is back all of them fall on it at once. Closed it lets
-// all calls pass; open none; after a jittered interval one call probes, and
-// only its answer closes the breaker again.
+// breaker is a circuit breaker that refuses calls during an outage. Without it
+// every call of every daemon would wait for its timeout, callers would queue up,
+// and all of them would load the store at once when it recovers. A closed breaker
+// passes all calls, an open one none, except for one probe after each jittered
+// interval; only an answer closes the breaker again.
 type breaker struct {
 	mu       sync.Mutex
 	log      zerolog.Logger
@@ -52,19 +53,19 @@
 	return &breaker{log: log, interval: sleep.NewBackoff(firstProbe, lastProbe)}
 }
 
-// refuses tells whether enter would refuse now.
+// refuses reports whether enter would refuse a call now.
 func (b *breaker) refuses() bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.waiting()
 }
 
-// waiting tells that no call may pass yet.
+// waiting reports whether the breaker is open and no probe is due.
 func (b *breaker) waiting() bool {
 	return b.open && (b.probing || time.Now().Before(b.next))
 }
 
-// enter asks to make a call; each ticket must be given back to leave.
+// enter asks for permission to make a call; each ticket must be passed to leave.
 func (b *breaker) enter() (ticket, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -99,7 +100,7 @@
 		return
 	}
 	b.open = false
-	b.log.Info().Dur("outage", time.Since(b.since)).Msg("store is back")
+	b.log.Info().Dur("outage", time.Since(b.since)).Msg("store answers again")
 }
 
 func (b *breaker) failed(t ticket) {
--- a/connection/store/budget.go
+++ b/connection/store/budget.go
@@ -10,16 +10,16 @@
 	"golang.org/x/time/rate"
 )
 
-// Budget is the number of calls per second that all daemons of the cell
-// together may make. It stays below what the service takes, so that operators'
-// tools have room.
+// Budget is the number of calls per second that all daemons of the cell together
+// may make. It is below the limits of the service to leave some for operators'
+// tools.
 type Budget struct {
 	Writes float64
 	Reads  float64
 }
 
-// Defaults of Budget, for a service that takes several hundred writes and about
-// two thousand reads a second.
+// Defaults of Budget, for a service that sustains several hundred writes and about
+// two thousand reads per second.
 const (
 	DefaultWritesPerSecond = 300
 	DefaultReadsPerSecond  = 1600
@@ -38,8 +38,8 @@
 	return b.Reads
 }
 
-// roleShares are the parts of the budget that belong to one role alone. What
-// they leave is shared by all roles, by priority.
+// roleShares are the parts of the budget reserved for one role each. The rest is
+// shared by all roles, by priority.
 var roleShares = [roleCount]float64{
 	RoleClaims:   0.14,
 	RoleVersions: 0.10,
@@ -54,33 +54,33 @@
 	// spareReserve is the part of the shared bucket that each step down in
 	// priority must leave to the roles above it.
 	spareReserve = 0.2
-	// burstSeconds is how many seconds of unused calls a bucket keeps.
+	// burstSeconds is the size of a bucket, in seconds at its rate.
 	burstSeconds = 2
 	// minBurst lets a daemon of a large fleet take over several resources at
 	// once after having been idle.
 	minBurst = 4
 )
 
-// limiter holds a daemon to its part of the cell's budget.
+// limiter keeps a daemon within its part of the cell's budget.
 //
-// The part is a guess about the service, which may take less than was
-// configured. What goes wrong then: every daemon goes on at its rate, the
-// service refuses the excess blindly, claims among it. So each refusal makes
-// the limiter slower, but for the own share of claims, until refusals end.
+// The service may sustain less than the configured budget. Daemons that kept their
+// rate would then have calls refused regardless of their role, claims included. So
+// the limiter lowers its rates after each refusal, except the reserved share of
+// claims, and raises them again when refusals stop.
 type limiter struct {
 	budget Budget
 
-	mu    sync.Mutex // orders the test and the take of the spare bucket
-	fleet int
-	pace  [classCount]pace
-	own   [classCount][roleCount]*rate.Limiter
-	spare [classCount]*rate.Limiter
+	mu       sync.Mutex // also makes the test and the take of the spare bucket atomic
+	fleet    int
+	adaptive [classCount]adaptiveRate
+	own      [classCount][roleCount]*rate.Limiter
+	spare    [classCount]*rate.Limiter
 }
 
 func newLimiter(b Budget, fleet int) *limiter {
 	l := &limiter{budget: b, fleet: max(1, fleet)}
 	for class := range classCount {
-		l.pace[class].factor = 1
+		l.adaptive[class].factor = 1
 		total := l.share(callClass(class))
 		l.spare[class] = rate.NewLimiter(rate.Limit(total*spareShare), burst(total*spareShare))
 		for role, part := range roleShares {
@@ -90,7 +90,7 @@
 	return l
 }
 
-// share is this daemon's part of the cell's budget, in calls per second.
+// share returns this daemon's part of the cell's budget, in calls per second.
 func (l *limiter) share(class callClass) float64 { return l.budget.of(class) / float64(l.fleet) }
 
 // setFleetSize divides the cell's budget by the number of daemons.
@@ -106,14 +106,14 @@
 // apply sets the rates of a class's buckets.
 func (l *limiter) apply(class callClass) {
 	total := l.share(class)
-	slowed := total * l.pace[class].factor
-	adjust(l.spare[class], slowed*spareShare)
+	reduced := total * l.adaptive[class].factor
+	adjust(l.spare[class], reduced*spareShare)
 	for role := range roleCount {
 		if Role(role) == RoleClaims {
 			adjust(l.own[class][role], total*roleShares[role])
 			continue
 		}
-		adjust(l.own[class][role], slowed*roleShares[role])
+		adjust(l.own[class][role], reduced*roleShares[role])
 	}
 }
 
@@ -124,26 +124,26 @@
 
 func burst(perSecond float64) int { return max(minBurst, int(perSecond*burstSeconds)) }
 
-// slowDown is told that the service refused a call as one too many.
+// slowDown lowers the rates after the service refused a call for its rate limit.
 func (l *limiter) slowDown(class callClass) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pace[class].refused(time.Now()) {
+	if l.adaptive[class].decrease(time.Now()) {
 		l.apply(class)
 	}
 }
 
-// recover brings back some of the rate that refusals took.
+// recover raises rates that refusals have lowered.
 func (l *limiter) recover(class callClass) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.pace[class].recovered(time.Now()) {
+	if l.adaptive[class].increase(time.Now()) {
 		l.apply(class)
 	}
 }
 
-// wait takes a call of the role's own share, else of the spare, else waits for
-// its own. It fails with ErrOverBudget when the deadline of ctx comes first.
+// wait takes a token of the role's own share, or else of the spare, or else waits
+// for one of its own. It fails with ErrOverBudget if the deadline of ctx is earlier.
 func (l *limiter) wait(ctx context.Context, role Role, class callClass) error {
 	l.recover(class)
 	own := l.own[class][role]
@@ -156,7 +156,7 @@
 	return nil
 }
 
-// takeSpare takes a shared call if enough stay for the roles above.
+// takeSpare takes a shared token if enough are left for the roles of higher priority.
 func (l *limiter) takeSpare(role Role, class callClass) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/connection/store/client.go
+++ b/connection/store/client.go
@@ -24,19 +24,19 @@
 type Options struct {
 	// Budget is the call budget of the whole cell.
 	Budget Budget
-	// FleetSize is the number of daemons that share Budget at first.
+	// FleetSize is the initial number of daemons that share Budget.
 	FleetSize int
 	// CallTimeout bounds one call; a watch gets it beyond its wait.
 	CallTimeout time.Duration
 	// OperationTimeout bounds an operation of several calls, such as the
-	// resolution of a lost answer, whose context has no deadline.
+	// resolution of a lost response, whose context has no deadline.
 	OperationTimeout time.Duration
 	// WatchWait is how long one watch call waits for events.
 	WatchWait time.Duration
-	// WatchFloor is the least time between the starts of two watch calls of one
+	// WatchFloor is the minimum time between the starts of two watch calls of one
 	// Follow, so that a busy prefix does not cost a call per event.
 	WatchFloor time.Duration
-	// Log receives outages and their ends. The zero Logger discards.
+	// Log receives the start and the end of outages. The zero Logger discards.
 	Log zerolog.Logger
 }
 
@@ -50,9 +50,9 @@
 	return o
 }
 
-// Client makes the calls of one daemon to the store: within the call budget,
-// with timeouts, and refused at once while the store is known to be down. It is
-// safe for concurrent use.
+// Client makes the calls of one daemon to the store, with timeouts and within the
+// call budget. During a known outage calls are refused at once. It is safe for
+// concurrent use.
 type Client struct {
 	store   Store
 	options Options
@@ -79,19 +79,19 @@
 	return c
 }
 
-// Role returns the handle whose calls count for r.
+// Role returns the handle whose calls count against the budget of r.
 func (c *Client) Role(r Role) *Handle { return c.handles[r] }
 
-// SetFleetSize tells how many daemons share the cell's budget now.
+// SetFleetSize sets the number of daemons that share the cell's budget.
 func (c *Client) SetFleetSize(daemons int) { c.budget.setFleetSize(daemons) }
 
-// Available reports whether the store answered lately: false means an outage.
+// Available reports whether the store has answered recently; false means an outage.
 func (c *Client) Available() bool { return c.breaker.isClosed() }
 
 // Vars returns the client's metrics for publication.
 func (c *Client) Vars() *expvar.Map { return c.metrics.vars }
 
-// callClass tells the budget that a call counts against.
+// callClass says which of the two budgets a call counts against.
 type callClass int
 
 const (
@@ -100,7 +100,7 @@
 	classCount int = iota
 )
 
-// call makes one call of the store for a handle. The error is one of the
+// call makes one call to the store for a handle. The error matches one of the
 // package's; ErrUnavailable and ErrOverBudget mean that nothing took effect.
 func (c *Client) call(ctx context.Context, h *Handle, class callClass, timeout time.Duration, f func(context.Context) error) error {
 	m := c.metrics.of(h.role)
@@ -123,12 +123,13 @@
 	begun := time.Now()
 	err := classify(f(callCtx), class)
 	c.breaker.leave(ticket, resultOf(ctx, err, time.Since(begun), c.options.CallTimeout))
-	c.note(m, class, err)
+	c.countError(m, class, err)
 	return err
 }
 
-// note counts the error of a call that was made.
-func (c *Client) note(m *roleMetrics, class callClass, err error) {
+// countError counts the failure of a call, and lowers the call rate if the service
+// refused it for its rate limit.
+func (c *Client) countError(m *roleMetrics, class callClass, err error) {
 	switch {
 	case errors.Is(err, ErrUnknownOutcome):
 		m.unknown.Add(1)
@@ -140,14 +141,14 @@
 	}
 }
 
-// knownErrors are those that tell what became of a call.
+// knownErrors are the errors that define the outcome of a call.
 var knownErrors = []error{
 	ErrNotFound, ErrConflict, ErrUnknownOutcome, ErrUnavailable, ErrTooLarge,
 	ErrLeaseLost, ErrOverBudget, ErrCompacted, errInvalid,
 }
 
-// classify gives an error that the adapter left unexplained the careful
-// meaning: a write may have taken effect.
+// classify maps an error that the adapter did not classify to the safe one: the
+// write may have taken effect.
 func classify(err error, class callClass) error {
 	if err == nil {
 		return nil
@@ -163,11 +164,12 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// slowShare is the part of the call timeout after which an abandoned call
-// counts as the store's failure rather than as its caller's haste.
+// slowShare is the divisor of the call timeout after which a call whose caller's
+// deadline has passed counts as a failure of the store. Before that the deadline
+// was too short to say anything about the store.
 const slowShare = 4
 
-// resultOf tells the breaker what a call says about the store.
+// resultOf returns what the breaker is to conclude from a call.
 func resultOf(ctx context.Context, err error, took, timeout time.Duration) callResult {
 	if !errors.Is(err, ErrUnavailable) && !errors.Is(err, ErrUnknownOutcome) {
 		return callAnswered
--- a/connection/store/envelope.go
+++ b/connection/store/envelope.go
@@ -8,8 +8,8 @@
 	"github.com/google/uuid"
 )
 
-// envelopeOverhead is room for the envelope around a value, in bytes: an array
-// head, a 16-byte id with its head and the head of the data.
+// envelopeOverhead is an upper bound on the size of the envelope around a value,
+// in bytes: an array head, a 16-byte id with its head and the head of the data.
 const envelopeOverhead = 32
 
 // MaxDataSize is the largest data that a Handle writes, in bytes.
@@ -18,8 +18,8 @@
 // ErrNotEnveloped means that a value was not written by a Handle.
 var ErrNotEnveloped = errors.New("store: value without a write id")
 
-// writeID names one write. A writer whose answer was lost finds it in what it
-// reads back and so knows the write for its own.
+// writeID identifies one write. After a lost response the writer reads the key
+// back and recognizes its own write by the id.
 type writeID [16]byte
 
 func newWriteID() writeID { return writeID(uuid.New()) }
--- a/connection/store/follow.go
+++ b/connection/store/follow.go
@@ -23,15 +23,15 @@
 	pause  *backoff.ExponentialBackOff
 	rev    Revision
 	listed bool
-	begun  time.Time // of the last watch call
+	begun  time.Time // start of the last watch call
 }
 
 // Follow lists prefix and then watches it until ctx ends, whose error it
 // returns. It calls f from one goroutine: with reset set, items is the whole
-// content; else items and deleted are changes since the last call, one per key,
-// in key order of their last change. During an outage f is not called: what was
-// seen last stays valid. After one, or when the position is no longer kept,
-// Follow resumes or lists again.
+// content; otherwise items and deleted are the changes since the last call, one
+// per key, in the order of the keys' last changes. f is not called during an
+// outage, so that the last content stays in use. After an outage Follow resumes
+// the watch, or lists again if the watch revision has been compacted.
 func (h *Handle) Follow(ctx context.Context, prefix string, f func(items []Item, deleted []string, reset bool)) error {
 	pause := sleep.NewBackoff(firstFollowRetry, lastFollowRetry)
 	fo := &follower{handle: h, prefix: prefix, notify: f, pause: pause}
@@ -76,7 +76,7 @@
 	f.begun = time.Now()
 	wait := o.WatchWait
 	if !f.handle.client.Available() {
-		// This call may be the breaker's probe, which must answer at once.
+		// This call may be the breaker's probe, which must be answered at once.
 		wait = 0
 	}
 	var events []Event
--- a/connection/store/handle.go
+++ b/connection/store/handle.go
@@ -10,7 +10,7 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Item is one key with its data, the envelope of the write id removed.
+// Item is one key with its data, without the envelope that holds the write id.
 type Item struct {
 	Key      string
 	Data     []byte
@@ -21,12 +21,13 @@
 type Handle struct {
 	client *Client
 	role   Role
-	// insistent handles make their calls during a known outage too.
+	// insistent handles also make calls during a known outage.
 	insistent bool
 }
 
 const (
-	// quickAttempts is how often a call that certainly had no effect is made.
+	// quickAttempts is the number of attempts of a call whose failed attempts
+	// certainly had no effect.
 	quickAttempts = 3
 	firstRetry    = 20 * time.Millisecond
 	lastRetry     = time.Second
@@ -36,9 +37,9 @@
 	return sleep.NewBackoff(firstRetry, lastRetry)
 }
 
-// Insistent returns a handle of the same role whose calls are made during a
-// known outage too. It is for a few calls that somebody waits for: between two
-// probes of the breaker the store may have been back for seconds.
+// Insistent returns a handle of the same role whose calls are also made during a
+// known outage. It is for the few calls that an operator waits for: the store may
+// have recovered seconds before the breaker's next probe.
 func (h *Handle) Insistent() *Handle {
 	return &Handle{client: h.client, role: h.role, insistent: true}
 }
@@ -88,7 +89,8 @@
 	return items, rev, nil
 }
 
-// open returns the item of an entry; one foreign value must not hide the rest.
+// open returns the item of an entry. A value that cannot be decoded is skipped, so
+// that it does not hide the others.
 func (h *Handle) open(e Entry) (Item, bool) {
 	item, _, err := itemOf(e)
 	if err != nil {
@@ -99,7 +101,7 @@
 	return item, true
 }
 
-// retry makes a read a few times if it fails without an answer.
+// retry makes a read, up to quickAttempts times if it fails without an answer.
 func (h *Handle) retry(ctx context.Context, f func(context.Context) error) error {
 	pause := newRetryBackoff()
 	for attempt := 1; ; attempt++ {
@@ -113,8 +115,8 @@
 	}
 }
 
-// GrantLease opens a lease that lapses ttl after its last renewal. A lease
-// whose grant was lost lapses by itself.
+// GrantLease opens a lease that expires ttl after its last renewal. A lease
+// whose grant response was lost expires by itself.
 func (h *Handle) GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error) {
 	var id LeaseID
 	err := h.write(ctx, func(ctx context.Context) error {
@@ -128,7 +130,7 @@
 	return id, nil
 }
 
-// RenewLease starts the lease's time to live anew. The caller counts validity
+// RenewLease restarts the lease's time to live. Callers must count the validity
 // from before the call. It fails with ErrLeaseLost, ErrUnavailable,
 // ErrOverBudget or ErrUnknownOutcome.
 func (h *Handle) RenewLease(ctx context.Context, id LeaseID) error {
@@ -148,7 +150,7 @@
 	return nil
 }
 
-// write makes one call that writes.
+// write makes one call against the write budget.
 func (h *Handle) write(ctx context.Context, f func(context.Context) error) error {
 	return h.client.call(ctx, h, writeCall, h.client.options.CallTimeout, f)
 }
--- a/connection/store/http.go
+++ b/connection/store/http.go
@@ -27,11 +27,10 @@
 
 // HTTP is the Store over the HTTP+JSON protocol of package wire.
 //
-// It sends each call at most once. What goes wrong otherwise: a transport that
-// sends a write again over a new connection, because the kept-alive one broke,
-// meets its own first write and reports a conflict for a write that took
-// effect. Calls are POSTs whose body cannot be rewound, which net/http never
-// replays.
+// It sends each call at most once. A transport that repeats a write over a new
+// connection after the kept-alive one broke would conflict with its own first
+// write and report a conflict for a write that took effect. So calls are POSTs
+// whose body cannot be rewound, which net/http never repeats.
 type HTTP struct {
 	base   string
 	client *http.Client
@@ -39,8 +38,8 @@
 
 var _ Store = (*HTTP)(nil)
 
-// NewHTTP returns the Store at baseURL, such as "http://127.0.0.1:2379". A nil
-// client means one of its own. Redirects are not followed.
+// NewHTTP returns the Store at baseURL, such as "http://127.0.0.1:2379". If client
+// is nil, it uses one of its own. Redirects are not followed.
 func NewHTTP(baseURL string, client *http.Client) *HTTP {
 	if client == nil {
 		client = &http.Client{Transport: newTransport()}
@@ -143,8 +142,8 @@
 	return h.call(ctx, path, req, ErrUnknownOutcome)
 }
 
-// call makes one call. lost is the error when the request may have reached the
-// service and no answer of the service came back.
+// call makes one call. lost is the error to return if the request may have reached
+// the service but no answer of the service was received.
 func (h *HTTP) call(ctx context.Context, path string, req wire.Request, lost error) (wire.Reply, error) {
 	body, err := json.Marshal(req)
 	if err != nil {
--- a/connection/store/lease.go
+++ b/connection/store/lease.go
@@ -14,23 +14,24 @@
 const (
 	// renewalsPerTTL is how many renewals are tried in one time to live.
 	renewalsPerTTL = 3
-	// renewalJitter is the part of the interval that is drawn: daemons that
-	// started together would otherwise renew together for ever.
+	// renewalJitter is the random part of the interval. Without it daemons that
+	// started together would renew at the same time for ever.
 	renewalJitter = 0.2
 )
 
-// Lease is a lease of the store that stays safe while its holder is paused.
+// Lease is a lease of the store whose remaining validity is never overestimated,
+// also after its holder was paused.
 //
-// What goes wrong otherwise: the holder sends a renewal, is paused, wakes up
-// and counts the time to live from the answer, while the store counts from the
-// renewal's arrival; or it counts by a clock that stood still while the VM was
-// suspended. In both cases it believes in a lease that somebody else holds by
-// now. So validity is counted from the beginning of the last successful
-// renewal, by the monotonic or the wall clock, whichever went further.
+// Two errors would let a holder rely on a lease that another daemon has by now:
+// counting the time to live from the arrival of a renewal's response, which may
+// be handled long after the store renewed the lease if the holder is paused in
+// between; and counting by a clock that stands still while the VM is suspended.
+// So validity counts from the beginning of the last successful renewal, by the
+// monotonic or the wall clock, whichever has advanced further.
 //
-// A check of the clock is still no guard by itself: the holder can be paused
-// between the check and what it does next. What must not happen twice is
-// fenced at the place where it happens.
+// Checking Left is not enough to protect an action: the holder can be paused
+// between the check and the action. An action that must not happen twice has to
+// be fenced where it takes effect.
 type Lease struct {
 	handle *Handle
 	id     LeaseID
@@ -41,7 +42,7 @@
 	lost    bool
 }
 
-// OpenLease grants a lease that lapses ttl after its last renewal.
+// OpenLease grants a lease that expires ttl after its last renewal.
 func (h *Handle) OpenLease(ctx context.Context, ttl time.Duration) (*Lease, error) {
 	begun := time.Now()
 	id, err := h.GrantLease(ctx, ttl)
@@ -61,7 +62,7 @@
 	return l.renewed
 }
 
-// Left returns how long the lease is still certain to hold; never negative.
+// Left returns how long the lease is still certainly valid; never negative.
 func (l *Lease) Left() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -71,16 +72,16 @@
 	return max(0, l.ttl-elapsed(l.renewed, time.Now()))
 }
 
-// elapsed returns the time from a to b by the clock that went further: the
-// monotonic one may stand still while a VM is suspended, the wall clock may be
+// elapsed returns the time from a to b by the clock that advanced further: the
+// monotonic clock may stand still while a VM is suspended, the wall clock may be
 // set back.
 func elapsed(a, b time.Time) time.Duration {
 	return max(b.Sub(a), b.Round(0).Sub(a.Round(0)))
 }
 
-// Renew starts the time to live anew. After ErrLeaseLost the lease is over for
-// good. Any other error leaves its validity as it was: a renewal whose answer
-// was lost does not count.
+// Renew restarts the time to live. After ErrLeaseLost the lease has ended and
+// cannot be renewed. Any other error leaves its validity as it was: a renewal
+// whose response was lost does not count.
 func (l *Lease) Renew(ctx context.Context) error {
 	begun := time.Now()
 	err := l.handle.RenewLease(ctx, l.id)
@@ -98,8 +99,8 @@
 	return nil
 }
 
-// Serve renews the lease until ctx ends or the lease is lost: then it returns
-// ErrLeaseLost. In an outage it goes on trying, since the store may have kept
+// Serve renews the lease until ctx ends or the lease is lost, when it returns
+// ErrLeaseLost. During an outage it keeps trying, since the store may still have
 // the lease.
 func (l *Lease) Serve(ctx context.Context) error {
 	pause := newRetryBackoff()
@@ -121,7 +122,7 @@
 	}
 }
 
-// interval draws the time to the next renewal.
+// interval returns the time to the next renewal, with jitter.
 func (l *Lease) interval() time.Duration {
 	longest := l.ttl / renewalsPerTTL
 	return longest - time.Duration(rand.Float64()*renewalJitter*float64(longest))
--- a/connection/store/metrics.go
+++ b/connection/store/metrics.go
@@ -14,14 +14,14 @@
 // roleMetrics are the counters of one role.
 type roleMetrics struct {
 	reads, writes expvar.Int // calls made
-	failed        expvar.Int // no answer, nothing took effect
-	unknown       expvar.Int // answer lost, may have taken effect
-	resolved      expvar.Int // lost answers whose outcome was learnt
-	unresolved    expvar.Int // lost answers reported as ErrUnknownOutcome
-	conflicts     expvar.Int // compare-and-swap lost
-	overBudget    expvar.Int // refused by the own budget
-	throttled     expvar.Int // refused by the service as one too many
-	refused       expvar.Int // refused by the breaker
+	failed        expvar.Int // no answer; nothing took effect
+	unknown       expvar.Int // response lost; may have taken effect
+	resolved      expvar.Int // lost responses whose outcome was determined
+	unresolved    expvar.Int // lost responses reported as ErrUnknownOutcome
+	conflicts     expvar.Int // failed compare-and-swaps
+	overBudget    expvar.Int // refused by this daemon's call budget
+	throttled     expvar.Int // refused by the service's rate limit
+	refused       expvar.Int // refused by the circuit breaker
 	undecodable   expvar.Int // values without envelope
 }
 
@@ -61,7 +61,7 @@
 	r.reads.Add(1)
 }
 
-// revisionMark is the highest revision of the store that was seen.
+// revisionMark is the highest revision of the store that was read.
 type revisionMark struct {
 	mu  sync.Mutex
 	rev Revision
--- a/connection/store/overtaken.go
+++ b/connection/store/overtaken.go
@@ -8,75 +8,75 @@
 	"time"
 )
 
-// ErrOvertaken: a call is taken for lost, since the store has answered one that was sent
-// well after it.
+// ErrOvertaken means that a call is presumed lost, since the store has answered one that
+// was sent well after it.
 var ErrOvertaken = errors.New("store: no answer, while a later call was answered")
 
-// exchange is a call that is under way.
-type exchange struct {
-	sent   atomic.Pointer[time.Time] // nil once its answer has begun
-	waits  bool                      // the store answers when there is news
-	giveUp context.CancelCauseFunc
+// pendingCall is a call in flight.
+type pendingCall struct {
+	sent     atomic.Pointer[time.Time] // nil once the response has started
+	longPoll bool                      // the store answers when there are changes
+	cancel   context.CancelCauseFunc
 }
 
-type exchangeKey struct{}
+type pendingCallKey struct{}
 
-// Sent is to be told by adapters when they send a call, with the call's context. A reading
-// of several pages sends several.
+// Sent is called by adapters when they send a request, with the call's context. A read
+// of several pages sends several requests.
 func Sent(ctx context.Context) {
-	if x, ok := ctx.Value(exchangeKey{}).(*exchange); ok {
+	if c, ok := ctx.Value(pendingCallKey{}).(*pendingCall); ok {
 		now := time.Now()
-		x.sent.Store(&now)
+		c.sent.Store(&now)
 	}
 }
 
-// Begun is to be told by adapters when the first byte of the answer is there.
+// Begun is called by adapters when the first byte of a response has arrived.
 func Begun(ctx context.Context) {
-	if x, ok := ctx.Value(exchangeKey{}).(*exchange); ok {
-		x.sent.Store(nil)
+	if c, ok := ctx.Value(pendingCallKey{}).(*pendingCall); ok {
+		c.sent.Store(nil)
 	}
 }
 
-// outageMin is for how long no call must have been answered before the next answer ends an
-// outage: a daemon renews its lease several times in it.
-const outageMin = time.Second
+// minOutage is the time without an answered call from which on the next answer counts as
+// the end of an outage. A daemon renews its lease several times in it.
+const minOutage = time.Second
 
-// Read makes a reading that may take long once its answer has begun, and gives it up with
-// ErrOvertaken when it was lost: no answer has begun, and the store has answered a call
-// that was sent well after it.
+// Read makes a read that may take long once its response has started. It cancels the read
+// with ErrOvertaken if it is presumed lost: no response has started, and the store has
+// answered a call that was sent well after it.
 //
-// Failure prevented: a reading that is sent while the store is silent is never answered. A
-// bound that leaves time for a large answer over a small link then keeps a daemon for seconds
-// to what it knew before, while its other calls are answered again.
+// A read that is sent while the store is unresponsive is never answered. Its timeout allows
+// for a large response over a slow link, so without Read the daemon would work with old data
+// for seconds while its other calls are answered again.
 func (p *Patience) Read(ctx context.Context, f func(ctx context.Context) error) error {
 	return p.guard(ctx, false, f)
 }
 
-// Watch makes a call that the store may answer late, and gives it up with ErrOvertaken when
-// an outage has ended since it was sent: what it waits for may have been lost in it.
+// Watch makes a long poll and cancels it with ErrOvertaken if an outage has ended since it
+// was sent: the request or its response may have been lost in the outage.
 func (p *Patience) Watch(ctx context.Context, f func(ctx context.Context) error) error {
 	return p.guard(ctx, true, f)
 }
 
-func (p *Patience) guard(ctx context.Context, waits bool, f func(ctx context.Context) error) error {
+func (p *Patience) guard(ctx context.Context, longPoll bool, f func(ctx context.Context) error) error {
 	if p == nil {
 		return f(ctx)
 	}
-	ctx, giveUp := context.WithCancelCause(ctx)
-	defer giveUp(nil)
-	x := &exchange{waits: waits, giveUp: giveUp}
-	ctx = context.WithValue(ctx, exchangeKey{}, x)
+	ctx, cancel := context.WithCancelCause(ctx)
+	defer cancel(nil)
+	c := &pendingCall{longPoll: longPoll, cancel: cancel}
+	ctx = context.WithValue(ctx, pendingCallKey{}, c)
 	Sent(ctx)
 	p.mu.Lock()
 	if p.open == nil {
-		p.open = map[*exchange]struct{}{}
+		p.open = map[*pendingCall]struct{}{}
 	}
-	p.open[x] = struct{}{}
+	p.open[c] = struct{}{}
 	p.mu.Unlock()
 	defer func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		delete(p.open, x)
+		delete(p.open, c)
 	}()
 	err := f(ctx)
 	if err != nil && errors.Is(context.Cause(ctx), ErrOvertaken) {
@@ -85,20 +85,20 @@
 	return err
 }
 
-// overtake gives up what a call that was sent at a time, and has been answered, shows to be
-// lost; outage tells that it is the first to be answered for outageMin. The lead asked of it
-// before a reading is lost is what a lost call is given elsewhere: a listing may take the
-// store several times as long as another call.
+// overtake cancels the calls in flight that are presumed lost, given an answered call that
+// was sent at the given time; outage says that it is the first answered call for minOutage.
+// A read is presumed lost only if it was sent earlier by more than the usual timeout, since
+// a list may take the store several times as long as another call.
 func (p *Patience) overtake(sent time.Time, outage bool) {
-	lead := max(p.average*patienceFactor, p.Min)
-	for x := range p.open {
-		at := x.sent.Load()
+	minLead := max(p.average*timeoutFactor, p.Min)
+	for c := range p.open {
+		at := c.sent.Load()
 		if at == nil {
 			continue
 		}
-		ahead := sent.Sub(*at)
-		if (!x.waits && ahead > lead) || (x.waits && outage && ahead > 0) {
-			x.giveUp(ErrOvertaken)
+		lead := sent.Sub(*at)
+		if (!c.longPoll && lead > minLead) || (c.longPoll && outage && lead > 0) {
+			c.cancel(ErrOvertaken)
 		}
 	}
 }
--- a/connection/store/patience.go
+++ b/connection/store/patience.go
@@ -7,105 +7,101 @@
 	"time"
 )
 
-// Patience bounds how long one call may go without an answer, from how long
-// recent calls took.
+// Patience is an adaptive call timeout: it is derived from the duration of recent
+// calls. It also records whether the store answers or refuses calls.
 //
-// What goes wrong without it: an answer that was lost, or a connection that
-// went silent, is noticed only by its timeout. A fixed timeout long enough for
-// a slow store makes every lost answer cost that long; one fit for a quick
-// store never succeeds with a slow one.
+// A lost response or a dead connection is noticed only by the timeout. With a
+// fixed timeout that suits a slow store every lost response costs that long; with
+// one that suits a fast store no call to a slow one ever succeeds.
 type Patience struct {
 	// Min and Max bound the timeout.
 	Min, Max time.Duration
 
-	mu      sync.Mutex
-	average time.Duration // of answered calls, decaying
-	misses  int           // calls in a row without an answer
-	failing bool          // the last call failed
-	// refusals counts calls in a row that were turned away, and last is when one
-	// was answered.
-	refusals  int
-	last      time.Time
-	refusedAt time.Time              // when a call was last turned away
-	back      chan struct{}          // closed by the next answer; nil if nobody waits
-	open      map[*exchange]struct{} // readings and watches under way
+	mu       sync.Mutex
+	average  time.Duration // duration of answered calls, exponentially decaying
+	timeouts int           // consecutive calls without an answer
+	failing  bool          // the last call failed
+	// refusals counts consecutive refused calls.
+	refusals   int
+	answeredAt time.Time                 // of the last answered call
+	refusedAt  time.Time                 // of the last refused call
+	recovered  chan struct{}             // closed by the next answer; nil if no goroutine waits
+	open       map[*pendingCall]struct{} // reads and watches in flight
 }
 
-// Weights of Patience: the timeout is patienceFactor times the decaying average
-// of the answers' times, which a new answer enters with 1/patienceDecay.
+// Parameters of Patience: the timeout is timeoutFactor times the decaying average
+// duration of answered calls, in which a new call has the weight 1/averageDecay.
 const (
-	patienceFactor  = 8
-	patienceDecay   = 4
-	maxPatienceMiss = 6 // doublings, so that the shift stays small
+	timeoutFactor       = 8
+	averageDecay        = 4
+	maxTimeoutDoublings = 6 // bounds the shift
 )
 
-// Timeout returns the bound for the next call.
+// Timeout returns the timeout of the next call: doubled for each consecutive call
+// without an answer, between Min and Max.
 func (p *Patience) Timeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	d := max(p.average*patienceFactor, p.Min) << min(p.misses, maxPatienceMiss)
+	d := max(p.average*timeoutFactor, p.Min) << min(p.timeouts, maxTimeoutDoublings)
 	return min(d, p.Max)
 }
 
-// Usual returns how long an answer takes of late; 0 before the first.
+// Usual returns the decaying average duration of answered calls; 0 before the first.
 func (p *Patience) Usual() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.average
 }
 
-// Call makes one call bounded by the timeout and notes how it went, unless it was
-// taken back.
-//
-// What goes wrong if a call that was taken back counts: callers that leave early
-// make the store look as if it had failed, and every hand-in after one of them
-// costs a read more.
+// Call makes one call bounded by Timeout and records its result. A call that the
+// caller cancels is not recorded: it would make the store look failed, and each
+// submission after it would cost an additional read.
 func (p *Patience) Call(ctx context.Context, f func(ctx context.Context) error) error {
 	return p.CallWithin(ctx, 0, f)
 }
 
-// CallWithin is Call with at least a limit: for a caller that does not wait for
-// the answer alone, and learns from one that comes late.
+// CallWithin is Call with a timeout of at least limit, for a caller that does other
+// work meanwhile and can use a late answer.
 func (p *Patience) CallWithin(ctx context.Context, limit time.Duration, f func(ctx context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, max(p.Timeout(), limit))
 	defer cancel()
 	start := time.Now()
 	err := f(bounded)
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		p.note(err, time.Since(start))
+		p.record(err, time.Since(start))
 	}
 	return err
 }
 
-// answered notes a call that was answered after d.
+// answered records a call that was answered after d.
 func (p *Patience) answered(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.overtake(now.Add(-d), p.failing && now.Sub(p.last) >= outageMin)
-	p.misses, p.refusals = 0, 0
+	p.overtake(now.Add(-d), p.failing && now.Sub(p.answeredAt) >= minOutage)
+	p.timeouts, p.refusals = 0, 0
 	p.failing = false
-	p.last = now
-	if p.back != nil {
-		close(p.back)
-		p.back = nil
+	p.answeredAt = now
+	if p.recovered != nil {
+		close(p.recovered)
+		p.recovered = nil
 	}
 	if p.average == 0 {
 		p.average = d
 		return
 	}
-	p.average += (d - p.average) / patienceDecay
+	p.average += (d - p.average) / averageDecay
 }
 
-// missed notes a call without an answer.
-func (p *Patience) missed() {
+// timedOut records a call without an answer.
+func (p *Patience) timedOut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.misses++
+	p.timeouts++
 	p.failing = true
 }
 
-// refused notes a call that the store turned away or that did not reach it.
+// refused records a call that the store refused or that did not reach it.
 func (p *Patience) refused() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -113,68 +109,66 @@
 	p.failing, p.refusedAt = true, time.Now()
 }
 
-// manyRefusals in a row are more than a store sheds that is over its rates.
-const manyRefusals = 3
+// refusingCalls is the number of consecutive refusals that TurnedAway requires: more than
+// a store returns that sheds calls over its rate limits.
+const refusingCalls = 3
 
-// turnedAwayFor is how long the store must have refused every call before a daemon counts
-// as turned away.
-const turnedAwayFor = 300 * time.Millisecond
+// refusingTime is how long the store must have refused every call for TurnedAway to
+// report it.
+const refusingTime = 300 * time.Millisecond
 
 // TurnedAway reports whether the store has refused every call for a while.
 func (p *Patience) TurnedAway() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return p.refusals >= manyRefusals && time.Since(p.last) >= turnedAwayFor
+	return p.refusals >= refusingCalls && time.Since(p.answeredAt) >= refusingTime
 }
 
-// Suspect reports whether the last call failed. A write that is sent then may
-// leave its outcome open; a read is the safe way to learn whether the store is
-// there.
+// Suspect reports whether the last call failed. The outcome of a write that is sent
+// then may stay unknown; a read is the safe way to check that the store is available.
 func (p *Patience) Suspect() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failing
 }
 
-// RefusedWithin reports whether the last call failed, and one was turned away no
-// longer than d ago. Calls without an answer do not count: they take their time,
-// so that waiting for them already spaces the next ones.
+// RefusedWithin reports whether the last call failed and a call was refused within the
+// last d. Calls without an answer do not count: waiting for their timeout already
+// spaces the next calls.
 func (p *Patience) RefusedWithin(d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failing && time.Since(p.refusedAt) < d
 }
 
-// Await returns once a call has been answered since the last one that failed, and
-// after most at the latest.
-//
-// What goes wrong without it: in an outage each of a daemon's followers calls the
-// store ten times a second, and all calls are paid for.
-func (p *Patience) Await(ctx context.Context, most time.Duration) {
+// Await returns when a call has been answered after the last failed one, at the latest
+// after limit. It keeps each of a daemon's followers from calling the store ten times a
+// second during an outage; all calls are billed.
+func (p *Patience) Await(ctx context.Context, limit time.Duration) {
 	p.mu.Lock()
 	if !p.failing {
 		p.mu.Unlock()
 		return
 	}
-	if p.back == nil {
-		p.back = make(chan struct{})
+	if p.recovered == nil {
+		p.recovered = make(chan struct{})
 	}
-	back := p.back
+	recovered := p.recovered
 	p.mu.Unlock()
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
-	case <-back:
+	case <-recovered:
 	case <-timer.C:
 	case <-ctx.Done():
 	}
 }
 
-// note notes how a call went that took d, by its error.
-func (p *Patience) note(err error, d time.Duration) {
+// record records the result of a call that took d, by its error.
+func (p *Patience) record(err error, d time.Duration) {
 	switch {
 	case errors.Is(err, ErrUnknownOutcome), errors.Is(err, ErrUnavailable) && errors.Is(err, context.DeadlineExceeded):
-		p.missed()
+		p.timedOut()
 	case errors.Is(err, ErrUnavailable), errors.Is(err, ErrOverBudget):
 		p.refused()
 	default:
--- a/connection/store/prefixed.go
+++ b/connection/store/prefixed.go
@@ -7,17 +7,19 @@
 	"time"
 )
 
-// Prefixed is a store in which every key begins with a prefix that its user does not
-// see, so that several users of the same names share one store.
+// Prefixed is a view of a store that adds a prefix to every key and removes it from
+// every result, so that several users of the same key names share one store.
 type Prefixed struct {
 	Transactor
 	Prefix string
 }
 
-// outside marks a key that is meant without the prefix; keys hold no such byte.
+// outside marks a key to which no prefix is added; no key of the store contains this
+// byte.
 const outside = "\x00"
 
-// Outside names a key of the store itself for a user of a Prefixed.
+// Outside returns the name by which a user of a Prefixed accesses a key of the
+// underlying store, without the prefix.
 func Outside(key string) string { return outside + key }
 
 func (p Prefixed) in(key string) string {
--- a/connection/store/readbound.go
+++ b/connection/store/readbound.go
@@ -6,23 +6,22 @@
 	"time"
 )
 
-// maxReadDoublings bounds how far a ReadBound grows: eight times its first bound.
+// maxReadDoublings bounds how far the timeout grows: to eight times its first value.
 const maxReadDoublings = 3
 
-// ReadBound bounds the tries of a reading that takes as long as what is read is
-// large. A try that runs out of time doubles the bound of the next one, and one that
-// succeeds resets it.
+// ReadBound is the timeout of attempts of a read whose duration depends on the size of
+// the data. An attempt that times out doubles the timeout of the next one; a successful
+// attempt resets it.
 //
-// What goes wrong with a fixed bound: what is read takes longer than that over a small
-// link, each try is given up when most of it is there, and the reading is begun anew
-// for ever, on a link that is full of it.
+// With a fixed timeout, a read that takes longer over a slow link would be cancelled
+// when most of the data has arrived and start over for ever, saturating the link.
 type ReadBound struct {
 	First time.Duration
 
 	doublings int
 }
 
-// Try makes one try, bounded.
+// Try makes one attempt with the current timeout.
 func (b *ReadBound) Try(ctx context.Context, read func(ctx context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, b.First<<b.doublings)
 	defer cancel()
--- a/connection/store/refusal.go
+++ b/connection/store/refusal.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/connection/store/wire"
 )
 
-// errInvalid is a call that the service does not understand.
+// errInvalid means that the service rejected the call as malformed.
 var errInvalid = errors.New("store: invalid call")
 
 // refusal ties an error to its code and HTTP status on the wire.
@@ -31,7 +31,7 @@
 }
 
 // EncodeRefusal returns the HTTP status and body by which a service refuses a
-// call with err. Errors that are none of this package's are invalid calls.
+// call with err. Errors of other packages are encoded as invalid calls.
 func EncodeRefusal(err error) (int, wire.Failure) {
 	for _, r := range refusals {
 		if errors.Is(err, r.err) {
@@ -41,9 +41,9 @@
 	return http.StatusBadRequest, wire.Failure{Code: wire.CodeInvalid, Message: err.Error()}
 }
 
-// decodeRefusal returns the error of a refusal body. It returns nil when the
-// body is none that the service writes, say that of a balancer in between:
-// then nothing is known of the call.
+// decodeRefusal returns the error that a refusal body encodes. It returns nil if
+// the body does not come from the service but, say, from a load balancer in
+// between: then the outcome of the call is unknown.
 func decodeRefusal(body []byte) error {
 	var f wire.Failure
 	if err := json.Unmarshal(body, &f); err != nil {
--- a/connection/store/role.go
+++ b/connection/store/role.go
@@ -1,12 +1,12 @@
 package store
 
-// Role is what a call is made for. Each role has its own share of the call
-// budget; roles are ordered by priority, the most urgent first.
+// Role is the purpose of a call. Each role has its own share of the call budget;
+// roles are ordered by priority, the most urgent first.
 type Role int
 
 // Roles by falling priority.
 const (
-	// RoleClaims takes and releases ownership: without it nobody schedules.
+	// RoleClaims takes and releases ownership; without it no daemon can schedule.
 	RoleClaims Role = iota
 	// RoleVersions reads and applies configuration.
 	RoleVersions
@@ -14,7 +14,7 @@
 	RoleMembers
 	// RoleIntents records non-idempotent work before it starts.
 	RoleIntents
-	// RoleProgress records what jobs have done; it can wait and be grouped.
+	// RoleProgress records the progress of jobs; its writes can be delayed and batched.
 	RoleProgress
 
 	roleCount int = iota
--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -1,7 +1,7 @@
-// Package store reaches the platform's key-value service: compare-and-swap,
+// Package store is the client of the platform's key-value service: compare-and-swap,
 // leases and watches over a narrow interface that an adapter implements.
 //
-// Guarantees of Store implementations: every method returns nil only when the
+// Guarantees of Store implementations: every method returns nil only if the
 // call took effect; ErrUnavailable, ErrConflict, ErrTooLarge and ErrOverBudget
 // mean that a write certainly did not take effect; ErrUnknownOutcome means
 // that it may have. Revisions of a key only rise.
@@ -56,7 +56,7 @@
 	// the store at which they were read.
 	List(ctx context.Context, prefix string) ([]Entry, Revision, error)
 	// Put writes value if the key's revision is prev (0: the key must not
-	// exist). A value bound to a lease disappears with it. It fails with
+	// exist). A key bound to a lease is removed with it. It fails with
 	// ErrConflict, ErrLeaseLost, ErrTooLarge, ErrUnavailable or
 	// ErrUnknownOutcome.
 	Put(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error)
@@ -65,9 +65,9 @@
 	// Watch waits up to wait for events under prefix later than after and
 	// returns them with the revision to pass next; no events is no error.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
-	// GrantLease opens a lease that lapses ttl after its last renewal.
+	// GrantLease opens a lease that expires ttl after its last renewal.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
-	// RenewLease starts the lease's time to live anew, or fails with
+	// RenewLease restarts the lease's time to live, or fails with
 	// ErrLeaseLost.
 	RenewLease(ctx context.Context, id LeaseID) error
 	// RevokeLease ends the lease and removes every key bound to it.
--- a/connection/store/swap.go
+++ b/connection/store/swap.go
@@ -9,7 +9,7 @@
 )
 
 // pendingWrite is a compare-and-swap that may be sent several times. All
-// attempts carry the same id and the same previous revision, so at most one of
+// attempts have the same id and the same previous revision, so at most one of
 // them takes effect.
 type pendingWrite struct {
 	key   string
@@ -17,24 +17,25 @@
 	value []byte
 	prev  Revision
 	lease LeaseID
-	// floor is a revision of the store from before the first attempt.
+	// floor is a store revision older than the first attempt.
 	floor Revision
 }
 
 // Swap writes data if the key's revision is prev (0: the key must not exist)
 // and returns the new revision.
 //
-// When an answer is lost, Swap reads the key back and looks for its own write
-// id; while the outcome is open it sends the same write again. It fails with
-// ErrConflict, ErrLeaseLost, ErrTooLarge, ErrUnavailable or ErrOverBudget when
-// the write certainly did not take effect, and with ErrUnknownOutcome when the
-// context, or the operation timeout, ended before the outcome was learnt.
+// When a response is lost, Swap reads the key back and looks for its own write
+// id; while the write may still take effect it sends the same write again. It
+// fails with ErrConflict, ErrLeaseLost, ErrTooLarge, ErrUnavailable or
+// ErrOverBudget if the write certainly did not take effect, and with
+// ErrUnknownOutcome if the context, or the operation timeout, ended before the
+// outcome was known.
 //
-// One case is left open, since the service compares a creation (prev 0) with
-// nothing that only rises: a creation that was delayed on its way lands if the
-// key has been deleted in the meantime, whatever was reported. Owners of such
-// keys keep a mark that only rises beside them and ignore what lies below it,
-// bind them to a lease, or overwrite keys in place of deleting them.
+// Creations (prev 0) are not fully protected, since the service has no revision to
+// compare them with: a creation that was delayed in the network takes effect if
+// the key has been deleted in the meantime, whatever was reported. Owners of such
+// keys store an increasing number beside them and ignore values with a lower one,
+// bind the keys to a lease, or overwrite keys instead of deleting them.
 func (h *Handle) Swap(ctx context.Context, key string, data []byte, prev Revision, lease LeaseID) (Revision, error) {
 	id := newWriteID()
 	value, err := sealEnvelope(id, data)
@@ -53,7 +54,7 @@
 	return rev, nil
 }
 
-// mark returns a revision of the store from before now, 0 if none is to be had:
+// mark returns a past revision of the store, or 0 if none can be read:
 // lookUpHistory then starts at the oldest event.
 func (h *Handle) mark(ctx context.Context, key string) Revision {
 	if rev := h.client.seen.get(); rev > 0 {
@@ -96,7 +97,7 @@
 	}
 }
 
-// transient tells errors after which the same call may succeed.
+// transient reports whether the same call may succeed after err.
 func transient(err error) bool {
 	return errors.Is(err, ErrUnavailable) || errors.Is(err, ErrOverBudget)
 }
@@ -111,8 +112,8 @@
 	return rev, err
 }
 
-// resolve learns what became of a write after an attempt whose answer was
-// lost, with cause the error of that attempt.
+// resolve determines the outcome of a write after an attempt whose response was
+// lost; cause is the error of that attempt.
 func (h *Handle) resolve(ctx context.Context, w pendingWrite, cause error) (Revision, error) {
 	pause := newRetryBackoff()
 	for {
@@ -134,14 +135,14 @@
 	}
 }
 
-// errUnknowable means that no further read can tell the outcome.
+// errUnknowable means that no further read can determine the outcome.
 var errUnknowable = fmt.Errorf("%w: the history of the key is compacted", ErrUnknownOutcome)
 
 // errOpen means that the write has not taken effect yet and still may.
 var errOpen = errors.New("store: outcome open")
 
-// resolveOnce reads back and, if the outcome is open, sends the write again.
-// ErrConflict and ErrLeaseLost are final; other errors are not.
+// resolveOnce reads the key back and, if the write may still take effect, sends it
+// again. ErrConflict and ErrLeaseLost are final; other errors are not.
 func (h *Handle) resolveOnce(ctx context.Context, w pendingWrite) (Revision, error) {
 	rev, err := h.lookUp(ctx, w)
 	if !errors.Is(err, errOpen) {
@@ -154,7 +155,7 @@
 	if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrLeaseLost) {
 		return 0, fmt.Errorf("%w: %w", errOpen, err)
 	}
-	// The refusal is of this attempt; an earlier one may have won meanwhile.
+	// This attempt was refused; an earlier one may have taken effect meanwhile.
 	rev, found := h.lookUp(ctx, w)
 	if errors.Is(found, errOpen) && errors.Is(err, ErrLeaseLost) {
 		return 0, err
@@ -164,7 +165,7 @@
 
 // lookUp reads the key back. It returns the revision of the write if it took
 // effect, ErrConflict if it did not and no longer can, errOpen if it still may,
-// errUnknowable, or the error of the reading.
+// errUnknowable, or the error of the read.
 func (h *Handle) lookUp(ctx context.Context, w pendingWrite) (Revision, error) {
 	item, id, err := h.get(ctx, w.key)
 	absent := errors.Is(err, ErrNotFound)
@@ -179,9 +180,9 @@
 	return h.lookUpHistory(ctx, w, absent)
 }
 
-// lookUpHistory finds the write among the events of the key. It is needed when
-// another write or a deletion came on top: the current value alone does not
-// tell whether ours came before it.
+// lookUpHistory looks for the write among the events of the key. It is needed after
+// another write or a deletion: the current value does not say whether this write
+// took effect before it.
 func (h *Handle) lookUpHistory(ctx context.Context, w pendingWrite, absent bool) (Revision, error) {
 	events, _, err := h.watchOnce(ctx, w.key, w.floor)
 	if errors.Is(err, ErrCompacted) {
--- a/connection/store/track.go
+++ b/connection/store/track.go
@@ -10,31 +10,31 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Tracker reads a part of the store as a whole and then watches it. It calls the
-// store as it is asked to, without budget or breaker; Follow is for clients that
-// have these.
+// Tracker lists a part of the store and then watches it. Its calls are not subject
+// to a call budget or a circuit breaker; clients that have these use Follow.
 type Tracker struct {
-	What string // is followed, for the log
-	// Read takes the whole and returns the revision to watch from.
+	What string // what is followed, for the log
+	// Read reads everything and returns the revision to watch from.
 	Read func(ctx context.Context) (Revision, error)
-	// Watch takes the changes after a revision and returns the one to go on from,
-	// also beside an error; 0 to read again.
+	// Watch reads the changes after a revision and returns the revision to continue
+	// from, also together with an error; 0 to read everything again.
 	Watch func(ctx context.Context, after Revision, wait time.Duration) (Revision, error)
-	// From is the revision to watch from, 0 to read first.
+	// From is the revision to watch from; 0 to read first.
 	From Revision
-	// ReadLimit bounds the first try of a read; see ReadBound. Wait bounds a watch, and
-	// Grace how long after that it may be answered, so that a silent connection is
-	// noticed.
+	// ReadLimit is the timeout of the first attempt of a read; see ReadBound. Wait is
+	// how long a watch waits for changes, and Grace how much later its answer may
+	// arrive before the connection is considered dead.
 	ReadLimit, Wait, Grace time.Duration
-	// Pause is kept after each call, ErrorPause after one that failed.
+	// Pause follows each successful call, ErrorPause each failed one.
 	Pause, ErrorPause time.Duration
 	Log               zerolog.Logger
-	// Patience, if set, tells when a store that failed is back, and when a call was lost.
+	// Patience, if set, says when a failed store answers again and which calls are
+	// presumed lost.
 	Patience *Patience
 }
 
-// trackerAwait bounds how long a tracker whose call failed leaves a store alone
-// that fails others as well.
+// trackerAwait bounds how long a tracker waits after a failed call for the store to
+// answer any call of this daemon.
 const trackerAwait = time.Second
 
 // Run follows until ctx ends.
@@ -47,14 +47,14 @@
 		next, err := t.step(ctx, rev, &read)
 		rev = next
 		if ctx.Err() == nil {
-			gap.note(t, begun, err)
+			gap.record(t, begun, err)
 		}
 		pause := t.Pause
 		if err != nil {
-			t.Log.Debug().Err(err).Str("what", t.What).Msg("not followed, trying again")
+			t.Log.Debug().Err(err).Str("what", t.What).Msg("store read or watch failed; trying again")
 			pause = t.ErrorPause
 		}
-		_ = sleep.For(ctx, pause) // ends with the context, which the loop sees
+		_ = sleep.For(ctx, pause) // fails only when the context has ended, which the loop checks
 		if err != nil && t.Patience != nil {
 			t.Patience.Await(ctx, trackerAwait)
 		}
@@ -69,19 +69,19 @@
 	return t.Patience.Read(ctx, f)
 }
 
-// gap is a time in which a tracker's calls fail.
+// gap is a period in which a tracker's calls fail.
 type gap struct {
-	since   time.Time // when the first call that failed was sent; zero: none
-	failed  int       // calls in a row
-	longest time.Duration
+	since   time.Time     // when the first failed call was sent; zero: none
+	failed  int           // consecutive failed calls
+	longest time.Duration // duration of the longest failed call
 }
 
-// gapShown is how many calls in a row fail until a line of the log tells: one that fails
-// alone is an answer that was lost.
-const gapShown = 2
+// gapLogThreshold is the number of consecutive failed calls after which the gap is
+// logged: a single failure is usually a lost response.
+const gapLogThreshold = 2
 
-// note notes how a call went that was sent at begun.
-func (g *gap) note(t *Tracker, begun time.Time, err error) {
+// record records the result of a call that was sent at begun.
+func (g *gap) record(t *Tracker, begun time.Time, err error) {
 	took := time.Since(begun)
 	if err != nil {
 		if g.failed == 0 {
@@ -89,14 +89,14 @@
 		}
 		g.failed++
 		g.longest = max(g.longest, took)
-		if g.failed == gapShown {
-			t.Log.Info().Err(err).Str("what", t.What).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("not followed")
+		if g.failed == gapLogThreshold {
+			t.Log.Info().Err(err).Str("what", t.What).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("store data is not up to date: reads or watches fail")
 		}
 		return
 	}
-	if g.failed >= gapShown {
+	if g.failed >= gapLogThreshold {
 		t.Log.Info().Str("what", t.What).Int64("gap_ms", time.Since(g.since).Milliseconds()).Int("failed", g.failed).
-			Int64("longest_call_ms", g.longest.Milliseconds()).Int64("call_ms", took.Milliseconds()).Msg("followed again")
+			Int64("longest_call_ms", g.longest.Milliseconds()).Int64("call_ms", took.Milliseconds()).Msg("store data is up to date again")
 	}
 	*g = gap{}
 }
@@ -115,10 +115,10 @@
 	})
 	switch {
 	case errors.Is(err, ErrOvertaken):
-		t.Log.Info().Str("what", t.What).Msg("watch may have been lost in an outage, watching again")
+		t.Log.Info().Str("what", t.What).Msg("watch may have been lost in an outage; watching again")
 		return max(rev, next), nil
 	case errors.Is(err, ErrCompacted):
-		t.Log.Warn().Str("what", t.What).Msg("its history is gone, reading it as a whole")
+		t.Log.Warn().Str("what", t.What).Msg("watch revision was compacted; reading everything again")
 		return 0, nil
 	}
 	return next, err
--- a/connection/store/txn.go
+++ b/connection/store/txn.go
@@ -9,13 +9,13 @@
 // transaction may hold together.
 const MaxTxnEntries = 32
 
-// Check demands that a key has a revision; 0 means that it does not exist.
+// Check requires a key to have a revision; 0 requires that it does not exist.
 type Check struct {
 	Key      string
 	Revision Revision
 }
 
-// Write sets a key. A value bound to a lease disappears with it.
+// Write sets a key. A key bound to a lease is removed with it.
 type Write struct {
 	Key   string
 	Value []byte
@@ -29,11 +29,11 @@
 	Deletes []string
 }
 
-// Len returns the number of entries, to be held against MaxTxnEntries.
+// Len returns the number of entries, which must not exceed MaxTxnEntries.
 func (t Txn) Len() int { return len(t.Checks) + len(t.Writes) + len(t.Deletes) }
 
-// ConflictError says that a check of a transaction failed, and what the
-// checked keys hold. It matches ErrConflict.
+// ConflictError reports that a check of a transaction failed, with the current
+// entries of the checked keys. It matches ErrConflict.
 type ConflictError struct {
 	// Current holds the checked keys that exist.
 	Current []Entry
@@ -57,15 +57,15 @@
 	return Entry{}, false
 }
 
-// Transactor is a store that changes several keys at once.
+// Transactor is a store with transactions over several keys.
 type Transactor interface {
 	Store
 	// Commit applies t and returns the revision of its writes. It fails with a
 	// *ConflictError, ErrLeaseLost, ErrTooLarge, ErrOverBudget or ErrUnavailable
-	// when nothing was changed, and with ErrUnknownOutcome when all of t may
-	// have been changed, or may be changed later.
+	// if nothing was changed, and with ErrUnknownOutcome if all of t may have
+	// been applied, or may be applied later.
 	Commit(ctx context.Context, t Txn) (Revision, error)
-	// ListStale is List with an answer that may be seconds old, at a fraction
-	// of the price.
+	// ListStale is List with a result that may be seconds old, at a fraction of
+	// the cost.
 	ListStale(ctx context.Context, prefix string) ([]Entry, Revision, error)
 }
--- a/connection/store/update.go
+++ b/connection/store/update.go
@@ -8,14 +8,14 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// ErrNoChange is returned by an Update function that wants nothing written.
+// ErrNoChange is returned by the function given to Update to skip the write.
 var ErrNoChange = errors.New("store: no change")
 
-// Update reads key, lets f make its next data from the current one and swaps
-// it, again after each conflict until ctx, or the operation timeout, ends. The
-// key is written without a lease. An error of f is returned as it is, but for
-// ErrNoChange, after which Update returns the revision it read. f may run
-// several times.
+// Update is a read-modify-write of key: f returns the new data for the current
+// data. After a conflict it starts over, until ctx or the operation timeout ends,
+// so f may run several times. The key is written without a lease. An error of f
+// is returned as it is, except ErrNoChange, after which Update returns the
+// revision that it read.
 func (h *Handle) Update(ctx context.Context, key string, f func(cur []byte, exists bool) ([]byte, error)) (Revision, error) {
 	ctx, cancel := h.client.bound(ctx)
 	defer cancel()
@@ -47,8 +47,8 @@
 	return h.Swap(ctx, key, data, item.Revision, 0)
 }
 
-// Delete removes key if its revision is prev. After a lost answer it succeeds
-// if that revision was deleted, by whomever. It fails with ErrNotFound,
+// Delete removes key if its revision is prev. After a lost response it succeeds
+// if that revision was deleted, by any client. It fails with ErrNotFound,
 // ErrConflict, ErrUnavailable, ErrOverBudget or ErrUnknownOutcome.
 func (h *Handle) Delete(ctx context.Context, key string, prev Revision) error {
 	ctx, cancel := h.client.bound(ctx)
@@ -68,7 +68,7 @@
 	return h.write(ctx, func(ctx context.Context) error { return h.client.store.Delete(ctx, key, prev) })
 }
 
-// resolveDelete learns what became of a deletion whose answer was lost.
+// resolveDelete determines the outcome of a deletion whose response was lost.
 func (h *Handle) resolveDelete(ctx context.Context, key string, prev Revision, cause error) error {
 	pause := newRetryBackoff()
 	for {
