--- a/connection/store/bench_test.go
+++ b/connection/store/bench_test.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// unlimited keeps the call budget out of the measurement.
+// unlimited has a call budget that does not slow down the benchmark.
 var unlimited = store.Options{FleetSize: 1, Budget: store.Budget{Writes: 1e9, Reads: 1e9}}
 
 // BenchmarkSwap compares a swap through the client with the bare put.
@@ -47,7 +47,7 @@
 	}
 }
 
-// BenchmarkRefusedInOutage is what a call costs while the breaker is open.
+// BenchmarkRefusedInOutage measures a call while the breaker is open.
 func BenchmarkRefusedInOutage(b *testing.B) {
 	m := kv.New()
 	m.SetFaults(kv.Faults{Down: true})
--- a/connection/store/budget_test.go
+++ b/connection/store/budget_test.go
@@ -13,7 +13,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// flood calls the service in a role as fast as the budget lets it.
+// flood calls the service in a role as fast as the budget allows.
 func flood(ctx context.Context, h *store.Handle, done *int) {
 	for ctx.Err() == nil {
 		err := h.RenewLease(ctx, 1)
@@ -25,9 +25,9 @@
 	}
 }
 
-// Symptom: the service is overrun, or urgent roles wait behind progress.
-// Sequence: every role of one daemon asks without pause for half a minute.
-// Cause: no limit on all calls together, or no order among the roles.
+// Guards against overloading the service without a limit on all calls together, and
+// against urgent roles waiting behind progress without priorities. Every role of one
+// daemon calls without pause for half a minute.
 func TestBudgetHoldsAndOrdersRoles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -44,7 +44,7 @@
 			go flood(ctx, c.Role(r), &done[r])
 		}
 		<-ctx.Done()
-		time.Sleep(time.Second) // the floods end
+		time.Sleep(time.Second) // the floods stop
 		synctest.Wait()
 		t.Log(done)
 		const burst = 2 * perSecond
@@ -57,9 +57,8 @@
 	})
 }
 
-// Symptom: a grown fleet overruns the service.
-// Sequence: the cell grows from 1 daemon to 50.
-// Cause: a budget per daemon that does not shrink as the fleet grows.
+// Guards against a larger fleet overloading the service, if the budget per daemon does
+// not shrink when the cell grows, here from 1 daemon to 50.
 func TestBudgetIsSharedByTheFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -75,11 +74,9 @@
 	})
 }
 
-// Symptom: a service that takes less than configured refuses most calls, claims
-// among them.
-// Sequence: ten daemons, budgeted for 800 writes a second together, flood a
-// service that takes 50.
-// Cause: a budget that does not heed the service's refusals.
+// Guards against a service with less capacity than configured refusing most calls,
+// claims included, if the budget ignores the service's refusals. Ten daemons with a
+// common budget of 800 writes per second flood a service that sustains 50.
 func TestBudgetHeedsTheServicesRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -95,12 +92,12 @@
 		time.Sleep(time.Minute)
 		before := m.Counts()
 		<-ctx.Done()
-		time.Sleep(time.Second) // the floods end
+		time.Sleep(time.Second) // the floods stop
 		synctest.Wait()
 		made := m.Counts().Total() - before.Total()
 		refused := m.Counts().Refused - before.Refused
 		t.Logf("%d calls, %d refused", made, refused)
-		require.Greater(t, made-refused, 120*50/2, "most of what the service takes is used")
-		require.Less(t, refused, made/3, "without heed six of seven are refused")
+		require.Greater(t, made-refused, 120*50/2, "most of the service's capacity is used")
+		require.Less(t, refused, made/3, "six of seven are refused if the budget ignores refusals")
 	})
 }
--- a/connection/store/fleet_test.go
+++ b/connection/store/fleet_test.go
@@ -24,8 +24,8 @@
 	fleetSteady   = 2 * time.Minute
 )
 
-// daemon does what a daemon does with the store, about as often: it follows the
-// prefixes, keeps a lease and writes progress in groups.
+// daemon makes the store calls of a daemon at about the same rate: it follows the
+// prefixes, keeps a lease and writes progress in batches.
 type daemon struct {
 	client *store.Client
 	name   string
@@ -45,7 +45,8 @@
 	return d
 }
 
-// register keeps the daemon's entry under a lease, and a new one when it lapsed.
+// register keeps the daemon's entry under a lease, and opens a new lease when it
+// has expired.
 func (d *daemon) register(ctx context.Context) {
 	h := d.client.Role(store.RoleMembers)
 	for ctx.Err() == nil {
@@ -62,7 +63,7 @@
 	}
 }
 
-// progress writes the group of each five seconds.
+// progress writes a batch every five seconds.
 func (d *daemon) progress(ctx context.Context) {
 	h := d.client.Role(store.RoleProgress)
 	for ctx.Err() == nil {
@@ -102,7 +103,7 @@
 	return sum
 }
 
-// peak returns the most calls of one second during a time.
+// peak returns the largest number of calls in one second of the given time.
 func peak(m *kv.Memory, during time.Duration) (reads, writes int) {
 	for range int(during / time.Second) {
 		before := m.Counts()
@@ -114,10 +115,9 @@
 	return reads, writes
 }
 
-// Symptom: the service is back for a moment and falls over again.
-// Sequence: a fleet meets an outage of an hour, in which every lease lapses;
-// then all daemons list, register and write what has waited.
-// Cause: probes in step, or what has waited sent at once.
+// Guards against overloading the service right after an outage, by probes at the same
+// time or by sending all queued calls at once. During an outage of an hour every lease
+// expires; then all daemons list, register and write what was queued.
 func TestFleetReconnectsWithinTheBudget(t *testing.T) {
 	for _, size := range fleetSizes() {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
@@ -141,9 +141,9 @@
 				m.SetFaults(kv.Faults{Hang: true})
 				time.Sleep(fleetOutage)
 				m.SetFaults(kv.Faults{})
-				back := time.Now()
+				recovered := time.Now()
 				reads, writes = peak(m, 10*time.Second)
-				t.Logf("back: at most %d reads/s, %d writes/s", reads, writes)
+				t.Logf("recovered: at most %d reads/s, %d writes/s", reads, writes)
 				require.LessOrEqual(t, reads, store.DefaultReadsPerSecond)
 				require.LessOrEqual(t, writes, store.DefaultWritesPerSecond)
 
@@ -154,11 +154,11 @@
 					entries, _, err := m.List(ctx, "members/")
 					require.NoError(t, err)
 					registered = len(entries)
-					require.Less(t, time.Since(back), 2*time.Minute, "%d registered", registered)
+					require.Less(t, time.Since(recovered), 2*time.Minute, "%d registered", registered)
 				}
-				t.Logf("back: all registered after %v", time.Since(back))
+				t.Logf("recovered: all registered after %v", time.Since(recovered))
 				cancel()
-				time.Sleep(time.Minute) // the daemons end
+				time.Sleep(time.Minute) // the daemons stop
 			})
 		})
 	}
--- a/connection/store/fuzz_test.go
+++ b/connection/store/fuzz_test.go
@@ -41,8 +41,8 @@
 	})
 }
 
-// FuzzReply feeds replies to the adapter: it neither panics nor takes what it
-// cannot read for success.
+// FuzzReply feeds replies to the adapter, which must neither panic nor report success
+// for a reply that it cannot decode.
 func FuzzReply(f *testing.F) {
 	f.Add(200, []byte(`{"entries":[{"key":"k","value":"eA==","revision":3}],"revision":4}`))
 	f.Add(404, []byte(`{"code":"not_found"}`))
@@ -61,7 +61,7 @@
 	})
 }
 
-// replyWith is a transport that answers each request alike.
+// replyWith is a transport that gives the same answer to each request.
 type replyWith struct {
 	status int
 	body   []byte
--- a/connection/store/http_test.go
+++ b/connection/store/http_test.go
@@ -18,7 +18,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// flakyServer answers the first request of each connection and cuts the
+// flakyServer answers the first request of each connection and closes the
 // connection after it has read the second one.
 type flakyServer struct {
 	listener net.Listener
@@ -63,11 +63,9 @@
 	}
 }
 
-// Symptom: a write that took effect is reported as a conflict, or is applied
-// twice.
-// Sequence: the service reads a write on a kept-alive connection and closes the
-// connection before it answers.
-// Cause: the transport sends the request again on a new connection by itself.
+// Guards against writes that are applied twice or reported as a conflict although they
+// took effect: the service reads a write on a kept-alive connection and closes the
+// connection before it answers, and the transport repeats the request by itself.
 func TestHTTPNeverReplaysAWrite(t *testing.T) {
 	writes := map[string]func(*store.HTTP) error{
 		"put": func(s *store.HTTP) error {
@@ -93,10 +91,8 @@
 	}
 }
 
-// Symptom: a write that may have taken effect is reported as refused, or one
-// that was never sent as unknown.
-// Sequence: each case below.
-// Cause: an answer that is not the service's own is taken for its word.
+// Guards against reporting a write that may have taken effect as refused, if a response
+// that is not the service's own counts as one, or a write that was never sent as unknown.
 func TestHTTPTellsWhatIsKnownOfAWrite(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
@@ -111,7 +107,7 @@
 	}{
 		"refusal of the service":  {answer(503, `{"code":"unavailable"}`), store.ErrUnavailable},
 		"conflict":                {answer(409, `{"code":"conflict"}`), store.ErrConflict},
-		"balancer's error page":   {answer(503, `<html>`), store.ErrUnknownOutcome},
+		"load balancer's error":   {answer(503, `<html>`), store.ErrUnknownOutcome},
 		"unknown code":            {answer(500, `{"code":"oops"}`), store.ErrUnknownOutcome},
 		"redirect":                {answer(307, ``), store.ErrUnknownOutcome},
 		"reply that does not end": {answer(200, `{"revision":1`), store.ErrUnknownOutcome},
--- a/connection/store/outage_test.go
+++ b/connection/store/outage_test.go
@@ -13,10 +13,9 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// Symptom: during an outage every call waits for its timeout, and the service
-// is hammered; after it, daemons stay cut off.
-// Sequence: the service hangs for an hour, then answers again.
-// Cause: no breaker, or one that probes too seldom.
+// Guards against an outage in which every call waits for its timeout and loads the
+// service, and after which daemons make no calls for long: without a breaker, or with
+// one that probes too rarely. The service hangs for an hour, then answers again.
 func TestBreakerSparesCallersAndServiceInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -39,7 +38,7 @@
 		require.False(t, c.Available())
 		require.LessOrEqual(t, longest, 4*store.DefaultCallTimeout)
 		made := m.Counts().Total()
-		t.Logf("%d calls asked, %d reached the service", calls, made)
+		t.Logf("%d calls tried, %d reached the service", calls, made)
 		require.Less(t, made, int(outage/time.Second), "fewer than one a second")
 
 		m.SetFaults(kv.Faults{})
@@ -52,10 +51,9 @@
 	})
 }
 
-// Symptom: a daemon's view empties, or it misses changes, around an outage.
-// Sequence: Follow lists; the service goes down; keys change while it is away
-// and the kept events are compacted; it comes back.
-// Cause: an outage taken for an empty list, or a resume past lost events.
+// Guards against a daemon's view that becomes empty or misses changes after an outage:
+// if an outage counts as an empty list, or the watch resumes after lost events. Keys
+// change and events are compacted while the service is down.
 func TestFollowSurvivesOutageAndCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -122,9 +120,9 @@
 	})
 }
 
-// Symptom: a busy prefix costs the service a watch call per event and watcher.
-// Sequence: a key changes every 10 ms while a daemon follows it.
-// Cause: a watch that returns at once and is sent again at once.
+// Guards against a watch call per event and watcher on a busy prefix, if a watch that
+// returns at once is sent again at once. A key changes every 10 ms while a daemon
+// follows it.
 func TestFollowKeepsThePollFloor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -148,10 +146,9 @@
 	})
 }
 
-// Symptom: a paused holder acts on a lease that another took over.
-// Sequence: the holder renews, is paused beyond the time to live while the
-// renewal's answer is on its way, and wakes up.
-// Cause: validity counted from the answer.
+// Guards against a holder that relies on a lease another daemon has by now: if validity
+// counted from the renewal's response, and the holder is paused beyond the time to live
+// before it handles the response.
 func TestLeaseCountsFromTheBeginningOfTheRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -179,11 +176,9 @@
 	})
 }
 
-// Symptom: a daemon loses its lease after a short outage, or keeps believing in
-// one that lapsed.
-// Sequence: a served lease meets an outage shorter than its time to live, then
-// one that is longer.
-// Cause: renewals given up too early, or never told as lost.
+// Guards against losing a lease in an outage shorter than its time to live, if renewals
+// stop too early, and against relying on an expired lease after a longer outage, if its
+// loss is not reported.
 func TestServedLeaseOutlivesShortOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
--- a/connection/store/outcome_test.go
+++ b/connection/store/outcome_test.go
@@ -31,7 +31,7 @@
 	os.Exit(m.Run())
 }
 
-// attempt is one Swap or Delete with what it was told.
+// attempt is one Swap or Delete with its reported outcome.
 type attempt struct {
 	key     string
 	data    string // unique; empty for a deletion
@@ -41,7 +41,7 @@
 	deleted bool
 }
 
-// outcomeRun makes several daemons race on few keys under drawn faults.
+// outcomeRun lets several daemons race on few keys under random faults.
 type outcomeRun struct {
 	seed     uint64
 	faults   []kv.Faults
@@ -99,7 +99,7 @@
 	r.attempts = append(r.attempts, a)
 }
 
-// check compares what the writers were told with the history of the service.
+// check compares the reported outcomes with the history of the service.
 func (r *outcomeRun) check(m *kv.Memory) error {
 	m.SetFaults(kv.Faults{})
 	events, _, err := m.Watch(context.Background(), "", 0, 0)
@@ -107,11 +107,11 @@
 		return err
 	}
 	applied := map[string][]store.Revision{}
-	gone := map[store.Revision]bool{} // revisions that a deletion ended
+	removed := map[store.Revision]bool{} // revisions that were deleted
 	current := map[string]store.Revision{}
 	for _, e := range events {
 		if e.Deleted {
-			gone[current[e.Key]] = true
+			removed[current[e.Key]] = true
 			continue
 		}
 		current[e.Key] = e.Revision
@@ -121,22 +121,22 @@
 		}
 		applied[string(data)] = append(applied[string(data)], e.Revision)
 	}
-	for rev := range gone {
-		if !r.claimed(rev) {
-			return fmt.Errorf("revision %d was deleted, yet every writer was told otherwise", rev)
+	for rev := range removed {
+		if !r.mayHaveDeleted(rev) {
+			return fmt.Errorf("revision %d was deleted, but every writer got another outcome", rev)
 		}
 	}
 	for _, a := range r.attempts {
-		if err := a.check(applied[a.data], gone, r.deletes); err != nil {
+		if err := a.check(applied[a.data], removed, r.deletes); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// claimed tells that some writer was told that its deletion of rev took, or may
-// have taken, effect. Deletions carry no id, so one of them is enough.
-func (r *outcomeRun) claimed(rev store.Revision) bool {
+// mayHaveDeleted reports whether the outcome of some writer was that its deletion of
+// rev took, or may have taken, effect. Deletions have no id, so one of them is enough.
+func (r *outcomeRun) mayHaveDeleted(rev store.Revision) bool {
 	for _, a := range r.attempts {
 		if a.deleted && a.prev == rev && (a.err == nil || errors.Is(a.err, store.ErrUnknownOutcome)) {
 			return true
@@ -145,24 +145,24 @@
 	return false
 }
 
-func (a attempt) check(applied []store.Revision, gone map[store.Revision]bool, deletes bool) error {
+func (a attempt) check(applied []store.Revision, removed map[store.Revision]bool, deletes bool) error {
 	unknown := errors.Is(a.err, store.ErrUnknownOutcome)
 	if a.deleted {
-		if a.err == nil && !gone[a.prev] {
+		if a.err == nil && !removed[a.prev] {
 			return fmt.Errorf("%s: deletion of %d reported, not done", a.key, a.prev)
 		}
 		return nil
 	}
-	// A creation that was sent twice may land again after a deletion by another;
-	// this is the case that Swap leaves open, and the only one.
-	loose := deletes && a.prev == 0
+	// A creation that was sent twice may take effect again after a deletion by another
+	// writer. This is the only case from which Swap does not protect.
+	unprotected := deletes && a.prev == 0
 	switch {
-	case len(applied) > 1 && !loose:
+	case len(applied) > 1 && !unprotected:
 		return fmt.Errorf("%s: %s applied %d times", a.key, a.data, len(applied))
 	case a.err == nil && !slices.Contains(applied, a.rev):
 		return fmt.Errorf("%s: %s reported at %d, applied at %v", a.key, a.data, a.rev, applied)
-	case a.err != nil && !unknown && len(applied) > 0 && !loose:
-		return fmt.Errorf("%s: %s reported as %v, yet applied at %v", a.key, a.data, a.err, applied)
+	case a.err != nil && !unknown && len(applied) > 0 && !unprotected:
+		return fmt.Errorf("%s: %s reported as %v, but applied at %v", a.key, a.data, a.err, applied)
 	}
 	return nil
 }
@@ -180,17 +180,16 @@
 		}
 		m.SetFaults(kv.Faults{})
 		wg.Wait()
-		time.Sleep(2 * time.Second) // delayed writes land
+		time.Sleep(2 * time.Second) // delayed writes arrive
 		err = r.check(m)
 	})
 	return err
 }
 
-// Symptom: a write is applied twice, or its writer is told the wrong outcome.
-// Sequence: daemons race on a key while answers and requests get lost, writes
-// arrive after their caller gave up, and the service refuses or is down.
-// Cause: a retry with a new write id, or a read-back that takes a conflict with
-// its own earlier attempt for another's write.
+// Guards against applying a write twice or reporting the wrong outcome: daemons race
+// on a key while responses and requests are lost, writes arrive after their caller gave
+// up, and the service refuses calls or is down. It would fail with a new write id per
+// retry, or if a conflict with the writer's own earlier attempt counted as another's.
 func TestSwapNeverAppliesTwiceNorMisreports(t *testing.T) {
 	outcomes := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/connection/store/overtaken_test.go
+++ b/connection/store/overtaken_test.go
@@ -9,17 +9,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadingIsGivenUpOnlyWhenItWasLost(t *testing.T) {
+func TestReadIsCancelledOnlyIfPresumedLost(t *testing.T) {
 	answered := func(context.Context) error { return nil }
 	for _, x := range []struct {
 		what  string
-		begun time.Duration // when its answer begins; 0: never
-		later time.Duration // after it, another call is sent and answered
+		begun time.Duration // when its response starts; 0: never
+		later time.Duration // when another call is sent and answered
 		lost  bool
 	}{
 		{"overtaken", 0, time.Second, true},
 		{"sent at nearly the same time", 0, 150 * time.Millisecond, false},
-		{"a large answer, begun", 500 * time.Millisecond, time.Second, false},
+		{"a large response that has started", 500 * time.Millisecond, time.Second, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
 			p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestSecondPageOfAReadingCanBeLostAsWell(t *testing.T) {
+func TestSecondPageOfAReadCanBePresumedLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 		time.AfterFunc(3*time.Second, func() { _ = p.Call(t.Context(), func(context.Context) error { return nil }) }) // succeeds
--- a/connection/store/prefixed_test.go
+++ b/connection/store/prefixed_test.go
@@ -13,9 +13,9 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-func TestPrefixedStoresKeepApart(t *testing.T) {
-	// Symptom looked for: one user of a store sees, checks or changes what belongs to
-	//   another one of the same names.
+func TestPrefixedStoresAreIsolated(t *testing.T) {
+	// Guards against a user of a store that reads, checks or changes keys of another user
+	// with the same names.
 	rapid.Check(t, func(t *rapid.T) {
 		ctx := t.Context()
 		m := kv.New()
--- a/connection/store/readbound_test.go
+++ b/connection/store/readbound_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadBoundGrowsUntilTheReadingIsThrough(t *testing.T) {
-	// Symptom: a store's listing is read again and again and never known.
-	// Sequence: it takes 19 s over a small link; the bound of a try is 3 s.
-	// Cause: each try is given up and begun anew with the same bound.
+func TestReadBoundGrowsUntilTheReadSucceeds(t *testing.T) {
+	// Guards against a list that never succeeds: it takes 19 s over a slow link, the
+	// timeout of the first attempt is 3 s, and each attempt would start over with the
+	// same timeout.
 	synctest.Test(t, func(t *testing.T) {
 		b := ReadBound{First: 3 * time.Second}
 		read := func(takes time.Duration) error {
@@ -33,7 +33,7 @@
 		require.Equal(t, 21*time.Second, time.Since(began), "3, 6 and 12 s")
 		require.NoError(t, read(19*time.Second))
 		began = time.Now()
-		require.Error(t, read(time.Minute), "after one that was through the first bound holds again")
+		require.Error(t, read(time.Minute), "a successful read resets the timeout")
 		require.Equal(t, 3*time.Second, time.Since(began))
 	})
 }
@@ -44,5 +44,5 @@
 	for range 5 {
 		require.ErrorIs(t, b.Try(t.Context(), func(context.Context) error { return refused }), refused)
 	}
-	require.Zero(t, b.doublings, "a refusal says nothing of how long the reading takes")
+	require.Zero(t, b.doublings, "a refusal says nothing about the duration of the read")
 }
--- a/connection/store/swap_test.go
+++ b/connection/store/swap_test.go
@@ -13,10 +13,9 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// Symptom: a write that took effect is reported as failed and made again.
-// Sequence: the service applies a swap, its answer is lost, then answers return.
-// Cause: without read-back by write id the second attempt meets the first one
-// and reports a conflict.
+// Guards against reporting a write that took effect as failed and making it again: the
+// service applies a swap, its response is lost, then responses arrive again. Without
+// read-back by write id the second attempt conflicts with the first.
 func TestSwapKnowsItsOwnWriteAfterALostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -34,7 +33,7 @@
 	})
 }
 
-// lateStore holds back the first write until the second arrives.
+// lateStore delays the first write until the second arrives.
 type lateStore struct {
 	store.Store
 	held func()
@@ -49,10 +48,9 @@
 	return s.Store.Put(ctx, key, value, prev, lease)
 }
 
-// Symptom: a write that took effect is reported as a conflict.
-// Sequence: a swap's request is stuck, its caller reads back and finds nothing,
-// sends it again; the first request arrives just before the second.
-// Cause: the conflict of the second attempt is with the first one.
+// Guards against reporting a write that took effect as a conflict: the request of a swap
+// is delayed, its caller reads back, finds nothing and sends it again. The first request
+// arrives just before the second, which then conflicts with it.
 func TestSwapMeetsItsOwnLateRequest(t *testing.T) {
 	m := kv.New()
 	h := store.NewClient(&lateStore{Store: m}, store.Options{}).Role(store.RoleClaims)
@@ -62,9 +60,9 @@
 	require.Equal(t, store.Revision(1), m.Revision(), "applied once")
 }
 
-// Symptom: a value that the service cannot hold costs calls, or is cut.
-// Sequence: a caller swaps data of just the limit, then one byte more.
-// Cause: the limit is checked by the service alone, or without the envelope.
+// Guards against values above the size limit being sent or truncated: if only the
+// service checks the limit, or if the check leaves out the envelope. Swaps data of
+// exactly the limit, then of one byte more.
 func TestSwapChecksTheSizeBeforeTheCall(t *testing.T) {
 	m := kv.New()
 	h := store.NewClient(m, store.Options{}).Role(store.RoleVersions)
@@ -101,7 +99,7 @@
 	})
 }
 
-// increment adds one byte to the value, trying again after refusals.
+// increment adds one byte to the value, retrying after refusals.
 func increment(t *testing.T, h *store.Handle) {
 	for {
 		_, err := h.Update(t.Context(), "n", func(cur []byte, _ bool) ([]byte, error) {
--- a/connection/store/track_test.go
+++ b/connection/store/track_test.go
@@ -21,14 +21,14 @@
 		watches := []struct {
 			next Revision
 			err  error
-		}{{7, nil}, {7, errors.New("cut")}, {0, errors.New("to be read again")}, {9, nil}, {9, ErrCompacted}}
+		}{{7, nil}, {7, errors.New("connection cut")}, {0, errors.New("must be read again")}, {9, nil}, {9, ErrCompacted}}
 		ctx, cancel := context.WithCancel(t.Context())
 		reads := 0
 		k := &Tracker{What: "test", Log: zerolog.Nop(), ReadLimit: 2 * time.Second, Wait: time.Second, Grace: time.Second, ErrorPause: time.Second,
 			Read: func(ctx context.Context) (Revision, error) {
 				calls = append(calls, "read")
 				if reads++; reads == 1 {
-					<-ctx.Done() // a silent connection is given up
+					<-ctx.Done() // the connection is dead; the read times out
 					return 0, ctx.Err()
 				}
 				return 5, nil
@@ -46,23 +46,23 @@
 		start := time.Now()
 		k.Run(ctx)
 		require.Equal(t, []string{"read", "read", "watch 5", "watch 7", "watch 7", "read", "watch 5", "watch 9", "read", "watch 5"}, calls)
-		require.Equal(t, 5*time.Second, time.Since(start), "one silent read and a pause after each of three errors")
+		require.Equal(t, 5*time.Second, time.Since(start), "one read that timed out and a pause after each of three errors")
 	})
 }
 
-// Guards against followers that wait for a watch which an outage has swallowed, though the
-// store is back; and against watches that are sent anew for each answer that is lost.
+// Guards against trackers that keep waiting for a watch that was lost in an outage although
+// the store answers again, and against sending a watch again for each lost response.
 func TestWatchThatAnOutageSwallowedIsSentAgain(t *testing.T) {
 	for _, x := range []struct {
-		what  string
-		away  time.Duration
-		again bool
+		what   string
+		outage time.Duration
+		again  bool
 	}{{"one call without an answer", 150 * time.Millisecond, false}, {"an outage", 1500 * time.Millisecond, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
 			p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-			var away atomic.Bool
-			watched := make(chan Revision, 8) // positions of watches
+			var down atomic.Bool
+			watched := make(chan Revision, 8) // start revisions of watches
 			k := &Tracker{What: "test", Log: zerolog.Nop(), ReadLimit: time.Second, Wait: 5 * time.Second, Grace: time.Second, ErrorPause: 100 * time.Millisecond, Patience: p,
 				Read: func(context.Context) (Revision, error) { return 5, nil },
 				Watch: func(ctx context.Context, after Revision, _ time.Duration) (Revision, error) {
@@ -74,9 +74,9 @@
 			running.Go(func() { k.Run(ctx) })
 			running.Go(func() {
 				for sleep.For(ctx, 100*time.Millisecond) == nil {
-					_ = p.Call(ctx, func(ctx context.Context) error { // its outcome is the patience's
-						if away.Load() {
-							return silent(ctx)
+					_ = p.Call(ctx, func(ctx context.Context) error { // p records the result
+						if down.Load() {
+							return unanswered(ctx)
 						}
 						return nil
 					})
@@ -84,13 +84,13 @@
 			})
 			require.Equal(t, Revision(5), <-watched)
 			time.Sleep(time.Second)
-			away.Store(true)
-			time.Sleep(x.away)
-			away.Store(false)
+			down.Store(true)
+			time.Sleep(x.outage)
+			down.Store(false)
 			time.Sleep(time.Second)
 			require.Equal(t, x.again, len(watched) == 1, x.what)
 			if x.again {
-				require.Equal(t, Revision(5), <-watched, "from where it was")
+				require.Equal(t, Revision(5), <-watched, "from the same revision")
 			}
 			cancel()
 			running.Wait()
