--- a/connection/graceful/graceful.go
+++ b/connection/graceful/graceful.go
@@ -1,14 +1,14 @@
-// Package graceful ends HTTP servers without cutting requests that are on their way in.
+// Package graceful shuts down HTTP servers without dropping requests that are being
+// received.
 //
-// What goes wrong with http.Server.Shutdown alone: it closes every connection without a
-// request in progress, and takes for one also a connection whose next request waits in the
-// kernel, or has been read in part. On a busy machine that is where requests are. Their
-// callers see a cut connection and can not tell whether the request ran.
+// http.Server.Shutdown closes every connection without a request in progress, including
+// connections whose next request is still in the kernel's receive buffer or has been
+// partially read; on a busy machine many requests are. Their callers get a connection
+// error and cannot determine whether the request ran.
 //
-// Guarantees: Shutdown closes a connection only when its last request was answered and no
-// byte of another one has come; each answer meanwhile tells the caller not to use the
-// connection again. A request that is sent in the moment of the closing still meets a
-// closed connection.
+// Guarantees: Shutdown closes a connection only if its last request was answered and no
+// byte of another one has arrived; meanwhile each response tells the caller not to reuse
+// the connection. A request that is sent at the moment of closing still fails.
 package graceful
 
 import (
@@ -25,17 +25,17 @@
 )
 
 const (
-	// poll is how often Shutdown looks for connections that may be closed.
-	poll = 10 * time.Millisecond
-	// newConn is how long a connection may take to bring its first request.
-	newConn = time.Second
+	// pollInterval is how often Shutdown looks for connections that may be closed.
+	pollInterval = 10 * time.Millisecond
+	// firstRequestTimeout is how long a new connection may take to send its first request.
+	firstRequestTimeout = time.Second
 )
 
-// Conns are the connections of one server.
+// Conns tracks the connections of one server.
 type Conns struct {
 	server  *http.Server
 	handler http.Handler
-	ending  atomic.Bool
+	closing atomic.Bool
 
 	mu    sync.Mutex
 	conns map[net.Conn]status
@@ -46,23 +46,23 @@
 	since time.Time
 }
 
-// Follow makes Conns follow the server's connections; it takes the server's ConnState and
-// stands before its Handler. The server has to serve what comes from Listener.
+// Follow tracks the server's connections. It sets the server's ConnState and wraps its
+// Handler. The server must serve a listener returned by Listener.
 func Follow(s *http.Server) *Conns {
 	c := &Conns{server: s, handler: s.Handler, conns: map[net.Conn]status{}}
-	s.ConnState, s.Handler = c.note, c
+	s.ConnState, s.Handler = c.setState, c
 	return c
 }
 
 // ServeHTTP implements http.Handler.
 func (c *Conns) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	if c.ending.Load() {
+	if c.closing.Load() {
 		w.Header().Set("Connection", "close")
 	}
 	c.handler.ServeHTTP(w, r)
 }
 
-func (c *Conns) note(conn net.Conn, state http.ConnState) {
+func (c *Conns) setState(conn net.Conn, state http.ConnState) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if state == http.StateClosed || state == http.StateHijacked {
@@ -72,51 +72,51 @@
 	c.conns[conn] = status{state, time.Now()}
 }
 
-// Shutdown closes the connections on which no request is in progress or has begun to come,
-// calls stop, which ends the accepting, and waits until the other connections have ended. At
-// the end of ctx, whose error is returned, the rest is cut.
+// Shutdown closes the connections on which no request is in progress or has begun to
+// arrive, calls stop, which must close the listener, and waits until the other connections
+// have been closed. When ctx ends, it closes the rest and returns the error of ctx.
 func (c *Conns) Shutdown(ctx context.Context, stop func()) error {
-	c.ending.Store(true)
-	c.settle(ctx)
+	c.closing.Store(true)
+	c.drain(ctx)
 	stop()
-	c.settle(ctx) // what was accepted last
+	c.drain(ctx) // the connections accepted last
 	err := c.server.Shutdown(ctx)
 	_ = c.server.Close()
 	return err
 }
 
-// settle waits until all connections have a request in progress, or ctx ends.
-func (c *Conns) settle(ctx context.Context) {
-	for c.closeIdle(time.Now()) > 0 && sleep.For(ctx, poll) == nil {
+// drain closes idle connections until all others have a request in progress, or ctx ends.
+func (c *Conns) drain(ctx context.Context) {
+	for c.closeIdle(time.Now()) > 0 && sleep.For(ctx, pollInterval) == nil {
 	}
 }
 
-// closeIdle closes the connections that no request uses and returns how many of the others
-// have none in progress.
+// closeIdle closes the connections without a request and returns the number of connections
+// on which a request may be arriving but is not in progress yet.
 func (c *Conns) closeIdle(now time.Time) int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	coming := 0
+	arriving := 0
 	for conn, s := range c.conns {
 		switch {
 		case s.state == http.StateActive:
-		case s.idle(now) && !asked(conn):
-			_ = conn.Close() // the server notices
+		case s.idle(now) && !unanswered(conn):
+			_ = conn.Close() // the server's read fails and ends its goroutine
 			delete(c.conns, conn)
 		default:
-			coming++
+			arriving++
 		}
 	}
-	return coming
+	return arriving
 }
 
-// idle reports whether the server knows of no request on the connection.
+// idle reports whether the server has no request on the connection.
 func (s status) idle(now time.Time) bool {
-	return s.state == http.StateIdle || s.state == http.StateNew && now.Sub(s.since) > newConn
+	return s.state == http.StateIdle || s.state == http.StateNew && now.Sub(s.since) > firstRequestTimeout
 }
 
-// Listener returns l with connections that tell whether a request has begun to come. TLS
-// comes above it.
+// Listener wraps l so that its connections report whether a request has begun to arrive.
+// A TLS listener must wrap the returned one.
 func Listener(l net.Listener) net.Listener { return listener{l} }
 
 type listener struct{ net.Listener }
@@ -134,7 +134,7 @@
 	return &conn{TCPConn: t, socket: tcpsocket.Of(t)}, nil
 }
 
-// conn knows whether bytes have come since the last ones were written.
+// conn records whether bytes were read since the last write.
 type conn struct {
 	*net.TCPConn
 	socket tcpsocket.Socket
@@ -156,14 +156,14 @@
 	return c.TCPConn.Write(b)
 }
 
-// asked reports whether bytes have come that were not answered.
-func (c *conn) asked() bool { return c.read.Load() || c.socket.Readable() }
+// unanswered reports whether bytes have arrived since the last write.
+func (c *conn) unanswered() bool { return c.read.Load() || c.socket.Readable() }
 
-// asked reports the same of a connection that comes from Listener; of another one, nothing.
-func asked(c net.Conn) bool {
+// unanswered reports the same for a connection of Listener, and false for others.
+func unanswered(c net.Conn) bool {
 	if secure, ok := c.(*tls.Conn); ok {
 		c = secure.NetConn()
 	}
-	known, ok := c.(interface{ asked() bool })
-	return ok && known.asked()
+	known, ok := c.(interface{ unanswered() bool })
+	return ok && known.unanswered()
 }
--- a/connection/graceful/graceful_test.go
+++ b/connection/graceful/graceful_test.go
@@ -13,26 +13,26 @@
 	"github.com/stretchr/testify/require"
 )
 
-// slowReader hands a request on only when it is let go: the server's goroutine has read
-// the bytes and does not come to run.
+// slowReader returns a request that it has read only after release is closed, as if the
+// server's goroutine were not scheduled after it read the bytes.
 type slowReader struct {
 	*conn
-	hold chan struct{} // closed to let go
-	held *atomic.Bool
+	release chan struct{}
+	held    *atomic.Bool
 }
 
 func (s slowReader) Read(b []byte) (int, error) {
 	n, err := s.conn.Read(b)
 	if n > 0 && s.held.Load() {
-		<-s.hold
+		<-s.release
 	}
 	return n, err
 }
 
 type slowListener struct {
 	net.Listener
-	hold chan struct{}
-	held atomic.Bool
+	release chan struct{}
+	held    atomic.Bool
 }
 
 func (l *slowListener) Accept() (net.Conn, error) {
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return slowReader{c.(*conn), l.hold, &l.held}, nil
+	return slowReader{c.(*conn), l.release, &l.held}, nil
 }
 
 const testTimeout = 20 * time.Second
@@ -54,7 +54,7 @@
 func serve(t *testing.T) *fixture {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
-	f := &fixture{listen: &slowListener{Listener: Listener(l), hold: make(chan struct{})}, done: make(chan error, 1)}
+	f := &fixture{listen: &slowListener{Listener: Listener(l), release: make(chan struct{})}, done: make(chan error, 1)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })}
 	f.conns = Follow(server)
 	go func() { _ = server.Serve(f.listen) }() // ends with the listener
@@ -95,8 +95,8 @@
 	return res
 }
 
-// TestRequestThatWasReadIsAnswered guards against a planned stop that cuts a request whose
-// bytes the server has, while its goroutine does not come to run.
+// TestRequestThatWasReadIsAnswered guards against a planned stop that drops a request whose
+// bytes the server has read while its goroutine is not scheduled.
 func TestRequestThatWasReadIsAnswered(t *testing.T) {
 	f := serve(t)
 	c := call(t, f)
@@ -104,27 +104,27 @@
 	c.answer()
 	f.listen.held.Store(true)
 	c.send()
-	require.Eventually(t, f.anyAsked, testTimeout, time.Millisecond)
+	require.Eventually(t, f.anyUnanswered, testTimeout, time.Millisecond)
 	f.shutdown(t.Context())
-	require.Never(t, func() bool { return len(f.done) > 0 }, 10*poll, poll, "the request is not answered yet")
-	close(f.listen.hold)
-	require.True(t, c.answer().Close, "the connection is not used again")
+	require.Never(t, func() bool { return len(f.done) > 0 }, 10*pollInterval, pollInterval, "the request is not answered yet")
+	close(f.listen.release)
+	require.True(t, c.answer().Close, "the connection is not reused")
 	require.NoError(t, <-f.done)
 }
 
-func (f *fixture) anyAsked() bool {
+func (f *fixture) anyUnanswered() bool {
 	f.conns.mu.Lock()
 	defer f.conns.mu.Unlock()
 	for c := range f.conns.conns {
-		if asked(c) {
+		if unanswered(c) {
 			return true
 		}
 	}
 	return false
 }
 
-// TestRequestInTheKernelKeepsItsConnection guards against a planned stop that cuts a request
-// which nobody has read yet.
+// TestRequestInTheKernelKeepsItsConnection guards against a planned stop that drops a
+// request which is still in the kernel's receive buffer.
 func TestRequestInTheKernelKeepsItsConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -136,21 +136,21 @@
 	require.NoError(t, err)
 	defer in.Close()
 	conns := Follow(&http.Server{})
-	conns.note(in, http.StateIdle)
+	conns.setState(in, http.StateIdle)
 	_, err = io.WriteString(out, "POST")
 	require.NoError(t, err)
-	require.Eventually(t, func() bool { return asked(in) }, testTimeout, time.Millisecond)
+	require.Eventually(t, func() bool { return unanswered(in) }, testTimeout, time.Millisecond)
 	require.Equal(t, 1, conns.closeIdle(time.Now()))
 	_, err = io.ReadFull(in, make([]byte, 4))
 	require.NoError(t, err)
-	require.Equal(t, 1, conns.closeIdle(time.Now()), "read and not answered")
+	require.Equal(t, 1, conns.closeIdle(time.Now()), "read but not answered")
 	_, err = io.WriteString(in, "HTTP/1.1 200 OK\r\n\r\n")
 	require.NoError(t, err)
 	require.Zero(t, conns.closeIdle(time.Now()))
 }
 
-// TestConnectionsEndTogether guards against a stop that waits for callers who keep their
-// connections open and send nothing, or that cuts a request which is late on a new one.
+// TestConnectionsEndTogether guards against a stop that waits for callers who keep idle
+// connections open, or that drops the late first request of a new connection.
 func TestConnectionsEndTogether(t *testing.T) {
 	f := serve(t)
 	idle, fresh := call(t, f), call(t, f)
@@ -171,14 +171,14 @@
 	return len(f.conns.conns)
 }
 
-// TestShutdownIsBounded guards against a stop that waits for good for the rest of a request.
+// TestShutdownIsBounded guards against a stop that waits forever for the rest of a request.
 func TestShutdownIsBounded(t *testing.T) {
 	f := serve(t)
 	c := call(t, f)
 	_, err := io.WriteString(c, "POST / HTTP/1.1\r\n")
 	require.NoError(t, err)
-	require.Eventually(t, f.anyAsked, testTimeout, time.Millisecond)
-	ctx, cancel := context.WithTimeout(t.Context(), 5*poll)
+	require.Eventually(t, f.anyUnanswered, testTimeout, time.Millisecond)
+	ctx, cancel := context.WithTimeout(t.Context(), 5*pollInterval)
 	defer cancel()
 	f.shutdown(ctx)
 	require.ErrorIs(t, <-f.done, context.DeadlineExceeded)
--- a/connection/keys/config.go
+++ b/connection/keys/config.go
@@ -6,15 +6,14 @@
 	"errors"
 )
 
-var errNoPeerCertificate = errors.New("keys: the other side sent no certificate")
+var errNoPeerCertificate = errors.New("keys: remote side sent no certificate")
 
 // PeerConfig returns the mutual TLS configuration between daemons, for both
 // directions. Each handshake uses the files as last loaded.
 //
-// Verification is done in VerifyConnection because the standard one is bound
-// to the pool given when the configuration was made, which a reload of the
-// authority file could not replace. The checks are the same: chain, validity,
-// name.
+// Verification is done in VerifyConnection because the standard one uses the pool
+// that was set when the configuration was made, which a reload of the authority
+// file could not replace. The checks are the same: chain, validity, name.
 func (k *Keys) PeerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion:             tls.VersionTLS13,
@@ -30,12 +29,12 @@
 
 // ServerConfig returns the configuration of a server for callers or operators,
 // who need no certificate. With an authority file they may present one, which
-// must then verify; the configuration is made anew for each handshake, so that
-// a reload replaces the authorities too.
+// must then verify; each handshake makes a new configuration, so that a reload
+// replaces the authorities too.
 //
-// What goes wrong otherwise: nobody's certificate is ever asked for, and a
-// handler believes whatever name a caller writes in a header. One would notice
-// requests counted for the wrong team. The verified chains tell the handler.
+// Handlers take a caller's identity from the verified chains. If no certificate were
+// requested, they could only rely on the name that a caller writes in a header, and
+// requests could be counted for the wrong team.
 func (k *Keys) ServerConfig() *tls.Config {
 	base := &tls.Config{MinVersion: tls.VersionTLS12, GetCertificate: k.serverCertificate}
 	if !k.current.Load().authorities {
--- a/connection/keys/ephemeral.go
+++ b/connection/keys/ephemeral.go
@@ -19,8 +19,8 @@
 	serialBits        = 127
 )
 
-// Authority issues certificates for tests and demonstrations; it lives in
-// memory only.
+// Authority issues certificates for tests and demonstrations. It is kept in memory
+// only.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
@@ -54,8 +54,8 @@
 // PEM returns the authority's certificate.
 func (a *Authority) PEM() []byte { return a.pem }
 
-// Issue signs a certificate for the names, which are DNS names or IP
-// addresses, for both sides of a connection. It returns PEM.
+// Issue signs a certificate for the names, which are DNS names or IP addresses,
+// that is valid for servers and clients. It returns PEM.
 func (a *Authority) Issue(names ...string) (certPEM, keyPEM []byte, err error) {
 	template, err := newTemplate("fennelshunt ephemeral")
 	if err != nil {
@@ -85,9 +85,9 @@
 	return encodePEM("CERTIFICATE", der), encodePEM("PRIVATE KEY", keyDER), nil
 }
 
-// Ephemeral returns keys of a fresh authority, valid for PeerName, localhost,
-// the loopback addresses and the names given, for tests and demonstrations.
-// Daemons that shall trust each other share the returned value.
+// Ephemeral returns keys of a new authority, valid for PeerName, localhost, the
+// loopback addresses and the given names, for tests and demonstrations. Daemons
+// that must trust each other share the returned value.
 func Ephemeral(names ...string) (*Keys, error) {
 	authority, err := NewAuthority()
 	if err != nil {
--- a/connection/keys/http.go
+++ b/connection/keys/http.go
@@ -3,10 +3,10 @@
 import "crypto/tls"
 
 // PeerHTTPConfig returns the mutual TLS configuration of an HTTP server for
-// other daemons. Unlike PeerConfig it lets the standard verification fill in
-// the verified chains, by which a handler tells an authenticated daemon from
-// anybody else; the configuration is made anew for each handshake, so that a
-// reload replaces the authorities too.
+// other daemons. Unlike PeerConfig it uses the standard verification, which fills
+// in the verified chains by which a handler recognizes an authenticated daemon.
+// Each handshake makes a new configuration, so that a reload replaces the
+// authorities too.
 func (k *Keys) PeerHTTPConfig() *tls.Config {
 	base := k.PeerConfig()
 	base.NextProtos = []string{"http/1.1"}
--- a/connection/keys/keys.go
+++ b/connection/keys/keys.go
@@ -1,10 +1,10 @@
 // Package keys loads certificates and private keys from PEM files, reloads
 // them when they change, and builds the TLS configurations of the system:
-// mutual TLS between daemons, and servers and clients towards callers.
+// mutual TLS between daemons, and TLS for callers and operators.
 //
-// Guarantees: a connection made after a reload uses the new files; files that
-// do not load or do not fit together leave the earlier ones in use and are
-// reported; open connections are not cut.
+// Guarantees: a connection made after a reload uses the new files; if files cannot
+// be loaded or do not match each other, this is reported and the earlier ones stay
+// in use; open connections are not closed.
 package keys
 
 import (
@@ -17,9 +17,9 @@
 	"time"
 )
 
-// PeerName is the DNS name that the certificate of every daemon must carry.
+// PeerName is the DNS name that the certificate of every daemon must contain.
 // Daemons check it on both sides, so that a certificate issued by the same
-// authority for another purpose cannot pass for a daemon.
+// authority for another purpose is not accepted as that of a daemon.
 const PeerName = "fennelshunt-peer"
 
 // Errors of loading. Test with errors.Is; *FileError names the file.
@@ -29,7 +29,7 @@
 	ErrExpired       = errors.New("the certificate is not valid now")
 )
 
-// FileError tells which file could not be used and why.
+// FileError reports which file could not be used and why.
 type FileError struct {
 	Path string
 	Err  error
@@ -45,17 +45,17 @@
 type Files struct {
 	Cert string `json:"cert"` // certificate chain, leaf first
 	Key  string `json:"key"`  // private key
-	// CA holds the authorities that the other side's chain must end in; without
-	// it nobody's certificate verifies, and callers are asked for none.
+	// CA holds the authorities that verify the certificates of the remote side.
+	// Without it no certificate verifies, and callers are not asked for one.
 	CA string `json:"ca"`
 }
 
-// material is one consistent set of what the files held.
+// material is the content of one consistent set of files.
 type material struct {
 	cert    tls.Certificate
 	leaf    *x509.Certificate
-	roots   *x509.CertPool // never nil: a nil pool means the machine's own
-	digests [3][32]byte    // of the files, to notice a change
+	roots   *x509.CertPool // never nil: a nil pool means the system roots
+	digests [3][32]byte    // of the files, to detect a change
 	// authorities is set when an authority file is named.
 	authorities bool
 }
--- a/connection/keys/keys_test.go
+++ b/connection/keys/keys_test.go
@@ -12,7 +12,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// write puts a certificate for the names into the files.
+// write writes a new certificate for the names, its key and the authority to the files.
 func write(t *testing.T, files Files, a *Authority, names ...string) {
 	certPEM, keyPEM, err := a.Issue(names...)
 	require.NoError(t, err)
@@ -35,7 +35,7 @@
 	return a
 }
 
-// handshake connects a client to a server and returns what each says.
+// handshake connects a client to a server and returns the errors of both sides.
 func handshake(t *testing.T, client, server *tls.Config) (clientErr, serverErr error) {
 	const limit = 10 * time.Second
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,15 +66,15 @@
 func TestLoadNamesTheFile(t *testing.T) {
 	a := authority(t)
 	for _, c := range []struct {
-		name  string
-		spoil func(Files) string
-		want  error
+		name    string
+		corrupt func(Files) string
+		want    error
 	}{
 		{"no certificate file", func(f Files) string { _ = os.Remove(f.Cert); return f.Cert }, os.ErrNotExist},
 		{"no key file", func(f Files) string { _ = os.Remove(f.Key); return f.Key }, os.ErrNotExist},
 		{"no authority file", func(f Files) string { _ = os.Remove(f.CA); return f.CA }, os.ErrNotExist},
-		{"certificate file without one", func(f Files) string { _ = os.WriteFile(f.Cert, []byte("x"), 0o600); return f.Cert }, ErrNoCertificate},
-		{"authority file without one", func(f Files) string { _ = os.WriteFile(f.CA, nil, 0o600); return f.CA }, ErrNoCertificate},
+		{"certificate file without certificate", func(f Files) string { _ = os.WriteFile(f.Cert, []byte("x"), 0o600); return f.Cert }, ErrNoCertificate},
+		{"authority file without certificate", func(f Files) string { _ = os.WriteFile(f.CA, nil, 0o600); return f.CA }, ErrNoCertificate},
 		{"key of another certificate", func(f Files) string {
 			_, key, _ := a.Issue(PeerName)
 			_ = os.WriteFile(f.Key, key, 0o600)
@@ -86,7 +86,7 @@
 			write(t, files, a, PeerName)
 			_, err := Load(files)
 			require.NoError(t, err)
-			path := c.spoil(files)
+			path := c.corrupt(files)
 			_, err = Load(files)
 			var fileErr *FileError
 			require.ErrorAs(t, err, &fileErr)
@@ -109,12 +109,12 @@
 	clientErr, serverErr := handshake(t, daemon, other)
 	require.NoError(t, clientErr)
 	require.NoError(t, serverErr)
-	for name, stranger := range map[string]*tls.Config{
+	for name, client := range map[string]*tls.Config{
 		"another authority": load(b, PeerName),
 		"another name":      load(a, "survey-desk"),
 		"no certificate":    {InsecureSkipVerify: true},
 	} {
-		_, serverErr := handshake(t, stranger, daemon)
+		_, serverErr := handshake(t, client, daemon)
 		require.Error(t, serverErr, "%s as the client", name)
 	}
 	clientErr, _ = handshake(t, daemon, load(a, "survey-desk"))
@@ -134,8 +134,8 @@
 	require.Error(t, clientErr)
 }
 
-// chains connects a client, which presents the certificate if there is one, to
-// a server and returns how many chains the server verified.
+// chains connects a client to a server and returns how many chains the server
+// verified. The client presents cert unless it is nil.
 func chains(t *testing.T, cert *tls.Certificate, server *tls.Config) (int, error) {
 	verified := 0
 	server = server.Clone()
@@ -156,19 +156,16 @@
 	}
 	client := &tls.Config{InsecureSkipVerify: true}
 	if cert != nil {
-		// Presented whatever authorities the server names.
+		// Presented regardless of the authorities that the server accepts.
 		client.GetClientCertificate = func(*tls.CertificateRequestInfo) (*tls.Certificate, error) { return cert, nil }
 	}
 	_, err := handshake(t, client, server)
 	return verified, err
 }
 
-// Symptom: a caller with a certificate of one team is taken for another, or is
-// refused after the authorities were replaced.
-// Sequence: a caller connects with a certificate and names another team in a
-// header; the authority is replaced.
-// Cause: the listener never asks for a certificate, so that the headers are
-// believed; or it keeps the authorities that it began with.
+// Guards against accepting a caller as another team, if the listener requests no
+// certificate and handlers have to rely on headers; and against refusing callers after
+// the authorities were replaced, if the listener keeps using the initial ones.
 func TestServerVerifiesCertificatesOfCallers(t *testing.T) {
 	files, a, b := filesIn(t.TempDir()), authority(t), authority(t)
 	write(t, files, a, "entry.example")
@@ -200,10 +197,9 @@
 	check(ofA, 0, true)
 }
 
-// Symptom: the daemon does not start though tls.callers.ca may be left out; or
-// strangers pass for daemons because the machine's authorities are trusted.
-// Sequence: keys are loaded without an authority file.
-// Cause: the empty name was read; an absent pool means the machine's own.
+// Guards against a daemon that does not start without tls.callers.ca, which is optional,
+// because it reads the file with the empty name; and against accepting any holder of a
+// public certificate as a daemon, since a nil pool means the system roots.
 func TestKeysWithoutAuthority(t *testing.T) {
 	files, a := filesIn(t.TempDir()), authority(t)
 	write(t, files, a, PeerName)
@@ -212,16 +208,14 @@
 	require.NoError(t, err)
 	n, err := chains(t, &k.current.Load().cert, k.ServerConfig())
 	require.NoError(t, err)
-	require.Zero(t, n, "no certificate is asked for")
+	require.Zero(t, n, "no certificate is requested")
 	_, serverErr := handshake(t, k.PeerConfig(), k.PeerConfig())
 	require.Error(t, serverErr, "no peer is trusted")
 }
 
-// Symptom: daemons stop trusting each other when an authority is replaced, or
-// lose their keys in the midst of a replacement.
-// Sequence: the files change one after the other, then a peer uses the new
-// authority.
-// Cause: half of the new files were taken, or configurations kept the old pool.
+// Guards against daemons that stop trusting each other after an authority was replaced,
+// if configurations keep the old pool, and against loading a mix of old and new files
+// while the files are replaced one after the other.
 func TestReload(t *testing.T) {
 	dir, a, b := t.TempDir(), authority(t), authority(t)
 	files := filesIn(dir)
@@ -255,7 +249,7 @@
 	require.NoError(t, serverErr)
 }
 
-// FuzzParse feeds broken PEM: it must be refused or fit together.
+// FuzzParse feeds invalid PEM: parse must return an error or a consistent set.
 func FuzzParse(f *testing.F) {
 	a, err := NewAuthority()
 	require.NoError(f, err)
--- a/connection/keys/parse.go
+++ b/connection/keys/parse.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// parse checks that the three files fit together. It names the file that an
-// operator has to mend.
+// parse checks that the three files match each other. The error names the file
+// that an operator has to correct.
 func parse(files Files, certPEM, keyPEM, caPEM []byte) (*material, error) {
 	if _, err := firstCertificate(certPEM); err != nil {
 		return nil, &FileError{Path: files.Cert, Err: err}
--- a/connection/keys/reload.go
+++ b/connection/keys/reload.go
@@ -7,12 +7,12 @@
 	"github.com/rs/zerolog"
 )
 
-// ReloadPeriod is how often the files are looked at; a change is in use within
-// about twice of it.
+// ReloadPeriod is how often the files are checked; a change takes effect within
+// about twice this time.
 const ReloadPeriod = 5 * time.Second
 
-// Reload reads the files again. It reports whether they changed; on an error
-// the earlier ones stay in use.
+// Reload reads the files again and reports whether they changed. On an error the
+// earlier ones stay in use.
 func (k *Keys) Reload() (changed bool, err error) {
 	if k.files == (Files{}) {
 		return false, nil // ephemeral keys have no files
@@ -34,8 +34,8 @@
 	Log  zerolog.Logger
 }
 
-// Serve reloads the files when they change, until the context ends. A set of
-// files that is half replaced does not load and is tried again.
+// Serve reloads the files when they change, until the context ends. A partially
+// replaced set of files cannot be loaded and is retried.
 func (r *Reloader) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(ReloadPeriod)
 	defer ticker.Stop()
@@ -53,7 +53,7 @@
 	changed, err := r.Keys.Reload()
 	switch {
 	case err != nil:
-		r.Log.Error().Err(err).Time("in_use_until", r.Keys.NotAfter()).Msg("key files not reloaded")
+		r.Log.Error().Err(err).Time("in_use_until", r.Keys.NotAfter()).Msg("reload of key files failed")
 	case changed:
 		r.Log.Info().Time("not_after", r.Keys.NotAfter()).Msg("key files reloaded")
 	}
--- a/connection/keys/shared.go
+++ b/connection/keys/shared.go
@@ -11,8 +11,8 @@
 // ErrNoAuthority means that the PEM data is not that of an authority.
 var ErrNoAuthority = errors.New("keys: not the certificate and key of an authority")
 
-// KeyPEM returns the authority's private key. Whoever has it can issue
-// certificates that the cell's daemons trust.
+// KeyPEM returns the authority's private key, with which certificates can be issued
+// that the cell's daemons trust.
 func (a *Authority) KeyPEM() ([]byte, error) {
 	der, err := x509.MarshalPKCS8PrivateKey(a.key)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return &Authority{cert: pair.Leaf, key: key, pem: certPEM}, nil
 }
 
-// Identity returns keys for a daemon, issued by the authority, that live in
-// memory only.
+// Identity returns keys for a daemon, issued by the authority and kept in memory
+// only.
 func (a *Authority) Identity(names ...string) (*Keys, error) {
 	certPEM, keyPEM, err := a.Issue(append([]string{PeerName}, names...)...)
 	if err != nil {
--- a/connection/peer/addr_test.go
+++ b/connection/peer/addr_test.go
@@ -7,16 +7,14 @@
 )
 
 func TestCallsByAddressUseTheAcceptedConnection(t *testing.T) {
-	// Symptom: a daemon's goroutines and memory grow with every call, by some
-	//   500 connections a second in a busy cell.
-	// Sequence: a daemon accepts a connection from another and then calls that
-	//   one by its address, again and again.
-	// Cause: an accepted connection has no address to be found by, and stays the
-	//   one in use for its member; so each call by address dials one more.
+	// Guards against goroutines and memory that grow with every call, by some 500
+	// connections per second in a busy cell: a daemon accepts a connection from another
+	// one and then calls it by its address repeatedly. If an accepted connection cannot
+	// be found by its address but stays the member's link, each call dials another one.
 	mux := NewMux()
 	mux.Handle("echo", echo)
-	a := startNode(t, "127.0.0.1:0", life("a", 1), peerTLS(t), mux)
-	b := startNode(t, "127.0.0.1:0", life("b", 1), peerTLS(t), mux)
+	a := startNode(t, "127.0.0.1:0", newHello("a", 1), peerTLS(t), mux)
+	b := startNode(t, "127.0.0.1:0", newHello("b", 1), peerTLS(t), mux)
 	_, err := a.CallAddr(t.Context(), b.Addr(), "echo", message{}, nil)
 	require.NoError(t, err)
 	for range 20 {
--- a/connection/peer/backoff.go
+++ b/connection/peer/backoff.go
@@ -6,29 +6,30 @@
 	"time"
 )
 
-// Pause between two handshakes with an address that does not answer.
+// Bounds of the pause between two handshakes with an address that does not answer.
 const (
 	firstDialPause = 2 * time.Second
 	lastDialPause  = 8 * time.Second
 )
 
-// dialBackoff keeps calls from trying a handshake with a silent address over
-// and over: each try sends several packets of full size, and a lost zone would
-// make every daemon spend more than its control budget on them. Calls in
+// dialBackoff limits how often calls try a handshake with an unresponsive address:
+// each attempt sends several packets of full size, and the loss of a zone would
+// make every daemon spend more than its control traffic budget on them. Calls in
 // between fail at once as not sent.
 type dialBackoff struct {
 	mu     sync.Mutex
 	failed map[string]dialFailure // by address
 }
 
-// dialFailure is why an address did not answer, and until when it is left alone.
+// dialFailure is the last failed handshake with an address; no other one is tried
+// before until.
 type dialFailure struct {
 	err   error
 	pause time.Duration
 	until time.Time
 }
 
-// check returns the last failure while the address is to be left alone.
+// check returns the last failure while the backoff of the address lasts.
 func (b *dialBackoff) check(addr string) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -39,8 +40,8 @@
 	return nil
 }
 
-// note records the outcome of a handshake.
-func (b *dialBackoff) note(addr string, err error) {
+// record records the outcome of a handshake.
+func (b *dialBackoff) record(addr string, err error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if err == nil {
@@ -57,9 +58,9 @@
 	b.failed[addr] = f
 }
 
-// forget drops failures that are long over; addresses of replaced daemons
-// would else add up.
-func (b *dialBackoff) forget(now time.Time) {
+// evict drops failures whose backoff has ended long ago; addresses of replaced
+// daemons would otherwise accumulate.
+func (b *dialBackoff) evict(now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for addr, f := range b.failed {
--- a/connection/peer/call.go
+++ b/connection/peer/call.go
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/connection/traffic"
 )
 
-// Stats counts what a node did; read it through Node.Stats.
+// Stats are the counters of a node; read them through Node.Stats.
 type Stats struct {
 	Calls     expvar.Int // calls made
 	NotSent   expvar.Int // calls that certainly did not run
@@ -57,10 +57,10 @@
 	return n.count(decodeReply(answer, to, resp))
 }
 
-// CallAddr calls whoever answers at the UDP address, for a daemon that knows
-// seed addresses only, and returns who did.
+// CallAddr calls whichever daemon answers at the UDP address, for a daemon that has
+// only seed addresses, and returns the daemon that answered.
 func (n *Node) CallAddr(ctx context.Context, addr string, method Method, req, resp any) (Ref, error) {
-	frame, err := requestFrame(ctx, request{AnyLife: true, Method: method}, req)
+	frame, err := requestFrame(ctx, request{AnyIncarnation: true, Method: method}, req)
 	if err != nil {
 		return Ref{}, n.count(err)
 	}
@@ -116,7 +116,7 @@
 	return encodeFrame(r)
 }
 
-// decodeReply ends a call. A reply that does not decode is an unknown outcome:
+// decodeReply decodes the reply into resp. If that fails, the outcome is unknown:
 // the handler ran.
 func decodeReply(answer reply, to Ref, resp any) error {
 	if err := answer.err(to); err != nil {
@@ -138,10 +138,10 @@
 	start := time.Now()
 	stream, err := l.conn.OpenStreamSync(ctx)
 	if err != nil {
-		n.retireIfSilent(ctx, l, start)
+		n.retireIfUnresponsive(ctx, l, start)
 		return reply{}, notSent(err)
 	}
-	// Cancelling both directions tells the handler that the caller gave up.
+	// Cancelling both directions cancels the handler's context.
 	stop := context.AfterFunc(ctx, func() {
 		stream.CancelRead(streamCancelled)
 		stream.CancelWrite(streamCancelled)
@@ -154,16 +154,17 @@
 		return answer, nil
 	}
 	stream.CancelRead(streamCancelled)
-	n.retireIfSilent(ctx, l, start)
+	n.retireIfUnresponsive(ctx, l, start)
 	if ctx.Err() != nil {
 		err = fmt.Errorf("%w: %w", err, ctx.Err())
 	}
 	return reply{}, err
 }
 
-// roundTrip tells the two halves of a call apart. Until the last byte of the
-// frame was taken by the connection the receiver cannot have all of it, and it
-// acts on whole frames only: nothing ran. From then on it may have.
+// roundTrip distinguishes failures before and after the whole frame was sent. Until
+// the connection has accepted the last byte of the frame, the receiver cannot have
+// all of it, and it acts on whole frames only: nothing ran. From then on the call
+// may have run.
 func roundTrip(stream *quic.Stream, frame []byte) (reply, error) {
 	if n, err := stream.Write(frame); err != nil {
 		stream.CancelWrite(streamCancelled)
@@ -172,8 +173,8 @@
 		}
 		return reply{}, unknown(err)
 	}
-	// Close fails when the receiver, which has the whole frame, stopped reading
-	// before it saw the end of the stream. Its reply is on the way all the same.
+	// Close fails if the receiver, which has the whole frame, stopped reading
+	// before it received the end of the stream. It replies nevertheless.
 	closeErr := stream.Close()
 	var answer reply
 	if err := readFrame(stream, &answer); err != nil {
@@ -182,7 +183,7 @@
 	return answer, nil
 }
 
-// readError recognises the receiver's statement that nothing ran.
+// readError maps the stream reset by which a receiver says that nothing ran.
 func readError(err error) error {
 	var reset *quic.StreamError
 	if errors.As(err, &reset) && reset.Remote && reset.ErrorCode == streamNotRun {
@@ -191,10 +192,11 @@
 	return unknown(err)
 }
 
-// retireIfSilent takes a link out of use after a call failed, other than by
-// its caller's cancelling, while no other call got a reply. Without it every call to a daemon that restarted at
-// the same address would time out until the idle timeout ends the connection.
-func (n *Node) retireIfSilent(ctx context.Context, l *link, start time.Time) {
+// retireIfUnresponsive takes a link out of use after a call failed without being
+// cancelled by its caller, if no other call got a reply meanwhile. Otherwise every
+// call to a daemon that restarted at the same address would time out until the
+// idle timeout closes the connection.
+func (n *Node) retireIfUnresponsive(ctx context.Context, l *link, start time.Time) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		return
 	}
--- a/connection/peer/codec.go
+++ b/connection/peer/codec.go
@@ -6,8 +6,8 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// Bounds of one message. They keep a broken or hostile sender from making a
-// daemon allocate without limit.
+// Limits of one message. They bound the memory that a broken or hostile sender
+// can make a daemon allocate.
 const (
 	// MaxMessage is the largest encoded request or reply, in bytes.
 	MaxMessage     = 4 << 20
@@ -51,9 +51,9 @@
 	return data, nil
 }
 
-// Unmarshal decodes a message the way calls do: fields that are not known are
-// ignored, so that a newer release may add some; duplicate keys, trailing
-// bytes and oversized collections are errors.
+// Unmarshal decodes a message the way calls do: unknown fields are ignored, so
+// that a newer release may add fields; duplicate keys, trailing bytes and
+// oversized collections are errors.
 func Unmarshal(data []byte, v any) error {
 	if err := decoder.Unmarshal(data, v); err != nil {
 		return fmt.Errorf("peer: decode %T: %w", v, err)
--- a/connection/peer/errors.go
+++ b/connection/peer/errors.go
@@ -5,8 +5,7 @@
 	"fmt"
 )
 
-// Errors that tell why a call was not sent or not run. Each wraps one of the
-// errors of calls.
+// Causes of calls that were not sent or did not run. Each wraps ErrNotSent.
 var (
 	ErrNoAddress = fmt.Errorf("%w: no address known", ErrNotSent)
 	ErrTooLarge  = fmt.Errorf("%w: message too large", ErrNotSent)
@@ -15,8 +14,8 @@
 	ErrClosed    = fmt.Errorf("%w: node closed", ErrNotSent)
 )
 
-// WrongLifeError says who answered at the address of another life of a
-// daemon. It matches ErrWrongLife.
+// WrongLifeError reports that the address of the wanted incarnation of a daemon
+// belongs to another incarnation, or to another daemon. It matches ErrWrongLife.
 type WrongLifeError struct {
 	Want, Actual Ref
 }
@@ -30,8 +29,8 @@
 // Unwrap makes errors.Is(err, ErrWrongLife) hold.
 func (e *WrongLifeError) Unwrap() error { return ErrWrongLife }
 
-// NotRun reports whether a call that failed with err certainly did not run at
-// the other side, so that it may be sent again whatever it does.
+// NotRun reports whether a call that failed with err certainly did not run on the
+// remote daemon, so that it may be sent again even if it is not idempotent.
 func NotRun(err error) bool {
 	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrWrongLife) || errors.Is(err, ErrNoMethod)
 }
--- a/connection/peer/frame.go
+++ b/connection/peer/frame.go
@@ -9,33 +9,34 @@
 )
 
 // A frame is a four byte big endian length and that many bytes of CBOR. The
-// receiver acts on a frame only once all of it has arrived: a sender that
-// failed to hand over the last byte knows that nothing ran.
+// receiver acts on a frame only once all of it has arrived, so nothing has run if
+// the sender failed to write the last byte.
 const (
 	frameHeader = 4
 	// maxFrame leaves room for the envelope around the largest message.
 	maxFrame = MaxMessage + 4096
-	// firstRead bounds what is allocated on the word of the sender alone.
+	// firstRead bounds the initial allocation, which relies on the length that the
+	// sender claims.
 	firstRead = 64 << 10
 )
 
-// Protocol versions of this release. A daemon speaks every version between
-// the two; a pair uses the highest that both speak, so that two releases work
-// side by side during a rolling upgrade.
+// Protocol versions of this release. A daemon supports every version between the
+// two; two daemons use the highest common one, so that two releases work together
+// during a rolling upgrade.
 const (
 	ProtocolMin = 1
 	ProtocolMax = 1
 )
 
-// hello opens a connection in both directions.
+// hello is the first message on a connection, in both directions.
 type hello struct {
 	Self Ref `cbor:"1,keyasint"`
 	Min  int `cbor:"2,keyasint"`
 	Max  int `cbor:"3,keyasint"`
 }
 
-// agree returns the highest protocol version that both sides speak.
-func (h hello) agree(other hello) (int, error) {
+// negotiate returns the highest protocol version that both sides support.
+func (h hello) negotiate(other hello) (int, error) {
 	version := min(h.Max, other.Max)
 	if version < max(h.Min, other.Min) {
 		return 0, fmt.Errorf("%w: %d to %d here, %d to %d there", ErrProtocol, h.Min, h.Max, other.Min, other.Max)
@@ -48,10 +49,10 @@
 	Method  Method `cbor:"1,keyasint"`
 	To      Ref    `cbor:"2,keyasint"`
 	Payload []byte `cbor:"3,keyasint,omitempty"`
-	// Budget is the time left to the caller in milliseconds; 0 means no limit.
+	// Budget is the time until the caller's deadline in milliseconds; 0 means none.
 	Budget uint64 `cbor:"4,keyasint,omitempty"`
-	// AnyLife skips the check of To: the caller knows an address only.
-	AnyLife bool `cbor:"5,keyasint,omitempty"`
+	// AnyIncarnation skips the check of To: the caller has only an address.
+	AnyIncarnation bool `cbor:"5,keyasint,omitempty"`
 }
 
 // status is the outcome of a call in its reply.
@@ -61,7 +62,7 @@
 	statusOK status = iota
 	statusRemoteError
 	statusNoMethod
-	statusWrongLife
+	statusWrongIncarnation
 	statusRefused
 )
 
@@ -86,7 +87,7 @@
 		return r.Error
 	case statusNoMethod:
 		return ErrNoMethod
-	case statusWrongLife:
+	case statusWrongIncarnation:
 		return &WrongLifeError{Want: to, Actual: r.Actual}
 	case statusRefused:
 		return ErrBusy
@@ -136,8 +137,8 @@
 // ReadFrame reads one frame into v.
 func ReadFrame(r io.Reader, v any) error { return readFrame(r, v) }
 
-// readFrame decodes one frame. Memory grows with the bytes that arrive, not
-// with the length that the sender claims.
+// readFrame decodes one frame. Memory use grows with the bytes received, not with
+// the length that the sender claims.
 func readFrame(r io.Reader, v any) error {
 	var header [frameHeader]byte
 	if _, err := io.ReadFull(r, header[:]); err != nil {
--- a/connection/peer/fuzz_test.go
+++ b/connection/peer/fuzz_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// addSeeds gives a fuzzer whole, cut and broken frames of v.
+// addSeeds gives a fuzzer complete, truncated and invalid frames of v.
 func addSeeds(f *testing.F, v any) {
 	frame, err := encodeFrame(v)
 	require.NoError(f, err)
@@ -17,8 +17,8 @@
 	f.Add([]byte{0, 0, 0, 3, 0x9f, 0x9f, 0x9f})
 }
 
-// fuzzFrame decodes bytes as a frame of type T. What decodes must encode to
-// something that decodes to the same.
+// fuzzFrame decodes bytes as a frame of type T. A decoded value must stay the same
+// when it is encoded and decoded again.
 func fuzzFrame[T any](f *testing.F) {
 	f.Fuzz(func(t *testing.T, data []byte) {
 		var first, second T
@@ -35,7 +35,7 @@
 }
 
 func FuzzHello(f *testing.F) {
-	addSeeds(f, life("a", 1))
+	addSeeds(f, newHello("a", 1))
 	fuzzFrame[hello](f)
 }
 
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -12,22 +12,22 @@
 	"github.com/quic-go/quic-go"
 )
 
-// link is one QUIC connection after its hello. Both sides may call over it.
+// link is one QUIC connection after its hello. Both sides may make calls over it.
 type link struct {
 	conn    *quic.Conn
-	addr    string // the other side's; it listens where it dials from
+	addr    string // of the remote daemon, which listens on the address it dials from
 	remote  hello
 	version int
 
 	calls    atomic.Int64 // in flight, both directions
 	lastUsed atomic.Int64 // end of the last call, unix nanoseconds
-	// lastReply is when a call over this link last got its reply. A call that
-	// times out without any reply in between marks the link as dead.
+	// lastReply is when a call over this link last got its reply. If a call times
+	// out and no reply arrived meanwhile, the link is retired.
 	lastReply atomic.Int64
 }
 
 func newLink(conn *quic.Conn, addr string, self, remote hello) (*link, error) {
-	version, err := self.agree(remote)
+	version, err := self.negotiate(remote)
 	if err != nil {
 		return nil, err
 	}
@@ -53,12 +53,12 @@
 func (l *link) alive() bool { return l.conn.Context().Err() == nil }
 
 func (l *link) close(code quic.ApplicationErrorCode, why string) {
-	// The error only says that the connection was closed before.
+	// The only error is that the connection was closed before.
 	_ = l.conn.CloseWithError(code, why)
 }
 
-// linkTo returns an open link to the life at addr, dialling when needed. An
-// error means that nothing was sent to a handler.
+// linkTo returns an open link to the incarnation at addr, dialling if necessary.
+// An error means that nothing was sent to a handler.
 func (n *Node) linkTo(ctx context.Context, to Ref, addr string) (*link, error) {
 	l, err := n.current(to)
 	if l != nil || err != nil {
@@ -74,9 +74,9 @@
 	return l, nil
 }
 
-// current returns the open link to that very life, nil when there is none, or
-// a *WrongLifeError when an open link leads to a later life: the earlier one is
-// over, and a handshake for each call to it would learn nothing.
+// current returns the open link to the incarnation, nil if there is none, or a
+// *WrongLifeError if there is an open link to a later incarnation: the earlier one
+// has ended, and a handshake for each call to it would be in vain.
 func (n *Node) current(to Ref) (*link, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -93,25 +93,24 @@
 	}
 }
 
-// find returns an open link in use that satisfies the condition, or nil.
-func (n *Node) find(ok func(*link) bool) *link {
+// find returns an open link for new calls that matches, or nil.
+func (n *Node) find(matches func(*link) bool) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, l := range n.links {
-		if l.alive() && ok(l) {
+		if l.alive() && matches(l) {
 			return l
 		}
 	}
 	return nil
 }
 
-// dialShared lets the calls that wait for one address share one handshake, and
-// takes an open link that will do, which another call may have made since the
-// caller looked. A caller whose context ends stops waiting; the handshake goes
-// on for others.
-func (n *Node) dialShared(ctx context.Context, addr string, willDo func(*link) bool) (*link, error) {
+// dialShared dials addr with one handshake for all calls that wait for it. It uses
+// an open link that matches, if another call has made one since the caller checked.
+// A caller whose context ends stops waiting; the handshake continues for others.
+func (n *Node) dialShared(ctx context.Context, addr string, matches func(*link) bool) (*link, error) {
 	result := n.dials.DoChan(addr, func() (any, error) {
-		if l := n.find(willDo); l != nil {
+		if l := n.find(matches); l != nil {
 			return l, nil
 		}
 		if err := n.backoff.check(addr); err != nil {
@@ -120,7 +119,7 @@
 		dialCtx, cancel := context.WithTimeout(context.WithoutCancel(ctx), handshakeTimeout)
 		defer cancel()
 		l, err := n.dial(dialCtx, addr)
-		n.backoff.note(addr, err)
+		n.backoff.record(addr, err)
 		return l, err
 	})
 	select {
@@ -164,7 +163,7 @@
 	return config
 }
 
-// greet sends this side's hello on the first stream and reads the other's.
+// greet sends this daemon's hello on the first stream and reads the remote one.
 func (n *Node) greet(ctx context.Context, conn *quic.Conn, addr string) (*link, error) {
 	stream, err := conn.OpenStreamSync(ctx)
 	if err != nil {
@@ -204,8 +203,8 @@
 		l.close(closeCodeNormal, "closing")
 		return
 	}
-	// It listens where it dials from.
-	n.backoff.note(conn.RemoteAddr().String(), nil)
+	// The remote daemon listens on the address it dials from.
+	n.backoff.record(conn.RemoteAddr().String(), nil)
 	n.serveLink(ctx, l)
 }
 
@@ -225,15 +224,15 @@
 	if err != nil {
 		return nil, err
 	}
-	// The answer goes out even when no version is shared, so that the other
-	// side can name both ranges in its log.
+	// The answer is sent even if there is no common version, so that the remote
+	// daemon can log both ranges.
 	if _, err := stream.Write(frame); err != nil {
 		return nil, fmt.Errorf("peer: answer hello: %w", err)
 	}
-	// The other side may have read the answer and stopped reading before this
+	// The remote daemon may have read the answer and stopped reading before the
 	// end of the stream is sent; Close then fails although nothing is missing.
-	// Taken for a failure it would cut a link that the other side already uses,
-	// and its first call would end with an unknown outcome.
+	// Closing the link for that would end the first call that the remote daemon
+	// already makes over it with an unknown outcome.
 	_ = stream.Close()
 	l, err := newLink(conn, conn.RemoteAddr().String(), n.self, remote)
 	if errors.Is(err, ErrProtocol) {
@@ -242,8 +241,8 @@
 	return l, err
 }
 
-// awaitClose gives the other side the time to read the hello before this side
-// closes, which would discard it.
+// awaitClose waits until the remote daemon has read the hello and closes the
+// connection; closing it here would discard the hello.
 func awaitClose(ctx context.Context, conn *quic.Conn) {
 	select {
 	case <-ctx.Done():
@@ -251,8 +250,8 @@
 	}
 }
 
-// adopt makes the link the one that new calls use, unless an open link to the
-// same or a newer life is there. It reports false once the node is closed.
+// adopt makes new calls use the link, unless there is an open link to the same or
+// a later incarnation. It returns false if the node is closed.
 func (n *Node) adopt(l *link) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -277,8 +276,8 @@
 	}
 }
 
-// forget drops a link whose connection has ended.
-func (n *Node) forget(l *link) {
+// remove drops a link whose connection has ended.
+func (n *Node) remove(l *link) {
 	n.retire(l)
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/connection/peer/mux.go
+++ b/connection/peer/mux.go
@@ -10,12 +10,12 @@
 
 // Codes of RemoteError that this package sets itself.
 const (
-	CodePanic    = "panic"     // the handler panicked; it may have run in part
+	CodePanic    = "panic"     // the handler panicked; it may have run partially
 	CodeBadReply = "bad_reply" // the reply could not be encoded or is too large
 )
 
-// Mux holds the handlers of a daemon. It implements Registrar; the zero value
-// is not ready, use NewMux.
+// Mux is the set of handlers of a daemon. It implements Registrar. Create it with
+// NewMux; the zero value is not usable.
 type Mux struct {
 	mu       sync.RWMutex
 	handlers map[Method]Handler
@@ -26,8 +26,8 @@
 	return &Mux{handlers: make(map[Method]Handler)}
 }
 
-// Handle registers h; it panics when the method is registered already, since
-// two owners of one method are a programming error.
+// Handle registers h. It panics if the method is registered already, which is a
+// programming error.
 func (m *Mux) Handle(method Method, h Handler) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -46,16 +46,17 @@
 	if !ok {
 		return nil, fmt.Errorf("%w: %s", ErrNoMethod, method)
 	}
-	value, err := safely(ctx, h, from, payload)
+	value, err := callRecovering(ctx, h, from, payload)
 	if err != nil {
 		return nil, asRemote(err)
 	}
 	return encodeReply(value)
 }
 
-// safely keeps one broken handler from ending the daemon with every request
-// in flight; the caller sees CodePanic and the stack is in the message.
-func safely(ctx context.Context, h Handler, from Ref, payload []byte) (value any, err error) {
+// callRecovering calls the handler and recovers a panic, which would otherwise end
+// the daemon with all requests in flight. The caller gets CodePanic with the stack
+// in the message.
+func callRecovering(ctx context.Context, h Handler, from Ref, payload []byte) (value any, err error) {
 	defer func() {
 		if p := recover(); p != nil {
 			err = &RemoteError{Code: CodePanic, Message: fmt.Sprintf("panic: %v\n%s", p, debug.Stack())}
--- a/connection/peer/node.go
+++ b/connection/peer/node.go
@@ -21,13 +21,13 @@
 const (
 	alpn = "fennelshunt-peer"
 
-	// handshakeTimeout allows for three lost packets on the way.
+	// handshakeTimeout allows for three lost packets.
 	handshakeTimeout = 2 * time.Second
-	// keepAlive holds a connection open under a long poll that is quiet.
+	// keepAlive keeps a connection open during a long poll without traffic.
 	keepAlive   = 15 * time.Second
 	idleTimeout = 45 * time.Second
-	// unusedTimeout closes connections that no call uses, so that keep-alives
-	// do not add up to a full mesh of the fleet.
+	// unusedTimeout closes connections that no call uses. Without it keep-alives
+	// would keep a full mesh of the fleet open.
 	unusedTimeout = 90 * time.Second
 	janitorPeriod = 30 * time.Second
 
@@ -42,12 +42,12 @@
 	streamNotRun     = quic.StreamErrorCode(2) // nothing ran for this stream
 )
 
-// Resolver returns the UDP address of a member's life.
+// Resolver returns the UDP address of a member's incarnation.
 type Resolver func(Ref) (addr string, ok bool)
 
-// Node is one daemon's end of the peer protocol: it serves the methods of a
-// Mux and calls other nodes, over one QUIC connection per peer and one stream
-// per call. It implements Caller; safe for concurrent use.
+// Node is the endpoint of one daemon: it serves the methods of a Mux and calls
+// other nodes, over one QUIC connection per peer and one stream per call. It
+// implements Caller and is safe for concurrent use.
 type Node struct {
 	self      hello
 	tls       *tls.Config
@@ -60,28 +60,28 @@
 	backoff   dialBackoff
 	stats     Stats
 	traffic   atomic.Pointer[traffic.Meter]
-	serving   atomic.Int64 // calls that run for others now
+	serving   atomic.Int64 // calls of other nodes in progress
 
 	mu     sync.Mutex
-	links  map[MemberID]*link // the link that new calls use
+	links  map[MemberID]*link // the link for new calls, by member
 	all    map[*link]struct{} // every open link
 	closed bool
 }
 
-// CountOn counts calls by method on a meter: the bytes of their frames, without
-// those of the connection that carries them.
+// CountOn counts calls by method on a meter, with the bytes of their frames but
+// without the overhead of the connection.
 func (n *Node) CountOn(m *traffic.Meter) { n.traffic.Store(m) }
 
-// Kinds of calls on the meter are these and the method.
+// Prefixes of the kinds of calls on the meter; the method follows.
 const (
 	kindMade   = "peer.made."
 	kindServed = "peer.served."
 )
 
-// NewNode returns a node on a bound UDP socket, which it closes. It answers
-// calls once Serve runs and can make calls at once. The TLS configuration
-// serves both directions; it must hold a certificate and verify the other
-// side's.
+// NewNode returns a node on a bound UDP socket, which Close closes. The node answers
+// calls while Serve runs and can make calls at once. The TLS configuration is used
+// in both directions; it must have a certificate and verify that of the remote
+// daemon.
 func NewNode(socket net.PacketConn, self Ref, tlsConfig *tls.Config, mux *Mux, log zerolog.Logger) (*Node, error) {
 	return newNode(socket, hello{Self: self, Min: ProtocolMin, Max: ProtocolMax}, tlsConfig, mux, log)
 }
@@ -90,9 +90,9 @@
 	config := tlsConfig.Clone()
 	config.NextProtos = []string{alpn}
 	if config.CurvePreferences == nil {
-		// The default's post-quantum key share does not fit one packet and
-		// doubles the bytes of each handshake, also of those in vain. Control
-		// messages are worth nothing to who reads them years later.
+		// The default's post-quantum key share does not fit into one packet and
+		// doubles the bytes of each handshake, including failed ones. Control
+		// messages have no value to an attacker who decrypts them years later.
 		config.CurvePreferences = []tls.CurveID{tls.X25519, tls.CurveP256}
 	}
 	n := &Node{
@@ -129,10 +129,10 @@
 // Addr returns the UDP address that the node listens on.
 func (n *Node) Addr() string { return n.transport.Conn.LocalAddr().String() }
 
-// Self returns the life that the node answers for.
+// Self returns the incarnation of the node's daemon.
 func (n *Node) Self() Ref { return n.self.Self }
 
-// SetResolver sets how calls find the address of a member.
+// SetResolver sets the resolver of member addresses.
 func (n *Node) SetResolver(r Resolver) { n.resolver.Store(&r) }
 
 // Serve accepts connections until the context ends or the node is closed.
@@ -166,7 +166,7 @@
 	return errors.Join(n.listener.Close(), n.transport.Close(), n.transport.Conn.Close())
 }
 
-// janitor closes links that no call has used for a while.
+// janitor periodically closes unused links and evicts ended dial backoffs.
 func (n *Node) janitor(ctx context.Context) {
 	ticker := time.NewTicker(janitorPeriod)
 	defer ticker.Stop()
@@ -176,7 +176,7 @@
 			return
 		case now := <-ticker.C:
 			n.closeUnused(now)
-			n.backoff.forget(now)
+			n.backoff.evict(now)
 		}
 	}
 }
--- a/connection/peer/node_test.go
+++ b/connection/peer/node_test.go
@@ -21,7 +21,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-const patience = 20 * time.Second
+const testTimeout = 20 * time.Second
 
 type message struct {
 	Text string    `cbor:"1,keyasint"`
@@ -69,14 +69,14 @@
 	return n
 }
 
-func life(id MemberID, incarnation uint64) hello {
+func newHello(id MemberID, incarnation uint64) hello {
 	return hello{Self: Ref{ID: id, Incarnation: incarnation}, Min: ProtocolMin, Max: ProtocolMax}
 }
 
 // pairOf returns a client and a server that resolve each other.
 func pairOf(t testing.TB, mux *Mux) (client, server *Node) {
-	server = startNode(t, "127.0.0.1:0", life("server", 1), peerTLS(t), mux)
-	client = startNode(t, "127.0.0.1:0", life("client", 1), peerTLS(t), NewMux())
+	server = startNode(t, "127.0.0.1:0", newHello("server", 1), peerTLS(t), mux)
+	client = startNode(t, "127.0.0.1:0", newHello("client", 1), peerTLS(t), NewMux())
 	addr := server.Addr()
 	client.SetResolver(func(to Ref) (string, bool) { return addr, to.ID == "server" })
 	return client, server
@@ -124,17 +124,17 @@
 		timeout time.Duration
 		ok      func(error) bool
 	}{
-		{"reply without content", to, "nothing", nil, patience, func(err error) bool { return err == nil }},
-		{"typed remote error", to, "typed", nil, patience, remote("full")},
-		{"untyped remote error", to, "plain", nil, patience, remote("")},
-		{"handler panics", to, "panic", nil, patience, remote(CodePanic)},
-		{"reply too large", to, "huge", nil, patience, remote(CodeBadReply)},
-		{"method not known", to, "absent", nil, patience, is(ErrNoMethod)},
-		{"earlier life", old, "echo", message{}, patience, is(ErrWrongLife)},
-		{"later life", next, "echo", message{}, patience, is(ErrWrongLife)},
-		{"no address", Ref{ID: "else", Incarnation: 1}, "echo", message{}, patience, is(ErrNotSent, ErrNoAddress)},
-		{"request too large", to, "echo", message{Data: make([]byte, MaxMessage)}, patience, is(ErrNotSent, ErrTooLarge)},
-		{"request cannot be encoded", to, "echo", make(chan int), patience, is(ErrNotSent)},
+		{"empty reply", to, "nothing", nil, testTimeout, func(err error) bool { return err == nil }},
+		{"typed remote error", to, "typed", nil, testTimeout, remote("full")},
+		{"untyped remote error", to, "plain", nil, testTimeout, remote("")},
+		{"handler panics", to, "panic", nil, testTimeout, remote(CodePanic)},
+		{"reply too large", to, "huge", nil, testTimeout, remote(CodeBadReply)},
+		{"method not registered", to, "absent", nil, testTimeout, is(ErrNoMethod)},
+		{"earlier incarnation", old, "echo", message{}, testTimeout, is(ErrWrongLife)},
+		{"later incarnation", next, "echo", message{}, testTimeout, is(ErrWrongLife)},
+		{"no address", Ref{ID: "else", Incarnation: 1}, "echo", message{}, testTimeout, is(ErrNotSent, ErrNoAddress)},
+		{"request too large", to, "echo", message{Data: make([]byte, MaxMessage)}, testTimeout, is(ErrNotSent, ErrTooLarge)},
+		{"request cannot be encoded", to, "echo", make(chan int), testTimeout, is(ErrNotSent)},
 		{"deadline before the send", to, "echo", message{}, 0, is(ErrNotSent, context.DeadlineExceeded)},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -148,7 +148,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		err := client.Call(ctx, to, "wait", nil, nil)
-		// The handler's own deadline may win and come back as its error.
+		// The handler's context may end first, whose error is then the reply.
 		var r *RemoteError
 		require.True(t, errors.As(err, &r) || errors.Is(err, ErrUnknown), "%v", err)
 		require.False(t, NotRun(err), "%v", err)
@@ -159,7 +159,7 @@
 	mux := NewMux()
 	mux.Handle("echo", echo)
 	client, server := pairOf(t, mux)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	var wg sync.WaitGroup
 	for i := range 100 {
@@ -207,15 +207,14 @@
 	require.ErrorIs(t, err, context.Canceled)
 	select {
 	case <-ended:
-	case <-time.After(patience):
+	case <-time.After(testTimeout):
 		t.Fatal("the handler's context did not end")
 	}
 }
 
-// Symptom: calls act on a daemon that replaced their target, or time out long
-// after a restart.
-// Sequence: a daemon ends without a word and another life binds its address.
-// Cause: the open connection leads nowhere and the address is the same.
+// Guards against calls that act on a later incarnation than their target, or time out
+// long after a restart: a daemon exits without closing its connections and its next
+// incarnation binds the same address, so that the open connection is dead.
 func TestRestartAtTheSameAddress(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
@@ -229,8 +228,8 @@
 	require.NoError(t, call(first))
 	addr := server.Addr()
 	require.NoError(t, server.Close())
-	second := startNode(t, addr, life("server", 2), peerTLS(t), mux).Self()
-	require.Eventually(t, func() bool { return call(second) == nil }, patience, time.Millisecond)
+	second := startNode(t, addr, newHello("server", 2), peerTLS(t), mux).Self()
+	require.Eventually(t, func() bool { return call(second) == nil }, testTimeout, time.Millisecond)
 	err := call(first)
 	require.ErrorIs(t, err, ErrWrongLife)
 	var wrong *WrongLifeError
@@ -244,7 +243,7 @@
 		min, max, expect int
 	}{
 		{"same", ProtocolMin, ProtocolMax, ProtocolMax},
-		{"newer release that still speaks ours", ProtocolMin, ProtocolMax + 3, ProtocolMax},
+		{"newer release that still supports ours", ProtocolMin, ProtocolMax + 3, ProtocolMax},
 		{"release that dropped ours", ProtocolMax + 1, ProtocolMax + 2, 0},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -253,9 +252,9 @@
 			client, server := pairOf(t, mux)
 			other := hello{Self: Ref{ID: "other", Incarnation: 1}, Min: c.min, Max: c.max}
 			node := startNode(t, "127.0.0.1:0", other, peerTLS(t), mux)
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 			defer cancel()
-			// In both directions: as the one who dials and the one who accepts.
+			// In both directions: as the dialling and as the accepting node.
 			_, out := node.CallAddr(ctx, server.Addr(), "echo", message{}, nil)
 			_, in := client.CallAddr(ctx, node.Addr(), "echo", message{}, nil)
 			if c.expect == 0 {
@@ -273,26 +272,26 @@
 	}
 }
 
-func TestStrangersAreRefused(t *testing.T) {
+func TestOtherAuthorityIsRefused(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
 	_, server := pairOf(t, mux)
-	strange, err := keys.Ephemeral()
+	foreign, err := keys.Ephemeral()
 	require.NoError(t, err)
-	node := startNode(t, "127.0.0.1:0", life("stranger", 1), strange.PeerConfig(), NewMux())
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	node := startNode(t, "127.0.0.1:0", newHello("stranger", 1), foreign.PeerConfig(), NewMux())
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	_, err = node.CallAddr(ctx, server.Addr(), "echo", message{}, nil)
 	require.ErrorIs(t, err, ErrNotSent)
 	require.Zero(t, server.Stats().Served.Value())
 }
 
-// Bytes that are no request must harm neither the node nor other calls.
+// Bytes that are not a valid request must affect neither the node nor other calls.
 func TestBrokenFrames(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
 	client, server := pairOf(t, mux)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, client.Call(ctx, server.Self(), "echo", message{}, nil))
 	link, err := client.current(server.Self())
@@ -324,17 +323,17 @@
 	mux := NewMux()
 	mux.Handle("echo", echo)
 	client, server := pairOf(t, mux)
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	require.NoError(t, client.Call(ctx, server.Self(), "echo", message{}, nil))
 	client.closeUnused(time.Now())
 	require.Equal(t, 1, client.open())
 	client.closeUnused(time.Now().Add(2 * unusedTimeout))
-	require.Eventually(t, func() bool { return client.open() == 0 }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return client.open() == 0 }, testTimeout, time.Millisecond)
 	require.NoError(t, client.Call(ctx, server.Self(), "echo", message{}, nil))
 }
 
-func TestCloseLeavesNothingBehind(t *testing.T) {
+func TestCloseLeaksNoGoroutines(t *testing.T) {
 	ignore := goleak.IgnoreCurrent()
 	t.Run("nodes", func(t *testing.T) {
 		mux := NewMux()
--- a/connection/peer/peer.go
+++ b/connection/peer/peer.go
@@ -1,6 +1,6 @@
-// Package peer carries typed messages between the daemons of a cell: calls
-// with a reply over QUIC, encoded as CBOR. Delivery is not guaranteed and a
-// call whose reply is lost may have run at the other side.
+// Package peer implements remote procedure calls between the daemons of a cell:
+// requests and replies over QUIC, encoded as CBOR. Delivery is not guaranteed,
+// and a call whose reply is lost may have run on the remote daemon.
 package peer
 
 import (
@@ -8,11 +8,11 @@
 	"errors"
 )
 
-// MemberID names a daemon; it stays the same over restarts.
+// MemberID identifies a daemon; it stays the same across restarts.
 type MemberID string
 
-// Ref names one life of a daemon. A restarted daemon has a higher incarnation
-// and is never taken for its earlier self.
+// Ref identifies one incarnation of a daemon. A restarted daemon has a higher
+// incarnation number, so that calls to an earlier incarnation never run on it.
 type Ref struct {
 	ID          MemberID `json:"id" cbor:"1,keyasint"`
 	Incarnation uint64   `json:"incarnation" cbor:"2,keyasint"`
@@ -26,10 +26,10 @@
 	ErrWrongLife = errors.New("peer: the address belongs to another incarnation, the call did not run")
 )
 
-// Method names a call, for example "slots.acquire".
+// Method is the name of a call, for example "slots.acquire".
 type Method string
 
-// Caller sends calls to members. Implementations route by the fleet's view.
+// Caller sends calls to members. Implementations route by the fleet's member list.
 type Caller interface {
 	// Call sends req (a CBOR-encodable value) and decodes the reply into resp,
 	// which may be nil. The error is one of this package's, a *RemoteError, or
@@ -37,12 +37,12 @@
 	Call(ctx context.Context, to Ref, method Method, req, resp any) error
 }
 
-// Handler serves one method. payload is the CBOR request; the returned value
+// Handler serves one method. payload is the request in CBOR; the returned value
 // is encoded as the reply.
 type Handler func(ctx context.Context, from Ref, payload []byte) (any, error)
 
-// Typed returns a handler that decodes its request; one that does not decode is
-// answered with the error.
+// Typed returns a handler that decodes its request. A decoding error is returned to
+// the caller.
 func Typed[Req any](f func(ctx context.Context, req Req) (any, error)) Handler {
 	return func(ctx context.Context, _ Ref, payload []byte) (any, error) {
 		var req Req
@@ -58,9 +58,9 @@
 	Handle(method Method, h Handler)
 }
 
-// RemoteError is an error that the handler at the other side returned.
+// RemoteError is an error that the handler on the remote daemon returned.
 type RemoteError struct {
-	Code    string `cbor:"1,keyasint,omitempty"` // typed by the method's package
+	Code    string `cbor:"1,keyasint,omitempty"` // defined by the method's package
 	Message string `cbor:"2,keyasint"`
 }
 
--- a/connection/peer/peertest/network.go
+++ b/connection/peer/peertest/network.go
@@ -1,6 +1,6 @@
-// Package peertest is a peer network in memory for tests: calls travel as
-// CBOR, so that aliased memory shows as it would over a socket, and can be
-// lost, delayed, cut off or held. It waits by time and channels only and works
+// Package peertest is an in-memory peer network for tests. Calls are encoded as
+// CBOR, so that the two sides share no memory, as over a socket. Messages can be
+// lost, delayed, cut or held. It waits by timers and channels only and works
 // inside a testing/synctest bubble.
 package peertest
 
@@ -19,13 +19,13 @@
 // lost, as the idle timeout of a connection would.
 const defaultTimeout = 45 * time.Second
 
-// overhead is what one message costs on the wire beyond its CBOR: IP, UDP and
-// QUIC headers and the packet that acknowledges it, in bytes.
+// overhead is the number of bytes of a message besides its CBOR: IP, UDP and QUIC
+// headers and the packet that acknowledges it.
 const overhead = 28 + 35 + 28 + 30
 
-// Traffic counts what one node put on and took from the network.
+// Traffic counts what one member sent and received.
 type Traffic struct {
-	Sent, Received int64 // bytes, with an allowance for packet headers
+	Sent, Received int64 // bytes, including an estimate of packet headers
 	Messages       int64 // messages sent
 }
 
@@ -56,8 +56,8 @@
 	}
 }
 
-// Node attaches a life of a member. A later life replaces the earlier one,
-// whose messages in flight are lost.
+// Node attaches an incarnation of a member. A later incarnation replaces the
+// earlier one, whose messages in flight are lost.
 func (n *Network) Node(ref peer.Ref) (peer.Caller, *peer.Mux) {
 	node := &Node{net: n, self: ref, mux: peer.NewMux(), down: make(chan struct{})}
 	n.mu.Lock()
@@ -72,7 +72,7 @@
 	return node, node.mux
 }
 
-// Stop takes a life off the network without a word, as a crash does.
+// Stop removes an incarnation from the network without notice, as a crash does.
 func (n *Network) Stop(ref peer.Ref) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -94,8 +94,8 @@
 	n.cuts[pair{b, a}] = cut
 }
 
-// Pause holds every message to and from the life until Resume, as when its
-// process is stopped.
+// Pause holds every message to and from the incarnation until Resume, as if its
+// process were suspended.
 func (n *Network) Pause(ref peer.Ref) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -114,21 +114,21 @@
 	}
 }
 
-// SetLoss sets the share of messages lost, between 0 and 1.
+// SetLoss sets the fraction of messages that are lost, between 0 and 1.
 func (n *Network) SetLoss(share float64) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.loss = share
 }
 
-// SetDelay sets the time that a message takes one way.
+// SetDelay sets the one-way latency of messages.
 func (n *Network) SetDelay(d time.Duration) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.delay = d
 }
 
-// Traffic returns what the member has sent and received over all its lives.
+// Traffic returns what all incarnations of the member have sent and received.
 func (n *Network) Traffic(id peer.MemberID) Traffic {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -150,8 +150,8 @@
 	return r
 }
 
-// leave decides the fate of one message as it is sent and accounts for it.
-func (n *Network) leave(from, to peer.MemberID, size int) (delay time.Duration, lost bool) {
+// send counts one message and decides its delay and whether it is lost.
+func (n *Network) send(from, to peer.MemberID, size int) (delay time.Duration, lost bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	sent := n.traffic[from]
@@ -164,7 +164,7 @@
 	return n.delay, lost
 }
 
-// find returns the node that answers for the member now.
+// find returns the node of the member's current incarnation.
 func (n *Network) find(id peer.MemberID) (*Node, bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/connection/peer/peertest/node.go
+++ b/connection/peer/peertest/node.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Node is one life of a member on the network. It implements peer.Caller.
+// Node is one incarnation of a member on the network. It implements peer.Caller.
 type Node struct {
 	net    *Network
 	self   peer.Ref
@@ -45,7 +45,7 @@
 	return x.call(ctx, to, false, method, req, resp)
 }
 
-// CallAddr calls the member whose ID is addr, in whichever life it is.
+// CallAddr calls the current incarnation of the member whose ID is addr.
 func (x *Node) CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error) {
 	target, ok := x.net.find(peer.MemberID(addr))
 	if !ok {
@@ -54,7 +54,7 @@
 	return target.self, x.call(ctx, target.self, true, method, req, resp)
 }
 
-func (x *Node) call(ctx context.Context, to peer.Ref, anyLife bool, method peer.Method, req, resp any) error {
+func (x *Node) call(ctx context.Context, to peer.Ref, anyIncarnation bool, method peer.Method, req, resp any) error {
 	if err := ctx.Err(); err != nil {
 		return fmt.Errorf("%w: %w", peer.ErrNotSent, err)
 	}
@@ -71,7 +71,7 @@
 		return fmt.Errorf("%w: %w", peer.ErrNotSent, err)
 	}
 	done := make(chan outcome, 1)
-	go x.travel(ctx, to, anyLife, method, payload, done)
+	go x.roundTrip(ctx, to, anyIncarnation, method, payload, done)
 	select {
 	case <-ctx.Done():
 		return fmt.Errorf("%w: %w", peer.ErrUnknown, ctx.Err())
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// travel carries the request there and the reply back; a message that is lost
-// leaves done empty and the caller waits for its deadline.
-func (x *Node) travel(ctx context.Context, to peer.Ref, anyLife bool, method peer.Method, payload []byte, done chan<- outcome) {
+// roundTrip delivers the request and the reply. If a message is lost, nothing is sent
+// on done and the caller waits for its deadline.
+func (x *Node) roundTrip(ctx context.Context, to peer.Ref, anyIncarnation bool, method peer.Method, payload []byte, done chan<- outcome) {
 	target, ok := x.net.find(to.ID)
 	if !ok {
 		done <- outcome{err: fmt.Errorf("%w: no node %s", peer.ErrNotSent, to.ID)}
@@ -110,18 +110,18 @@
 	if !x.deliver(ctx, x, target, len(payload)+len(method)) {
 		return
 	}
-	o := target.serve(ctx, x.self, to, anyLife, method, payload)
+	o := target.serve(ctx, x.self, to, anyIncarnation, method, payload)
 	if x.deliver(ctx, target, x, len(o.payload)) {
 		done <- o
 	}
 }
 
-// deliver moves one message and reports whether it arrived.
+// deliver delivers one message and reports whether it arrived.
 func (x *Node) deliver(ctx context.Context, from, to *Node, size int) bool {
 	if x.net.await(ctx, from) != nil || from.stopped() {
 		return false
 	}
-	delay, lost := x.net.leave(from.self.ID, to.self.ID, size)
+	delay, lost := x.net.send(from.self.ID, to.self.ID, size)
 	if lost || sleep.For(ctx, delay) != nil {
 		return false
 	}
@@ -131,15 +131,15 @@
 	return !to.stopped()
 }
 
-func (x *Node) serve(ctx context.Context, from, to peer.Ref, anyLife bool, method peer.Method, payload []byte) outcome {
-	if !anyLife && to != x.self {
+func (x *Node) serve(ctx context.Context, from, to peer.Ref, anyIncarnation bool, method peer.Method, payload []byte) outcome {
+	if !anyIncarnation && to != x.self {
 		return outcome{err: &peer.WrongLifeError{Want: to, Actual: x.self}}
 	}
 	data, err := x.mux.Dispatch(ctx, from, method, payload)
 	return outcome{payload: data, err: copyError(err)}
 }
 
-// copyError keeps the two sides from sharing an error value, as on a wire.
+// copyError copies an error, so that the two sides share no memory.
 func copyError(err error) error {
 	var remote *peer.RemoteError
 	if errors.As(err, &remote) {
--- a/connection/peer/random_test.go
+++ b/connection/peer/random_test.go
@@ -14,7 +14,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// lossy is a socket that loses a share of what it sends.
+// lossy is a socket that drops a fraction of the packets that it sends.
 type lossy struct {
 	net.PacketConn
 	loss atomic.Uint32 // percent
@@ -38,13 +38,13 @@
 	return l.PacketConn.WriteTo(p, to)
 }
 
-// runs counts how often each numbered call ran, in whichever life.
+// runs counts how often each numbered call ran, in any incarnation of the server.
 type runs struct {
 	mu    sync.Mutex
 	count map[int]int
 }
 
-// of returns how often a call ran. Handlers may outlive their node's end.
+// of returns how often a call ran. Handlers may still run after their node was closed.
 func (r *runs) of(number int) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,40 +65,39 @@
 	return number, nil
 }
 
-// Symptom: a call that "did not run" has run, or ran twice.
-// Sequence: calls with short deadlines over a connection that loses packets,
-// while the server ends and other lives of it take over its name.
-// Cause: a failure after the last byte was handed over counted as not sent, or
-// a call was repeated on a new connection.
+// Guards against a call that is reported as not run but ran, or that ran twice: if a
+// failure after the last byte was written counts as not sent, or if a call is repeated
+// on a new connection. Calls with short deadlines use a connection that loses packets,
+// while the server stops and restarts as new incarnations under its name.
 func TestVerdictsUnderLossAndRestarts(t *testing.T) {
-	const lives, callsPerLife = 6, 60
+	const incarnations, callsEach = 6, 60
 	executed := &runs{count: make(map[int]int)}
 	mux := NewMux()
 	mux.Handle("run", executed.handle)
 	clientSocket := newLossy(t, 1)
-	client, err := newNode(clientSocket, life("client", 1), peerTLS(t), NewMux(), zerolog.Nop())
+	client, err := newNode(clientSocket, newHello("client", 1), peerTLS(t), NewMux(), zerolog.Nop())
 	require.NoError(t, err)
 	defer client.Close()
 	var verdicts sync.Map
-	for n := range lives {
+	for n := range incarnations {
 		socket := newLossy(t, uint64(n))
-		server, err := newNode(socket, life("server", uint64(n+1)), peerTLS(t), mux, zerolog.Nop())
+		server, err := newNode(socket, newHello("server", uint64(n+1)), peerTLS(t), mux, zerolog.Nop())
 		require.NoError(t, err)
 		ctx, cancel := context.WithCancel(context.Background())
 		served := make(chan error, 1)
 		go func() { served <- server.Serve(ctx) }()
 		client.SetResolver(func(Ref) (string, bool) { return server.Addr(), true })
 		clientSocket.loss.Store(0)
-		require.Eventually(t, func() bool { return callOnce(client, server.Self(), -1).err == nil }, patience, time.Millisecond)
+		require.Eventually(t, func() bool { return callOnce(client, server.Self(), -1).err == nil }, testTimeout, time.Millisecond)
 		percent := uint32(n * 6)
 		clientSocket.loss.Store(percent)
 		socket.loss.Store(percent)
 		var wg sync.WaitGroup
-		for i := range callsPerLife {
-			number := n*callsPerLife + i
+		for i := range callsEach {
+			number := n*callsEach + i
 			wg.Go(func() { verdicts.Store(number, callOnce(client, server.Self(), number)) })
-			if i == callsPerLife*3/4 {
-				wg.Go(func() { _ = server.Close() }) // in the midst of the calls
+			if i == callsEach*3/4 {
+				wg.Go(func() { _ = server.Close() }) // while calls are in flight
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -137,21 +136,19 @@
 	var answer int
 	err := client.Call(ctx, to, "run", number, &answer)
 	if err == nil && answer != number {
-		err = errors.New("the answer to another call")
+		err = errors.New("got the answer to another call")
 	}
 	return outcomeOf{err: err}
 }
 
-// Symptom: every call to a daemon that died without a word waits for its whole
-// deadline until the connection's idle timeout.
-// Sequence: the connection is open, the other side falls silent, a call times
-// out.
-// Cause: the dead connection stayed the one that new calls use.
-func TestSilentLinkIsRetired(t *testing.T) {
+// Guards against calls to a crashed daemon that all wait for their whole deadline until
+// the connection's idle timeout, if new calls keep using the dead connection. The remote
+// daemon stops answering on an open connection, and a call times out.
+func TestUnresponsiveLinkIsRetired(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
 	socket := newLossy(t, 1)
-	server, err := newNode(socket, life("server", 1), peerTLS(t), mux, zerolog.Nop())
+	server, err := newNode(socket, newHello("server", 1), peerTLS(t), mux, zerolog.Nop())
 	require.NoError(t, err)
 	ctx, cancel := context.WithCancel(context.Background())
 	served := make(chan error, 1)
@@ -159,16 +156,16 @@
 	defer func() {
 		cancel()
 		<-served
-		_ = server.Close() // its sockets are of no use any more
+		_ = server.Close() // the error does not matter after the test
 	}()
-	client := startNode(t, "127.0.0.1:0", life("client", 1), peerTLS(t), NewMux())
+	client := startNode(t, "127.0.0.1:0", newHello("client", 1), peerTLS(t), NewMux())
 	client.SetResolver(func(Ref) (string, bool) { return server.Addr(), true })
 	call := func(limit time.Duration) error {
 		callCtx, cancel := context.WithTimeout(ctx, limit)
 		defer cancel()
 		return client.Call(callCtx, server.Self(), "echo", message{}, nil)
 	}
-	require.NoError(t, call(patience))
+	require.NoError(t, call(testTimeout))
 	socket.loss.Store(100)
 	require.ErrorIs(t, call(100*time.Millisecond), ErrUnknown)
 	l, err := client.current(server.Self())
@@ -176,5 +173,5 @@
 	require.Nil(t, l)
 	require.ErrorIs(t, call(100*time.Millisecond), ErrNotSent)
 	socket.loss.Store(0)
-	require.Eventually(t, func() bool { return call(time.Second) == nil }, patience, time.Millisecond)
+	require.Eventually(t, func() bool { return call(time.Second) == nil }, testTimeout, time.Millisecond)
 }
--- a/connection/peer/serve.go
+++ b/connection/peer/serve.go
@@ -9,17 +9,17 @@
 	"fennelshunt.example/fennelshunt/connection/traffic"
 )
 
-// requestTimeout bounds how long a request may take to arrive whole, so that
-// a peer that sends a byte a minute does not hold memory and a stream.
+// requestTimeout bounds how long a request may take to arrive completely, so that a
+// peer that sends a byte per minute does not occupy memory and a stream.
 const requestTimeout = 20 * time.Second
 
-// maxServing bounds the calls that a node runs at once over all its links;
-// more are refused before anything runs. Long polls count too.
+// maxServing bounds the calls that a node runs concurrently over all its links;
+// further calls are refused before anything runs. Long polls count too.
 const maxServing = 8192
 
 // serveLink runs the calls that arrive over the link until it ends.
 func (n *Node) serveLink(ctx context.Context, l *link) {
-	defer n.forget(l)
+	defer n.remove(l)
 	for {
 		stream, err := l.conn.AcceptStream(ctx)
 		if err != nil {
@@ -50,13 +50,12 @@
 	n.answer(stream, answer)
 }
 
-// run checks that the call is meant for this life before anything else: a
-// daemon restarted at the same address must not act on calls to its earlier
-// self.
+// run first checks that the call is addressed to this incarnation: a daemon that
+// restarted at the same address must not act on calls to an earlier incarnation.
 func (n *Node) run(ctx context.Context, l *link, req request) reply {
 	self := n.self.Self
-	if !req.AnyLife && req.To != self {
-		return reply{Status: statusWrongLife, Actual: self}
+	if !req.AnyIncarnation && req.To != self {
+		return reply{Status: statusWrongIncarnation, Actual: self}
 	}
 	if n.serving.Add(1) > maxServing {
 		n.serving.Add(-1)
@@ -87,6 +86,6 @@
 	if err := stream.Close(); err != nil {
 		n.log.Debug().Err(err).Msg("peer reply not closed")
 	}
-	// The request's last bytes are read; stop flow control for the rest.
+	// The request has been read; anything after it is discarded.
 	stream.CancelRead(streamCancelled)
 }
--- a/connection/peer/socket.go
+++ b/connection/peer/socket.go
@@ -6,11 +6,11 @@
 	"fennelshunt.example/fennelshunt/connection/traffic"
 )
 
-// kindDatagrams counts all that a node puts on the wire, its handshakes,
-// acknowledgements and repeated packets included.
+// kindDatagrams counts all packets that a node sends, including handshakes,
+// acknowledgements and retransmissions.
 const kindDatagrams traffic.Kind = "peer.datagrams"
 
-// socket counts what a node sends.
+// socket counts the packets that a node sends.
 type socket struct {
 	*net.UDPConn
 	n *Node
--- a/connection/traffic/traffic.go
+++ b/connection/traffic/traffic.go
@@ -1,9 +1,9 @@
-// Package traffic counts the calls of a process by kind: how many, the bytes
-// that they put on the wire and took from it, and the connections opened for
-// them. What a daemon's link and processor are used for is read from it.
+// Package traffic counts the calls of a process by kind: their number, the bytes
+// sent and received, and the connections opened for them. The counters show what a
+// daemon's network link and CPU are used for.
 //
-// Guarantees: counters only rise; counting never blocks a call on another one
-// of the same kind for longer than an addition.
+// Guarantees: counters never decrease; counting blocks a call only for the time of
+// an addition by another one.
 package traffic
 
 import (
@@ -13,18 +13,18 @@
 	"sync/atomic"
 )
 
-// Kind names calls that serve one purpose, for example renewals.
+// Kind is the name of a group of calls with one purpose, for example renewals.
 type Kind string
 
-// maxKinds bounds the kinds, some of which come from other daemons; further ones
-// are counted together under OtherKind.
+// maxKinds bounds the number of kinds, since some names come from other daemons;
+// further kinds are counted together under OtherKind.
 const maxKinds = 64
 
-// OtherKind holds the calls beyond maxKinds kinds.
+// OtherKind counts the calls of kinds beyond maxKinds.
 const OtherKind Kind = "other"
 
-// Counts of one kind. Sent and Received are bytes on the connection, headers
-// included; Opened are connections opened for a call.
+// Counts are the counters of one kind. Sent and Received are bytes on the
+// connection, including headers; Opened is the number of connections opened.
 type Counts struct {
 	Calls    uint64 `json:"calls"`
 	Sent     uint64 `json:"sent_bytes"`
@@ -32,7 +32,7 @@
 	Opened   uint64 `json:"opened,omitempty"`
 }
 
-// Minus returns what was counted since an earlier reading.
+// Minus returns the difference from an earlier reading.
 func (c Counts) Minus(before Counts) Counts {
 	return Counts{c.Calls - before.Calls, c.Sent - before.Sent, c.Received - before.Received, c.Opened - before.Opened}
 }
@@ -51,15 +51,15 @@
 
 // Add counts one call and its bytes.
 func (m *Meter) Add(k Kind, sent, received int64) {
-	m.change(k, func(c *Counts) {
+	m.update(k, func(c *Counts) {
 		c.Calls++
 		c.Sent += uint64(max(sent, 0))
 		c.Received += uint64(max(received, 0))
 	})
 }
 
-// change changes the counters of a kind.
-func (m *Meter) change(k Kind, f func(c *Counts)) {
+// update updates the counters of a kind.
+func (m *Meter) update(k Kind, f func(c *Counts)) {
 	if m == nil {
 		return
 	}
@@ -115,25 +115,26 @@
 type Conn struct {
 	net.Conn
 	meter *Meter
-	// kind, unless "", counts what goes over the connection as it goes; else the
-	// bytes of a call are read off by Bytes.
+	// kind, unless "", is the kind under which Read and Write count bytes as they are
+	// transferred; otherwise the caller gets the bytes of a call from Bytes.
 	kind           Kind
 	sent, received atomic.Int64
 	closed         atomic.Bool
 }
 
-// Wrap counts a connection that was opened for calls of a kind, and its bytes.
+// Wrap counts a connection that was opened for calls of a kind and returns one that
+// counts its bytes.
 func (m *Meter) Wrap(k Kind, c net.Conn) *Conn {
 	if m == nil {
 		m = &Meter{}
 	}
-	m.change(k, func(n *Counts) { n.Opened++ })
+	m.update(k, func(n *Counts) { n.Opened++ })
 	m.open.Add(1)
 	return &Conn{Conn: c, meter: m}
 }
 
-// WrapAll is Wrap for a connection that serves one kind only: each write counts as a
-// call, with its bytes, as it is made.
+// WrapAll is Wrap for a connection that is used for one kind only: each write counts
+// as a call, and bytes are counted as they are transferred.
 func (m *Meter) WrapAll(k Kind, c net.Conn) *Conn {
 	conn := m.Wrap(k, c)
 	conn.kind = k
@@ -145,7 +146,7 @@
 	n, err := c.Conn.Read(b)
 	c.received.Add(int64(n))
 	if c.kind != "" {
-		c.meter.change(c.kind, func(k *Counts) { k.Received += uint64(max(n, 0)) })
+		c.meter.update(c.kind, func(k *Counts) { k.Received += uint64(max(n, 0)) })
 	}
 	return n, err
 }
@@ -168,5 +169,5 @@
 	return c.Conn.Close()
 }
 
-// Bytes returns what the connection has carried so far.
+// Bytes returns the number of bytes sent and received so far.
 func (c *Conn) Bytes() (sent, received int64) { return c.sent.Load(), c.received.Load() }
--- a/connection/traffic/traffic_test.go
+++ b/connection/traffic/traffic_test.go
@@ -17,7 +17,7 @@
 	near, far := net.Pipe()
 	c := m.WrapAll("orders", near)
 	go func() {
-		_, _ = io.CopyN(far, far, 5) // an echo
+		_, _ = io.CopyN(far, far, 5) // echoes
 	}()
 	_, err := c.Write([]byte("hello"))
 	require.NoError(t, err)
@@ -47,9 +47,9 @@
 	require.Contains(t, m.String(), "open_connections")
 }
 
-func TestNothingIsLostBesideManyCallersAndKinds(t *testing.T) {
-	// Symptom looked for: kinds that come from other daemons fill the memory, or counts
-	//   are lost between callers.
+func TestConcurrentCountsOfManyKinds(t *testing.T) {
+	// Guards against kinds from other daemons using unbounded memory, and against lost
+	// updates by concurrent callers.
 	rapid.Check(t, func(t *rapid.T) {
 		var m Meter
 		kinds := rapid.IntRange(1, 3*maxKinds).Draw(t, "kinds")
--- a/connection/vmlist/http.go
+++ b/connection/vmlist/http.go
@@ -8,7 +8,7 @@
 	"net/http"
 )
 
-// Path of the list on the platform's HTTP interface.
+// Path is the path of the list in the platform's HTTP API.
 const Path = "/vms"
 
 // maxList bounds the list's size, in bytes; 25,000 VMs take about 5 MB.
--- a/connection/vmlist/vmlist.go
+++ b/connection/vmlist/vmlist.go
@@ -1,5 +1,5 @@
-// Package vmlist reads the platform's list of VMs. The list lags: a VM may be
-// gone before the list says so, and an entry is a hint, never a proof.
+// Package vmlist reads the platform's list of VMs. The list lags behind: a VM may
+// have been removed although it is still listed, so an entry proves nothing.
 package vmlist
 
 import (
@@ -8,7 +8,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Role tells what a VM is for.
+// Role is the purpose of a VM.
 type Role string
 
 // Roles of VMs.
@@ -25,11 +25,11 @@
 	Rack     string         `json:"rack,omitempty"`
 	Address  string         `json:"address"`
 	Capacity spec.Resources `json:"capacity,omitzero"`
-	// Leaving is set some time before the VM goes.
+	// Leaving is set some time before the VM is removed.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Lister returns the VMs that the platform believes to be live or leaving.
+// Lister returns the VMs that are running or leaving according to the platform.
 type Lister interface {
 	List(ctx context.Context) ([]VM, error)
 }
--- a/connection/worker/http.go
+++ b/connection/worker/http.go
@@ -24,14 +24,14 @@
 	PathCheckpoint = "/checkpoint"
 )
 
-// Codes that the agent's HTTP interface uses for typed errors.
+// Codes of typed errors in the agent's HTTP interface.
 const (
 	CodeLeaseInvalid = "lease_invalid"
 	CodeStaleEpoch   = "stale_epoch"
 )
 
-// maxReply bounds an agent's answer, in bytes; a worker with a few thousand
-// tasks stays far below it.
+// maxReply bounds an agent's reply, in bytes. The reply of a worker with a few
+// thousand tasks is far smaller.
 const maxReply = 8 << 20
 
 // HTTPError is the JSON body of a refused call.
@@ -76,8 +76,8 @@
 	base   string
 }
 
-// call posts req and decodes the reply. A connection that could not be made
-// proves that nothing was sent; any later failure leaves the outcome open.
+// call posts req and decodes the reply. If no connection could be made, nothing was
+// sent; after any later failure the outcome is unknown.
 func (a *httpAgent) call(ctx context.Context, path string, req, reply any) error {
 	ctx, cancel := context.WithTimeout(ctx, DefaultCallTimeout)
 	defer cancel()
@@ -89,10 +89,10 @@
 	if err != nil {
 		return fmt.Errorf("worker: %s: %w", path, err)
 	}
-	// net/http sends a request again on a broken kept-alive connection if it
-	// can rewind the body. A Start sent twice is refused as a duplicate, but a
-	// Stop or Sync repeated later than its caller believes could act on a
-	// newer state, so the body is made one that can not be rewound.
+	// net/http repeats a request after a kept-alive connection broke if it can
+	// rewind the body. A Start sent twice is refused as a duplicate, but a Stop or
+	// Sync that is repeated later without its caller's knowledge could act on a
+	// newer state, so the body must not be rewindable.
 	r.GetBody = nil
 	r.Header.Set("Content-Type", "application/json")
 	res, err := a.client.Do(r)
@@ -126,7 +126,7 @@
 
 func refusal(path string, status int, data []byte) error {
 	var he HTTPError
-	_ = json.Unmarshal(data, &he) // an unreadable body leaves the code empty
+	_ = json.Unmarshal(data, &he) // a body that cannot be decoded leaves the code empty
 	switch he.Code {
 	case CodeLeaseInvalid:
 		return fmt.Errorf("%w: %s", ErrLeaseInvalid, path)
@@ -190,7 +190,7 @@
 	return a.call(ctx, PathCheckpoint, LeaseCall{Lease: lease, Task: task}, nil)
 }
 
-// ServeAgent makes an http.Handler of an agent, for stand-ins.
+// ServeAgent returns an http.Handler that serves an agent, for stand-ins.
 func ServeAgent(a Agent) http.Handler {
 	mux := http.NewServeMux()
 	handle(mux, PathInventory, func(ctx context.Context, _ struct{}) (any, error) { return a.Inventory(ctx) })
@@ -244,7 +244,7 @@
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
-	_ = json.NewEncoder(w).Encode(v) // the other side sees a cut answer as unknown
+	_ = json.NewEncoder(w).Encode(v) // a truncated reply is an unknown outcome for the caller
 }
 
 // Interface checks.
--- a/connection/worker/worker.go
+++ b/connection/worker/worker.go
@@ -1,12 +1,12 @@
-// Package worker reaches the platform's agent on a worker VM. The agent is the
-// platform's, so the interface assumes the least of it: leases with an id and
-// a time to live, tasks started under a lease, a start refused once the lease
-// has lapsed or been revoked, inventory, stop, throttle and checkpoint.
+// Package worker is the client of the platform's agent on a worker VM. Since the
+// agent belongs to the platform, the interface requires little of it: leases with an
+// id and a time to live, tasks started under a lease, a start refused once the lease
+// has expired or been revoked, inventory, stop, throttle and checkpoint.
 //
-// When a lease lapses or is revoked, the agent stops accepting starts under it
-// at once. Tasks already running under a lapsed lease go on until their own
-// task lease (TaskTTL, renewed by Sync) runs out; then the agent stops them.
-// Results are held until acknowledged.
+// When a lease expires or is revoked, the agent at once stops accepting starts under
+// it. Tasks already running under an expired lease continue until their own task
+// lease (TaskTTL, renewed by Sync) expires; then the agent stops them. Results are
+// kept until acknowledged.
 package worker
 
 import (
@@ -17,10 +17,10 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// ID names a worker VM.
+// ID identifies a worker VM.
 type ID string
 
-// LeaseID names a lease at one worker.
+// LeaseID identifies a lease of one worker.
 type LeaseID string
 
 // Errors of an agent. Test with errors.Is.
@@ -43,13 +43,13 @@
 	Stopped   TaskState = "stopped"
 )
 
-// Ended reports whether a task in this state holds no resources any more.
+// Ended reports whether a task in this state no longer occupies resources.
 func (s TaskState) Ended() bool { return s == Succeeded || s == Failed || s == Stopped }
 
-// Start asks for one task to be started.
+// Start is the request to start one task.
 type Start struct {
 	Task spec.TaskID `json:"task" cbor:"1,keyasint"`
-	// Attempt rises with every start of the task.
+	// Attempt increases with every start of the task.
 	Attempt    int               `json:"attempt" cbor:"2,keyasint"`
 	Kind       spec.Kind         `json:"kind" cbor:"3,keyasint"`
 	Size       spec.Resources    `json:"size" cbor:"4,keyasint"`
@@ -58,18 +58,18 @@
 	Slots      int               `json:"slots,omitempty" cbor:"7,keyasint,omitempty"`
 	Conns      int               `json:"conns,omitempty" cbor:"8,keyasint,omitempty"`
 	Parameters map[string]string `json:"parameters,omitempty" cbor:"9,keyasint,omitempty"`
-	// Checkpoint is true when the task may go on from a checkpoint.
+	// Checkpoint says that the task may continue from a checkpoint.
 	Checkpoint bool `json:"checkpoint,omitempty" cbor:"10,keyasint,omitempty"`
 }
 
-// Task is what a worker reports of a task it runs or whose result it holds.
+// Task is the state of a task that a worker runs or whose result it keeps.
 type Task struct {
 	Task    spec.TaskID    `json:"task"`
 	Attempt int            `json:"attempt"`
 	Lease   LeaseID        `json:"lease"`
 	State   TaskState      `json:"state"`
 	Size    spec.Resources `json:"size"`
-	// Usage is what the task used lately; it lags.
+	// Usage is the recent resource usage of the task; it lags behind.
 	Usage spec.Resources `json:"usage,omitzero"`
 	// Address is where a service instance listens, host:port.
 	Address string `json:"address,omitempty"`
@@ -78,7 +78,7 @@
 	Work float64 `json:"work,omitempty"`
 }
 
-// Inventory is all that a worker holds.
+// Inventory lists the leases and tasks of a worker.
 type Inventory struct {
 	Worker   ID             `json:"worker"`
 	Zone     string         `json:"zone"`
@@ -89,18 +89,18 @@
 	// acknowledged.
 	Tasks    []Task `json:"tasks"`
 	Draining bool   `json:"draining,omitempty"`
-	// Seq is the position of the last change contained, for SyncRequest.Since.
+	// Seq is the number of the last change included, for SyncRequest.Since.
 	Seq uint64 `json:"seq"`
 }
 
-// Ref names one attempt of a task.
+// Ref identifies one attempt of a task.
 type Ref struct {
 	Task    spec.TaskID `json:"task" cbor:"1,keyasint"`
 	Attempt int         `json:"attempt" cbor:"2,keyasint"`
 }
 
 // SyncRequest renews a lease and every task under it, acknowledges results and
-// asks for what changed.
+// requests the changes since the last reply.
 type SyncRequest struct {
 	Lease LeaseID `json:"lease"`
 	// Since is the Seq of the last reply.
@@ -116,19 +116,19 @@
 	Draining bool   `json:"draining,omitempty"`
 }
 
-// OpenLease asks for a lease. Epoch is the owner's claim epoch; a worker that
-// can compare epochs refuses one lower than the highest it has seen.
+// OpenLease is the request to open a lease. Epoch is the owner's claim epoch; a
+// worker that can compare epochs refuses one lower than the highest it has received.
 type OpenLease struct {
 	Owner string `json:"owner"`
 	Epoch uint64 `json:"epoch"`
-	// TTL is the time to live of the lease itself: without renewal no start
-	// is accepted after it.
+	// TTL is the time to live of the lease itself, after which no start is accepted
+	// unless the lease is renewed.
 	TTL spec.Duration `json:"ttl"`
-	// TaskTTL is how long tasks go on after the last renewal of their lease.
+	// TaskTTL is how long tasks continue after the last renewal of their lease.
 	TaskTTL spec.Duration `json:"task_ttl"`
 }
 
-// StartReply tells what became of one Start. An empty Refused means started.
+// StartReply is the outcome of one Start. An empty Refused means started.
 type StartReply struct {
 	Task    spec.TaskID `json:"task"`
 	Refused string      `json:"refused,omitempty"`
@@ -136,25 +136,25 @@
 
 // Agent is the platform's agent on one worker.
 type Agent interface {
-	// Inventory lists leases, tasks and held results.
+	// Inventory lists leases, tasks and unacknowledged results.
 	Inventory(ctx context.Context) (Inventory, error)
 	// OpenLease opens a lease for starts.
 	OpenLease(ctx context.Context, req OpenLease) (LeaseID, error)
 	// Adopt moves tasks that run under other leases to the given lease.
 	Adopt(ctx context.Context, lease LeaseID, tasks []Ref) error
-	// RevokeLease ends a lease: no start under it succeeds afterwards, not
-	// even one already on its way. Its tasks go on under their TaskTTL.
+	// RevokeLease ends a lease: no start under it succeeds afterwards, not even one
+	// already in flight. Its tasks continue for their TaskTTL.
 	RevokeLease(ctx context.Context, lease LeaseID) error
-	// Sync renews the lease and exchanges changes.
+	// Sync renews the lease, acknowledges results and returns changes.
 	Sync(ctx context.Context, req SyncRequest) (SyncReply, error)
 	// Start starts tasks under the lease; ErrUnknown means some may run.
 	Start(ctx context.Context, lease LeaseID, tasks []Start) ([]StartReply, error)
 	// Stop ends a task; the result Stopped is reported by Sync.
 	Stop(ctx context.Context, lease LeaseID, task Ref) error
-	// Throttle limits a task's processor use to milliCPU; 0 lifts the limit.
+	// Throttle limits a task's CPU usage to milliCPU; 0 removes the limit.
 	Throttle(ctx context.Context, lease LeaseID, task Ref, milliCPU int64) error
 	// Checkpoint saves a task's progress and stops it; a later start with
-	// Checkpoint set goes on from there.
+	// Checkpoint set continues from there.
 	Checkpoint(ctx context.Context, lease LeaseID, task Ref) error
 }
 
