--- a/connection/store/track_test.go
+++ b/connection/store/track_test.go
@@ -21,7 +21,7 @@
 		watches := []struct {
 			next Revision
 			err  error
-		}{{7, nil}, {7, errors.New("connection cut")}, {0, errors.New("must be read again")}, {9, nil}, {9, ErrCompacted}}
+		}{{7, nil}, {7, errors.New("cut")}, {0, errors.New("must be read again")}, {9, nil}, {9, ErrCompacted}}
 		ctx, cancel := context.WithCancel(t.Context())
 		reads := 0
 		k := &Tracker{What: "test", Log: zerolog.Nop(), ReadLimit: 2 * time.Second, Wait: time.Second, Grace: time.Second, ErrorPause: time.Second,
