--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -267,7 +267,7 @@
 	return true
 }
 
-// retire keeps new calls off the link; calls in flight go on.
+// retire stops new calls from using the link; calls in flight continue.
 func (n *Node) retire(l *link) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -161,7 +161,7 @@
 	Alone       // the other members of the gang did not start in time
 )
 
-// String returns the name used in logs and reports.
+// String returns the name by which workers report it.
 func (h How) String() string {
 	return [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}[h]
 }
--- a/connection/store/track.go
+++ b/connection/store/track.go
@@ -90,13 +90,13 @@
 		g.failed++
 		g.longest = max(g.longest, took)
 		if g.failed == gapLogThreshold {
-			t.Log.Info().Err(err).Str("what", t.What).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("store data is not up to date: reads or watches fail")
+			t.Log.Info().Err(err).Str("what", t.What).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("store reads or watches fail; data may be outdated")
 		}
 		return
 	}
 	if g.failed >= gapLogThreshold {
 		t.Log.Info().Str("what", t.What).Int64("gap_ms", time.Since(g.since).Milliseconds()).Int("failed", g.failed).
-			Int64("longest_call_ms", g.longest.Milliseconds()).Int64("call_ms", took.Milliseconds()).Msg("store data is up to date again")
+			Int64("longest_call_ms", g.longest.Milliseconds()).Int64("call_ms", took.Milliseconds()).Msg("store reads and watches succeed again")
 	}
 	*g = gap{}
 }
