--- a/connection/keys/config.go
+++ b/connection/keys/config.go
@@ -6,7 +6,7 @@
 	"errors"
 )
 
-var errNoPeerCertificate = errors.New("keys: remote side sent no certificate")
+var errNoPeerCertificate = errors.New("keys: the other side sent no certificate")
 
 // PeerConfig returns the mutual TLS configuration between daemons, for both
 // directions. Each handshake uses the files as last loaded.
