--- a/process/lead/authority.go
+++ b/process/lead/authority.go
@@ -12,16 +12,16 @@
 
 const keyAuthority = "authority"
 
-// authorityRecord is the cell's authority for the certificates of daemons. It
-// protects from those who reach a daemon's address but not the store; whoever
-// reads the store can join the cell, as the daemons themselves do.
+// authorityRecord is the cell's certificate authority for daemon certificates. It
+// protects against peers that can reach a daemon's address but not the store; anyone
+// who can read the store can join the cell, as the daemons themselves do.
 type authorityRecord struct {
 	Cert []byte `cbor:"1,keyasint"`
 	Key  []byte `cbor:"2,keyasint"`
 }
 
-// Identity returns keys for calls between the cell's daemons: it reads the
-// authority from the store, or puts the first one there.
+// Identity returns the keys for calls between the cell's daemons. It reads the
+// certificate authority from the store, and creates it there if there is none.
 func Identity(ctx context.Context, s store.Transactor, ip string) (*keys.Keys, error) {
 	for {
 		entry, err := s.Get(ctx, keyAuthority)
--- a/process/lead/claim.go
+++ b/process/lead/claim.go
@@ -8,17 +8,17 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// take claims and leads if the claim takes effect. Where alone is set, it does not claim
-// if the daemon leads another part by now.
+// claimAndLead claims leadership and starts a term if the claim takes effect. If alone is
+// set, it does not claim when the daemon leads another shard by then.
 //
-// A daemon's electors claim in turn. What goes wrong otherwise: two of them see a vacancy
-// at the same time, each before the other has claimed, and one daemon leads two parts
-// beside daemons that lead none.
-func (e *Elector) take(ctx context.Context, held store.Revision, alone bool) {
-	turn := e.claimTurn()
+// The electors of one daemon claim one at a time. Otherwise two of them could see a vacancy
+// at the same time, each before the other has claimed, and one daemon would lead two shards
+// while other daemons lead none.
+func (e *Elector) claimAndLead(ctx context.Context, recordRev store.Revision, alone bool) {
+	sem := e.claimSem()
 	select {
-	case turn <- struct{}{}:
-		defer func() { <-turn }()
+	case sem <- struct{}{}:
+		defer func() { <-sem }()
 	case <-ctx.Done():
 		return
 	}
@@ -27,47 +27,47 @@
 	}
 	e.claiming.Store(true)
 	defer e.claiming.Store(false)
-	term, err := e.claim(ctx, held)
+	term, err := e.claim(ctx, recordRev)
 	if err != nil {
 		e.o.Log.Debug().Err(err).Msg("leadership not claimed")
 		return
 	}
-	e.begin(ctx, term)
+	e.startTerm(ctx, term)
 }
 
-// claim raises the epoch if the leader's record still has the revision held, or is
-// gone.
-func (e *Elector) claim(ctx context.Context, held store.Revision) (*Term, error) {
+// claim raises the epoch if the leader's record still has the revision recordRev or no
+// longer exists.
+func (e *Elector) claim(ctx context.Context, recordRev store.Revision) (*Term, error) {
 	before, revision, err := e.lastClaim(ctx)
 	if err != nil {
 		return nil, err
 	}
 	t := newTerm(ctx, e.o.Self, e.o.Store, e.o.Patience)
-	t.taken = held != 0
-	for range maxClaims {
+	t.taken = recordRev != 0
+	for range maxClaimTries {
 		t.Epoch = before.Epoch + 1
-		err = e.tryClaim(ctx, t, held, revision)
+		err = e.tryClaim(ctx, t, recordRev, revision)
 		var conflict *store.ConflictError
 		if !errors.As(err, &conflict) {
 			break
 		}
-		// The leader's lease may have run out meanwhile, and the revision of the
-		// claim be another than that of the copy.
+		// The leader's lease may have expired meanwhile, and the revision of the
+		// claim may differ from that of its copy.
 		holder, exists := conflict.Find(keyHolder)
-		if exists && holder.Revision != held {
+		if exists && holder.Revision != recordRev {
 			break
 		}
-		held = holder.Revision
+		recordRev = holder.Revision
 		if entry, found := conflict.Find(keyClaim); !found {
-			before, revision = link{}, 0
-		} else if before, err = decodeLink(entry); err != nil {
+			before, revision = termRecord{}, 0
+		} else if before, err = decodeTermRecord(entry); err != nil {
 			break
 		} else {
 			revision = entry.Revision
 		}
 	}
 	if errors.Is(err, store.ErrLeaseLost) {
-		e.giveUpLease()
+		e.dropLease()
 	}
 	if err != nil {
 		return nil, fmt.Errorf("claim: %w", err)
@@ -75,13 +75,14 @@
 	return t, nil
 }
 
-// maxClaims bounds the tries of one claim: the second knows the store's state.
-const maxClaims = 3
+// maxClaimTries bounds the tries of one claim. The second already uses the store's state
+// as returned with the conflict.
+const maxClaimTries = 3
 
-// lastClaim returns the claim before and its revision as far as they are known
-// without a call; they are read when nothing is known.
-func (e *Elector) lastClaim(ctx context.Context) (link, store.Revision, error) {
-	if claim, revision := e.view.claimed(); revision != 0 {
+// lastClaim returns the previous claim and its revision: from the view, or read from the
+// store if the view has none.
+func (e *Elector) lastClaim(ctx context.Context) (termRecord, store.Revision, error) {
+	if claim, revision := e.view.lastClaimed(); revision != 0 {
 		return claim, revision, nil
 	}
 	var entry store.Entry
@@ -90,63 +91,63 @@
 		return err
 	})
 	if errors.Is(err, store.ErrNotFound) {
-		return link{}, 0, nil
+		return termRecord{}, 0, nil
 	}
 	if err != nil {
-		return link{}, 0, err
+		return termRecord{}, 0, err
 	}
-	before, err := decodeLink(entry)
+	before, err := decodeTermRecord(entry)
 	return before, entry.Revision, err
 }
 
-// tryClaim writes the records of a claim and the first link of each chain. The
-// chains need no check: only a term whose claim stands writes them.
-func (e *Elector) tryClaim(ctx context.Context, t *Term, held, revision store.Revision) error {
-	claim := link{Epoch: t.Epoch, Term: t.id, Holder: t.holder.Name}
+// tryClaim writes the records of a claim and the first record of each write stream. The
+// streams need no check: only a term whose claim is current writes to them.
+func (e *Elector) tryClaim(ctx context.Context, t *Term, recordRev, revision store.Revision) error {
+	claim := termRecord{Epoch: t.Epoch, Term: t.id, Holder: t.holder.Name}
 	txn := store.Txn{
-		Checks: []store.Check{{Key: keyHolder, Revision: held}, {Key: keyClaim, Revision: revision}},
-		Writes: []store.Write{t.holderWrite(e.leaseID()), {Key: keyClaim, Value: encode(claim)}, {Key: keyClaimSeen, Value: encode(claim)}},
+		Checks: []store.Check{{Key: keyHolder, Revision: recordRev}, {Key: keyClaim, Revision: revision}},
+		Writes: []store.Write{t.holderWrite(e.leaseID()), {Key: keyClaim, Value: encode(claim)}, {Key: keyClaimCopy, Value: encode(claim)}},
 	}
-	for i := range t.chains {
-		txn.Writes = append(txn.Writes, store.Write{Key: t.chains[i].key, Value: encode(claim)})
+	for i := range t.streams {
+		txn.Writes = append(txn.Writes, store.Write{Key: t.streams[i].key, Value: encode(claim)})
 	}
 	err := e.call(ctx, "claim", func(ctx context.Context) error {
 		rev, err := e.o.Store.Commit(ctx, txn)
-		t.begun(rev)
+		t.setClaimed(rev)
 		return err
 	})
 	if errors.Is(err, store.ErrUnknownOutcome) {
-		return e.learnClaim(ctx, t, claim)
+		return e.confirmClaim(ctx, t, claim)
 	}
 	return err
 }
 
-// learnClaim reads back whether a claim without an answer took effect. One that
-// arrives later leads to a record whose holder does not lead; it is put down by
-// the lease, which this daemon gives up.
-func (e *Elector) learnClaim(ctx context.Context, t *Term, claim link) error {
+// confirmClaim reads back whether a claim took effect whose response was lost. If the
+// claim is applied later still, there is a leader record whose holder does not lead: it
+// expires with its lease, which this daemon stops renewing.
+func (e *Elector) confirmClaim(ctx context.Context, t *Term, claim termRecord) error {
 	return e.call(ctx, "read claim", func(ctx context.Context) error {
 		entry, err := e.o.Store.Get(ctx, keyClaim)
 		if err != nil {
-			e.giveUpLease()
+			e.dropLease()
 			return err
 		}
-		now, err := decodeLink(entry)
+		now, err := decodeTermRecord(entry)
 		if err == nil && now == claim {
-			t.begun(entry.Revision)
+			t.setClaimed(entry.Revision)
 			return nil
 		}
-		e.giveUpLease()
+		e.dropLease()
 		return fmt.Errorf("%w: the claim did not take effect", store.ErrConflict)
 	})
 }
 
-func (e *Elector) begin(ctx context.Context, t *Term) {
+func (e *Elector) startTerm(ctx context.Context, t *Term) {
 	done := make(chan struct{})
 	e.mu.Lock()
 	e.term, e.done = t, done
 	e.mu.Unlock()
-	stop := context.AfterFunc(ctx, func() { t.over(context.Cause(ctx)) })
+	stop := context.AfterFunc(ctx, func() { t.cancel(context.Cause(ctx)) })
 	e.o.Log.Info().Uint64("epoch", t.Epoch).Msg("leading")
 	go func() {
 		defer close(done)
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -14,27 +14,27 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Times of an elector. They follow from the workers' lease: a successor has to
-// renew it before it lapses, so that nothing that runs is lost with a leader.
+// Times of an elector. They follow from the workers' lease: a successor has to renew it
+// before it expires, so that no running task is lost with a leader.
 const (
-	// DefaultLease is the time to live of a member's lease in the store.
+	// DefaultLease is the TTL of a member's lease in the store.
 	DefaultLease = 1100 * time.Millisecond
-	// renewals of the lease in its time to live.
+	// renewals is how many times the lease is renewed within its TTL.
 	renewals = 4
-	// watchWait bounds one watch, so that a silent connection is noticed.
+	// watchWait bounds one watch, so that an unresponsive connection is detected.
 	watchWait = 2 * time.Second
-	// watchGrace is how long after its wait a watch may be answered.
+	// watchGrace is how long after watchWait the response of a watch may arrive.
 	watchGrace = 700 * time.Millisecond
 	// claimJitter spreads the claims of the daemons that see a vacancy.
 	claimJitter = 30 * time.Millisecond
-	// deferDelay is how much longer a daemon leaves a vacancy when another
-	// member fits better: that one sees it in one round trip to the store.
+	// deferDelay is the additional delay before a claim when another member is a
+	// better candidate: that one sees the vacancy within one round trip to the store.
 	deferDelay = 200 * time.Millisecond
-	// outageHold is how long after store trouble a vacancy is left to the
-	// leader before: leases may have lapsed in the outage while all lived.
-	outageHold = 1200 * time.Millisecond
-	// outageMemory is how long store trouble counts as recent.
-	outageMemory = 2 * time.Second
+	// outageDelay is how long after store failures a vacancy is left to the previous
+	// leader: leases may have expired in the outage while all daemons were running.
+	outageDelay = 1200 * time.Millisecond
+	// outageWindow is how long a store failure counts as recent.
+	outageWindow = 2 * time.Second
 	errorPause   = 100 * time.Millisecond
 )
 
@@ -42,42 +42,43 @@
 type Options struct {
 	Self  Member
 	Store store.Transactor
-	Lease time.Duration // of membership; 0 for DefaultLease
+	Lease time.Duration // TTL of the membership lease; 0 for DefaultLease
 	Log   zerolog.Logger
 	// Lead runs one term. It returns when the term's context ends.
 	Lead func(t *Term)
-	// Patience bounds the calls of the store; shared with other users of it.
+	// Patience bounds store calls adaptively; it is shared with other users of the store.
 	Patience *store.Patience
-	// Main, if set, is this daemon's elector for part 0: it keeps the daemon registered
-	// and lists the members, and this one claims another part.
+	// Main, if set, is this daemon's elector for shard 0, which keeps the daemon registered
+	// and lists the members; this elector then claims another shard.
 	Main *Elector
-	// Busy reports whether the daemon leads another part; may be nil.
+	// Busy reports whether this daemon leads another shard; may be nil.
 	Busy func() bool
-	// Leading reports whether a daemon leads any other part; may be nil.
+	// Leading reports whether the named daemon leads any other shard; may be nil.
 	Leading func(name string) bool
-	// Suffix tells the methods of a part from those of others.
+	// Suffix distinguishes the peer methods of this shard from those of others.
 	Suffix string
-	// Peers calls other daemons; nil: a leader that is gone is replaced when its
-	// lease has run out.
+	// Peers calls other daemons. If nil, a failed leader is replaced only after its lease
+	// has expired.
 	Peers Caller
 }
 
-// Elector keeps a daemon registered and lets it lead when nobody does.
+// Elector keeps a daemon registered as a member and claims leadership when there is no
+// leader.
 type Elector struct {
 	o    Options
 	view *View
 
-	lease    atomic.Uint64
-	trouble  atomic.Int64 // when the store last failed us, in unix nanoseconds
-	stopping atomic.Bool
-	claiming atomic.Bool
-	pinged   atomic.Int64 // how long other daemons take to answer, decaying, in nanoseconds
+	lease       atomic.Uint64
+	trouble     atomic.Int64 // time of the latest store failure, in Unix nanoseconds
+	stopping    atomic.Bool
+	claiming    atomic.Bool
+	pingAverage atomic.Int64 // decaying average of ping round trips, in nanoseconds
 
-	turn chan struct{} // to claim; of the elector for part 0
+	sem chan struct{} // held while claiming; that of the elector for shard 0 is used
 
 	mu   sync.Mutex
 	term *Term
-	done chan struct{} // of the term's Lead
+	done chan struct{} // closed when Options.Lead of the term has returned
 }
 
 // New returns an elector; Run starts it.
@@ -85,14 +86,14 @@
 	if o.Lease == 0 {
 		o.Lease = DefaultLease
 	}
-	e := &Elector{o: o, view: newView(o.Log), turn: make(chan struct{}, 1)}
+	e := &Elector{o: o, view: newView(o.Log), sem: make(chan struct{}, 1)}
 	if o.Main != nil {
-		e.view.main = o.Main.view
+		e.view.primary = o.Main.view
 	}
 	return e
 }
 
-// leaseID returns the lease that the daemon's records are bound to, 0 for none.
+// leaseID returns the lease that the daemon's records are attached to, 0 for none.
 func (e *Elector) leaseID() store.LeaseID {
 	if e.o.Main != nil {
 		return e.o.Main.leaseID()
@@ -100,18 +101,18 @@
 	return store.LeaseID(e.lease.Load())
 }
 
-// claimTurn returns what the daemon's electors take in turn to claim.
-func (e *Elector) claimTurn() chan struct{} {
+// claimSem returns the semaphore that is held while one of the daemon's electors claims.
+func (e *Elector) claimSem() chan struct{} {
 	if e.o.Main != nil {
-		return e.o.Main.claimTurn()
+		return e.o.Main.claimSem()
 	}
-	return e.turn
+	return e.sem
 }
 
-// giveUpLease lets the lease run out, with every record bound to it.
-func (e *Elector) giveUpLease() {
+// dropLease stops renewing the lease, so that it expires with all records attached to it.
+func (e *Elector) dropLease() {
 	if e.o.Main != nil {
-		e.o.Main.giveUpLease()
+		e.o.Main.dropLease()
 		return
 	}
 	e.lease.Store(0)
@@ -122,22 +123,22 @@
 // Leads reports whether this daemon leads, or is about to.
 func (e *Elector) Leads() bool { return e.current() != nil || e.claiming.Load() }
 
-// View returns the live view of the cell.
+// View returns the view of the cell, which is kept up to date.
 func (e *Elector) View() *View { return e.view }
 
-// Run registers, watches and claims until ctx ends.
+// Run keeps the daemon registered, watches the cell and claims vacancies until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	if e.o.Main == nil {
 		wg.Go(func() { e.keepRegistered(ctx) })
 	} else {
-		wg.Go(func() { e.keepRecord(ctx) })
+		wg.Go(func() { e.keepLeaderRecord(ctx) })
 	}
 	wg.Go(func() { e.follow(ctx) })
 	wg.Go(func() { e.claimVacancies(ctx) })
 	if e.o.Peers != nil {
 		wg.Go(func() { e.watchLeader(ctx) })
-		wg.Go(func() { e.learn(ctx) })
+		wg.Go(func() { e.learnLeader(ctx) })
 	}
 	wg.Wait()
 	e.mu.Lock()
@@ -150,8 +151,8 @@
 	return ctx.Err()
 }
 
-// Resign gives leadership up for a planned stop; the daemon does not claim it
-// again.
+// Resign releases leadership and membership for a planned stop. The daemon does not claim
+// leadership again.
 func (e *Elector) Resign(ctx context.Context) {
 	e.stopping.Store(true)
 	e.mu.Lock()
@@ -159,20 +160,20 @@
 	e.mu.Unlock()
 	if term != nil {
 		if err := term.release(ctx); err != nil {
-			e.o.Log.Warn().Err(err).Msg("leadership not released, it lapses")
+			e.o.Log.Warn().Err(err).Msg("leadership not released; the record expires with its lease")
 		}
 	}
 	if id := store.LeaseID(e.lease.Load()); id != 0 && e.o.Main == nil {
 		if err := e.o.Store.RevokeLease(ctx, id); err != nil {
-			e.o.Log.Warn().Err(err).Msg("membership not ended, it lapses")
+			e.o.Log.Warn().Err(err).Msg("membership lease not revoked; it expires")
 		}
 	}
 }
 
-// noteTrouble remembers that the store failed a call.
+// noteTrouble records that a store call failed.
 func (e *Elector) noteTrouble(what string, err error) {
 	before := e.trouble.Swap(time.Now().UnixNano())
-	if time.Since(time.Unix(0, before)) > outageMemory {
+	if time.Since(time.Unix(0, before)) > outageWindow {
 		e.o.Log.Warn().Err(err).Str("call", what).Msg("store lost")
 	}
 }
@@ -182,7 +183,7 @@
 	return time.Since(time.Unix(0, e.trouble.Load())) < d
 }
 
-// call bounds one call of the store and notes how it went.
+// call makes one bounded store call and records whether the store looks unresponsive.
 func (e *Elector) call(ctx context.Context, what string, f func(ctx context.Context) error) error {
 	err := e.o.Patience.Call(ctx, f)
 	if ctx.Err() == nil && e.o.Patience.Suspect() {
@@ -191,7 +192,7 @@
 	return err
 }
 
-// keepRegistered holds the member's lease and its record.
+// keepRegistered maintains the member's lease and record.
 func (e *Elector) keepRegistered(ctx context.Context) {
 	for ctx.Err() == nil && !e.stopping.Load() {
 		if err := e.renew(ctx); err != nil && ctx.Err() == nil {
@@ -210,7 +211,7 @@
 	}
 	err := e.call(ctx, "renew", func(ctx context.Context) error { return e.o.Store.RenewLease(ctx, id) })
 	if errors.Is(err, store.ErrLeaseLost) {
-		e.o.Log.Warn().Msg("membership lapsed, registering again")
+		e.o.Log.Warn().Msg("membership lease expired; registering again")
 		e.lease.Store(0)
 		return e.register(ctx)
 	}
@@ -220,20 +221,20 @@
 	return e.checkRecords(ctx, id)
 }
 
-// keepRecord puts the leader's record of a part back that was taken away with the
+// keepLeaderRecord restores the leader record of a shard after it was deleted with the
 // daemon's lease.
-func (e *Elector) keepRecord(ctx context.Context) {
+func (e *Elector) keepLeaderRecord(ctx context.Context) {
 	for sleep.For(ctx, e.o.Lease/renewals) == nil {
 		_, _, led := e.view.holder()
 		if term, id := e.current(), e.leaseID(); term != nil && !led && id != 0 && !e.stopping.Load() {
 			if err := e.reassert(ctx, term, id); err != nil {
-				e.o.Log.Debug().Err(err).Msg("leader's record not put back")
+				e.o.Log.Debug().Err(err).Msg("leader record not restored")
 			}
 		}
 	}
 }
 
-// checkRecords puts records back that were taken away while the lease lives.
+// checkRecords restores records that were deleted while the lease is valid.
 func (e *Elector) checkRecords(ctx context.Context, id store.LeaseID) error {
 	e.view.mu.Lock()
 	_, listed := e.view.members[e.o.Self.Name]
@@ -283,10 +284,10 @@
 	bounded, cancel := context.WithTimeout(ctx, e.o.Lease)
 	defer cancel()
 	err := term.reassert(bounded, id)
-	if errors.Is(err, errHeld) {
+	if errors.Is(err, errRecordExists) {
 		return nil
 	}
-	e.o.Log.Info().Err(err).Uint64("epoch", term.Epoch).Msg("leader's record put back")
+	e.o.Log.Info().Err(err).Uint64("epoch", term.Epoch).Msg("leader record restored")
 	return err
 }
 
@@ -331,7 +332,7 @@
 
 // claimVacancies claims leadership whenever the view shows no leader.
 func (e *Elector) claimVacancies(ctx context.Context) {
-	var y yielder
+	var y yieldBackoff
 	for ctx.Err() == nil {
 		changed := e.view.Changed()
 		e.yield(ctx, &y)
@@ -339,7 +340,7 @@
 			t.End(ErrDeposed)
 		}
 		if _, vacant := e.view.vacant(e.o.Self); vacant && !e.stopping.Load() && e.current() == nil && e.leaseID() != 0 {
-			e.claimSoon(ctx)
+			e.claimAfterDelay(ctx)
 		}
 		select {
 		case <-ctx.Done():
@@ -349,26 +350,26 @@
 	}
 }
 
-func (e *Elector) claimSoon(ctx context.Context) {
+func (e *Elector) claimAfterDelay(ctx context.Context) {
 	delay := rand.N(claimJitter)
-	if e.StoreTrouble(outageMemory) && e.view.Epoch() > 0 && e.leaderLives(ctx) {
-		delay += outageHold
+	if e.StoreTrouble(outageWindow) && e.view.Epoch() > 0 && e.leaderStillLeads(ctx) {
+		delay += outageDelay
 	}
 	if sleep.For(ctx, delay) != nil {
 		return
 	}
-	// Asked after the delay: daemons that start together hear of each other
-	// during it.
-	if e.view.betterFits(e.o.Self) && sleep.For(ctx, deferDelay) != nil {
+	// Checked after the delay, in which daemons that start together see each other's
+	// member records.
+	if e.view.hasBetterCandidate(e.o.Self) && sleep.For(ctx, deferDelay) != nil {
 		return
 	}
 	busy := e.busy()
-	if busy && !e.leaveToOthers(ctx) {
+	if busy && !e.deferToOthers(ctx) {
 		return
 	}
-	held, vacant := e.view.vacant(e.o.Self)
+	recordRev, vacant := e.view.vacant(e.o.Self)
 	if !vacant || e.stopping.Load() {
 		return
 	}
-	e.take(ctx, held, !busy)
+	e.claimAndLead(ctx, recordRev, !busy)
 }
--- a/process/lead/layout.go
+++ b/process/lead/layout.go
@@ -9,23 +9,23 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// KeyLayout holds the cell's Layout; absent: one part.
+// KeyLayout is the key of the cell's Layout. Without it the cell has one shard.
 const KeyLayout = prefixCell + "layout"
 
-// Layout tells into how many parts the cell's workers and jobs are divided. Each part
-// has a leader, epochs and records of its own; part 0 has the names of a cell that is
-// not divided. It is written once, before the cell takes its first job, and does not
-// change.
+// Layout is the shard layout of a cell: the number of shards into which its workers and
+// jobs are divided. Each shard has its own leader, epochs and records; shard 0 uses the
+// keys of an undivided cell. The layout is written once, before the cell accepts its
+// first job, and does not change.
 type Layout struct {
 	Parts int `cbor:"1,keyasint"`
-	// Revision of the record, 0 for none.
+	// Revision is that of the record in the store, 0 if there is none.
 	Revision store.Revision `cbor:"-"`
 }
 
-// One is the layout of a cell that is not divided.
+// One is the layout of a cell with one shard.
 var One = Layout{Parts: 1}
 
-// Of returns the part of a worker, a job or a daemon, by its name.
+// Of returns the shard of a worker, a job or a daemon, by its name.
 func (l Layout) Of(name string) int {
 	if l.Parts <= 1 {
 		return 0
@@ -33,25 +33,25 @@
 	return int(xxhash.Sum64String(name) % uint64(l.Parts))
 }
 
-// PartPrefix is what a part's keys begin with.
-func PartPrefix(part int) string {
-	if part == 0 {
+// PartPrefix returns the prefix of a shard's keys in the store.
+func PartPrefix(shard int) string {
+	if shard == 0 {
 		return ""
 	}
-	return fmt.Sprintf("part/%d/", part)
+	return fmt.Sprintf("part/%d/", shard)
 }
 
-// Encode returns the record of the layout.
+// Encode returns the layout as it is stored.
 func (l Layout) Encode() []byte { return encode(l) }
 
-// DecodeLayout reads the record of a layout.
+// DecodeLayout decodes a stored layout.
 func DecodeLayout(e store.Entry) (Layout, error) {
 	var l Layout
 	if err := peer.Unmarshal(e.Value, &l); err != nil {
 		return One, fmt.Errorf("lead: layout: %w", err)
 	}
 	if l.Parts < 1 {
-		return One, fmt.Errorf("lead: layout: %d parts", l.Parts)
+		return One, fmt.Errorf("lead: layout: invalid number of shards %d", l.Parts)
 	}
 	l.Revision = e.Revision
 	return l, nil
--- a/process/lead/lead_test.go
+++ b/process/lead/lead_test.go
@@ -88,12 +88,12 @@
 		if first[0] == a {
 			other = b
 		}
-		died := time.Now()
+		killedAt := time.Now()
 		for other.term() == nil {
 			time.Sleep(10 * time.Millisecond)
 		}
-		t.Logf("a successor leads %v after a death", time.Since(died))
-		require.Less(t, time.Since(died), 2*time.Second)
+		t.Logf("a successor leads %v after the leader was stopped", time.Since(killedAt))
+		require.Less(t, time.Since(killedAt), 2*time.Second)
 		require.Greater(t, other.term().Epoch, epoch)
 		other.stop()
 	})
@@ -111,10 +111,9 @@
 }
 
 func TestLeaderSurvivesAnOutageInWhichLeasesLapse(t *testing.T) {
-	// Symptom looked for: each outage of the store changes the leader, though
-	//   all daemons live.
-	// Sequence: the store is down for longer than a member's lease, which goes on
-	//   running; when it is back, the leader's record is gone.
+	// Guards against a change of the leader with each store outage while all daemons are
+	// running: the store is down for longer than a member's lease, which expires, so the
+	// leader record is gone when the store is back.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		a, b := start(m, "a", 1), start(m, "b", 1)
@@ -123,7 +122,7 @@
 		epoch := before.term().Epoch
 		m.SetFaults(kv.Faults{Down: true})
 		time.Sleep(6 * time.Second)
-		require.NotNil(t, before.term(), "it goes on leading what it has")
+		require.NotNil(t, before.term(), "it continues to lead during the outage")
 		m.SetFaults(kv.Faults{})
 		time.Sleep(4 * time.Second)
 		require.Equal(t, []*daemon{before}, leading(a, b))
@@ -134,8 +133,8 @@
 }
 
 func TestDeposedLeaderWritesNothing(t *testing.T) {
-	// Symptom looked for: a leader that was cut off from the store overwrites
-	//   its successor's writes when it is back.
+	// Guards against a former leader that was cut off from the store and overwrites its
+	// successor's writes when it is back.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		d := start(m, "a", 1)
@@ -154,10 +153,9 @@
 }
 
 func TestRestartedLeaderNeedNotWaitForItsOwnLease(t *testing.T) {
-	// Symptom: after all daemons were killed nobody leads for a second.
-	// Sequence: they start again at once; the leader's record, bound to a lease
-	//   of its former life, is still there.
-	// Cause: the record was waited out, also by the very daemon it names.
+	// Guards against a second without a leader after all daemons were killed and restarted
+	// at once: the leader record, attached to a lease of the earlier incarnation, still
+	// exists, and even the daemon that it names waited for it to expire.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		d := start(m, "a", 1)
@@ -174,8 +172,8 @@
 }
 
 func TestWritesOfATermTakeEffectOnceAndInOrder(t *testing.T) {
-	// Symptom looked for: an earlier write of the same leader arrives after a
-	//   later one and undoes it, or a write whose answer was lost is given up.
+	// Guards against an earlier write of the same leader that arrives after a later one
+	// and reverts it, and against abandoning a write whose response was lost.
 	for seed := range uint64(40) {
 		synctest.Test(t, func(t *testing.T) {
 			m := kv.NewSeeded(seed)
@@ -201,41 +199,41 @@
 			time.Sleep(10 * time.Second)
 			entry, err := m.Get(t.Context(), "x")
 			require.NoError(t, err)
-			require.Equal(t, fmt.Sprint(last), string(entry.Value), "seed %d: a late write came on top", seed)
+			require.Equal(t, fmt.Sprint(last), string(entry.Value), "seed %d: a late write took effect", seed)
 			d.stop()
 		})
 	}
 }
 
 func TestEveryChainIsFencedByTheNextClaim(t *testing.T) {
-	// Symptom looked for: a write of an earlier term, on a chain that its successor
-	//   has not used yet, takes effect after the successor has read the state.
+	// Guards against a write of an earlier term, on a write stream that its successor has
+	// not used yet, that takes effect after the successor has read the state.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		d := start(m, "a", 1)
 		time.Sleep(2 * time.Second)
 		old := d.term()
-		for chain := range Chains {
-			require.NoError(t, old.Commit(t.Context(), chain, []store.Write{{Key: fmt.Sprint("x", chain), Value: []byte("old")}}, nil))
+		for stream := range Chains {
+			require.NoError(t, old.Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: []byte("old")}}, nil))
 		}
 		d.stop()
 		b := start(m, "b", 1)
 		time.Sleep(4 * time.Second)
 		require.NotNil(t, b.term())
-		for chain := range Chains {
-			err := old.Commit(context.Background(), chain, []store.Write{{Key: fmt.Sprint("y", chain), Value: []byte("late")}}, nil)
+		for stream := range Chains {
+			err := old.Commit(context.Background(), stream, []store.Write{{Key: fmt.Sprint("y", stream), Value: []byte("late")}}, nil)
 			require.ErrorIs(t, err, ErrDeposed)
-			_, err = m.Get(t.Context(), fmt.Sprint("y", chain))
+			_, err = m.Get(t.Context(), fmt.Sprint("y", stream))
 			require.ErrorIs(t, err, store.ErrNotFound)
 		}
-		for chain := range Chains {
-			require.NoError(t, b.term().Commit(t.Context(), chain, []store.Write{{Key: fmt.Sprint("x", chain), Value: []byte("new")}}, nil), "links of the earlier term are taken over")
+		for stream := range Chains {
+			require.NoError(t, b.term().Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: []byte("new")}}, nil), "the streams of the earlier term are taken over")
 		}
 		b.stop()
 	})
 }
 
-func TestChainsDoNotWaitForEachOther(t *testing.T) {
+func TestWriteStreamsAreIndependent(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		d := start(m, "a", 1)
@@ -244,10 +242,10 @@
 		m.SetFaults(kv.Faults{Delay: 150 * time.Millisecond})
 		began := time.Now()
 		var wg sync.WaitGroup
-		for chain := range Chains {
+		for stream := range Chains {
 			wg.Go(func() {
 				for i := range 3 {
-					assert.NoError(t, term.Commit(t.Context(), chain, []store.Write{{Key: fmt.Sprint("x", chain), Value: fmt.Append(nil, i)}}, nil))
+					assert.NoError(t, term.Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: fmt.Append(nil, i)}}, nil))
 				}
 			})
 		}
--- a/process/lead/record.go
+++ b/process/lead/record.go
@@ -1,13 +1,13 @@
-// Package lead chooses the one daemon of a cell that schedules, and keeps the
-// list of the cell's daemons, all in the platform's store.
+// Package lead elects the daemon that schedules a cell, or each shard of a cell,
+// and maintains the membership list of the cell's daemons. All records are in the
+// platform's store.
 //
-// Guarantees: epochs only rise; every write of a term demands the record of the
-// term's claim and is one link of a chain in the store, so that a write of an
-// earlier term, or an earlier write of the same chain that arrives late, can not
-// take effect. Two daemons may both take
-// themselves for the leader for a while, when one is cut off or paused: what
-// stops the older one is the chain in the store and the epoch at the workers,
-// never a clock.
+// Guarantees: epochs only rise. Every write of a term is conditional on the term's
+// claim and on the latest record of its write stream, so that neither a write of an
+// earlier term nor a delayed earlier write of the same stream can take effect. Two
+// daemons may both act as leader for a while when one is partitioned or paused: the
+// older one is stopped by the conditions on its writes and by the epoch check at the
+// workers, never by a clock.
 package lead
 
 import (
@@ -25,20 +25,21 @@
 	prefixCell   = "cell/"
 	keyHolder    = "cell/lead"
 	prefixMember = "cell/member/"
-	// keyClaim is written by each claim, and by nothing else. Every write of a term
-	// demands the revision of its claim.
+	// keyClaim is written by claims only. Every write of a term is conditional on the
+	// revision of the term's claim.
 	keyClaim = "chain"
-	// keyClaimSeen is written with keyClaim, where daemons watch it: so the next
-	// claim needs no reading first, and keyClaim stays where daemons of earlier
-	// versions look for it.
-	keyClaimSeen = "cell/claim"
-	// prefixChain and a number name the last links of the chains.
-	prefixChain = "chain/"
+	// keyClaimCopy is written together with keyClaim, under the prefix that daemons
+	// watch, so that the next claim need not read keyClaim first. keyClaim itself stays
+	// where daemons of earlier versions read it.
+	keyClaimCopy = "cell/claim"
+	// prefixStream and a stream's index name the key with the latest record of that
+	// write stream.
+	prefixStream = "chain/"
 )
 
-func chainKey(i int) string { return prefixChain + strconv.Itoa(i) }
+func streamKey(i int) string { return prefixStream + strconv.Itoa(i) }
 
-// ErrDeposed ends a term: another daemon has claimed a higher epoch.
+// ErrDeposed means that the term is over: another daemon has claimed a higher epoch.
 var ErrDeposed = errors.New("lead: another daemon leads with a higher epoch")
 
 // Member is a daemon of the cell.
@@ -51,18 +52,20 @@
 	Cores float64 `cbor:"4,keyasint,omitempty"`
 	// Started is when the daemon's process started, in milliseconds since 1970.
 	Started int64 `cbor:"5,keyasint,omitempty"`
-	// LinkMbps is what the VM's link carries, in Mbit/s; 0 for not known.
+	// LinkMbps is the bandwidth of the VM's link in Mbit/s; 0 if unknown.
 	LinkMbps float64 `cbor:"6,keyasint,omitempty"`
-	// Orders is the TCP address where the daemon takes a leader's orders for workers;
-	// "" for none.
+	// Orders is the TCP address where the daemon accepts a leader's orders for workers;
+	// "" if it accepts none.
 	Orders string `cbor:"7,keyasint,omitempty"`
 }
 
-// same reports whether two records are of one daemon, be it of different lives.
+// same reports whether two records are of the same daemon, possibly of different
+// incarnations.
 func (m Member) same(n Member) bool { return m.Name == n.Name && m.Peer == n.Peer }
 
-// Carries returns how much work a daemon carries at so much a core and a Mbit/s: what the
-// scarcer of its processor and its link allows, a link that is not known aside.
+// Carries returns the number of units of work that the daemon has capacity for, given the
+// units per core and per Mbit/s: the smaller of the two limits. An unknown link bandwidth
+// does not limit.
 func (m Member) Carries(perCore, perMbit float64) float64 {
 	n := m.Cores * perCore
 	if m.LinkMbps > 0 {
@@ -71,17 +74,18 @@
 	return n
 }
 
-// Leader is the daemon that leads, and its epoch.
+// Leader is the leading daemon with its epoch.
 type Leader struct {
 	Member Member `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
-	// Taken: it took over from a leader whose record still stood.
+	// Taken is set if the daemon took over while the previous leader's record still
+	// existed.
 	Taken bool `cbor:"3,keyasint,omitempty"`
 }
 
-// link is the value of a claim and of a chain. The term's id and the sequence number tell,
-// after a lost answer, whether a write took effect.
-type link struct {
+// termRecord is the value of the claim key and of a write stream's key. After a lost
+// response the term's id and the sequence number show whether a write took effect.
+type termRecord struct {
 	Epoch    uint64 `cbor:"1,keyasint"`
 	Term     string `cbor:"2,keyasint"`
 	Sequence uint64 `cbor:"3,keyasint"`
@@ -91,15 +95,15 @@
 func encode(v any) []byte {
 	data, err := peer.Marshal(v)
 	if err != nil {
-		panic(fmt.Sprintf("lead: a record of plain fields does not encode: %v", err))
+		panic(fmt.Sprintf("lead: encode record: %v", err))
 	}
 	return data
 }
 
-func decodeLink(e store.Entry) (link, error) {
-	var l link
+func decodeTermRecord(e store.Entry) (termRecord, error) {
+	var l termRecord
 	if err := peer.Unmarshal(e.Value, &l); err != nil {
-		return l, fmt.Errorf("lead: chain: %w", err)
+		return l, fmt.Errorf("lead: decode term record: %w", err)
 	}
 	return l, nil
 }
--- a/process/lead/parts_test.go
+++ b/process/lead/shards_test.go
@@ -15,12 +15,12 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// TestTwoPartsAreNotClaimedAtOnce guards against a daemon that leads two parts beside one
-// that leads none, because it claimed both before it led either.
+// TestTwoPartsAreNotClaimedAtOnce guards against a daemon that leads two shards while
+// another one leads none, because it claimed both before it led either.
 func TestTwoPartsAreNotClaimedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		var first sync.WaitGroup // both electors ask before either claims
+		var first sync.WaitGroup // both electors call Busy before either claims
 		first.Add(2)
 		var mainNow, partNow atomic.Pointer[daemon]
 		busy := func(other *atomic.Pointer[daemon]) func() bool {
@@ -33,28 +33,28 @@
 			}
 		}
 		self := Member{Name: "a", Peer: "a", Cores: 1}
-		main := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), Busy: busy(&partNow)})
-		mainNow.Store(main)
-		part := startWith(Options{Self: self, Store: store.Prefixed{Transactor: m, Prefix: PartPrefix(1)}, Log: zerolog.Nop(),
-			Main: main.e, Busy: busy(&mainNow)})
-		partNow.Store(part)
+		primary := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), Busy: busy(&partNow)})
+		mainNow.Store(primary)
+		shard := startWith(Options{Self: self, Store: store.Prefixed{Transactor: m, Prefix: PartPrefix(1)}, Log: zerolog.Nop(),
+			Main: primary.e, Busy: busy(&mainNow)})
+		partNow.Store(shard)
 		time.Sleep(busyDelay / 2)
-		require.Len(t, leading(main, part), 1)
+		require.Len(t, leading(primary, shard), 1)
 		time.Sleep(2 * busyDelay)
-		require.Len(t, leading(main, part), 2, "nobody else is there")
-		part.stop()
-		main.stop()
+		require.Len(t, leading(primary, shard), 2, "there is no other daemon")
+		shard.stop()
+		primary.stop()
 	})
 }
 
-// TestVacancyIsLeftToDaemonsThatLive guards against a daemon that leads two parts for good since
-// the others, which lead none and answer, come to claim a second and more after it.
+// TestVacancyIsLeftToDaemonsThatLive guards against a daemon that leads two shards
+// permanently because the others, which lead none and answer, claim a second or more later.
 func TestVacancyIsLeftToDaemonsThatLive(t *testing.T) {
 	for _, c := range []struct {
 		name    string
-		late    time.Duration // until the other daemon's elector for the part runs
+		late    time.Duration // until the other daemon's elector for the shard starts
 		answers bool
-		own     bool // the part ends with the daemon that leads already
+		own     bool // the daemon that already leads gets the shard
 	}{
 		{"slow", 2500 * time.Millisecond, true, false}, {"does not answer", 2500 * time.Millisecond, false, true},
 		{"claims too late", 10 * time.Second, true, true},
@@ -62,9 +62,9 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m, n := kv.New(), newNetwork()
-				elect := func(name string, main *Elector, busy func() bool) *daemon {
-					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Main: main, Busy: busy, Peers: port{n, name}}
-					if main != nil {
+				elect := func(name string, primary *Elector, busy func() bool) *daemon {
+					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Main: primary, Busy: busy, Peers: testPeer{n, name}}
+					if primary != nil {
 						o.Store, o.Suffix = store.Prefixed{Transactor: m, Prefix: PartPrefix(1)}, ".1"
 					}
 					return startWith(o)
--- a/process/lead/view.go
+++ b/process/lead/view.go
@@ -13,47 +13,49 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// View is what a daemon knows of the cell's daemons. Safe for concurrent use.
+// View is a daemon's view of the cell: its members, leader and layout. It is safe for
+// concurrent use.
 type View struct {
-	mu      sync.Mutex
-	members map[string]Member
-	leader  *Leader
-	held    store.Revision // of the leader's record, 0 for none
-	latest  *Leader        // with the highest epoch seen, in the store or told of
-	told    bool           // latest is known from another daemon only
-	claim   link           // the last one
-	claimAt store.Revision // its revision, 0 for not known
-	changed chan struct{}
-	log     zerolog.Logger
-	layout  Layout
-	read    bool  // the cell's records have been read once
-	main    *View // of a part other than 0: the view that lists the members
-}
-
-// Layout returns how the cell is divided; false while that is not known.
+	mu        sync.Mutex
+	members   map[string]Member
+	leader    *Leader
+	recordRev store.Revision // of the leader's record, 0 for none
+	latest    *Leader        // with the highest epoch seen, in the store or reported by a peer
+	fromPeer  bool           // latest was reported by a peer and not seen in the store
+	claim     termRecord     // the latest claim
+	claimRev  store.Revision // revision of the claim, 0 if unknown
+	changed   chan struct{}
+	log       zerolog.Logger
+	layout    Layout
+	read      bool  // the cell's records have been read once
+	primary   *View // for shards other than 0: the view that lists the members
+}
+
+// Layout returns the shard layout of the cell; false until the cell's records have been
+// read.
 func (v *View) Layout() (Layout, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	return v.layout, v.read
 }
 
-// unreadable notes a record of another writer that does not decode: it names no
-// daemon to use, the others hold.
-func (v *View) unreadable(key string, err error) {
-	v.log.Warn().Err(err).Str("key", key).Msg("record of the cell can not be read and is left out")
+// logUnreadable logs a record that does not decode. It is ignored; the other records
+// remain in use.
+func (v *View) logUnreadable(key string, err error) {
+	v.log.Warn().Err(err).Str("key", key).Msg("cell record can not be decoded and is ignored")
 }
 
 func newView(log zerolog.Logger) *View {
 	return &View{log: log, layout: One, members: map[string]Member{}, changed: make(chan struct{})}
 }
 
-// Leader returns the leader, if one is known: the one with a record in the store,
-// or one with a higher epoch of which other daemons have told.
+// Leader returns the leader, if one is known: the one with a record in the store, or one
+// with a higher epoch that a peer reported.
 func (v *View) Leader() (Leader, bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	switch {
-	case v.latest != nil && v.told && (v.leader == nil || v.latest.Epoch > v.leader.Epoch):
+	case v.latest != nil && v.fromPeer && (v.leader == nil || v.latest.Epoch > v.leader.Epoch):
 		return *v.latest, true
 	case v.leader != nil:
 		return *v.leader, true
@@ -61,21 +63,22 @@
 	return Leader{}, false
 }
 
-// holder returns the leader of the record in the store, and its revision.
-func (v *View) holder() (l Leader, held store.Revision, ok bool) {
+// holder returns the leader according to its record in the store, and the record's
+// revision.
+func (v *View) holder() (l Leader, recordRev store.Revision, ok bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.leader == nil {
 		return Leader{}, 0, false
 	}
-	return *v.leader, v.held, true
+	return *v.leader, v.recordRev, true
 }
 
-// claimed returns the last claim and its revision, 0 if it is not known.
-func (v *View) claimed() (link, store.Revision) {
+// lastClaimed returns the latest claim and its revision, which is 0 if unknown.
+func (v *View) lastClaimed() (termRecord, store.Revision) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.claim, v.claimAt
+	return v.claim, v.claimRev
 }
 
 // last returns the daemon that led with the highest epoch seen.
@@ -88,48 +91,48 @@
 	return v.latest.Member, true
 }
 
-// learn takes what another daemon tells of the leader. A leader that has lost its
-// record keeps its epoch, so an epoch that is known already says nothing new.
-func (v *View) learn(l Leader) {
+// learnLeader records the leader that a peer reported. A leader that has lost its record
+// keeps its epoch, so only a higher epoch is news.
+func (v *View) learnLeader(l Leader) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.latest != nil && l.Epoch <= v.latest.Epoch {
 		return
 	}
-	v.latest, v.told = &l, true
+	v.latest, v.fromPeer = &l, true
 	v.notify()
 }
 
-// vacant reports whether nobody leads, as far as is known, and the revision
-// that the leader's record must have for a claim: 0 for no record. A record of
-// the daemon's own earlier life is as good as none, and need not be waited out.
-func (v *View) vacant(self Member) (held store.Revision, vacant bool) {
+// vacant reports whether there is no leader according to the view, and returns the
+// revision that the leader record must have for a claim: 0 for no record. A record of an
+// earlier incarnation of this daemon counts as none, so that its expiry is not awaited.
+func (v *View) vacant(self Member) (recordRev store.Revision, vacant bool) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	if v.leader == nil {
 		return 0, true
 	}
-	return v.held, v.leader.Member.same(self)
+	return v.recordRev, v.leader.Member.same(self)
 }
 
-// betterFits reports whether a member should lead rather than self: one with
-// more processor time, or one that started a good while later. In a rolling
-// upgrade a daemon that has not been restarted yet soon will be, and would hand
-// the leadership over once more.
-func (v *View) betterFits(self Member) bool {
+// hasBetterCandidate reports whether another member should lead rather than self: one
+// with more processor time, or one that started at least newerMargin later. In a rolling
+// upgrade a daemon that has not been restarted yet soon will be, which would cost another
+// change of the leader.
+func (v *View) hasBetterCandidate(self Member) bool {
 	for _, m := range v.all() {
-		if m.Cores > self.Cores || (m.Cores == self.Cores && m.Started > self.Started+freshMargin.Milliseconds()) {
+		if m.Cores > self.Cores || (m.Cores == self.Cores && m.Started > self.Started+newerMargin.Milliseconds()) {
 			return true
 		}
 	}
 	return false
 }
 
-// freshMargin is how much later a daemon must have started to count as fresher;
-// daemons that start together differ by less.
-const freshMargin = 2 * time.Second
+// newerMargin is how much later a daemon must have started to count as newer; the start
+// times of daemons that start together differ by less.
+const newerMargin = 2 * time.Second
 
-// Epoch returns the highest epoch of a leader seen.
+// Epoch returns the highest epoch seen.
 func (v *View) Epoch() uint64 {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -146,10 +149,10 @@
 	return all
 }
 
-// all returns the members in no order.
+// all returns the members in no particular order.
 func (v *View) all() []Member {
-	if v.main != nil {
-		return v.main.all()
+	if v.primary != nil {
+		return v.primary.all()
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -168,12 +171,12 @@
 	v.changed = make(chan struct{})
 }
 
-// replace takes a whole listing.
+// replace replaces the view by a complete listing.
 func (v *View) replace(entries []store.Entry) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	clear(v.members)
-	v.leader, v.held, v.claimAt = nil, 0, 0
+	v.leader, v.recordRev, v.claimRev = nil, 0, 0
 	v.read = true
 	for _, e := range entries {
 		v.set(e)
@@ -193,7 +196,7 @@
 			continue
 		}
 		if e.Key == keyHolder {
-			v.leader, v.held = nil, 0
+			v.leader, v.recordRev = nil, 0
 		}
 		if name, ok := memberName(e.Key); ok {
 			delete(v.members, name)
@@ -203,19 +206,19 @@
 }
 
 func (v *View) set(e store.Entry) {
-	if e.Key == keyClaimSeen {
-		l, err := decodeLink(e)
+	if e.Key == keyClaimCopy {
+		l, err := decodeTermRecord(e)
 		if err != nil {
-			v.unreadable(e.Key, err)
+			v.logUnreadable(e.Key, err)
 			return
 		}
-		v.claim, v.claimAt = l, e.Revision
+		v.claim, v.claimRev = l, e.Revision
 		return
 	}
 	if e.Key == KeyLayout {
 		l, err := DecodeLayout(e)
 		if err != nil {
-			v.unreadable(e.Key, err)
+			v.logUnreadable(e.Key, err)
 			return
 		}
 		v.layout = l
@@ -224,19 +227,19 @@
 	if e.Key == keyHolder {
 		var l Leader
 		if err := peer.Unmarshal(e.Value, &l); err != nil {
-			v.unreadable(e.Key, err)
+			v.logUnreadable(e.Key, err)
 			return
 		}
-		v.leader, v.held = &l, e.Revision
+		v.leader, v.recordRev = &l, e.Revision
 		if v.latest == nil || l.Epoch >= v.latest.Epoch {
-			v.latest, v.told = &l, false
+			v.latest, v.fromPeer = &l, false
 		}
 		return
 	}
 	if name, ok := memberName(e.Key); ok {
 		var m Member
 		if err := peer.Unmarshal(e.Value, &m); err != nil {
-			v.unreadable(e.Key, err)
+			v.logUnreadable(e.Key, err)
 			return
 		}
 		v.members[name] = m
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -12,49 +12,50 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Telling that the leader is gone, or cut off from the store, before its lease
-// runs out.
+// Detection of a leader that has failed, or is cut off from the store, before its lease
+// expires.
 //
-// Load pattern: the leader's process or VM ends, or the store turns it away,
-// under full load. Until another daemon leads nothing starts and no end is shown;
-// the lease alone lets 0.9 to 1.2 s pass, and 2.4 s where the store is slow.
+// While no daemon leads, nothing starts and no completion is published. When the leader's
+// process or VM ends, or the store rejects its calls, waiting for the lease alone would
+// take 0.9 to 1.2 s, and 2.4 s with a slow store.
 //
-// Nothing rests on this judgement being right: a claim is a transaction in the
-// store, and orders carry epochs, so a leader that is replaced without need loses
-// its term and nothing else.
+// Safety does not depend on this detection: a claim is a transaction in the store, and
+// orders carry epochs, so a leader that is replaced needlessly only loses its term.
 const (
-	// pingPause is between calls to the leader, and pingTimeout bounds one: a daemon
-	// on a quota of processor time may stand still for a tenth of a second. Where
-	// answers are slow it grows to pingFactor times their decaying average, up to
+	// pingPause is the pause between pings of the leader, and pingTimeout bounds one: a
+	// daemon with a CPU quota may be throttled for a tenth of a second. If responses
+	// are slow, the timeout grows to pingFactor times their decaying average, up to
 	// maxPingTimeout.
 	pingPause      = 100 * time.Millisecond
 	pingTimeout    = 150 * time.Millisecond
 	maxPingTimeout = 600 * time.Millisecond
 	pingFactor     = 4
 	pingDecay      = 4
-	// pingsMissed in a row let a daemon ask others about the leader.
+	// pingsMissed is how many consecutive missed pings let a daemon ask others about the
+	// leader.
 	pingsMissed = 2
-	// pingers is how many daemons call the leader, those that fit best: each costs
-	// it ten calls a second.
+	// pingers is how many daemons ping the leader, the best candidates: each of them
+	// sends it ten calls a second.
 	pingers = 3
-	// witnesses is how many others are asked, and witnessTimeout bounds that: each
-	// calls the leader itself.
-	witnesses    = 3
-	witnessExtra = 100 * time.Millisecond // over the bound of the call that it makes
-	// rankDelay keeps the claims of several daemons apart: the second sees the
-	// first one's claim in a round trip to the store.
+	// witnesses is how many other daemons are asked about the leader. Each pings the
+	// leader itself, so the question may take witnessMargin longer than one ping.
+	witnesses     = 3
+	witnessMargin = 100 * time.Millisecond
+	// rankDelay separates the claims of several daemons: the second sees the first
+	// one's claim within a round trip to the store.
 	rankDelay = 40 * time.Millisecond
-	// learnPause is between calls to other daemons while the store does not answer.
-	learnPause = 150 * time.Millisecond
-	// ownTroubleMemory: a daemon that the store failed within this time does not
-	// judge the leader by what the store does to it.
-	ownTroubleMemory = time.Second
+	// queryPause is the pause between queries of other daemons while the store does
+	// not answer.
+	queryPause = 150 * time.Millisecond
+	// ownTroubleWindow: a daemon whose own store calls failed within this time ignores
+	// the leader's report that the store rejects its calls.
+	ownTroubleWindow = time.Second
 )
 
 // Methods between daemons.
 const (
-	methodAlive peer.Method = "lead.alive"
-	methodHeard peer.Method = "lead.heard"
+	methodAlive   peer.Method = "lead.alive"
+	methodWitness peer.Method = "lead.heard"
 )
 
 // Caller calls other daemons.
@@ -64,32 +65,32 @@
 
 type aliveRequest struct{}
 
-// aliveReply tells what a daemon is and knows.
+// aliveReply is the state of a daemon and the leader that it has recorded.
 type aliveReply struct {
-	Leads      bool   `cbor:"1,keyasint"` // it leads, or is about to
-	TurnedAway bool   `cbor:"2,keyasint"` // the store refuses its calls
-	Known      bool   `cbor:"3,keyasint"` // it knows a leader
+	Leads      bool   `cbor:"1,keyasint"` // it leads, or is claiming
+	TurnedAway bool   `cbor:"2,keyasint"` // the store rejects its calls
+	Known      bool   `cbor:"3,keyasint"` // Leader is set
 	Leader     Leader `cbor:"4,keyasint"`
 }
 
-type heardRequest struct {
+type witnessRequest struct {
 	Leader Member `cbor:"1,keyasint"`
 }
 
-type heardReply struct {
-	Serves bool `cbor:"1,keyasint"` // the leader answers, leads, and reaches the store
+type witnessReply struct {
+	Serves bool `cbor:"1,keyasint"` // the leader answers, leads and reaches the store
 }
 
-// Register serves the methods for other daemons.
+// Register registers the methods that other daemons call.
 func (e *Elector) Register(r peer.Registrar) {
 	r.Handle(e.method(methodAlive), peer.Typed(func(context.Context, aliveRequest) (any, error) { return e.alive(), nil }))
-	r.Handle(e.method(methodHeard), peer.Typed(func(ctx context.Context, r heardRequest) (any, error) {
+	r.Handle(e.method(methodWitness), peer.Typed(func(ctx context.Context, r witnessRequest) (any, error) {
 		reply, err := e.ping(ctx, r.Leader)
-		return heardReply{Serves: err == nil && reply.serves()}, nil // no answer is an answer here
+		return witnessReply{Serves: err == nil && reply.serves()}, nil // an unresponsive leader is a valid reply
 	}))
 }
 
-// method returns the part's own name of a method.
+// method returns the name of a method with the suffix of this shard.
 func (e *Elector) method(m peer.Method) peer.Method { return m + peer.Method(e.o.Suffix) }
 
 func (r *aliveReply) serves() bool { return r.Leads && !r.TurnedAway }
@@ -100,7 +101,7 @@
 		Known: known, Leader: leader}
 }
 
-// ping calls a daemon once.
+// ping asks a daemon for its state once.
 func (e *Elector) ping(ctx context.Context, m Member) (*aliveReply, error) {
 	if m.same(e.o.Self) {
 		reply := e.alive()
@@ -119,53 +120,54 @@
 	return reply, err
 }
 
-// notePing learns from a call that took d.
+// notePing updates the average round trip with a ping that took d.
 func (e *Elector) notePing(d time.Duration) {
-	average := time.Duration(e.pinged.Load())
-	e.pinged.Store(int64(average + (d-average)/pingDecay))
+	average := time.Duration(e.pingAverage.Load())
+	e.pingAverage.Store(int64(average + (d-average)/pingDecay))
 }
 
-// pingBound is how long a call to another daemon may take.
+// pingBound returns the current timeout of a ping.
 func (e *Elector) pingBound() time.Duration {
-	return min(max(pingTimeout, pingFactor*time.Duration(e.pinged.Load())), maxPingTimeout)
+	return min(max(pingTimeout, pingFactor*time.Duration(e.pingAverage.Load())), maxPingTimeout)
 }
 
-var errNoPeers = errors.New("lead: no way to call other daemons")
+var errNoPeers = errors.New("lead: calls to other daemons are not configured")
 
-// watchLeader claims when the leader is gone though its record stands.
+// watchLeader claims leadership when the leader does not serve although its record still
+// exists.
 func (e *Elector) watchLeader(ctx context.Context) {
-	var j judgement
+	var d detector
 	for sleep.For(ctx, pingPause) == nil {
-		leader, held, ok := e.view.holder()
-		rank, fits := e.rank(leader.Member)
-		if !ok || !fits || leader.Member.same(e.o.Self) || e.stopping.Load() || e.view.Epoch() > leader.Epoch || e.busy() {
-			j.missed = 0
+		leader, recordRev, ok := e.view.holder()
+		rank, eligible := e.rank(leader.Member)
+		if !ok || !eligible || leader.Member.same(e.o.Self) || e.stopping.Load() || e.view.Epoch() > leader.Epoch || e.busy() {
+			d.missed = 0
 			continue
 		}
-		j.follow(leader, time.Now())
-		if reply, err := e.ping(ctx, leader.Member); err == nil && (reply.serves() || (reply.Leads && e.StoreTrouble(ownTroubleMemory))) {
-			j.missed = 0
+		d.observe(leader, time.Now())
+		if reply, err := e.ping(ctx, leader.Member); err == nil && (reply.serves() || (reply.Leads && e.StoreTrouble(ownTroubleWindow))) {
+			d.missed = 0
 			continue
 		}
-		if j.missed++; j.missed > pingsMissed {
-			e.notePing(e.pingBound()) // a slow one has taken that long at least
+		if d.missed++; d.missed > pingsMissed {
+			e.notePing(e.pingBound()) // the response takes at least that long
 		}
-		if !j.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.Patience.TurnedAway() ||
-			!e.othersMiss(ctx, leader.Member) || sleep.For(ctx, time.Duration(rank)*rankDelay) != nil {
+		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.Patience.TurnedAway() ||
+			!e.confirmedByOthers(ctx, leader.Member) || sleep.For(ctx, time.Duration(rank)*rankDelay) != nil {
 			continue
 		}
-		if _, now, _ := e.view.holder(); now == held && e.leaseID() != 0 {
-			e.o.Log.Info().Str("leader", leader.Member.Name).Uint64("epoch", leader.Epoch).Int("pings_missed", j.missed).
-				Int("taken_of_late", len(j.taken)).Msg("leader does not serve, claiming")
-			j.tried(time.Now())
-			e.take(ctx, held, true)
+		if _, now, _ := e.view.holder(); now == recordRev && e.leaseID() != 0 {
+			e.o.Log.Info().Str("leader", leader.Member.Name).Uint64("epoch", leader.Epoch).Int("pings_missed", d.missed).
+				Int("taken_of_late", len(d.taken)).Msg("leader does not serve; claiming leadership")
+			d.noteClaim(time.Now())
+			e.claimAndLead(ctx, recordRev, true)
 		}
 	}
 }
 
-// rank returns this daemon's place among those that fit to lead after the leader,
-// and whether it is among the pingers.
-func (e *Elector) rank(leader Member) (rank int, fits bool) {
+// rank returns this daemon's position among the candidates to succeed the leader, and
+// whether it is one of the pingers.
+func (e *Elector) rank(leader Member) (rank int, eligible bool) {
 	members := e.view.Members()
 	members = slices.DeleteFunc(members, func(m Member) bool { return m.same(leader) })
 	slices.SortStableFunc(members, func(a, b Member) int {
@@ -178,30 +180,31 @@
 	return rank, rank >= 0 && rank < pingers
 }
 
-// coresScale turns cores into whole thousandths.
+// coresScale converts cores to thousandths for an integer comparison.
 const coresScale = 1000
 
-// othersMiss asks other daemons whether the leader answers them. Without any
-// answer this daemon may be the one that is cut off.
-func (e *Elector) othersMiss(ctx context.Context, leader Member) bool {
+// confirmedByOthers asks other daemons whether the leader answers them, and reports
+// whether at least one says no and none says yes. Without any response this daemon may
+// itself be the partitioned one.
+func (e *Elector) confirmedByOthers(ctx context.Context, leader Member) bool {
 	members := slices.DeleteFunc(e.view.Members(), func(m Member) bool { return m.same(leader) || m.same(e.o.Self) })
 	if len(members) == 0 {
 		return true
 	}
 	rand.Shuffle(len(members), func(i, j int) { members[i], members[j] = members[j], members[i] })
-	ctx, cancel := context.WithTimeout(ctx, e.pingBound()+witnessExtra)
+	ctx, cancel := context.WithTimeout(ctx, e.pingBound()+witnessMargin)
 	defer cancel()
 	var wg sync.WaitGroup
 	var mu sync.Mutex
 	miss, serves := 0, 0
 	for _, m := range members[:min(len(members), witnesses)] {
 		wg.Go(func() {
-			var r heardReply
-			_, err := e.o.Peers.CallAddr(ctx, m.Peer, e.method(methodHeard), heardRequest{Leader: leader}, &r)
+			var r witnessReply
+			_, err := e.o.Peers.CallAddr(ctx, m.Peer, e.method(methodWitness), witnessRequest{Leader: leader}, &r)
 			mu.Lock()
 			defer mu.Unlock()
 			switch {
-			case err != nil: // it may be gone as well
+			case err != nil: // that daemon may have failed as well
 			case r.Serves:
 				serves++
 			default:
@@ -213,9 +216,9 @@
 	return miss > 0 && serves == 0
 }
 
-// leaderLives reports whether the leader known last still runs its term: then its
-// record has lapsed while the store was away, and it puts it back.
-func (e *Elector) leaderLives(ctx context.Context) bool {
+// leaderStillLeads reports whether the latest known leader is still in its term. Then its
+// record expired while the store was unreachable, and it will restore the record.
+func (e *Elector) leaderStillLeads(ctx context.Context) bool {
 	if e.o.Peers == nil {
 		return true
 	}
@@ -231,12 +234,11 @@
 	return false
 }
 
-// learn asks other daemons who leads while the store does not answer this one.
-//
-// What goes wrong without it: a daemon that is cut off from the store for ten
-// seconds asks a leader of before about its callers' jobs, and answers none.
-func (e *Elector) learn(ctx context.Context) {
-	for sleep.For(ctx, learnPause) == nil {
+// learnLeader asks other daemons who leads while the store does not answer this one.
+// Otherwise a daemon that is cut off from the store for ten seconds would send its
+// callers' queries about jobs to a former leader, and could answer none.
+func (e *Elector) learnLeader(ctx context.Context) {
+	for sleep.For(ctx, queryPause) == nil {
 		if !e.o.Patience.Suspect() {
 			continue
 		}
@@ -245,7 +247,7 @@
 			continue
 		}
 		if reply, err := e.ping(ctx, members[rand.IntN(len(members))]); err == nil && reply.Known {
-			e.view.learn(reply.Leader)
+			e.view.learnLeader(reply.Leader)
 		}
 	}
 }
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -23,42 +23,42 @@
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]*peer.Mux
-	cut   map[[2]string]bool       // calls from the first to the second get no answer
-	late  map[string]time.Duration // how long a daemon takes to answer
+	cut   map[[2]string]bool       // calls from the first to the second get no response
+	late  map[string]time.Duration // delay of a daemon's answers
 }
 
 func newNetwork() *network {
 	return &network{nodes: map[string]*peer.Mux{}, cut: map[[2]string]bool{}, late: map[string]time.Duration{}}
 }
 
-// join lets a daemon answer.
+// join connects a daemon, so that it answers calls.
 func (n *network) join(name string, mux *peer.Mux) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.nodes[name] = mux
 }
 
-// cutOff cuts both ways between two daemons.
+// cutOff drops all calls between two daemons, in both directions.
 func (n *network) cutOff(a, b string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut[[2]string{a, b}], n.cut[[2]string{b, a}] = true, true
 }
 
-// leave ends a daemon's answers.
+// leave disconnects a daemon, which then answers no calls.
 func (n *network) leave(name string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	delete(n.nodes, name)
 }
 
-// port is one daemon's end of a network.
-type port struct {
+// testPeer calls the other daemons of a network on behalf of one.
+type testPeer struct {
 	n    *network
 	self string
 }
 
-func (p port) CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error) {
+func (p testPeer) CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error) {
 	p.n.mu.Lock()
 	mux := p.n.nodes[addr]
 	if p.n.cut[[2]string{p.self, addr}] {
@@ -84,76 +84,76 @@
 	return peer.Ref{}, peer.Unmarshal(answer, resp)
 }
 
-// gated is a store that turns one daemon away while away is set.
-type gated struct {
+// gatedStore is a store that rejects the calls of one daemon while rejecting is set.
+type gatedStore struct {
 	store.Transactor
-	away atomic.Bool
+	rejecting atomic.Bool
 }
 
-func (g *gated) refuse() error {
-	if g.away.Load() {
+func (g *gatedStore) refuse() error {
+	if g.rejecting.Load() {
 		return fmt.Errorf("turned away: %w", store.ErrOverBudget)
 	}
 	return nil
 }
 
-func (g *gated) Get(ctx context.Context, key string) (store.Entry, error) {
+func (g *gatedStore) Get(ctx context.Context, key string) (store.Entry, error) {
 	if err := g.refuse(); err != nil {
 		return store.Entry{}, err
 	}
 	return g.Transactor.Get(ctx, key)
 }
 
-func (g *gated) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
+func (g *gatedStore) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
 	if err := g.refuse(); err != nil {
 		return nil, 0, err
 	}
 	return g.Transactor.List(ctx, prefix)
 }
 
-func (g *gated) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
+func (g *gatedStore) Watch(ctx context.Context, prefix string, after store.Revision, wait time.Duration) ([]store.Event, store.Revision, error) {
 	if err := g.refuse(); err != nil {
 		return nil, after, err
 	}
 	return g.Transactor.Watch(ctx, prefix, after, wait)
 }
 
-func (g *gated) Commit(ctx context.Context, t store.Txn) (store.Revision, error) {
+func (g *gatedStore) Commit(ctx context.Context, t store.Txn) (store.Revision, error) {
 	if err := g.refuse(); err != nil {
 		return 0, err
 	}
 	return g.Transactor.Commit(ctx, t)
 }
 
-func (g *gated) GrantLease(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
+func (g *gatedStore) GrantLease(ctx context.Context, ttl time.Duration) (store.LeaseID, error) {
 	if err := g.refuse(); err != nil {
 		return 0, err
 	}
 	return g.Transactor.GrantLease(ctx, ttl)
 }
 
-func (g *gated) RenewLease(ctx context.Context, id store.LeaseID) error {
+func (g *gatedStore) RenewLease(ctx context.Context, id store.LeaseID) error {
 	if err := g.refuse(); err != nil {
 		return err
 	}
 	return g.Transactor.RenewLease(ctx, id)
 }
 
-// watched is a cell of daemons that call each other.
-type watched struct {
+// testCell is a cell of daemons that call each other.
+type testCell struct {
 	m       *kv.Memory
 	net     *network
 	names   []string
 	daemons map[string]*daemon
-	gates   map[string]*gated
+	gates   map[string]*gatedStore
 }
 
-func newWatched(names ...string) *watched {
-	w := &watched{m: kv.New(), net: newNetwork(), names: names, daemons: map[string]*daemon{}, gates: map[string]*gated{}}
+func newTestCell(names ...string) *testCell {
+	w := &testCell{m: kv.New(), net: newNetwork(), names: names, daemons: map[string]*daemon{}, gates: map[string]*gatedStore{}}
 	for _, name := range names {
-		w.gates[name] = &gated{Transactor: w.m}
+		w.gates[name] = &gatedStore{Transactor: w.m}
 		mux := peer.NewMux()
-		d := startWith(Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: w.gates[name], Log: zerolog.Nop(), Peers: port{w.net, name}})
+		d := startWith(Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: w.gates[name], Log: zerolog.Nop(), Peers: testPeer{w.net, name}})
 		d.e.Register(mux)
 		w.net.join(name, mux)
 		w.daemons[name] = d
@@ -163,7 +163,7 @@
 }
 
 // leader returns the name and the epoch of the daemon that leads.
-func (w *watched) leader(t *testing.T) (string, uint64) {
+func (w *testCell) leader(t *testing.T) (string, uint64) {
 	var found []string
 	for _, name := range w.names {
 		if w.daemons[name].term() != nil {
@@ -174,13 +174,13 @@
 	return found[0], w.daemons[found[0]].term().Epoch
 }
 
-// others returns the daemons but one.
-func (w *watched) others(name string) []string {
+// others returns the names of all daemons but one.
+func (w *testCell) others(name string) []string {
 	return slices.DeleteFunc(slices.Clone(w.names), func(n string) bool { return n == name })
 }
 
-// untilReplaced waits until another daemon than before leads.
-func (w *watched) untilReplaced(before string) time.Duration {
+// untilReplaced waits until a daemon other than before leads, and returns how long it took.
+func (w *testCell) untilReplaced(before string) time.Duration {
 	began := time.Now()
 	for {
 		for _, name := range w.others(before) {
@@ -192,12 +192,12 @@
 	}
 }
 
-func (w *watched) kill(name string) {
+func (w *testCell) kill(name string) {
 	w.net.leave(name)
 	w.daemons[name].stop()
 }
 
-func (w *watched) stop(gone ...string) {
+func (w *testCell) stop(gone ...string) {
 	for _, name := range w.names {
 		if !slices.Contains(gone, name) {
 			w.daemons[name].stop()
@@ -206,14 +206,12 @@
 }
 
 func TestDeadLeaderIsReplacedBeforeItsLeaseRunsOut(t *testing.T) {
-	// Symptom: nothing starts for more than a second after the leader's death, and
-	//   for two and a half where the store is slow.
-	// Sequence: the leader's VM loses its power.
-	// Cause: only the end of its lease showed that it was gone, and after trouble
-	//   with the store the vacancy was left to it for another 1.2 s.
+	// Guards against more than a second without starts after the leader's VM fails, and
+	// two and a half with a slow store: only the end of its lease showed the failure, and
+	// after store failures the vacancy was left to it for another 1.2 s.
 	for _, answer := range []time.Duration{0, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWatched("a", "b", "c", "d", "e")
+			w := newTestCell("a", "b", "c", "d", "e")
 			w.m.SetFaults(kv.Faults{Delay: answer})
 			time.Sleep(3 * time.Second)
 			leader, epoch := w.leader(t)
@@ -229,17 +227,18 @@
 }
 
 func TestLeaderThatTheStoreTurnsAwayIsReplaced(t *testing.T) {
-	// Symptom looked for: nothing is stored, and so no end shown, until the lease
-	//   of a leader runs out that the store refuses; or leadership goes to and fro.
+	// Guards against a leader whose store calls are rejected and that keeps leading until
+	// its lease expires, so that no completion is stored or published, and against
+	// leadership that moves back and forth.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b", "c", "d", "e")
+		w := newTestCell("a", "b", "c", "d", "e")
 		leader, epoch := w.leader(t)
-		w.gates[leader].away.Store(true)
+		w.gates[leader].rejecting.Store(true)
 		took := w.untilReplaced(leader)
 		t.Logf("replaced after %v", took)
 		require.Less(t, took, DefaultLease)
 		time.Sleep(8 * time.Second)
-		w.gates[leader].away.Store(false)
+		w.gates[leader].rejecting.Store(false)
 		time.Sleep(8 * time.Second)
 		_, now := w.leader(t)
 		require.Equal(t, epoch+1, now, "one change of the leader")
@@ -248,10 +247,10 @@
 }
 
 func TestDaemonThatDoesNotHearTheLeaderAsksOthersFirst(t *testing.T) {
-	// Symptom looked for: a broken way between two daemons takes the leadership
-	//   away from one that serves all others, again and again.
+	// Guards against a broken network path between two daemons that repeatedly takes
+	// leadership away from a daemon that serves all others.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b", "c", "d", "e")
+		w := newTestCell("a", "b", "c", "d", "e")
 		leader, epoch := w.leader(t)
 		w.net.cutOff(leader, w.others(leader)[0])
 		time.Sleep(10 * time.Second)
@@ -263,17 +262,17 @@
 		}
 		time.Sleep(10 * time.Second)
 		_, now = w.leader(t)
-		require.Equal(t, epoch, now, "one that hears nobody does not claim")
+		require.Equal(t, epoch, now, "a daemon that gets no responses does not claim")
 		w.stop()
 	})
 }
 
 func TestOutageOfTheStoreDoesNotChangeTheLeader(t *testing.T) {
-	// Symptom looked for: with calls between daemons each outage of the store costs
-	//   the leadership.
+	// Guards against a change of the leader with each store outage when daemons ping each
+	// other.
 	for _, frozen := range []bool{false, true} {
 		synctest.Test(t, func(t *testing.T) {
-			w := newWatched("a", "b", "c", "d", "e")
+			w := newTestCell("a", "b", "c", "d", "e")
 			leader, epoch := w.leader(t)
 			w.m.SetFaults(kv.Faults{Down: true, FreezeLeases: frozen})
 			time.Sleep(4200 * time.Millisecond)
@@ -288,10 +287,10 @@
 }
 
 func TestLeaderThatDiedInAnOutageIsNotWaitedFor(t *testing.T) {
-	// Symptom: after an outage of the store in which the leader was lost, nothing
-	//   starts for another 1.2 s.
+	// Guards against another 1.2 s without starts after a store outage in which the leader
+	// failed.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b", "c", "d", "e")
+		w := newTestCell("a", "b", "c", "d", "e")
 		leader, _ := w.leader(t)
 		w.m.SetFaults(kv.Faults{Down: true})
 		time.Sleep(2 * time.Second)
@@ -300,27 +299,26 @@
 		w.m.SetFaults(kv.Faults{})
 		took := w.untilReplaced(leader)
 		t.Logf("replaced %v after the store's return", took)
-		require.Less(t, took, outageHold)
+		require.Less(t, took, outageDelay)
 		w.stop(leader)
 	})
 }
 
 func TestDaemonWithoutTheStoreLearnsWhoLeads(t *testing.T) {
-	// Symptom: the callers of a daemon that the store turns away get no answer for
-	//   their jobs' state for as long as that lasts.
-	// Sequence: the leader changes while the daemon can not watch the store.
-	// Cause: it went on asking the leader of before.
+	// Guards against a daemon that can not answer its callers' queries about jobs while
+	// the store rejects its calls: the leader changed while the daemon could not watch the
+	// store, and it kept asking the former leader.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b", "c", "d", "e")
+		w := newTestCell("a", "b", "c", "d", "e")
 		leader, _ := w.leader(t)
-		blind := w.others(leader)[0]
-		w.gates[blind].away.Store(true)
+		cutOffDaemon := w.others(leader)[0]
+		w.gates[cutOffDaemon].rejecting.Store(true)
 		time.Sleep(time.Second)
 		w.kill(leader)
 		w.untilReplaced(leader)
 		time.Sleep(2 * time.Second)
 		next, epoch := w.leader(t)
-		known, ok := w.daemons[blind].e.View().Leader()
+		known, ok := w.daemons[cutOffDaemon].e.View().Leader()
 		require.True(t, ok)
 		require.Equal(t, next, known.Member.Name)
 		require.Equal(t, epoch, known.Epoch)
@@ -329,14 +327,13 @@
 }
 
 func TestLeaderThatFallsBehindIsReplaced(t *testing.T) {
-	// Symptom: tasks run a second time after their ends were listed.
-	// Sequence: a daemon with little processor time leads; it takes seconds for what
-	//   others do at once; ends that workers listed to it are never stored, and are
-	//   lost with their worker before the next leader hears of them.
-	// Cause: it led for as long as its lease was renewed, which takes hardly any
-	//   processor time.
+	// Guards against tasks that run a second time after their completion was reported: a
+	// leader with little processor time took seconds for what others do at once, never
+	// stored the completions that workers reported to it, and they were lost with their
+	// worker before the next leader received them. It led for as long as its lease was
+	// renewed, which takes hardly any processor time.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b", "c", "d", "e")
+		w := newTestCell("a", "b", "c", "d", "e")
 		leader, epoch := w.leader(t)
 		w.net.mu.Lock()
 		w.net.late[leader] = 2 * pingTimeout
--- a/process/lead/yield.go
+++ b/process/lead/yield.go
@@ -7,30 +7,30 @@
 	"time"
 )
 
-// Leaving leadership to a stronger daemon.
+// Yielding leadership to a stronger daemon.
 //
-// Load pattern: all daemons begin at once, in any order, or all are killed; whichever
-// claims first leads, and it may be one with a quarter of the processor time of the
-// strongest. What goes wrong if it goes on leading: under full load it falls behind,
-// or the cell is divided for ever to fit it.
+// When all daemons start at once, or restart after all were killed, the first to claim
+// leads, and it may have a quarter of the processor time of the strongest. If it went on
+// leading, it would fall behind under full load, or the cell's permanent shard layout
+// would be chosen to suit it.
 const (
-	// yieldPause is kept after giving leadership up, and doubles up to yieldPauseMax each
-	// time this daemon has to lead again: a stronger daemon that can not lead costs the
+	// yieldPause is the minimum time between two yields of this daemon. It doubles up to
+	// yieldPauseMax with each yield, since a stronger daemon that can not lead costs the
 	// cell a takeover each time.
 	yieldPause    = 2 * time.Second
 	yieldPauseMax = time.Minute
 )
 
-// yielder is when a daemon gave leadership up to a stronger one.
-type yielder struct {
+// yieldBackoff spaces the yields of a daemon.
+type yieldBackoff struct {
 	pause time.Duration
-	next  time.Time // not before
+	next  time.Time // earliest time of the next yield
 }
 
-// yield gives leadership up if a daemon is there that is much stronger, answers, and
-// reaches the store. That one claims first: weaker ones leave a vacancy to it for
-// deferDelay.
-func (e *Elector) yield(ctx context.Context, y *yielder) {
+// yield releases leadership if there is a daemon that is much stronger, answers, and
+// reaches the store. That daemon claims first, since weaker ones leave the vacancy to it
+// for deferDelay.
+func (e *Elector) yield(ctx context.Context, y *yieldBackoff) {
 	t := e.current()
 	if t == nil || e.stopping.Load() || time.Now().Before(y.next) || e.o.Peers == nil {
 		return
@@ -45,15 +45,16 @@
 	y.pause = min(max(2*y.pause, yieldPause), yieldPauseMax)
 	y.next = time.Now().Add(y.pause)
 	e.o.Log.Info().Str("to", stronger.Name).Float64("cores", e.o.Self.Cores).Float64("its_cores", stronger.Cores).
-		Uint64("epoch", t.Epoch).Msg("leaving leadership to a stronger daemon")
+		Uint64("epoch", t.Epoch).Msg("yielding leadership to a stronger daemon")
 	if err := t.release(ctx); err != nil {
-		e.o.Log.Warn().Err(err).Msg("leadership not released, it lapses")
+		e.o.Log.Warn().Err(err).Msg("leadership not released; the record expires with its lease")
 	}
 }
 
-// strongest returns the other daemon with most to lead with that leads no part.
+// strongest returns the daemon with the most cores, then link bandwidth, among the others
+// that lead no shard.
 func (e *Elector) strongest() (Member, bool) {
-	others := e.free()
+	others := e.nonLeaders()
 	if len(others) == 0 {
 		return Member{}, false
 	}
--- a/process/lead/yield_test.go
+++ b/process/lead/yield_test.go
@@ -11,11 +11,11 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// join adds a daemon to a cell that is there.
-func (w *watched) join(name string, cores float64) {
-	w.gates[name] = &gated{Transactor: w.m}
+// join adds a daemon to a running cell.
+func (w *testCell) join(name string, cores float64) {
+	w.gates[name] = &gatedStore{Transactor: w.m}
 	mux := peer.NewMux()
-	d := startWith(Options{Self: Member{Name: name, Peer: name, Cores: cores}, Store: w.gates[name], Log: zerolog.Nop(), Peers: port{w.net, name}})
+	d := startWith(Options{Self: Member{Name: name, Peer: name, Cores: cores}, Store: w.gates[name], Log: zerolog.Nop(), Peers: testPeer{w.net, name}})
 	d.e.Register(mux)
 	w.net.join(name, mux)
 	w.daemons[name] = d
@@ -23,35 +23,34 @@
 }
 
 func TestWeakLeaderYieldsToAStrongerDaemon(t *testing.T) {
-	// Symptom: a cell is led for ever by a daemon with a quarter of the processor time of
-	//   others, and falls behind under load.
-	// Sequence: it was the first to register.
-	// Cause: only a vacancy was left to the daemon that fits best.
+	// Guards against a cell that is led permanently by a daemon with a quarter of the
+	// processor time of others, and falls behind under load: that daemon registered first,
+	// and the best candidate was preferred only when there was a vacancy.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b")
+		w := newTestCell("a", "b")
 		before, epoch := w.leader(t)
 		w.join("strong", 4)
 		took := w.untilReplaced(before)
-		t.Logf("the stronger one leads %v after it has begun", took)
+		t.Logf("the stronger daemon leads %v after its start", took)
 		require.Less(t, took, time.Second)
 		name, now := w.leader(t)
 		require.Equal(t, "strong", name)
-		require.Equal(t, epoch+1, now, "at one go")
+		require.Equal(t, epoch+1, now, "with a single takeover")
 		time.Sleep(time.Minute)
 		name, now = w.leader(t)
 		require.Equal(t, "strong", name)
 		require.Equal(t, epoch+1, now, "it stays")
 
-		// When it is gone, a weak one leads again.
+		// After it has failed, a weaker daemon leads again.
 		w.kill("strong")
 		w.untilReplaced("strong")
 		w.stop("strong")
 	})
 }
 
-func TestDaemonsOfLikeStrengthDoNotYield(t *testing.T) {
+func TestDaemonsOfSimilarStrengthDoNotYield(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b")
+		w := newTestCell("a", "b")
 		before, epoch := w.leader(t)
 		w.join("c", 1.2)
 		time.Sleep(time.Minute)
@@ -63,10 +62,10 @@
 }
 
 func TestLeaderDoesNotYieldToOneThatCanNotLead(t *testing.T) {
-	// Symptom looked for: leadership goes to and fro.
-	// Sequence: the strongest daemon is registered and answers, and claims nothing.
+	// Guards against leadership that moves back and forth when the strongest daemon is
+	// registered and answers, but never claims.
 	synctest.Test(t, func(t *testing.T) {
-		w := newWatched("a", "b")
+		w := newTestCell("a", "b")
 		_, epoch := w.leader(t)
 		w.join("strong", 4)
 		w.daemons["strong"].e.claiming.Store(true) // as if its claims never succeeded
