--- a/process/relay/bench_test.go
+++ b/process/relay/bench_test.go
@@ -16,9 +16,9 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// BenchmarkMessage compares what one message of three starts and its answer cost over
-// a line and as a call over QUIC, both sides together, on real connections. Run it with
-// -cpu 1, so that the time is processor time.
+// BenchmarkMessage compares the cost of one message of three starts and its answer over an
+// orderConn and as a call over QUIC, for both sides together, on real connections. Run it
+// with -cpu 1, so that the time is processor time.
 func BenchmarkMessage(b *testing.B) {
 	authority, err := keys.NewAuthority()
 	require.NoError(b, err)
@@ -36,15 +36,15 @@
 		ctx, cancel := context.WithCancel(b.Context())
 		defer cancel()
 		s := NewServer(&fakeWorkers{}, nil, zerolog.Nop())
-		s.current(0, 4) // the orders are refused, so that nothing is carried out
+		s.acceptEpoch(0, 4) // the orders are refused, so that nothing is carried out
 		go func() { _ = s.Serve(ctx, tls.NewListener(l, config)) }()
-		line := &line{addr: l.Addr().String(), heard: func([]outcome) {}, dial: Dialer(time.Second, func(ctx context.Context, c net.Conn) (net.Conn, error) {
+		conn := &orderConn{addr: l.Addr().String(), onOutcomes: func([]outcome) {}, dial: Dialer(time.Second, func(ctx context.Context, c net.Conn) (net.Conn, error) {
 			secured := tls.Client(c, config)
 			return secured, secured.HandshakeContext(ctx)
 		})}
-		defer line.close()
+		defer conn.close()
 		for b.Loop() {
-			_, err := line.exchange(b.Context(), m)
+			_, err := conn.exchange(b.Context(), m)
 			require.NoError(b, err)
 		}
 	})
@@ -54,14 +54,14 @@
 			socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 			require.NoError(b, err)
 			mux := peer.NewMux()
-			mux.Handle("orders", peer.Typed(func(_ context.Context, m orders) (any, error) { return told{Taken: m.Number, Epoch: 4}, nil }))
+			mux.Handle("orders", peer.Typed(func(_ context.Context, m orders) (any, error) { return relayFrame{Accepted: m.Number, Epoch: 4}, nil }))
 			nodes[i], err = peer.NewNode(socket, peer.Ref{ID: peer.MemberID(fmt.Sprint(i))}, config, mux, zerolog.Nop())
 			require.NoError(b, err)
 			go func() { _ = nodes[i].Serve(b.Context()) }()
 			defer func() { _ = nodes[i].Close() }()
 		}
 		for b.Loop() {
-			var t told
+			var t relayFrame
 			_, err := nodes[0].CallAddr(b.Context(), nodes[1].Addr(), "orders", m, &t)
 			require.NoError(b, err)
 		}
--- a/process/relay/choose.go
+++ b/process/relay/choose.go
@@ -10,51 +10,52 @@
 	"fennelshunt.example/fennelshunt/process/lead"
 )
 
-// What one daemon carries. A worker under full load takes about two starts and two
-// reports a second: some 0.6 ms of processor time, and 3.5 KB on the link when the
-// text of the job goes with each start.
+// Capacity of a daemon as a relay. A worker under full load needs about two starts and
+// two reports per second: some 0.6 ms of processor time, and 3.5 KB on the link if each
+// start carries the job's spec.
 const (
-	// workersPerCore and workersPerMbit use a quarter of a core and of a link for calls
-	// of workers: a daemon has callers to serve as well, and bursts are twice to three
-	// times the mean.
+	// workersPerCore and workersPerMbit use a quarter of a core and of the link for calls
+	// to workers: a daemon also serves callers, and bursts are two to three times the
+	// mean.
 	workersPerCore = 400
 	workersPerMbit = 8
-	// maxPerRelay bounds what is out of reach for a moment when a relay is lost.
+	// maxPerRelay bounds the number of workers that are briefly unreachable when a relay
+	// fails.
 	maxPerRelay = 100
-	// spareRelays is how much more is chosen than is needed, so that losing one
-	// leaves enough.
+	// spareRelays is the ratio of chosen to needed relay capacity, so that enough remains
+	// when a relay fails.
 	spareRelays = 1.5
 )
 
-// carries returns how many workers a daemon can call.
-func carries(m lead.Member) int { return int(m.Carries(workersPerCore, workersPerMbit)) }
+// workerCapacity returns how many workers a daemon can call.
+func workerCapacity(m lead.Member) int { return int(m.Carries(workersPerCore, workersPerMbit)) }
 
-// choose returns the daemons that call the workers for the leader self: none if it
-// carries them alone, so that a small cell has no second step between a decision
-// and its worker.
+// choose returns the daemons that call the workers for the leader self: none if the leader
+// has the capacity to call them all, so that a small cell has no additional hop between
+// the leader and its workers.
 func choose(members []lead.Member, self lead.Member, workers int) []lead.Member {
-	if self.Cores <= 0 || workers <= carries(self) {
+	if self.Cores <= 0 || workers <= workerCapacity(self) {
 		return nil
 	}
-	others := slices.DeleteFunc(slices.Clone(members), func(m lead.Member) bool { return m.Name == self.Name || m.Orders == "" || carries(m) == 0 })
+	others := slices.DeleteFunc(slices.Clone(members), func(m lead.Member) bool { return m.Name == self.Name || m.Orders == "" || workerCapacity(m) == 0 })
 	slices.SortFunc(others, func(a, b lead.Member) int {
-		return cmp.Or(cmp.Compare(carries(b), carries(a)), cmp.Compare(a.Name, b.Name))
+		return cmp.Or(cmp.Compare(workerCapacity(b), workerCapacity(a)), cmp.Compare(a.Name, b.Name))
 	})
 	need := float64(workers) * spareRelays
 	for i := range others {
-		if need -= float64(min(carries(others[i]), maxPerRelay)); need <= 0 {
+		if need -= float64(min(workerCapacity(others[i]), maxPerRelay)); need <= 0 {
 			return others[:i+1]
 		}
 	}
 	return others
 }
 
-// weight orders relays for a worker: the one with the highest calls it. Each worker
-// keeps its relay when another one comes or goes.
+// weight is the rendezvous hash of a worker and a relay: the relay with the highest weight
+// calls the worker. A worker keeps its relay when another relay is added or removed.
 func weight(worker runner.WorkerID, relay string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
-	_, _ = d.WriteString(string(worker)) // a digest takes everything
+	_, _ = d.WriteString(string(worker)) // a digest never fails
 	_, _ = d.Write([]byte{0})
 	_, _ = d.WriteString(relay)
 	return d.Sum64()
--- a/process/relay/doc.go
+++ b/process/relay/doc.go
@@ -1,16 +1,16 @@
-// Package relay lets the daemons of a cell carry the leader's orders to the
-// workers: the leader decides, and a few other daemons make the calls.
+// Package relay distributes a leader's calls to workers over other daemons of the cell:
+// the leader decides, and a few daemons, the relays, make the calls.
 //
-// Load pattern: hundreds of workers and a start a millisecond. One daemon that makes
-// every call itself holds several connections a worker and sends the text of a job
-// with each start of its tasks; its link, its processor or its descriptors are full
-// long before those of the others. Relays carry many orders in one message, hold the
-// connections, and get the text of a job once.
+// With hundreds of workers and a start per millisecond, a daemon that made every call
+// itself would hold several connections per worker and send the job's spec with each
+// start of a task. Its link, processor or file descriptors would be exhausted long before
+// those of the other daemons. A relay receives many orders in one message, holds the
+// connections to the workers, and fetches the spec of a job once.
 //
-// Guarantees: a Runner keeps those of runner.Runner, so the scheduler can not tell a
-// relay from a call of its own. All orders are repeatable (a start, a stop and a
-// renewal carry the run and the epoch), so an order whose relay does not answer is
-// given once more, directly; an outcome is reported as certain only if no relay can
-// still carry the order out. A relay that has seen a higher epoch refuses the orders
-// of a lower one, and workers do so themselves.
+// Guarantees: a Runner provides the guarantees of runner.Runner, so relayed and direct
+// calls look the same to the scheduler. All orders are idempotent (a start, a stop and a
+// renewal carry the run and the epoch), so an order whose relay does not answer is issued
+// again, in the end directly. An outcome is reported as certain only if no relay can still
+// carry out the order. A relay that has seen a higher epoch refuses the orders of a lower
+// one, and so do the workers.
 package relay
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -9,52 +9,52 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// MethodText asks the daemon that accepted a job for its spec.
-const MethodText peer.Method = "relay.text"
+// MethodSpec asks the daemon that accepted a job for its spec.
+const MethodSpec peer.Method = "relay.text"
 
-// what an order asks for.
-type what uint8
+// action is the call that an order requests.
+type action uint8
 
 const (
-	doStart what = iota
+	doStart action = iota
 	doStop
 	doRenew
 )
 
-// order is one call of a worker. Times are in milliseconds.
+// order is one call to a worker. Times are in milliseconds.
 type order struct {
 	_       struct{} `cbor:",toarray"`
-	Seq     uint64   // numbers the leader's orders
-	What    what
+	Seq     uint64   // sequence number of the order at its leader
+	What    action
 	Worker  runner.WorkerID
 	Address string
 	// Budget is how long the call may take.
 	Budget int64
-	Until  int64 // of a start and a renewal: the lease's end, on the worker's clock
-	// Task and what follows are of starts and stops.
+	Until  int64 // for starts and renewals: the end of the lease, on the worker's clock
+	// Task and the following fields are for starts and stops.
 	Task       work.TaskID
 	Run        uint64
 	Checkpoint string
 	Ticket     string
-	Home       string // of a start: the daemon that keeps the job's spec
-	// Acknowledge and Wait are of renewals.
+	Home       string // for starts: the daemon that accepted the job and has its spec
+	// Acknowledge and Wait are for renewals.
 	Acknowledge int64
 	Wait        int64
 }
 
-// textRequest is the body of MethodText.
-type textRequest struct {
+// specRequest is the body of MethodSpec.
+type specRequest struct {
 	Job work.JobID `cbor:"1,keyasint"`
 }
 
-// textReply answers it.
-type textReply struct {
+// specReply is the response to MethodSpec.
+type specReply struct {
 	Spec  string `cbor:"1,keyasint"`
 	Known bool   `cbor:"2,keyasint"`
 }
 
-// text is the spec of a job, which all its starts carry.
-type text struct {
+// jobSpec is the spec of a job, which all starts of its tasks need.
+type jobSpec struct {
 	_    struct{} `cbor:",toarray"`
 	Job  work.JobID
 	Spec string
@@ -62,15 +62,15 @@
 
 // orders is a frame from the leader to a relay.
 type orders struct {
-	Epoch  uint64  `cbor:"1,keyasint"`
-	Number uint64  `cbor:"2,keyasint"`           // of the frame on its connection
-	Part   int     `cbor:"5,keyasint,omitempty"` // of the cell, whose epoch it is
-	Texts  []text  `cbor:"3,keyasint,omitempty"`
-	Orders []order `cbor:"4,keyasint"`
+	Epoch  uint64    `cbor:"1,keyasint"`
+	Number uint64    `cbor:"2,keyasint"`           // of the frame on its connection
+	Shard  int       `cbor:"5,keyasint,omitempty"` // shard of the cell that Epoch belongs to
+	Specs  []jobSpec `cbor:"3,keyasint,omitempty"`
+	Orders []order   `cbor:"4,keyasint"`
 }
 
-// live and end are rows of a report.
-type live struct {
+// runningRow and completionRow are the rows of a worker's report.
+type runningRow struct {
 	_          struct{} `cbor:",toarray"`
 	Task       work.TaskID
 	Run        uint64
@@ -78,7 +78,7 @@
 	Percent    float32
 }
 
-type end struct {
+type completionRow struct {
 	_          struct{} `cbor:",toarray"`
 	Number     int64
 	Task       work.TaskID
@@ -87,53 +87,55 @@
 	Checkpoint string
 }
 
-// outcome is what came of an order.
+// outcome is the result of an order.
 type outcome struct {
 	_       struct{} `cbor:",toarray"`
 	Seq     uint64
 	Code    code
-	Problem string        // more on the error, for the log
-	Clock   time.Duration // the worker's, at its answer
-	Running []live
-	Ended   []end
-
-	// life has answered in place of the worker's that was asked, which is gone; "" if
-	// none. In the frame it stands apart (told.Lives), where earlier versions do not look.
-	life runner.WorkerID
-}
-
-// told is a frame from a relay to the leader.
-type told struct {
-	// Taken is the number of the frame of orders that this one answers, 0 for none.
-	Taken uint64 `cbor:"1,keyasint,omitempty"`
-	// Epoch is the highest that the relay has seen; orders of a lower one were
-	// refused.
+	Problem string        // text of the error, for the log
+	Clock   time.Duration // the worker's clock when it answered
+	Running []runningRow
+	Ended   []completionRow
+
+	// incarnation is that which answered in place of the worker's incarnation that was
+	// called, which has ended; "" if none. It is sent in a separate field of the frame
+	// (relayFrame.Incarnations), which earlier versions ignore.
+	incarnation runner.WorkerID
+}
+
+// relayFrame is a frame from a relay to the leader.
+type relayFrame struct {
+	// Taken is the number of the accepted frame of orders that this one answers, 0 for
+	// none.
+	Accepted uint64 `cbor:"1,keyasint,omitempty"`
+	// Epoch is the highest that the relay has seen; it refuses orders of a lower one.
 	Epoch    uint64    `cbor:"2,keyasint"`
 	Outcomes []outcome `cbor:"3,keyasint,omitempty"`
-	// Lives have answered in place of those that orders asked, by the order's number.
-	Lives map[uint64]runner.WorkerID `cbor:"4,keyasint,omitempty"`
+	// Incarnations are those that answered in place of the ones that were called, by the
+	// order's sequence number.
+	Incarnations map[uint64]runner.WorkerID `cbor:"4,keyasint,omitempty"`
 }
 
-// tellLives lists the lives that the outcomes tell of.
-func (t *told) tellLives() {
-	for i := range t.Outcomes {
-		if x := &t.Outcomes[i]; x.life != "" {
-			if t.Lives == nil {
-				t.Lives = map[uint64]runner.WorkerID{}
+// collectIncarnations fills Incarnations from the outcomes.
+func (f *relayFrame) collectIncarnations() {
+	for i := range f.Outcomes {
+		if x := &f.Outcomes[i]; x.incarnation != "" {
+			if f.Incarnations == nil {
+				f.Incarnations = map[uint64]runner.WorkerID{}
 			}
-			t.Lives[x.Seq] = x.life
+			f.Incarnations[x.Seq] = x.incarnation
 		}
 	}
 }
 
-// takeLives puts the lives that are listed into the outcomes.
-func (t *told) takeLives() {
-	for i := range t.Outcomes {
-		t.Outcomes[i].life = t.Lives[t.Outcomes[i].Seq]
+// distributeIncarnations sets the incarnations of the outcomes from Incarnations.
+func (f *relayFrame) distributeIncarnations() {
+	for i := range f.Outcomes {
+		f.Outcomes[i].incarnation = f.Incarnations[f.Outcomes[i].Seq]
 	}
 }
 
-// code names an error of a call.
+// code identifies the error of a call.
 type code uint8
 
 const (
@@ -148,31 +150,31 @@
 	codeUnhealthy
 	codeNoConnection
 	codeBadOrder
-	// codeNoText: the relay could not get the job's spec, and called nobody.
-	codeNoText
-	// codeTextLate: the spec was still on its way when the order's time was over, and
-	// nobody was called.
-	codeTextLate
-	// codeLost is not sent: the relay did not answer.
+	// codeNoSpec: the relay could not get the job's spec; the worker was not called.
+	codeNoSpec
+	// codeSpecLate: the spec did not arrive within the order's budget; the worker was not
+	// called.
+	codeSpecLate
+	// codeLost is never sent; it stands for a relay that did not answer.
 	codeLost
 )
 
-// errNoText: the relay does not know the spec of the order's job.
-var errNoText = errors.New("relay: the job's spec is not known there")
+// errNoSpec means that the relay does not have the spec of the order's job.
+var errNoSpec = errors.New("relay: the relay does not have the job's spec")
 
-// errTextLate: the spec did not reach the relay in the order's time. It comes for the
-// next try.
-var errTextLate = errors.New("relay: the job's spec has not come yet")
+// errSpecLate means that the spec did not reach the relay within the order's budget. It
+// arrives in time for the next try.
+var errSpecLate = errors.New("relay: the job's spec did not arrive in time")
 
 // codeErrors pairs codes with the errors of package runner.
 var codeErrors = map[code]error{
 	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrGone, codeOld: runner.ErrOld,
 	codeLate: runner.ErrLate, codeNoRoom: runner.ErrNoRoom, codeTicket: runner.ErrTicket, codeUnhealthy: runner.ErrUnhealthy,
-	codeNoConnection: runner.ErrNoConnection, codeBadOrder: runner.ErrBadOrder, codeNoText: errNoText, codeTextLate: errTextLate, codeLost: errLost,
+	codeNoConnection: runner.ErrNoConnection, codeBadOrder: runner.ErrBadOrder, codeNoSpec: errNoSpec, codeSpecLate: errSpecLate, codeLost: errLost,
 }
 
-// codeOf returns the code of an error; one that is not known leaves the outcome
-// open.
+// codeOf returns the code of an error. Other errors become codeUnknown, an unknown
+// outcome.
 func codeOf(err error) code {
 	if err == nil {
 		return codeDone
@@ -185,7 +187,7 @@
 	return codeUnknown
 }
 
-// remoteError is an error that a worker's call had at a relay.
+// remoteError is the error of a call to a worker that a relay made.
 type remoteError struct {
 	kind    error
 	problem string
@@ -194,7 +196,7 @@
 // Error implements error.
 func (e *remoteError) Error() string { return e.kind.Error() + ": " + e.problem }
 
-// Unwrap makes the kind visible to errors.Is.
+// Unwrap returns the kind, for errors.Is.
 func (e *remoteError) Unwrap() error { return e.kind }
 
 // err returns the outcome's error.
@@ -202,11 +204,11 @@
 	switch {
 	case o.Code == codeDone:
 		return nil
-	case o.Code == codeGone && o.life != "":
-		return &runner.OtherLife{ID: o.life, Report: o.report()}
+	case o.Code == codeGone && o.incarnation != "":
+		return &runner.OtherLife{ID: o.incarnation, Report: o.report()}
 	}
 	kind, known := codeErrors[o.Code]
-	if !known { // of a later version
+	if !known { // code of a later version
 		kind = runner.ErrUnknown
 	}
 	if o.Problem == "" {
@@ -231,13 +233,13 @@
 
 // setReport puts a worker's report into the outcome.
 func (o *outcome) setReport(r runner.Report) {
-	o.Clock, o.Running, o.Ended = r.Clock, make([]live, len(r.Running)), make([]end, len(r.Ended))
+	o.Clock, o.Running, o.Ended = r.Clock, make([]runningRow, len(r.Running)), make([]completionRow, len(r.Ended))
 	for i := range r.Running {
 		x := &r.Running[i]
-		o.Running[i] = live{Task: x.Task, Run: x.Run, Checkpoint: x.Checkpoint, Percent: float32(x.Percent)}
+		o.Running[i] = runningRow{Task: x.Task, Run: x.Run, Checkpoint: x.Checkpoint, Percent: float32(x.Percent)}
 	}
 	for i := range r.Ended {
 		x := &r.Ended[i]
-		o.Ended[i] = end{Number: x.Number, Task: x.Task, Run: x.Run, How: x.How, Checkpoint: x.Checkpoint}
+		o.Ended[i] = completionRow{Number: x.Number, Task: x.Task, Run: x.Run, How: x.How, Checkpoint: x.Checkpoint}
 	}
 }
--- a/process/relay/outbox.go
+++ b/process/relay/outbox.go
@@ -8,21 +8,21 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// How long the first of several things waits for others to be sent with it. Members of
-// a gang are placed, and end, within a millisecond or two. A message costs some 0.1 ms
-// of processor time however much it carries; a start and its end wait a hundredth of a
-// quick task's time here.
+// How long the first item waits for others that are sent in the same message. The tasks of
+// a gang start, and complete, within a millisecond or two of each other. A message takes
+// some 0.1 ms of processor time, whatever its size; the delay of a start and its completion
+// is a hundredth of the run time of a short task.
 const (
 	ordersLinger = 2 * time.Millisecond
-	// Outcomes may also go with the answer to the next frame of orders.
+	// Outcomes may also be sent with the answer to the next frame of orders.
 	outcomesLinger = 6 * time.Millisecond
 )
 
-// maxBatch bounds what is sent in one message.
+// maxBatch bounds the number of items in one message.
 const maxBatch = 256
 
-// outbox sends what is put in, many in one message. One message is on its way at a
-// time: the busier the way, the more a message carries.
+// outbox sends items in batches. At most one message is in flight, so batches grow with
+// the load.
 type outbox[T any] struct {
 	send   func(ctx context.Context, batch []T)
 	linger time.Duration
@@ -32,20 +32,20 @@
 	sending bool
 }
 
-// put queues things and sees to it that they are sent.
-func (b *outbox[T]) put(ctx context.Context, things ...T) {
+// put queues items and starts sending unless it is in progress.
+func (b *outbox[T]) put(ctx context.Context, items ...T) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	b.queue = append(b.queue, things...)
+	b.queue = append(b.queue, items...)
 	if !b.sending && len(b.queue) > 0 {
 		b.sending = true
 		go b.run(ctx)
 	}
 }
 
-// run sends until nothing is left.
+// run sends until the queue is empty.
 func (b *outbox[T]) run(ctx context.Context) {
-	_ = sleep.For(ctx, b.linger) // when ctx has ended the rest is sent in vain, and told so
+	_ = sleep.For(ctx, b.linger) // after ctx has ended, the sends fail and report that
 	for {
 		batch := b.take(true)
 		if len(batch) == 0 {
@@ -55,8 +55,8 @@
 	}
 }
 
-// take returns what waits, a batch at the most. The one that sends stops sending when
-// nothing does.
+// take removes and returns up to maxBatch items. If the sender finds the queue empty, it
+// stops sending.
 func (b *outbox[T]) take(sender bool) []T {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -22,21 +22,21 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// fakeWorkers answers calls of workers as one daemon reaches them.
+// fakeWorkers answers the calls that one daemon makes to workers.
 type fakeWorkers struct {
-	mu     sync.Mutex
-	starts []runner.Start
-	renews int
-	err    error // of each call
-	silent bool  // no call is answered
+	mu           sync.Mutex
+	starts       []runner.Start
+	renews       int
+	err          error // result of each call
+	unresponsive bool  // calls are not answered
 }
 
 func (f *fakeWorkers) call(ctx context.Context, note func()) error {
 	f.mu.Lock()
 	note()
-	err, silent := f.err, f.silent
+	err, unresponsive := f.err, f.unresponsive
 	f.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
 	}
@@ -74,37 +74,37 @@
 
 // cell is a leader and relays on a network that counts bytes.
 type cell struct {
-	mu      sync.Mutex
-	muxes   map[string]*peer.Mux
-	workers map[string]*fakeWorkers
-	servers map[string]*Server
-	silent  map[string]bool // daemons that answer nobody
-	sent    map[string]int  // bytes that a daemon's calls and answers have taken
-	members []lead.Member
-	orders  *Runner
-	stats   Stats
-	stored  string // the spec that the store has of each job
-	cancel  context.CancelCauseFunc
+	mu           sync.Mutex
+	muxes        map[string]*peer.Mux
+	workers      map[string]*fakeWorkers
+	servers      map[string]*Server
+	unresponsive map[string]bool // daemons that answer no calls
+	sent         map[string]int  // bytes sent in a daemon's calls and answers
+	members      []lead.Member
+	orders       *Runner
+	stats        Stats
+	stored       string // spec of every job in the store
+	cancel       context.CancelCauseFunc
 }
 
 const linkDelay = 2 * time.Millisecond
 
-// port is one daemon's end of the network.
-type port struct {
+// testPeer calls the other daemons of the network on behalf of one.
+type testPeer struct {
 	c    *cell
 	self string
 }
 
-func (p port) CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error) {
+func (p testPeer) CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error) {
 	data, err := peer.Marshal(req)
 	if err != nil {
 		return peer.Ref{}, err
 	}
 	p.c.mu.Lock()
 	p.c.sent[p.self] += len(data)
-	mux, silent := p.c.muxes[addr], p.c.silent[addr] || p.c.silent[p.self]
+	mux, unresponsive := p.c.muxes[addr], p.c.unresponsive[addr] || p.c.unresponsive[p.self]
 	p.c.mu.Unlock()
-	if silent || sleep.For(ctx, linkDelay) != nil {
+	if unresponsive || sleep.For(ctx, linkDelay) != nil {
 		<-ctx.Done()
 		return peer.Ref{}, fmt.Errorf("%w: %w", peer.ErrUnknown, ctx.Err())
 	}
@@ -121,8 +121,8 @@
 	return peer.Ref{}, peer.Unmarshal(answer, resp)
 }
 
-// pipe is one end of a connection that counts bytes, takes linkDelay, and swallows
-// what a silent daemon sends or should get.
+// pipe is one end of a connection that counts bytes, delays writes by linkDelay, and
+// drops what is sent by or to an unresponsive daemon.
 type pipe struct {
 	net.Conn
 	c        *cell
@@ -133,10 +133,10 @@
 func (p *pipe) Write(b []byte) (int, error) {
 	p.c.mu.Lock()
 	p.c.sent[p.from] += len(b)
-	silent := p.c.silent[p.from] || p.c.silent[p.to]
+	unresponsive := p.c.unresponsive[p.from] || p.c.unresponsive[p.to]
 	p.c.mu.Unlock()
 	time.Sleep(linkDelay)
-	if silent {
+	if unresponsive {
 		return len(b), nil
 	}
 	return p.Conn.Write(b)
@@ -145,9 +145,9 @@
 // dial opens a connection for orders.
 func (c *cell) dial(ctx context.Context, addr string) (net.Conn, error) {
 	c.mu.Lock()
-	silent := c.silent[addr]
+	unresponsive := c.unresponsive[addr]
 	c.mu.Unlock()
-	if silent {
+	if unresponsive {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -156,21 +156,22 @@
 	return &pipe{near, c, "l", addr}, nil
 }
 
-// newCell returns a cell whose daemons have that many cores; the leader is "l".
+// newCell returns a cell whose daemons have the given number of cores each. The leader is
+// "l".
 func newCell(t *testing.T, cores float64, names ...string) *cell {
-	c := &cell{muxes: map[string]*peer.Mux{}, workers: map[string]*fakeWorkers{}, servers: map[string]*Server{}, silent: map[string]bool{}, sent: map[string]int{}}
+	c := &cell{muxes: map[string]*peer.Mux{}, workers: map[string]*fakeWorkers{}, servers: map[string]*Server{}, unresponsive: map[string]bool{}, sent: map[string]int{}}
 	ctx, cancel := context.WithCancelCause(t.Context())
 	c.cancel = cancel
 	for _, name := range append([]string{"l"}, names...) {
 		c.members = append(c.members, lead.Member{Name: name, Peer: name, Cores: cores, Orders: name})
 		c.muxes[name], c.workers[name] = peer.NewMux(), &fakeWorkers{}
-		c.servers[name] = NewServer(c.workers[name], port{c, name}, zerolog.Nop())
+		c.servers[name] = NewServer(c.workers[name], testPeer{c, name}, zerolog.Nop())
 		c.servers[name].Register(c.muxes[name])
 	}
 	c.orders = New(ctx, Options{Direct: c.workers["l"], Dial: c.dial, Epoch: 4, Self: c.members[0], Log: zerolog.Nop(),
 		Members: func() []lead.Member { return c.members },
-		Text: func(ctx context.Context, id work.JobID, home string) (string, error) {
-			if spec, err := c.servers["l"].Text(ctx, id, home); err == nil {
+		Text: func(ctx context.Context, id work.JobID, owner string) (string, error) {
+			if spec, err := c.servers["l"].Text(ctx, id, owner); err == nil {
 				return spec, nil
 			}
 			return c.stored, nil
@@ -178,16 +179,16 @@
 	return c
 }
 
-// end lets what is under way run out.
+// end ends the term and waits until all calls in flight have ended.
 func (c *cell) end() {
 	c.cancel(lead.ErrDeposed)
 	time.Sleep(5 * time.Second)
 }
 
-func (c *cell) silence(name string) {
+func (c *cell) makeUnresponsive(name string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.silent[name] = true
+	c.unresponsive[name] = true
 }
 
 func (c *cell) sentBy(name string) int {
@@ -235,8 +236,8 @@
 func (c *cell) direct() int { return len(c.workers["l"].started()) }
 
 func TestSmallCellCallsItsWorkersDirectly(t *testing.T) {
-	// Symptom looked for: a leader that can carry its workers gives its orders away,
-	//   and each start takes two more hops.
+	// Guards against two additional hops per start when the leader has the capacity to
+	// call all workers itself.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.4, "a", "b")
 		c.renewAll(t, 48)
@@ -250,26 +251,24 @@
 }
 
 func TestLeaderSendsNoSpecsAndFewBytes(t *testing.T) {
-	// Symptom: the leader's link is full, its calls wait for each other, it misses
-	//   pings and is replaced by one that fares no better.
-	// Sequence: gangs start on a cell of small links.
-	// Cause: the leader made each call itself, with the spec of the job in each start:
-	//   1.2 KB a start, of which 150 bytes differ.
+	// Guards against a leader that saturates its link when gangs start, misses pings, and
+	// is replaced by a daemon with the same problem. It made each call itself and sent the
+	// job's spec with each start: 1.2 KB per start, of which 150 bytes differ.
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 80
 		c := newCell(t, 0.1, "a", "b", "c", "home")
 		c.servers["home"].Keep("j", strings.Repeat("s", 4000))
 		c.renewAll(t, workers)
 		require.True(t, c.orders.Relaying())
-		leader, home := c.sentBy("l"), c.sentBy("home")
+		leader, owner := c.sentBy("l"), c.sentBy("home")
 		errs := c.startAll(t, workers, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "home", Epoch: 4})
 		for _, err := range errs {
 			require.NoError(t, err)
 		}
 		perStart := (c.sentBy("l") - leader) / workers
-		t.Logf("%d bytes a start from the leader, %d from the job's home", perStart, (c.sentBy("home")-home)/workers)
+		t.Logf("%d bytes per start from the leader, %d from the job's owner", perStart, (c.sentBy("home")-owner)/workers)
 		require.Less(t, perStart, 200)
-		require.Less(t, c.sentBy("home")-home, 4*4200+workers*60, "each relay asks once")
+		require.Less(t, c.sentBy("home")-owner, 4*4200+workers*60, "each relay asks once")
 		require.Zero(t, c.direct())
 		specs := 0
 		for _, name := range []string{"a", "b", "c", "home"} {
@@ -284,7 +283,7 @@
 	})
 }
 
-func TestReportComesWhole(t *testing.T) {
+func TestRelayedReportIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.renewAll(t, 60)
@@ -297,13 +296,13 @@
 }
 
 func TestLostRelayDelaysItsWorkersOnly(t *testing.T) {
-	// Symptom looked for: a relay loses its power, and its workers seem dead or their
-	//   starts fail until it is out of the list of daemons.
+	// Guards against workers that look dead, or whose starts fail, after their relay has
+	// failed and until it is removed from the list of daemons.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c", "d")
 		c.servers["a"].Keep("j", "spec")
 		c.renewAll(t, 60)
-		c.silence("b")
+		c.makeUnresponsive("b")
 		began := time.Now()
 		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"}
 		for _, err := range c.startAll(t, 60, start) {
@@ -317,20 +316,19 @@
 		for _, err := range c.startAll(t, 60, start) {
 			require.NoError(t, err)
 		}
-		require.Less(t, time.Since(again), 50*time.Millisecond, "nothing waits for the lost relay any more")
+		require.Less(t, time.Since(again), 50*time.Millisecond, "no call waits for the failed relay any more")
 		require.Equal(t, before, c.direct(), "the others have taken its workers over")
 		c.end()
 	})
 }
 
 func TestWorkerThatARelayDoesNotReachIsCalledDirectly(t *testing.T) {
-	// Symptom looked for: a relay that is cut off from its workers makes all of them
-	//   look dead.
+	// Guards against workers that look dead because their relay is cut off from them.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
-			c.workers[name].set(func() { c.workers[name].silent = true })
+			c.workers[name].set(func() { c.workers[name].unresponsive = true })
 		}
 		_, err := c.orders.Renew(bound(t, 500*time.Millisecond), worker(3), runner.Renewal{Epoch: 4})
 		require.ErrorIs(t, err, runner.ErrUnknown)
@@ -341,14 +339,14 @@
 }
 
 func TestRefusalOfAnOrderGivenAgainLeavesTheFirstOpen(t *testing.T) {
-	// Symptom looked for: a task runs twice: the relay's start was on its way when the
-	//   second one, given directly, was refused for want of room, so the task was
-	//   started on another worker as one that certainly had not run.
+	// Guards against a task that runs twice: the start through the relay was in flight
+	// when the second one, issued directly, was refused for lack of capacity, so the task
+	// was started on another worker as if it had certainly not run.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
-			c.silence(name)
+			c.makeUnresponsive(name)
 		}
 		c.workers["l"].set(func() { c.workers["l"].err = runner.ErrNoRoom })
 		_, err := c.orders.Start(bound(t, 350*time.Millisecond), worker(0), runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Spec: "x"})
@@ -363,7 +361,7 @@
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
-			require.True(t, c.servers[name].current(0, 5))
+			require.True(t, c.servers[name].acceptEpoch(0, 5))
 		}
 		errs := c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Spec: "x", Epoch: 4})
 		for _, err := range errs {
@@ -375,21 +373,20 @@
 }
 
 func TestSpecOfALostHomeComesFromTheLeaderOnce(t *testing.T) {
-	// Symptom: the leader's link stands still for a third of a second, and every relay
-	//   misses its timeout.
-	// Sequence: a wide gang with a spec of 4 KB starts; its home does not answer.
-	// Cause: each of the gang's orders that a relay could not carry out came back, and
-	//   went out again with the spec.
+	// Guards against a leader whose link is blocked for a third of a second, so that every
+	// relay misses its timeout: a wide gang with a spec of 4 KB started, the job's owner
+	// did not answer, and each of the gang's orders that a relay could not carry out was
+	// issued again together with the spec.
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 80
 		c := newCell(t, 0.1, "a", "b", "c", "home")
 		c.stored = strings.Repeat("s", 4000)
-		c.members = c.members[:4] // the home is no relay
+		c.members = c.members[:4] // the job's owner is not a relay
 		c.renewAll(t, workers)
-		c.silence("home")
+		c.makeUnresponsive("home")
 		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "home"}
 		before := c.sentBy("l")
-		c.startAll(t, workers, start) // may run out of time, and is given again
+		c.startAll(t, workers, start) // may time out, and is issued again below
 		for _, err := range c.startAll(t, workers, start) {
 			require.NoError(t, err)
 		}
@@ -399,7 +396,8 @@
 	})
 }
 
-// Guards against runs at a worker's next life that are lost on the way over a relay.
+// Guards against losing, in a relayed answer, the runs that a worker's next incarnation
+// reports.
 func TestAnswerOfAnotherLifeComesWhole(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "l", "r-1", "r-2")
@@ -417,16 +415,16 @@
 		var other *runner.OtherLife
 		require.ErrorAs(t, err, &other)
 		require.Equal(t, want, other)
-		require.Equal(t, before, c.stats.Direct.Value(), "over a relay")
+		require.Equal(t, before, c.stats.Direct.Value(), "through a relay")
 	})
 }
 
-func TestEndOfATermLeavesNobodyWaiting(t *testing.T) {
+func TestEndOfATermEndsWaitingCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
-			c.workers[name].set(func() { c.workers[name].silent = true })
+			c.workers[name].set(func() { c.workers[name].unresponsive = true })
 		}
 		time.AfterFunc(50*time.Millisecond, func() { c.cancel(lead.ErrDeposed) })
 		began := time.Now()
@@ -437,7 +435,7 @@
 	})
 }
 
-func TestEachErrorOfAWorkerKeepsItsMeaning(t *testing.T) {
+func TestWorkerErrorsKeepTheirKind(t *testing.T) {
 	for _, want := range []error{runner.ErrUnknown, runner.ErrFenced, runner.ErrGone, runner.ErrOld, runner.ErrLate, runner.ErrNoRoom,
 		runner.ErrTicket, runner.ErrUnhealthy, runner.ErrNoConnection, runner.ErrBadOrder} {
 		o := outcome{Code: codeOf(fmt.Errorf("call: %w", want)), Problem: "more"}
@@ -448,37 +446,37 @@
 	require.ErrorIs(t, unknown.err(), runner.ErrUnknown, "a code of a later version")
 }
 
-func TestRelaysSufficeAndStay(t *testing.T) {
+func TestRelaysSufficeAndAreStable(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(0, 60).Draw(t, "daemons")
 		workers := rapid.IntRange(0, 3000).Draw(t, "workers")
 		self := lead.Member{Name: "l", Cores: rapid.SampledFrom([]float64{0.12, 0.2, 0.4, 0.8}).Draw(t, "cores")}
 		members := []lead.Member{self}
-		room := 0
+		capacity := 0
 		for i := range n {
 			m := lead.Member{Name: fmt.Sprint("m", i), Orders: "o", Cores: rapid.SampledFrom([]float64{0, 0.12, 0.8}).Draw(t, "c"), LinkMbps: rapid.SampledFrom([]float64{0, 2, 200}).Draw(t, "l")}
 			members = append(members, m)
-			room += min(carries(m), maxPerRelay)
+			capacity += min(workerCapacity(m), maxPerRelay)
 		}
 		relays := choose(members, self, workers)
 		sum := 0
 		for _, m := range relays {
 			require.NotEqual(t, "l", m.Name)
-			require.NotZero(t, carries(m))
-			sum += min(carries(m), maxPerRelay)
+			require.NotZero(t, workerCapacity(m))
+			sum += min(workerCapacity(m), maxPerRelay)
 		}
 		switch {
-		case workers <= carries(self):
+		case workers <= workerCapacity(self):
 			require.Empty(t, relays)
-		case room >= int(float64(workers)*spareRelays)+1:
+		case capacity >= int(float64(workers)*spareRelays)+1:
 			require.GreaterOrEqual(t, float64(sum), float64(workers)*spareRelays)
 		default:
-			require.GreaterOrEqual(t, sum, min(room, workers))
+			require.GreaterOrEqual(t, sum, min(capacity, workers))
 		}
 		if len(relays) < 2 {
 			return
 		}
-		// A worker's relay changes only if that one is taken away.
+		// A worker's relay changes only if that relay is removed.
 		best := func(out string) (name string) {
 			var most uint64
 			for _, m := range relays {
@@ -498,12 +496,13 @@
 }
 
 func TestRelayThatStaysLostIsLeftAloneLonger(t *testing.T) {
-	// Symptom looked for: orders are lost each second on a relay that is gone for good.
+	// Guards against orders that are lost every second on a relay that has failed
+	// permanently.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c", "d")
 		c.servers["a"].Keep("j", "spec")
 		c.renewAll(t, 60)
-		c.silence("b")
+		c.makeUnresponsive("b")
 		for range 80 { // 20 s
 			for _, err := range c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"}) {
 				require.NoError(t, err)
@@ -516,16 +515,16 @@
 }
 
 func TestSlowLeaderDoesNotTakeItsRelaysForLost(t *testing.T) {
-	// Symptom: 600 times in a minute a relay is taken out of use, and the leader, whose
-	//   processor is full, makes every call itself.
-	// Sequence: answers of all relays take longer than the timeout for a while.
-	// Cause: each late answer counted against its relay.
+	// Guards against taking relays out of use 600 times in a minute, after which the
+	// leader, whose processor is saturated, makes every call itself: the answers of all
+	// relays took longer than the timeout for a while, and each late answer counted
+	// against its relay.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
 		c.servers["a"].Keep("j", "spec")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
-			c.silence(name)
+			c.makeUnresponsive(name)
 		}
 		c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"})
 		require.Zero(t, c.stats.Down.Value())
@@ -534,16 +533,15 @@
 		}
 		require.EqualValues(t, 3, c.stats.Down.Value())
 		for _, err := range c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Spec: "x"}) {
-			require.NoError(t, err, "it calls the workers itself then")
+			require.NoError(t, err, "the leader then calls the workers itself")
 		}
 		c.end()
 	})
 }
 func TestNewLeaderCallsItsWorkersOverRelaysAtOnce(t *testing.T) {
-	// Symptom: a leader with a small link misses pings as soon as it has begun, and is
-	//   replaced by one that does the same.
-	// Sequence: it calls each of its workers for the first time.
-	// Cause: it chose relays by the workers that it had called before.
+	// Guards against a leader with a small link that misses pings right after the start of
+	// its term, and is replaced by one with the same problem: it calls each of its workers
+	// for the first time, and chose relays for the workers that it had called before.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c", "d")
 		var wg sync.WaitGroup
@@ -551,7 +549,7 @@
 			wg.Go(func() { _, _ = c.orders.Renew(bound(t, time.Second), worker(i), runner.Renewal{Epoch: 4}) })
 		}
 		wg.Wait()
-		require.LessOrEqual(t, c.stats.Direct.Value(), int64(64), "what it can carry alone")
+		require.LessOrEqual(t, c.stats.Direct.Value(), int64(64), "the leader's own capacity")
 		require.GreaterOrEqual(t, c.stats.Relayed.Value(), int64(56))
 		c.end()
 	})
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -18,52 +18,53 @@
 
 // Times of a leader's use of relays.
 const (
-	// choosePeriod is between choices of the relays: workers and daemons come and go
-	// by the second.
+	// choosePeriod is the time between choices of the relays: workers and daemons join
+	// and leave within seconds.
 	choosePeriod = 500 * time.Millisecond
-	// keepWorker is how long a worker counts that is not called any more.
-	keepWorker = 5 * time.Second
+	// workerRetention is how long a worker still counts after its last call.
+	workerRetention = 5 * time.Second
 	// ordersTimeout bounds one message of orders: a relay answers it before it calls
-	// anybody. A daemon on a quota of processor time may stand still for a tenth of
-	// a second. Where answers of all relays are slow it grows to rttFactor times their
-	// decaying average, and to maxOrdersTimeout at the most.
+	// any worker. A daemon with a CPU quota may be throttled for a tenth of a second. If
+	// the answers of all relays are slow, the timeout grows to rttFactor times their
+	// decaying average, up to maxOrdersTimeout.
 	ordersTimeout    = 250 * time.Millisecond
 	maxOrdersTimeout = time.Second
 	rttFactor        = 8
 	rttDecay         = 16
-	// downFirst and downMax bound how long a relay that did not answer is left alone;
-	// each further time doubles it.
+	// downFirst and downMax bound how long a relay that did not answer is out of use;
+	// each repetition doubles that time.
 	downFirst = time.Second
 	downMax   = 16 * time.Second
 	// directFor is how long a worker that a relay did not reach is called directly.
 	directFor = 2 * time.Second
-	// manyMissed calls in a row, of different workers as a rule, that got no answer
-	// mean that the relay is cut off rather than that the workers are gone.
-	manyMissed = 12
-	// toldFor is how long a spec that was sent to a relay is not sent again.
-	toldFor = time.Second
+	// maxMissedCalls is the number of consecutive calls without an answer, usually to
+	// different workers, that shows that the relay is cut off rather than that the workers
+	// have failed.
+	maxMissedCalls = 12
+	// specResendDelay is how long a spec that was sent to a relay is not sent again.
+	specResendDelay = time.Second
 )
 
 // Options of a Runner.
 type Options struct {
 	Direct runner.Runner
-	// Dial opens a connection to the address where a daemon takes orders.
+	// Dial opens a connection to the address where a daemon accepts orders.
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	Part    int // of the cell
+	Part    int // shard of the cell
 	Epoch   uint64
 	Self    lead.Member
 	Members func() []lead.Member
-	// Text returns the spec of a job: from its home, unless that is "", else from the
-	// store.
-	Text func(ctx context.Context, id work.JobID, home string) (string, error)
+	// Text returns the spec of a job: from owner, the daemon that accepted it, or from the
+	// store if owner is "".
+	Text func(ctx context.Context, id work.JobID, owner string) (string, error)
 	Log  zerolog.Logger
 }
 
-// Stats counts what a leader asked of relays.
+// Stats counts the orders that a leader issued.
 type Stats struct {
-	Relayed expvar.Int // orders given to relays
+	Relayed expvar.Int // orders sent to relays
 	Direct  expvar.Int // orders that this daemon carried out itself
-	Again   expvar.Int // of them, those that a relay had lost
+	Again   expvar.Int // orders issued again after a relay had lost them
 	Down    expvar.Int // relays taken out of use
 }
 
@@ -75,8 +76,8 @@
 	f("relays_down", &s.Down)
 }
 
-// Runner gives a leader's orders to relays. It implements runner.Runner for one
-// term; ctx of New ends with it.
+// Runner sends a leader's orders to relays. It implements runner.Runner for one term,
+// with which the ctx of New ends.
 type Runner struct {
 	o     Options
 	ctx   context.Context
@@ -84,37 +85,37 @@
 
 	mu      sync.Mutex
 	workers map[runner.WorkerID]*target
-	lanes   map[string]*lane // by the relay's name
-	chosen  []*lane
+	clients map[string]*relayClient // by the relay's name
+	chosen  []*relayClient
 	choseAt time.Time
 	// choseFor is the number of workers at the last choice.
 	choseFor int
-	rtt      time.Duration // of messages that relays answered, decaying
+	rtt      time.Duration // decaying average of the round trips to relays
 	seq      uint64
 	waiting  map[uint64]*pending
 }
 
 var _ runner.Runner = (*Runner)(nil)
 
-// target is a worker.
+// target is the state of a worker.
 type target struct {
-	lane        *lane // nil: called directly
+	client      *relayClient // nil if the worker is called directly
 	called      time.Time
 	directUntil time.Time
 }
 
-// pending is an order on its way.
+// pending is an order in flight.
 type pending struct {
-	order order
-	text  *text // of a start whose relay did not get it otherwise
-	lane  *lane
-	done  chan outcome
+	order  order
+	spec   *jobSpec // for a start whose relay could not get the spec itself
+	client *relayClient
+	done   chan outcome
 }
 
 // New returns a Runner.
 func New(ctx context.Context, o Options, stats *Stats) *Runner {
-	r := &Runner{o: o, ctx: ctx, stats: stats, workers: map[runner.WorkerID]*target{}, lanes: map[string]*lane{}, waiting: map[uint64]*pending{}}
-	context.AfterFunc(ctx, r.closeLines)
+	r := &Runner{o: o, ctx: ctx, stats: stats, workers: map[runner.WorkerID]*target{}, clients: map[string]*relayClient{}, waiting: map[uint64]*pending{}}
+	context.AfterFunc(ctx, r.closeConns)
 	return r
 }
 
@@ -122,7 +123,7 @@
 func (r *Runner) Start(ctx context.Context, to runner.Ref, s runner.Start) (time.Duration, error) {
 	o := order{What: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, Home: s.Home}
 	var clock time.Duration
-	err := r.give(ctx, to, o, func(x *outcome) { clock = x.Clock }, func() (err error) {
+	err := r.issue(ctx, to, o, func(x *outcome) { clock = x.Clock }, func() (err error) {
 		if s.Spec, err = r.spec(ctx, s); err != nil {
 			return err
 		}
@@ -132,28 +133,28 @@
 	return clock, err
 }
 
-// spec returns the spec of a start, which the scheduler may not hold.
+// spec returns the spec of a start, which the scheduler may not have.
 func (r *Runner) spec(ctx context.Context, s runner.Start) (string, error) {
 	if s.Spec != "" || s.Home == "" {
 		return s.Spec, nil
 	}
 	spec, err := r.o.Text(ctx, s.Task.Job, s.Home)
 	if err != nil {
-		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // not judged as the worker's doing
+		return "", fmt.Errorf("%w: get spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
 	return spec, nil
 }
 
 // Stop implements runner.Runner.
 func (r *Runner) Stop(ctx context.Context, to runner.Ref, task work.TaskID, run, epoch uint64) error {
-	return r.give(ctx, to, order{What: doStop, Task: task, Run: run}, func(*outcome) {},
+	return r.issue(ctx, to, order{What: doStop, Task: task, Run: run}, func(*outcome) {},
 		func() error { return r.o.Direct.Stop(ctx, to, task, run, epoch) })
 }
 
 // Renew implements runner.Runner.
 func (r *Runner) Renew(ctx context.Context, to runner.Ref, n runner.Renewal) (report runner.Report, err error) {
 	o := order{What: doRenew, Until: n.Until.Milliseconds(), Acknowledge: n.Acknowledge, Wait: n.Wait.Milliseconds()}
-	err = r.give(ctx, to, o, func(x *outcome) { report = x.report() }, func() (err error) {
+	err = r.issue(ctx, to, o, func(x *outcome) { report = x.report() }, func() (err error) {
 		n.Wait = waitWithin(ctx, n.Wait)
 		report, err = r.o.Direct.Renew(ctx, to, n)
 		return err
@@ -161,11 +162,12 @@
 	return report, err
 }
 
-// answerReserve is kept for a worker's answer after it has waited for an end.
+// answerReserve is the part of a renewal's time that is reserved for the worker's answer
+// after it has waited for a completion.
 const answerReserve = 300 * time.Millisecond
 
-// waitWithin shortens the wait of a renewal that is given again, so that its answer
-// still comes in time.
+// waitWithin shortens the wait of a renewal that is made directly, possibly after a relay
+// lost it, so that its answer still arrives in time.
 func waitWithin(ctx context.Context, wait time.Duration) time.Duration {
 	deadline, ok := ctx.Deadline()
 	if !ok {
@@ -174,71 +176,70 @@
 	return max(min(wait, time.Until(deadline)-answerReserve), 0).Truncate(time.Millisecond)
 }
 
-// errLost: the relay did not take the order, or was taken out of use before it told
-// the outcome.
+// errLost means that the relay did not accept the order, or was taken out of use before it
+// reported the outcome.
 var errLost = errors.New("relay: the relay does not answer")
 
-// give lets a relay carry out an order, or carries it out directly if there is no
-// relay for the worker or the relay is lost.
-func (r *Runner) give(ctx context.Context, to runner.Ref, o order, take func(x *outcome), direct func() error) error {
+// issue sends an order to a relay, or carries it out directly if there is no relay for the
+// worker or the relays do not answer.
+func (r *Runner) issue(ctx context.Context, to runner.Ref, o order, take func(x *outcome), direct func() error) error {
 	o.Worker, o.Address = to.ID, to.Address
 	lost := false
 	for range maxRelays {
-		l := r.route(to.ID)
-		if l == nil {
+		c := r.route(to.ID)
+		if c == nil {
 			break
 		}
-		x, err := r.askWithText(ctx, l, o)
+		x, err := r.askWithSpec(ctx, c, o)
 		switch {
 		case err == nil:
 			take(x)
 			return nil
-		case errors.Is(err, errTextLate), ctx.Err() != nil:
-			return fmt.Errorf("%w: %w", runner.ErrUnknown, err) // the next try finds the spec there
-		case !errors.Is(err, errLost) && !errors.Is(err, errNoText):
-			return stillOpen(err, lost)
+		case errors.Is(err, errSpecLate), ctx.Err() != nil:
+			return fmt.Errorf("%w: %w", runner.ErrUnknown, err) // at the next try the relay has the spec
+		case !errors.Is(err, errLost) && !errors.Is(err, errNoSpec):
+			return uncertain(err, lost)
 		}
 		lost = true
 		r.stats.Again.Add(1)
 	}
 	r.stats.Direct.Add(1)
-	return stillOpen(direct(), lost)
+	return uncertain(direct(), lost)
 }
 
 // maxRelays bounds the relays that are tried for one order before it is carried out
 // directly.
 const maxRelays = 2
 
-// askWithText is ask, and brings the job's spec if the relay can not get it.
-func (r *Runner) askWithText(ctx context.Context, l *lane, o order) (*outcome, error) {
+// askWithSpec is ask, and sends the job's spec if the relay cannot get it.
+func (r *Runner) askWithSpec(ctx context.Context, c *relayClient, o order) (*outcome, error) {
 	r.stats.Relayed.Add(1)
-	x, err := r.ask(ctx, l, o, nil)
-	if !errors.Is(err, errNoText) {
+	x, err := r.ask(ctx, c, o, nil)
+	if !errors.Is(err, errNoSpec) {
 		return x, err
 	}
-	spec, err := r.o.Text(ctx, o.Task.Job, "") // the relay has asked the home
+	spec, err := r.o.Text(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
 	if err != nil {
-		return nil, fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err)
+		return nil, fmt.Errorf("%w: get spec: %w", runner.ErrUnknown, err)
 	}
-	return r.ask(ctx, l, o, r.textFor(l, o.Task.Job, spec))
+	return r.ask(ctx, c, o, r.specFor(c, o.Task.Job, spec))
 }
 
-// stillOpen is the error of an order that was given again while a relay may still
-// carry out the one that was lost: a worker that refuses the second may accept the
-// first.
-func stillOpen(err error, lost bool) error {
+// uncertain returns the error of an order that was issued again while a relay may still
+// carry out the lost one: a worker that refuses the second may accept the first.
+func uncertain(err error, lost bool) error {
 	switch {
 	case err == nil, !lost, !errors.Is(err, runner.ErrNotRun):
 		return err
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrGone), errors.Is(err, runner.ErrOld):
-		return err // these stand for the first as well
+		return err // these hold for the first order as well
 	}
-	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
+	return fmt.Errorf("%w: refused when issued again: %w", runner.ErrUnknown, errors.New(err.Error()))
 }
 
-// ask gives an order to a relay and waits for its outcome.
-func (r *Runner) ask(ctx context.Context, l *lane, o order, spec *text) (*outcome, error) {
-	p := &pending{order: o, text: spec, lane: l, done: make(chan outcome, 1)}
+// ask sends an order to a relay and waits for its outcome.
+func (r *Runner) ask(ctx context.Context, c *relayClient, o order, spec *jobSpec) (*outcome, error) {
+	p := &pending{order: o, spec: spec, client: c, done: make(chan outcome, 1)}
 	if deadline, ok := ctx.Deadline(); ok {
 		p.order.Budget = max(time.Until(deadline).Milliseconds(), 1)
 	}
@@ -247,23 +248,23 @@
 	p.order.Seq = r.seq
 	r.waiting[p.order.Seq] = p
 	r.mu.Unlock()
-	defer r.forget(p)
+	defer r.remove(p)
 	put := time.Now()
-	l.out.put(r.ctx, p)
+	c.out.put(r.ctx, p)
 	select {
 	case x := <-p.done:
-		return r.judge(l, o.Worker, &x)
+		return r.noteOutcome(c, o.Worker, &x)
 	case <-ctx.Done():
-		if r.heardSince(l, put) {
-			r.missed(l, o.Worker)
+		if r.answeredSince(c, put) {
+			r.noteMissed(c, o.Worker)
 		}
-		return nil, fmt.Errorf("%w: by %s: %w", runner.ErrUnknown, l.member.Name, ctx.Err())
+		return nil, fmt.Errorf("%w: through relay %s: %w", runner.ErrUnknown, c.member.Name, ctx.Err())
 	case <-r.ctx.Done():
 		return nil, fmt.Errorf("%w: %w", runner.ErrUnknown, context.Cause(r.ctx))
 	}
 }
 
-func (r *Runner) forget(p *pending) {
+func (r *Runner) remove(p *pending) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.waiting, p.order.Seq)
@@ -276,7 +277,7 @@
 	return len(r.chosen) > 0
 }
 
-// finish hands over the first outcome of an order.
+// finish passes the first outcome of an order to the waiting call; later ones are dropped.
 func (p *pending) finish(x outcome) {
 	select {
 	case p.done <- x:
--- a/process/relay/server.go
+++ b/process/relay/server.go
@@ -19,17 +19,17 @@
 )
 
 const (
-	// writeTimeout bounds writing a frame: a leader that does not read is gone, or
-	// makes every relay wait.
+	// writeTimeout bounds writing a frame: a leader that does not read has failed, or
+	// would delay every relay.
 	writeTimeout = time.Second
-	// readBuffer of a connection, in bytes: some frames of orders.
+	// readBuffer is the size of a connection's read buffer in bytes: a few frames of orders.
 	readBuffer = 16 << 10
-	// maxProblem bounds the text of an error that goes to the leader, in bytes.
+	// maxProblem bounds the text of an error that is sent to the leader, in bytes.
 	maxProblem = 120
-	// textShare of an order's time may pass until the spec of its job is there: the
-	// rest is for telling the leader that it is not, which otherwise takes the worker
-	// for one that does not answer.
-	textShare = 0.8
+	// specShare is the share of an order's budget that may be spent on getting the job's
+	// spec. The rest is for reporting a missing spec to the leader, which would otherwise
+	// treat the worker as unresponsive.
+	specShare = 0.8
 )
 
 // Caller calls other daemons.
@@ -37,10 +37,10 @@
 	CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error)
 }
 
-// ServerStats counts what a relay did.
+// ServerStats counts the orders that a relay received and the outcomes it lost.
 type ServerStats struct {
 	Carried expvar.Int // orders carried out
-	Refused expvar.Int // orders of an epoch that is over
+	Refused expvar.Int // orders of an earlier epoch
 	Dropped expvar.Int // outcomes that did not reach the leader
 }
 
@@ -51,40 +51,41 @@
 	f("outcomes_dropped", &s.Dropped)
 }
 
-// Server carries out the orders of whoever leads. Safe for concurrent use.
+// Server is a relay: it carries out the orders of the current leaders. It is safe for
+// concurrent use.
 type Server struct {
 	direct runner.Runner
 	log    zerolog.Logger
 	stats  ServerStats
-	texts  *texts
+	specs  *specCache
 
 	mu     sync.Mutex
-	epochs map[int]uint64 // the highest seen of each part
+	epochs map[int]uint64 // highest epoch seen, by shard
 	conns  map[net.Conn]bool
 }
 
 // NewServer returns a relay that calls workers through direct.
 func NewServer(direct runner.Runner, peers Caller, log zerolog.Logger) *Server {
-	return &Server{direct: direct, log: log, texts: newTexts(peers), conns: map[net.Conn]bool{}, epochs: map[int]uint64{}}
+	return &Server{direct: direct, log: log, specs: newSpecCache(peers), conns: map[net.Conn]bool{}, epochs: map[int]uint64{}}
 }
 
 // Stats returns the live counters.
 func (s *Server) Stats() *ServerStats { return &s.stats }
 
-// Register serves the method by which relays ask for specs.
-func (s *Server) Register(r peer.Registrar) { s.texts.register(r) }
+// Register registers the method by which relays ask for specs.
+func (s *Server) Register(r peer.Registrar) { s.specs.register(r) }
 
-// Keep remembers the spec of a job that this daemon has accepted, for the daemons
-// that start its tasks.
-func (s *Server) Keep(id work.JobID, spec string) { s.texts.keep(id, spec) }
+// Keep caches the spec of a job that this daemon has accepted, for the daemons that start
+// its tasks.
+func (s *Server) Keep(id work.JobID, spec string) { s.specs.keep(id, spec) }
 
-// Text returns the spec of a job that this daemon knows, or that its home tells. The
-// error says that neither does, or that ctx ended first.
-func (s *Server) Text(ctx context.Context, id work.JobID, home string) (string, error) {
-	return s.texts.get(ctx, id, home)
+// Text returns the spec of a job, from the cache or from owner, the daemon that accepted
+// the job. The error is that neither has it, or that ctx ended first.
+func (s *Server) Text(ctx context.Context, id work.JobID, owner string) (string, error) {
+	return s.specs.get(ctx, id, owner)
 }
 
-// Serve takes the connections of leaders until ctx ends.
+// Serve accepts connections of leaders until ctx ends.
 func (s *Server) Serve(ctx context.Context, l net.Listener) error {
 	stop := context.AfterFunc(ctx, func() { s.close(l) })
 	defer stop()
@@ -111,23 +112,23 @@
 	}
 }
 
-// ServeConn takes the orders of one connection until it ends.
+// ServeConn carries out the orders that arrive on a connection, until it ends.
 func (s *Server) ServeConn(conn net.Conn) {
 	s.note(conn, true)
 	defer s.note(conn, false)
-	defer func() { _ = conn.Close() }() // it has ended, or is given up
+	defer func() { _ = conn.Close() }() // it has ended or is abandoned
 	c := &leaderConn{s: s, conn: conn}
-	c.out = &outbox[outcome]{linger: outcomesLinger, send: func(_ context.Context, batch []outcome) { c.tell(told{Outcomes: batch}) }}
+	c.out = &outbox[outcome]{linger: outcomesLinger, send: func(_ context.Context, batch []outcome) { c.send(relayFrame{Outcomes: batch}) }}
 	r := bufio.NewReaderSize(conn, readBuffer)
 	for {
 		var m orders
 		if err := peer.ReadFrame(r, &m); err != nil {
 			if !errors.Is(err, io.EOF) {
-				s.log.Debug().Err(err).Str("leader", conn.RemoteAddr().String()).Msg("connection of a leader ended")
+				s.log.Debug().Err(err).Str("leader", conn.RemoteAddr().String()).Msg("connection from a leader ended")
 			}
 			return
 		}
-		c.take(&m)
+		c.handle(&m)
 	}
 }
 
@@ -141,54 +142,55 @@
 	delete(s.conns, conn)
 }
 
-// current raises a part's epoch, and reports whether orders of that epoch stand.
-func (s *Server) current(part int, epoch uint64) bool {
+// acceptEpoch raises the highest epoch of a shard, and reports whether orders of the given
+// epoch are accepted.
+func (s *Server) acceptEpoch(shard int, epoch uint64) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.epochs[part] = max(s.epochs[part], epoch)
-	return epoch == s.epochs[part]
+	s.epochs[shard] = max(s.epochs[shard], epoch)
+	return epoch == s.epochs[shard]
 }
 
-func (s *Server) highest(part int) uint64 {
+func (s *Server) highestEpoch(shard int) uint64 {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.epochs[part]
+	return s.epochs[shard]
 }
 
 // leaderConn is one connection of a leader.
 type leaderConn struct {
-	s    *Server
-	conn net.Conn
-	out  *outbox[outcome]
-	part atomic.Int64 // of the leader
+	s     *Server
+	conn  net.Conn
+	out   *outbox[outcome]
+	shard atomic.Int64 // the leader's shard
 
 	write sync.Mutex
 }
 
-// take answers a frame of orders at once, with the outcomes that wait, and carries
-// the orders out.
-func (c *leaderConn) take(m *orders) {
-	c.part.Store(int64(m.Part))
-	if !c.s.current(m.Part, m.Epoch) {
+// handle answers a frame of orders at once, together with waiting outcomes, and carries
+// out the orders.
+func (c *leaderConn) handle(m *orders) {
+	c.shard.Store(int64(m.Shard))
+	if !c.s.acceptEpoch(m.Shard, m.Epoch) {
 		c.s.stats.Refused.Add(int64(len(m.Orders)))
-		c.tell(told{Taken: m.Number})
+		c.send(relayFrame{Accepted: m.Number})
 		return
 	}
-	for _, t := range m.Texts {
-		c.s.texts.keep(t.Job, t.Spec)
+	for _, spec := range m.Specs {
+		c.s.specs.keep(spec.Job, spec.Spec)
 	}
-	c.tell(told{Taken: m.Number, Outcomes: c.out.take(false)})
+	c.send(relayFrame{Accepted: m.Number, Outcomes: c.out.take(false)})
 	for i := range m.Orders {
 		go func() { c.out.put(context.Background(), c.s.carryOut(m.Epoch, &m.Orders[i])) }()
 	}
 }
 
-// tell writes a frame. A connection that can not be written is closed: the leader
-// gives the orders up by their time.
-func (c *leaderConn) tell(t told) {
-	t.Epoch = c.s.highest(int(c.part.Load()))
-	t.tellLives()
-	frame, err := peer.EncodeFrame(t)
+// send writes a frame. If that fails, it closes the connection; the leader's orders then
+// time out.
+func (c *leaderConn) send(f relayFrame) {
+	f.Epoch = c.s.highestEpoch(int(c.shard.Load()))
+	f.collectIncarnations()
+	frame, err := peer.EncodeFrame(f)
 	if err == nil {
 		c.write.Lock()
 		defer c.write.Unlock()
@@ -196,33 +198,33 @@
 		_, err = c.conn.Write(frame)
 	}
 	if err != nil {
-		c.s.stats.Dropped.Add(int64(len(t.Outcomes)))
-		c.s.log.Debug().Err(err).Int("outcomes", len(t.Outcomes)).Msg("outcomes of orders not brought to the leader")
+		c.s.stats.Dropped.Add(int64(len(f.Outcomes)))
+		c.s.log.Debug().Err(err).Int("outcomes", len(f.Outcomes)).Msg("outcomes not sent to the leader")
 		_ = c.conn.Close()
 	}
 }
 
-// carryOut makes one call. Its time runs on although the leader may have given the
-// order up: it is repeatable, and the worker refuses one that is overtaken.
+// carryOut makes the call of an order. It continues even if the leader has abandoned the
+// order: orders are idempotent, and the worker refuses one that a later order supersedes.
 func (s *Server) carryOut(epoch uint64, o *order) outcome {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Duration(o.Budget)*time.Millisecond)
 	defer cancel()
 	s.stats.Carried.Add(1)
 	result := outcome{Seq: o.Seq}
 	err := s.call(ctx, epoch, o, &result)
-	if result.Code = codeOf(err); result.Code != codeDone && result.Code != codeNoText {
+	if result.Code = codeOf(err); result.Code != codeDone && result.Code != codeNoSpec {
 		result.Problem = err.Error()
 		result.Problem = result.Problem[:min(len(result.Problem), maxProblem)]
 	}
 	return result
 }
 
-// call calls the order's worker and puts its answer into the outcome.
+// call calls the order's worker and stores its answer in the outcome.
 func (s *Server) call(ctx context.Context, epoch uint64, o *order, result *outcome) error {
 	to, until := runner.Ref{ID: o.Worker, Address: o.Address}, time.Duration(o.Until)*time.Millisecond
 	switch o.What {
 	case doStart:
-		spec, err := s.textInTime(ctx, o)
+		spec, err := s.specInTime(ctx, o)
 		if err != nil {
 			return err
 		}
@@ -236,7 +238,7 @@
 			Acknowledge: o.Acknowledge, Wait: time.Duration(o.Wait) * time.Millisecond})
 		var other *runner.OtherLife
 		if errors.As(err, &other) {
-			result.life, report = other.ID, other.Report
+			result.incarnation, report = other.ID, other.Report
 		}
 		result.setReport(report)
 		return err
@@ -244,14 +246,14 @@
 	return runner.ErrBadOrder
 }
 
-// textInTime returns the spec of a start's job, or the error that the leader is told.
-func (s *Server) textInTime(ctx context.Context, o *order) (string, error) {
-	limit := time.Duration(textShare * float64(o.Budget) * float64(time.Millisecond))
+// specInTime returns the spec of a start's job, or the error to report to the leader.
+func (s *Server) specInTime(ctx context.Context, o *order) (string, error) {
+	limit := time.Duration(specShare * float64(o.Budget) * float64(time.Millisecond))
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
 	spec, err := s.Text(bounded, o.Task.Job, o.Home)
 	if err != nil && bounded.Err() != nil {
-		err = errTextLate
+		err = errSpecLate
 	}
 	return spec, err
 }
