--- a/process/ownership/claiming.go
+++ b/process/ownership/claiming.go
@@ -25,17 +25,17 @@
 	if previous.Epoch > 0 && !previous.Released {
 		c.addEarlier(s, previous.Owner)
 	}
-	s.busy[r] = true
+	s.inFlight[r] = true
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, claimTimeout)
 		defer cancel()
 		e, err := s.m.write(ctx, c, previous)
-		s.m.send(func(s *state) { s.claimed(r, e, err) })
+		s.m.send(func(s *state) { s.claimDone(r, e, err) })
 	}()
 }
 
-// write swaps the claim in. When the revision is not known or was wrong it
-// returns the claim that the store holds, for the next try.
+// write stores the claim by compare-and-swap. If the previous revision is unknown or
+// wrong, it returns the claim that the store has, for the next try.
 func (m *Manager) write(ctx context.Context, c record, previous entry) (entry, error) {
 	if previous.hint {
 		return m.read(ctx, c.Resource, store.ErrConflict)
@@ -54,21 +54,21 @@
 	return entry{record: c, revision: revision}, nil
 }
 
-// read returns the claim in the store together with cause.
+// read returns the claim in the store, with cause as the error.
 func (m *Manager) read(ctx context.Context, r Resource, cause error) (entry, error) {
 	item, err := m.o.Store.Get(ctx, keyPrefix+string(r))
 	if err != nil {
 		return entry{}, fmt.Errorf("read claim of %s: %w", r, err)
 	}
-	held, err := decodeClaim(item)
+	current, err := decodeClaim(item)
 	if err != nil {
 		return entry{}, err
 	}
-	return entry{record: held, revision: item.Revision}, cause
+	return entry{record: current, revision: item.Revision}, cause
 }
 
-func (s *state) claimed(r Resource, e entry, err error) {
-	delete(s.busy, r)
+func (s *state) claimDone(r Resource, e entry, err error) {
+	delete(s.inFlight, r)
 	s.dirty = true
 	if e.Resource != "" {
 		s.apply(e)
@@ -86,35 +86,35 @@
 	s.delays[r] = d
 }
 
-// handOver asks the user to let go, then marks the claim as released.
+// transfer asks the user to prepare the release of a resource, then marks the claim
+// as released.
 //
-// A planned move is confirmed at the store first. What goes wrong otherwise:
-// in an outage of the store the user lets go of a resource whose claim can not
-// be released, so that nobody owns it until the store is back; the tasks of a
-// partition end when their lease runs out. A daemon that leaves lets go in any
-// case.
-func (s *state) handOver(r Resource) {
-	c, ok := s.held[r]
+// For a planned transfer the claim is confirmed at the store first. Otherwise, in a
+// store outage, the user would stop serving a resource whose claim cannot be
+// released, so that it has no owner until the store is back, and the tasks of a
+// partition end when their lease expires. A daemon that leaves releases in any case.
+func (s *state) transfer(r Resource) {
+	c, ok := s.owned[r]
 	u, known := s.user(r)
-	if !ok || !known || s.busy[r] {
+	if !ok || !known || s.inFlight[r] {
 		return
 	}
-	s.busy[r] = true
+	s.inFlight[r] = true
 	leaving := s.leaving
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.m.o.ReleaseTimeout)
 		defer cancel()
-		err := s.m.release(ctx, u, c, leaving)
-		s.m.send(func(s *state) { s.letGo(c, err, leaving) })
+		err := s.m.prepareRelease(ctx, u, c, leaving)
+		s.m.send(func(s *state) { s.finishTransfer(c, err, leaving) })
 	}()
 }
 
-// release has the user let go of a claim that the store answers for. A user
-// that can go on is asked to when the store went away meanwhile. What is left
-// is an outage that begins between the last read and the write of the release:
-// the write may have taken effect, and then a later owner does not fence this
-// daemon, so the resource must not be taken up again in the same epoch.
-func (m *Manager) release(ctx context.Context, u User, c Claim, leaving bool) error {
+// prepareRelease confirms the claim at the store and calls User.Releasing. If the
+// store became unreachable meanwhile, a Keeper is told to resume. This leaves an
+// outage that begins between the last read and the write of the release: the write
+// may have taken effect, and a later owner then does not fence this daemon, so the
+// resource must not be resumed in the same epoch.
+func (m *Manager) prepareRelease(ctx context.Context, u User, c Claim, leaving bool) error {
 	if leaving {
 		return u.Releasing(ctx, c.Resource)
 	}
@@ -135,35 +135,35 @@
 	return nil
 }
 
-// letGo releases the claim after the user has let go; leaving tells whether it
-// was asked to because this daemon leaves.
-func (s *state) letGo(c Claim, err error, leaving bool) {
+// finishTransfer releases the claim after the user has prepared for it. The parameter
+// leaving is set if the transfer was started because this daemon leaves.
+func (s *state) finishTransfer(c Claim, err error, leaving bool) {
 	r := c.Resource
-	held, ok := s.held[r]
-	if !ok || held.Epoch != c.Epoch {
-		delete(s.busy, r) // taken over meanwhile
+	current, ok := s.owned[r]
+	if !ok || current.Epoch != c.Epoch {
+		delete(s.inFlight, r) // superseded meanwhile
 		s.dirty = true
 		return
 	}
 	if err != nil && !leaving {
-		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("not handed over")
-		delete(s.busy, r)
+		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("resource not released")
+		delete(s.inFlight, r)
 		s.delays[r] = retry{after: time.Now().Add(retryAfterRefusal)}
 		return
 	}
-	// Lost before the write: once the claim is released another daemon may
+	// Lost is called before the write: once the claim is released another daemon may
 	// act at once, and the user must have stopped by then.
-	s.loseIfHeld(r, "handed over")
+	s.loseIfOwned(r, "released for another owner")
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.m.o.ReleaseTimeout)
 		defer cancel()
 		e, err := s.m.amend(ctx, c, func(c *record) { c.Released = true })
-		s.m.send(func(s *state) { s.claimed(r, e, err) })
+		s.m.send(func(s *state) { s.claimDone(r, e, err) })
 	}()
 }
 
-// addEarlier adds an owner unless a newer life of the daemon shows that it has
-// let go, so that the list stays as short as the list of members.
+// addEarlier adds an owner unless a newer incarnation of the daemon shows that it has
+// stopped, so that the list is not longer than the list of members.
 func (r *record) addEarlier(s *state, ref peer.Ref) {
 	member, ok := s.m.o.View.Lookup(ref.ID)
 	restarted := ok && member.Incarnation > ref.Incarnation
--- a/process/ownership/manager.go
+++ b/process/ownership/manager.go
@@ -18,9 +18,9 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// Manager claims, keeps and hands over resources for this daemon. It
-// implements Directory. Its state belongs to the goroutine of Serve; readers
-// use published snapshots.
+// Manager claims, keeps and releases resources for this daemon. It implements
+// Directory. Its state is confined to the goroutine of Serve; readers use published
+// snapshots.
 type Manager struct {
 	o     Options
 	log   zerolog.Logger
@@ -31,21 +31,21 @@
 	published atomic.Pointer[snapshot]
 }
 
-// registration is one prefix with its user.
+// registration is a prefix with its user.
 type registration struct {
 	prefix    string
 	user      User
 	resources func() []Resource
 }
 
-// snapshot is what Directory answers from; immutable.
+// snapshot is the immutable state from which the methods of Directory answer.
 type snapshot struct {
 	claims  map[Resource]Claim
 	owned   map[Resource]Claim
 	changed chan struct{}
 }
 
-// New returns a manager; Register the users, then run Serve.
+// New returns a manager. Call Register for each user, then Serve.
 func New(o Options) *Manager {
 	m := &Manager{
 		o:        o.withDefaults(),
@@ -57,15 +57,15 @@
 	return m
 }
 
-// Register adds a user for the resources of a prefix; resources lists those
-// that exist now and is called from the manager's goroutine. It must be called
-// before Serve.
+// Register adds a user for the resources of a prefix. The function resources returns
+// those that currently exist and is called from the manager's goroutine. Register
+// must be called before Serve.
 func (m *Manager) Register(prefix string, u User, resources func() []Resource) {
 	m.users = append(m.users, registration{prefix, u, resources})
 }
 
-// Serve runs the manager until ctx ends. On return every user has been told
-// Lost for what it still held. It may be run once.
+// Serve runs the manager until ctx ends. Before it returns, it calls Lost for every
+// resource that is still owned. It may be called once.
 func (m *Manager) Serve(ctx context.Context) error {
 	defer close(m.done)
 	ctx, cancel := context.WithCancel(ctx)
@@ -96,16 +96,16 @@
 	delay := time.Second
 	for ctx.Err() == nil {
 		err := m.o.Store.Follow(ctx, keyPrefix, func(items []store.Item, deleted []string, reset bool) {
-			m.send(func(s *state) { s.seen(items, deleted, reset) })
+			m.send(func(s *state) { s.applyItems(items, deleted, reset) })
 		})
 		if err != nil && ctx.Err() == nil {
-			m.log.Warn().Err(err).Msg("following claims failed")
+			m.log.Warn().Err(err).Msg("watch of claims failed")
 		}
-		_ = sleep.For(ctx, delay) // the loop looks at ctx
+		_ = sleep.For(ctx, delay) // the loop checks ctx
 	}
 }
 
-// send hands f to the manager's goroutine; false when it no longer runs.
+// send passes f to the manager's goroutine. It returns false if the manager has stopped.
 func (m *Manager) send(f func(*state)) bool {
 	select {
 	case m.commands <- f:
@@ -151,13 +151,13 @@
 	m.send(func(s *state) { s.observe(c) })
 }
 
-// Confirm reads the claim from the store, with a read that begins after the
-// call, and returns nil when it is still c. ErrNotOwner means that it was
-// taken over or released; any other error leaves it open.
+// Confirm reads the claim from the store, with a read that begins after the call,
+// and returns nil if it is still c. ErrNotOwner means that the claim was superseded
+// or released; after any other error this is unknown.
 //
-// A check before an action is no guard by itself: the process may be paused
-// between the two. Callers use Confirm after an action that a later owner
-// undoes, such as opening a lease: see package partition.
+// A check before an action is not sufficient, since the process may be suspended
+// between the two. Callers use Confirm after an action that a later owner reverts,
+// such as opening a lease: see package partition.
 func (m *Manager) Confirm(ctx context.Context, c Claim) error {
 	item, err := m.o.Store.Get(ctx, keyPrefix+string(c.Resource))
 	if errors.Is(err, store.ErrNotFound) {
@@ -166,19 +166,19 @@
 	if err != nil {
 		return fmt.Errorf("confirm claim of %s: %w", c.Resource, err)
 	}
-	held, err := decodeClaim(item)
+	current, err := decodeClaim(item)
 	if err != nil {
 		return err
 	}
-	if held.Same(c) && !held.Released {
+	if current.Same(c) && !current.Released {
 		return nil
 	}
-	m.Observe(held.Claim)
-	return fmt.Errorf("claim of %s is held by %s in epoch %d: %w", c.Resource, held.Owner.ID, held.Epoch, ErrNotOwner)
+	m.Observe(current.Claim)
+	return fmt.Errorf("claim of %s is held by %s in epoch %d: %w", c.Resource, current.Owner.ID, current.Epoch, ErrNotOwner)
 }
 
-// Remember writes a memo for the owners after c. A nil error means that every
-// later owner is granted it.
+// Remember stores a memo for the owners after c. A nil error means that every later
+// owner receives it with its Grant.
 func (m *Manager) Remember(ctx context.Context, c Claim, memo Memo) error {
 	e, err := m.amend(ctx, c, func(c *record) {
 		c.Notes = memo.Notes
@@ -192,7 +192,7 @@
 	return err
 }
 
-// amend changes the claim c in the store as long as it is still c.
+// amend changes the record of the claim c in the store, provided that it is still c.
 func (m *Manager) amend(ctx context.Context, c Claim, change func(*record)) (entry, error) {
 	for {
 		e, err := m.read(ctx, c.Resource, nil)
@@ -217,8 +217,8 @@
 	}
 }
 
-// Epochs reads the epochs of the claims of a prefix from the store, with a
-// read that begins after the call.
+// Epochs reads the epochs of the claims of a prefix from the store, with a read that
+// begins after the call.
 func (m *Manager) Epochs(ctx context.Context, prefix string) (map[Resource]uint64, error) {
 	items, _, err := m.o.Store.List(ctx, keyPrefix+prefix)
 	if err != nil {
@@ -235,8 +235,8 @@
 	return epochs, nil
 }
 
-// Leave hands every resource over and claims nothing more. It returns when
-// nothing is owned or ctx ends.
+// Leave releases all resources and claims nothing more. It returns when nothing is
+// owned or ctx ends.
 func (m *Manager) Leave(ctx context.Context) error {
 	if !m.send(func(s *state) { s.leaving = true }) {
 		return ErrStopped
@@ -244,7 +244,7 @@
 	for {
 		snap := m.published.Load()
 		idle := make(chan bool, 1)
-		if !m.send(func(s *state) { idle <- s.leaving && len(s.held) == 0 && len(s.busy) == 0 }) {
+		if !m.send(func(s *state) { idle <- s.leaving && len(s.owned) == 0 && len(s.inFlight) == 0 }) {
 			return ErrStopped
 		}
 		select {
@@ -275,7 +275,7 @@
 	return c, nil
 }
 
-// publish makes the state visible to readers when it changed.
+// publish makes a changed state visible to readers.
 func (s *state) publish() {
 	if !s.dirty {
 		return
@@ -285,9 +285,9 @@
 	for r, e := range s.claims {
 		claims[r] = e.Claim
 	}
-	old := s.m.published.Swap(&snapshot{claims: claims, owned: maps.Clone(s.held), changed: make(chan struct{})})
+	old := s.m.published.Swap(&snapshot{claims: claims, owned: maps.Clone(s.owned), changed: make(chan struct{})})
 	close(old.changed)
 }
 
-// self is this life of the daemon.
+// self returns this incarnation of the daemon.
 func (s *state) self() peer.Ref { return s.m.o.View.Self().Ref }
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -35,11 +35,11 @@
 	last   map[ownership.Resource]peer.Ref
 	faults []string
 
-	releasing func() // runs in Releasing
+	releasing func() // called by Releasing
 	kept      []ownership.Resource
 }
 
-// member is one life of a daemon; it implements ownership.User.
+// member is one incarnation of a daemon; it implements ownership.User.
 type member struct {
 	c       *cell
 	ref     peer.Ref
@@ -48,7 +48,7 @@
 	stop    context.CancelFunc
 
 	mu     sync.Mutex
-	held   map[ownership.Resource]uint64
+	owned  map[ownership.Resource]uint64
 	frozen time.Time
 }
 
@@ -70,7 +70,7 @@
 
 func (c *cell) start(i int, incarnation uint64) {
 	m := &member{c: c, ref: peer.Ref{ID: peer.MemberID(fmt.Sprintf("daemon-%d", i)), Incarnation: incarnation}}
-	m.held = make(map[ownership.Resource]uint64)
+	m.owned = make(map[ownership.Resource]uint64)
 	m.view = fleettest.NewView(fleet.Member{Ref: m.ref})
 	for _, other := range c.members {
 		if other != nil && other.ref.ID != m.ref.ID {
@@ -115,16 +115,16 @@
 	m.c.mu.Unlock()
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.held[g.Resource] >= g.Epoch {
+	if m.owned[g.Resource] >= g.Epoch {
 		m.c.faults = append(m.c.faults, "epoch of "+string(g.Resource)+" did not rise")
 	}
-	m.held[g.Resource] = g.Epoch
+	m.owned[g.Resource] = g.Epoch
 }
 
 func (m *member) Lost(r ownership.Resource, _ uint64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	delete(m.held, r)
+	delete(m.owned, r)
 }
 
 func (m *member) Releasing(context.Context, ownership.Resource) error {
@@ -145,11 +145,11 @@
 func (m *member) load() int {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return len(m.held)
+	return len(m.owned)
 }
 
-// settled reports whether every resource has exactly one holder.
-func (c *cell) settled() bool {
+// allOwned reports whether every resource has exactly one owner.
+func (c *cell) allOwned() bool {
 	total := 0
 	for _, m := range c.members {
 		total += m.load()
@@ -183,10 +183,10 @@
 	})
 }
 
-// die ends a member without a word; the others learn it.
-func (c *cell) die(m *member) {
+// kill stops a member without Leave; the others see that it is gone.
+func (c *cell) kill(m *member) {
 	m.stop()
-	synctest.Wait() // it drops what it held
+	synctest.Wait() // until it has lost its resources
 	for _, other := range c.members {
 		if other != m {
 			other.view.SetGone(m.ref)
@@ -206,7 +206,7 @@
 
 func TestResourcesAreSharedOut(t *testing.T) {
 	inBubble(t, 8, 100, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		for _, m := range c.members {
 			require.LessOrEqual(t, m.load(), 16, "at most 1.25 times the average")
 		}
@@ -215,28 +215,28 @@
 
 func TestDeadOwnerIsReplaced(t *testing.T) {
 	inBubble(t, 4, 20, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
-		c.die(c.members[0])
-		took := c.eventually(5*time.Second, "taken over", c.settled)
-		t.Logf("20 resources taken over %v after the death was known", took)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
+		c.kill(c.members[0])
+		took := c.eventually(5*time.Second, "taken over", c.allOwned)
+		t.Logf("20 resources taken over %v after the failure was detected", took)
 	})
 }
 
 func TestRollingUpgradeMovesEachResourceAFewTimes(t *testing.T) {
-	// Symptom:  every restart of a daemon shuffles the whole cell.
-	// Sequence: all daemons are restarted one after the other.
-	// Cause:    assignment without hold-down, or by who owns what now.
+	// Guards against a reassignment of the whole cell at every restart of a daemon when all
+	// daemons are restarted one after the other: without a hold-down time, or if the
+	// assignment depended on the current owners.
 	inBubble(t, 8, 100, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		for i, m := range c.members {
 			require.NoError(t, m.manager.Leave(c.ctx))
-			c.die(m)
-			c.eventually(20*time.Second, "handed over", c.settled)
+			c.kill(m)
+			c.eventually(20*time.Second, "resources transferred", c.allOwned)
 			time.Sleep(30 * time.Second)
 			c.start(i, 2)
 		}
 		time.Sleep(15 * time.Minute)
-		require.True(t, c.settled())
+		require.True(t, c.allOwned())
 		c.mu.Lock()
 		total := 0
 		for _, n := range c.moves {
@@ -246,17 +246,16 @@
 		t.Logf("moves of one resource: at most %d; %d moves of 100 resources", c.maxMoves(), total)
 		require.LessOrEqual(t, c.maxMoves(), 5)
 		for _, m := range c.members {
-			require.NotZero(t, m.load(), "the last one restarted gets its share back")
+			require.NotZero(t, m.load(), "the daemon restarted last gets its share back")
 		}
 	})
 }
 
 func TestSuspicionMovesNothing(t *testing.T) {
-	// Symptom:  partitions flap while a network is bad.
-	// Sequence: members are suspected and refute it, again and again.
-	// Cause:    a suspect counted as gone, or assignment without hold-down.
+	// Guards against partitions that flap on a bad network, when members are repeatedly
+	// suspected and refute it: if a suspect counted as gone, or without a hold-down time.
 	inBubble(t, 4, 20, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		for i := range 60 {
 			suspect := c.members[i%4].ref.ID
 			for _, m := range c.members {
@@ -273,11 +272,11 @@
 }
 
 func TestOutageKeepsOwners(t *testing.T) {
-	// Symptom:  nobody owns anything while the store is down.
-	// Sequence: the store is down for an hour, then for longer than the bound.
-	// Cause:    ownership bound to a store lease instead of the authority.
+	// Guards against resources without owners while the store is down, for an hour and then
+	// for longer than StartBound: if ownership depended on a store lease instead of the
+	// authority.
 	inBubble(t, 3, 6, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		c.kv.SetFaults(kv.Faults{Down: true})
 		for _, m := range c.members {
 			m.mu.Lock()
@@ -285,14 +284,14 @@
 			m.mu.Unlock()
 		}
 		time.Sleep(time.Hour)
-		require.True(t, c.settled())
+		require.True(t, c.allOwned())
 		start, _ := c.members[0].manager.Authority()
 		require.Positive(t, start)
 		time.Sleep(2 * time.Hour)
 		start, renew := c.members[0].manager.Authority()
 		require.Negative(t, start)
 		require.Positive(t, renew)
-		require.True(t, c.settled(), "what runs is kept alive")
+		require.True(t, c.allOwned(), "running work is still renewed")
 		c.kv.SetFaults(kv.Faults{})
 	})
 }
@@ -311,13 +310,13 @@
 				m := c.members[e.Member]
 				switch e.Kind {
 				case 0:
-					c.die(m)
+					c.kill(m)
 					dead[e.Member] = true
 				case 1:
 					m.stop()
 					dead[e.Member] = false
 					c.start(e.Member, m.ref.Incarnation+1)
-				case 2: // wrongly taken for gone: it goes on
+				case 2: // falsely considered gone: it keeps running
 					for _, other := range c.members {
 						if other != m {
 							other.view.SetGone(m.ref)
@@ -341,7 +340,7 @@
 				m.stop()
 				c.start(i, m.ref.Incarnation+1)
 			}
-			c.eventually(5*time.Minute, "all owned again", c.settled)
+			c.eventually(5*time.Minute, "all owned again", c.allOwned)
 		})
 	})
 }
--- a/process/ownership/options.go
+++ b/process/ownership/options.go
@@ -12,18 +12,19 @@
 	"fennelshunt.example/fennelshunt/process/fleet"
 )
 
-// keyPrefix is where claims live in the store; the resource's name follows.
+// keyPrefix is the prefix of the claims' keys in the store; the name of the resource
+// follows.
 const keyPrefix = "claims/"
 
-// Errors of this package. Test with errors.Is.
+// Errors of this package, for errors.Is.
 var (
 	// ErrNotOwner means that the store names another owner or a higher epoch.
 	ErrNotOwner = errors.New("ownership: the claim was taken over")
-	// ErrStopped means that the manager no longer runs.
+	// ErrStopped means that the manager has stopped.
 	ErrStopped = errors.New("ownership: manager stopped")
 )
 
-// Store is what the manager needs of the store's claims role.
+// Store is the part of the store's claims role that the manager uses.
 type Store interface {
 	Get(ctx context.Context, key string) (store.Item, error)
 	List(ctx context.Context, prefix string) ([]store.Item, store.Revision, error)
@@ -38,20 +39,20 @@
 	// Renewed returns when the last successful renewal of this daemon's store
 	// lease began, on the monotonic clock.
 	Renewed func() time.Time
-	// StartBound is how long after Renewed this daemon starts new work. It
+	// StartBound is how long after Renewed this daemon still starts new work. It
 	// must cover an outage of the store.
 	StartBound time.Duration
-	// RenewBound is how long after Renewed it keeps alive what runs; not less
-	// than StartBound.
+	// RenewBound is how long after Renewed this daemon still renews running work;
+	// not less than StartBound.
 	RenewBound time.Duration
 	// HoldDown is how long another member must be the assigned owner without
-	// a break before a resource is handed over to it.
+	// interruption before a resource is transferred to it.
 	HoldDown time.Duration
 	// StartDelay is how long after its start the manager claims nothing: a
 	// daemon that does not see the others yet would claim everything.
 	StartDelay time.Duration
-	// Fallback is how long each member further down in a resource's ranking
-	// waits before it claims what the members above it left unclaimed.
+	// Fallback is the delay, for each rank of a resource's ranking, before a member
+	// claims what the members ranked above it have left unclaimed.
 	Fallback time.Duration
 	// ReleaseTimeout bounds User.Releasing.
 	ReleaseTimeout time.Duration
@@ -62,13 +63,13 @@
 
 // Defaults of Options.
 const (
-	// DefaultStartBound covers an outage of an hour twice over.
+	// DefaultStartBound is twice the length of a one-hour outage.
 	DefaultStartBound = 2 * time.Hour
-	// DefaultRenewBound is a day: an outage that outlasts StartBound must not
-	// stop running services, and renewing starts nothing.
+	// DefaultRenewBound is a day: an outage longer than StartBound must not stop
+	// running services, and a renewal starts nothing.
 	DefaultRenewBound = 24 * time.Hour
-	// DefaultHoldDown outlasts a restart, so that a daemon that is upgraded
-	// causes one move away and one back.
+	// DefaultHoldDown is longer than a restart, so that the upgrade of a daemon moves
+	// a resource away once and back once.
 	DefaultHoldDown       = 3 * time.Minute
 	DefaultFallback       = 3 * time.Second
 	DefaultStartDelay     = 2 * time.Second
@@ -79,10 +80,10 @@
 	claimTimeout = 5 * time.Second
 	// maxRetryDelay bounds the pause after a failed claim.
 	maxRetryDelay = 8 * time.Second
-	// maxHandovers is how many resources are handed over at once while the
-	// daemon stays; a leaving daemon hands over all at once.
-	maxHandovers = 2
-	// retryAfterRefusal is the pause after a user could not hand over.
+	// maxTransfers is how many resources are transferred concurrently while the
+	// daemon stays; a leaving daemon transfers all at once.
+	maxTransfers = 2
+	// retryAfterRefusal is the pause after a user failed to prepare a release.
 	retryAfterRefusal = 5 * time.Second
 )
 
--- a/process/ownership/outage_test.go
+++ b/process/ownership/outage_test.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// joinOne adds a member to which resources are to move.
+// joinOne adds a member, to which some resources are then assigned.
 func (c *cell) joinOne() {
 	c.members = append(c.members, nil)
 	c.start(len(c.members)-1, 1)
@@ -24,13 +24,12 @@
 }
 
 func TestOutageKeepsWhatWasToBeHandedOver(t *testing.T) {
-	// Symptom:  in an outage of the store a partition has no owner, and its
-	//           tasks end when their lease runs out.
-	// Sequence: a member joins; the store goes down before the hold-down ends.
-	// Cause:    a resource was let go before it was known that the claim can be
-	//           released.
+	// Guards against a partition without an owner in a store outage, whose tasks end when
+	// their lease expires: a member joins, the store goes down before the hold-down time
+	// ends, and the user stopped serving a resource before it was certain that the claim
+	// can be released.
 	inBubble(t, 2, 12, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		time.Sleep(20 * time.Second)
 		c.joinOne()
 		time.Sleep(10 * time.Second)
@@ -38,16 +37,15 @@
 		time.Sleep(10 * time.Minute)
 		require.Equal(t, 12, c.owned(), "resources with an owner")
 		c.kv.SetFaults(kv.Faults{})
-		c.eventually(10*time.Minute, "moved", func() bool { return c.settled() && c.members[2].load() > 0 })
+		c.eventually(10*time.Minute, "moved", func() bool { return c.allOwned() && c.members[2].load() > 0 })
 	})
 }
 
 func TestOutageDuringAHandoverKeepsTheResource(t *testing.T) {
-	// Symptom:  as above.
-	// Sequence: the store goes down while the user prepares to let go.
-	// Cause:    the claim was confirmed before the user prepared only.
+	// Guards against the same loss when the store goes down while the user prepares the
+	// release: the claim was confirmed only before that.
 	inBubble(t, 2, 12, func(c *cell) {
-		c.eventually(10*time.Second, "all owned", c.settled)
+		c.eventually(10*time.Second, "all owned", c.allOwned)
 		c.releasing = func() { c.kv.SetFaults(kv.Faults{Down: true}) }
 		c.joinOne()
 		time.Sleep(10 * time.Minute)
@@ -55,6 +53,6 @@
 		require.NotEmpty(t, c.kept)
 		c.releasing = nil
 		c.kv.SetFaults(kv.Faults{})
-		c.eventually(10*time.Minute, "moved", func() bool { return c.settled() && c.members[2].load() > 0 })
+		c.eventually(10*time.Minute, "moved", func() bool { return c.allOwned() && c.members[2].load() > 0 })
 	})
 }
--- a/process/ownership/ownership.go
+++ b/process/ownership/ownership.go
@@ -1,12 +1,12 @@
-// Package ownership decides which daemon owns which resource of the cell.
-// Rendezvous hashing over the members says who should own it; a claim in the
-// store, taken by compare-and-swap and raising the resource's epoch, says who
-// does.
+// Package ownership assigns each resource of the cell to one daemon, its owner.
+// Rendezvous hashing over the members determines the assigned owner; the actual
+// owner is determined by a claim in the store, which is written by compare-and-swap
+// and raises the resource's epoch.
 //
-// Guarantees: at most one claim per resource and epoch; epochs of a resource
-// only rise; a claim names one life (incarnation) of a daemon. A claim does
-// not by itself stop an earlier owner: the users of this package fence it at
-// the place where work happens (a worker, a log key, the other daemons).
+// Guarantees: there is at most one claim per resource and epoch; epochs of a
+// resource only rise; a claim names one incarnation of a daemon. A claim does not
+// by itself stop an earlier owner: users of this package fence it where the work
+// happens (at a worker, a log key, or the other daemons).
 package ownership
 
 import (
@@ -16,11 +16,11 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// Resource names something that has one owner.
+// Resource is the name of something that has one owner.
 type Resource string
 
-// Prefixes of resource names; the part behind the prefix is the name of the
-// partition, service or shard.
+// Prefixes of resource names. The prefix is followed by the name of the partition,
+// service or shard.
 const (
 	PartitionPrefix = "partition/" // a rack of workers
 	ServicePrefix   = "service/"   // the slot pool of one service
@@ -28,12 +28,12 @@
 	KeysPrefix      = "keys/"      // a shard of the idempotency keys
 )
 
-// Claim is the store's record of an owner.
+// Claim is the record of an owner in the store.
 type Claim struct {
 	Resource Resource `json:"resource" cbor:"1,keyasint"`
 	Owner    peer.Ref `json:"owner" cbor:"2,keyasint"`
 	Epoch    uint64   `json:"epoch" cbor:"3,keyasint"`
-	// Released is set by an owner that handed over; nobody owns it now.
+	// Released is set when the owner has released the resource, which then has none.
 	Released bool `json:"released,omitempty" cbor:"4,keyasint,omitempty"`
 }
 
@@ -42,67 +42,66 @@
 	return c.Resource == o.Resource && c.Owner == o.Owner && c.Epoch == o.Epoch
 }
 
-// Grant tells a user that this daemon owns a resource from now on.
+// Grant is passed to a user when this daemon has become the owner of a resource.
 type Grant struct {
 	Claim
 	// Previous is the claim that this one replaced; a zero Epoch means none.
 	Previous Claim
-	// Earlier lists owners of lower epochs that are not known to have let go,
-	// since the last owner that fenced all of its own, see Memo.Settled.
+	// Earlier lists the owners of lower epochs, since the last owner that fenced all
+	// of its predecessors, that may still be active; see Memo.Settled.
 	Earlier []peer.Ref
-	// Notes are the newest Memo.Notes of an earlier owner.
+	// Notes are the latest Memo.Notes of an earlier owner.
 	Notes []string
 }
 
-// Memo is what an owner leaves in the store for its successors.
+// Memo is what an owner stores for its successors.
 type Memo struct {
-	// Settled says that every earlier owner is fenced or known to have let go.
+	// Settled is set if every earlier owner is fenced or has certainly stopped.
 	Settled bool
-	// Notes are words of the user's own; they replace those of before.
+	// Notes are strings of the user's own; they replace the previous ones.
 	Notes []string
 }
 
-// User is told about the resources of one prefix. Acquired and Lost come from
-// one goroutine, in order, and must return quickly; Releasing comes from
-// another, and Lost may come while it runs.
+// User handles the resources of one prefix. Acquired and Lost are called from one
+// goroutine, in order, and must return quickly; Releasing is called from another,
+// and Lost may be called while it runs.
 type User interface {
 	// Acquired starts the user's work on the resource. The user fences the
 	// previous owner before it acts.
 	Acquired(ctx context.Context, g Grant)
-	// Lost is called when a higher epoch was seen, the authority ran out, or
-	// after Releasing, before the claim is released; the user stops at once
-	// and drops its state.
+	// Lost is called when a higher epoch was seen, the authority expired, or after
+	// Releasing, before the claim is released; the user stops at once and drops
+	// its state.
 	Lost(r Resource, epoch uint64)
-	// Releasing asks the user to hand the resource over: to take nothing new,
-	// make state durable, and return when the claim may be released. The
-	// context bounds it.
+	// Releasing asks the user to prepare the release of a resource: to accept
+	// nothing new, make its state durable, and return when the claim may be
+	// released. The context bounds it.
 	Releasing(ctx context.Context, r Resource) error
 }
 
-// Keeper is a User that can go on with a resource after Releasing returned, as
-// long as Lost was not called.
+// Keeper is a User that can resume a resource after Releasing has returned, unless
+// Lost was called.
 type Keeper interface {
 	User
-	// Keep withdraws Releasing: the claim can not be released now.
+	// Keep cancels Releasing: the claim cannot be released now.
 	Keep(r Resource)
 }
 
-// Directory tells who owns what, by the newest claim this daemon has seen;
-// safe for concurrent use.
+// Directory returns the owners of resources according to the latest claims that this
+// daemon has seen. It is safe for concurrent use.
 type Directory interface {
-	// Owner returns the newest claim of r; false when there is none or it was
-	// released.
+	// Owner returns the latest claim of r; false if there is none or it was released.
 	Owner(r Resource) (Claim, bool)
 	// Owned returns the resources of the prefix that this daemon owns.
 	Owned(prefix string) []Claim
-	// Changed returns a channel closed at the next change of any claim.
+	// Changed returns a channel that is closed at the next change of any claim.
 	Changed() <-chan struct{}
-	// Authority returns how long this daemon may still start new work under
-	// its claims (start) and renew what already runs (renew), counted from the
-	// beginning of the last renewal of its store lease that succeeded. Both
-	// outlast an outage of the store; renew is the longer one.
+	// Authority returns for how long this daemon may still start new work under its
+	// claims (start) and renew what already runs (renew), counted from the beginning
+	// of the last successful renewal of its store lease. Both outlast an outage of
+	// the store; renew is the longer one.
 	Authority() (start, renew time.Duration)
-	// Observe reports a claim learned elsewhere, for example from a peer or a
-	// worker that has seen a higher epoch.
+	// Observe records a claim from another source than the store, for example from
+	// a peer or a worker that has seen a higher epoch.
 	Observe(c Claim)
 }
--- a/process/ownership/ownershiptest/directory.go
+++ b/process/ownership/ownershiptest/directory.go
@@ -1,5 +1,4 @@
-// Package ownershiptest offers a Directory with settable claims for tests of
-// its users.
+// Package ownershiptest provides a Directory with settable claims for tests.
 package ownershiptest
 
 import (
@@ -14,8 +13,8 @@
 	"fennelshunt.example/fennelshunt/process/ownership"
 )
 
-// Cell is the shared truth of the claims; each daemon under test has its own
-// Directory onto it. Safe for concurrent use.
+// Cell holds the claims of a cell; each daemon under test has its own Directory of
+// it. It is safe for concurrent use.
 type Cell struct {
 	mu      sync.Mutex
 	claims  map[ownership.Resource]ownership.Claim
@@ -96,7 +95,7 @@
 	d.start, d.renew = start, renew
 }
 
-// Freeze makes this daemon see no further claims, as when it is cut off.
+// Freeze makes the daemon see no further claims, as if it were partitioned.
 func (d *Directory) Freeze() {
 	claims := d.claims()
 	d.mu.Lock()
@@ -157,7 +156,7 @@
 	return d.start, d.renew
 }
 
-// Observe implements ownership.Directory; a higher epoch is kept.
+// Observe implements ownership.Directory: it records a claim with a higher epoch.
 func (d *Directory) Observe(c ownership.Claim) {
 	d.cell.mu.Lock()
 	defer d.cell.mu.Unlock()
@@ -178,7 +177,7 @@
 	return nil
 }
 
-// Remember keeps a memo as the Manager does.
+// Remember stores a memo like Manager.Remember.
 func (d *Directory) Remember(ctx context.Context, c ownership.Claim, memo ownership.Memo) error {
 	if err := d.Confirm(ctx, c); err != nil {
 		return err
--- a/process/ownership/protocol_model_test.go
+++ b/process/ownership/protocol_model_test.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// The model of the fencing protocol: every message is its own step, is
-// delivered at any later time or never, in any order, and time passes only
-// where a lease runs out. What the real owners do in package partition is
-// modelled step by step, so that a daemon can be paused between any two steps.
+// A model of the fencing protocol. Every message is a step of its own, which is
+// delivered at any later time or never, in any order. Time passes only when a lease
+// expires. The actions of the owners in package partition are modelled as single steps,
+// so that a daemon can be suspended between any two of them.
 
 const (
 	modelOwners  = 3
@@ -16,19 +16,19 @@
 	modelTasks   = 2
 )
 
-// guards can be switched off one by one, to see that the model finds the
-// double run that each of them prevents.
+// guards are the protocol's safeguards. Each can be disabled, to show that the model
+// finds the double run that it prevents.
 type guards struct {
 	revoke, confirmAfter, fenceConfirmed, waitForEarlier, rememberEarlier, planNumbers bool
 }
 
 var allGuards = guards{true, true, true, true, true, true}
 
-// life is one life of an owner.
-type life struct{ owner, incarnation int }
+// incarnationRef identifies one incarnation of an owner.
+type incarnationRef struct{ owner, incarnation int }
 
 type modelLease struct {
-	holder life
+	holder incarnationRef
 	valid  bool
 }
 
@@ -41,18 +41,18 @@
 	running        map[int]modelRun // by task
 }
 
-type taskBelief int
+type taskState int
 
 const (
-	startSent taskBelief = iota
+	startSent taskState = iota
 	startUnknown
-	knownRunning
+	confirmedRunning
 )
 
-// modelNode is an owner's knowledge of a worker.
+// modelNode is an owner's state of a worker.
 type modelNode struct {
 	step      int // of fencing, see fenceStep
-	call      int // the call under way, 0 none
+	call      int // the call in flight, 0 for none
 	lease     int
 	others    []int
 	fenced    bool
@@ -63,50 +63,50 @@
 
 type modelHeld struct {
 	attempt int
-	belief  taskBelief
+	state   taskState
 }
 
 type modelOwner struct {
 	incarnation int
 	epoch       int // 0: owns nothing
-	earlier     []life
+	earlier     []incarnationRef
 	nodes       [modelWorkers]*modelNode
-	minSeq      int // outlives the ownership
+	minSeq      int // kept when the ownership ends
 }
 
 type modelClaim struct {
-	holder  life
+	holder  incarnationRef
 	epoch   int
-	earlier []life
+	earlier []incarnationRef
 }
 
-// modelTask is what the owner of the jobs believes of a task.
+// modelTask is the state of a task at the owner of the jobs.
 type modelTask struct {
 	held    bool
 	worker  int
-	attempt int // also the number of the plan
+	attempt int // also the sequence number of the plan
 }
 
 type model struct {
-	g        guards
-	claim    modelClaim
-	workers  [modelWorkers]*modelWorker
-	owners   [modelOwners]*modelOwner
-	tasks    [modelTasks]modelTask
-	fencedBy int // newest partition epoch that answered a fence
-	seq      int
-	ids      int
-	messages []func()
-	double   string
-	starts   int
-
-	// churn and asking set how often claims are taken and how often the owner
-	// of the jobs asks; different faults need different mixes.
-	churn, asking int
+	g         guards
+	claim     modelClaim
+	workers   [modelWorkers]*modelWorker
+	owners    [modelOwners]*modelOwner
+	tasks     [modelTasks]modelTask
+	fencedBy  int // latest partition epoch that answered a fence
+	seq       int
+	ids       int
+	messages  []func()
+	doubleRun string
+	starts    int
+
+	// claimRate and fenceRate set how often claims are taken and how often the owner of
+	// the jobs sends fences; different faults need different mixes.
+	claimRate, fenceRate int
 }
 
 func newModel(g guards, pick func(n int) int) *model {
-	m := &model{g: g, churn: 1 + 5*pick(3), asking: 10 + 25*pick(3)}
+	m := &model{g: g, claimRate: 1 + 5*pick(3), fenceRate: 10 + 25*pick(3)}
 	for i := range m.workers {
 		m.workers[i] = &modelWorker{comparesEpochs: i%2 == 1, leases: make(map[int]*modelLease), running: make(map[int]modelRun)}
 	}
@@ -123,9 +123,9 @@
 
 func (m *model) send(f func()) { m.messages = append(m.messages, f) }
 
-func (m *model) lifeOf(o int) life { return life{o, m.owners[o].incarnation} }
+func (m *model) refOf(o int) incarnationRef { return incarnationRef{o, m.owners[o].incarnation} }
 
-// act does one step chosen by pick, which returns a number below its argument.
+// act performs one step chosen by pick, which returns a number below its argument.
 func (m *model) act(pick func(n int) int) {
 	o, w, task := pick(modelOwners), pick(modelWorkers), pick(modelTasks)
 	if m.claim.epoch > 0 && pick(3) > 0 {
@@ -136,7 +136,7 @@
 		m.check()
 		return
 	}
-	switch n := pick(400) - m.churn; {
+	switch n := pick(400) - m.claimRate; {
 	case n < 0 && pick(2) == 0:
 		m.takeClaim(o)
 	case n < 0 && pick(3) == 0:
@@ -144,17 +144,17 @@
 	case n < 100:
 		m.fenceStep(o, w)
 	case n < 105:
-		m.giveUpCall(o, w)
+		m.abandonCall(o, w)
 	case n < 200:
 		m.sendOrders(o, w)
-	case n < 320-m.asking:
+	case n < 320-m.fenceRate:
 		m.propose(o, w, task)
 	case n < 320:
-		m.askFence(o)
+		m.sendFence(o)
 	case n < 330:
-		m.runOut(o, w)
+		m.expireEarlier(o, w)
 	case n < 345:
-		m.finishOrLapse(w, task, pick)
+		m.finishOrExpire(w, task, pick)
 	case n < 395:
 		m.sync(o, w)
 	default:
@@ -163,11 +163,11 @@
 	m.check()
 }
 
-// takeClaim lets any owner claim at any time: the guards may not depend on the
-// others being right about who is gone.
+// takeClaim lets any owner claim at any time: the guards must not depend on a correct
+// detection of failed members.
 func (m *model) takeClaim(o int) {
-	me := m.lifeOf(o)
-	earlier := append([]life{}, m.claim.earlier...)
+	me := m.refOf(o)
+	earlier := append([]incarnationRef{}, m.claim.earlier...)
 	if !m.g.rememberEarlier {
 		earlier = nil
 	}
@@ -186,18 +186,18 @@
 	m.owners[o] = &modelOwner{incarnation: m.owners[o].incarnation + 1}
 }
 
-// request sends a call of an owner to a worker; f runs at the worker and
-// returns what runs at the owner with the answer, unless it gave up or lost the
-// partition meanwhile.
+// request sends a call of an owner to a worker. f runs at the worker and returns the
+// function that handles the answer at the owner, unless the owner has abandoned the
+// call or lost the partition meanwhile.
 func (m *model) request(o, w int, f func() func(n *modelNode)) {
 	owner := m.owners[o]
-	epoch, me, n := owner.epoch, m.lifeOf(o), owner.nodes[w]
+	epoch, me, n := owner.epoch, m.refOf(o), owner.nodes[w]
 	call := m.id()
 	n.call = call
 	m.send(func() {
 		answer := f()
 		m.send(func() {
-			if m.lifeOf(o) == me && m.owners[o].epoch == epoch && n.call == call {
+			if m.refOf(o) == me && m.owners[o].epoch == epoch && n.call == call {
 				n.call = 0
 				answer(n)
 			}
@@ -206,10 +206,10 @@
 }
 
 func (m *model) confirmed(o, epoch int) bool {
-	return m.claim.holder == m.lifeOf(o) && m.claim.epoch == epoch
+	return m.claim.holder == m.refOf(o) && m.claim.epoch == epoch
 }
 
-// fenceStep takes the next step of fencing a worker.
+// fenceStep performs the next step of fencing a worker.
 func (m *model) fenceStep(o, w int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || owner.nodes[w].call != 0 || owner.nodes[w].fenced {
@@ -242,7 +242,7 @@
 }
 
 func (m *model) openStep(o, w, epoch int) {
-	me := m.lifeOf(o)
+	me := m.refOf(o)
 	m.request(o, w, func() func(*modelNode) {
 		worker := m.workers[w]
 		if worker.comparesEpochs && epoch < worker.maxEpoch {
@@ -293,15 +293,15 @@
 				}
 			}
 			for task, attempt := range running {
-				n.tasks[task] = &modelHeld{attempt, knownRunning}
+				n.tasks[task] = &modelHeld{attempt, confirmedRunning}
 			}
 			n.fenced = true
 		}
 	})
 }
 
-// giveUpCall is a timeout: the message may still arrive.
-func (m *model) giveUpCall(o, w int) {
+// abandonCall is a timeout: the message may still arrive.
+func (m *model) abandonCall(o, w int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || owner.nodes[w].call == 0 {
 		return
@@ -309,11 +309,11 @@
 	n := owner.nodes[w]
 	n.call = 0
 	for _, held := range n.tasks {
-		if held.belief == startSent {
-			held.belief = startUnknown
+		if held.state == startSent {
+			held.state = startUnknown
 		}
 	}
-	// Whatever was open is settled by fencing anew, with a new lease.
+	// All uncertain outcomes are resolved by fencing again, with a new lease.
 	n.fenced, n.step, n.others = false, 0, nil
 }
 
@@ -337,8 +337,8 @@
 				at++
 			}
 		}
-		if at > 1 && m.double == "" {
-			m.double = fmt.Sprintf("task %d runs at %d workers", task, at)
+		if at > 1 && m.doubleRun == "" {
+			m.doubleRun = fmt.Sprintf("task %d runs at %d workers", task, at)
 		}
 	}
 }
--- a/process/ownership/protocol_test.go
+++ b/process/ownership/protocol_test.go
@@ -38,7 +38,7 @@
 	}
 }
 
-// start is a start that arrives at a worker.
+// start handles a start at a worker.
 func (m *model) start(w, lease, task, attempt int) func(*modelNode) {
 	worker := m.workers[w]
 	if !worker.leases[lease].valid {
@@ -52,12 +52,12 @@
 	worker.running[task] = modelRun{lease, attempt}
 	return func(n *modelNode) {
 		if held := n.tasks[task]; held != nil && held.attempt == attempt {
-			held.belief = knownRunning
+			held.state = confirmedRunning
 		}
 	}
 }
 
-// sync is a heartbeat: the owner learns which of its tasks ended.
+// sync is a heartbeat, from which the owner learns which of its tasks have ended.
 func (m *model) sync(o, w int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || !owner.nodes[w].fenced || owner.nodes[w].call != 0 {
@@ -70,8 +70,8 @@
 		}
 		running := maps.Clone(m.workers[w].running)
 		return func(n *modelNode) {
-			for task, held := range n.tasks { // in any order: each stands alone
-				if held.belief == knownRunning && running[task].attempt != held.attempt {
+			for task, held := range n.tasks { // in any order: they are independent
+				if held.state == confirmedRunning && running[task].attempt != held.attempt {
 					delete(n.tasks, task)
 					m.ended(task, held.attempt)
 				}
@@ -80,7 +80,7 @@
 	})
 }
 
-// ended tells the owner of the jobs that an attempt does not run any more.
+// ended reports to the owner of the jobs that an attempt does not run any more.
 func (m *model) ended(task, attempt int) {
 	if m.tasks[task].attempt == attempt {
 		m.tasks[task].held = false
@@ -99,7 +99,7 @@
 		owner := m.owners[o]
 		stale := m.g.planNumbers && attempt < owner.minSeq
 		if owner.epoch == 0 || stale || !owner.nodes[w].fenced || owner.holds(task) {
-			return // the answer may be lost: only a fence settles it
+			return // the answer may be lost: only a fence resolves this
 		}
 		owner.nodes[w].orders[task] = attempt
 	})
@@ -114,13 +114,13 @@
 	return false
 }
 
-// askFence asks an owner what it holds; it answers after it has confirmed its
-// claim.
-func (m *model) askFence(o int) {
+// sendFence asks an owner which tasks it holds. The owner answers after it has confirmed
+// its claim.
+func (m *model) sendFence(o int) {
 	m.seq++
 	seq := m.seq
 	m.send(func() {
-		owner, me := m.owners[o], m.lifeOf(o)
+		owner, me := m.owners[o], m.refOf(o)
 		if owner.epoch == 0 {
 			return
 		}
@@ -131,7 +131,7 @@
 				return
 			}
 			m.send(func() {
-				if m.lifeOf(o) == me && m.owners[o].epoch == epoch {
+				if m.refOf(o) == me && m.owners[o].epoch == epoch {
 					m.fenceAnswered(m.owners[o], seq)
 				}
 			})
@@ -154,16 +154,16 @@
 	}
 }
 
-// runOut lets the leases of earlier owners at a worker run out, once each is
-// known to have let go, and takes the worker for accounted. The owner's own
-// leases there, to which it may have moved tasks without hearing an answer, run
-// out with them: it waits from its own last call on.
-func (m *model) runOut(o, w int) {
+// expireEarlier lets the leases of earlier owners at a worker expire, once each owner has
+// certainly stopped, and marks the worker as accounted for. The owner's own leases there,
+// to which it may have moved tasks without receiving an answer, expire as well: the wait
+// starts with its own last call.
+func (m *model) expireEarlier(o, w int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || owner.nodes[w].fenced || owner.nodes[w].call != 0 {
 		return
 	}
-	for _, l := range append(slices.Clone(owner.earlier), m.lifeOf(o)) {
+	for _, l := range append(slices.Clone(owner.earlier), m.refOf(o)) {
 		if l.incarnation == m.owners[l.owner].incarnation && l.owner != o {
 			if m.g.waitForEarlier {
 				return
@@ -172,7 +172,7 @@
 		}
 		for id, lease := range m.workers[w].leases {
 			if lease.holder == l {
-				m.lapse(w, id)
+				m.expire(w, id)
 			}
 		}
 	}
@@ -182,8 +182,8 @@
 	}
 }
 
-// lapse ends a lease and, later than that, the tasks under it.
-func (m *model) lapse(w, id int) {
+// expire ends a lease and, after that, the tasks under it.
+func (m *model) expire(w, id int) {
 	worker := m.workers[w]
 	worker.leases[id].valid = false
 	for task, run := range worker.running {
@@ -193,8 +193,8 @@
 	}
 }
 
-// finishOrLapse ends a task, or lets any lease lapse.
-func (m *model) finishOrLapse(w, task int, pick func(int) int) {
+// finishOrExpire ends a task, or lets any lease expire.
+func (m *model) finishOrExpire(w, task int, pick func(int) int) {
 	worker := m.workers[w]
 	if pick(2) == 0 {
 		delete(worker.running, task)
@@ -212,7 +212,7 @@
 	}
 }
 
-// settle tells the store that every earlier owner is fenced or accounted for.
+// settle records in the store that every earlier owner is fenced or accounted for.
 func (m *model) settle(o int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || !m.confirmed(o, owner.epoch) {
@@ -233,22 +233,22 @@
 		m := newModel(allGuards, pick)
 		for range rapid.IntRange(500, 3000).Draw(rt, "steps") {
 			m.act(pick)
-			if m.double != "" {
-				rt.Fatal(m.double)
+			if m.doubleRun != "" {
+				rt.Fatal(m.doubleRun)
 			}
 		}
 	})
 }
 
-// search runs the model with random steps and returns how many runs it took to
-// find a double run, 0 for none, and how many starts took effect.
+// search runs the model with random steps. It returns how many runs it took to find a
+// double run, 0 if none was found, and how many starts took effect.
 func search(g guards, runs, steps int) (found, starts int) {
 	for run := 1; run <= runs; run++ {
 		rng := rand.New(rand.NewPCG(uint64(run), 1))
 		m := newModel(g, rng.IntN)
 		for range steps {
 			m.act(rng.IntN)
-			if m.double != "" {
+			if m.doubleRun != "" {
 				return run, starts
 			}
 		}
@@ -257,10 +257,10 @@
 	return 0, starts
 }
 
-// TestProtocolModelFindsWhatEachGuardPrevents shows that the model can find a
-// double run at all: with one guard off it does. The place of the confirmation
-// takes about 22,000 runs and is searched for with FENNEL_LONG=1 only; it and
-// the confirmed fence have tests on the real owners in package partition.
+// TestProtocolModelFindsWhatEachGuardPrevents shows that the model finds a double run
+// when one of the guards is disabled. For the order of the confirmation (confirmAfter)
+// this takes about 22,000 runs, so that is tried with FENNEL_LONG=1 only; it and the
+// confirmed fence are also tested with the owners in package partition.
 func TestProtocolModelFindsWhatEachGuardPrevents(t *testing.T) {
 	const steps = 4000
 	runs, long := 2000, os.Getenv("FENNEL_LONG") != ""
--- a/process/ownership/rendezvous.go
+++ b/process/ownership/rendezvous.go
@@ -10,8 +10,8 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// Bounded load: no member is assigned more than loadFactor times the average
-// number of resources of a prefix, and never less than minLoad.
+// Bounded load: a member is assigned at most loadFactor times the average number of
+// resources of a prefix; this limit is never below minLoad.
 const (
 	loadFactor = 1.25
 	minLoad    = 2
@@ -27,8 +27,7 @@
 	return d.Sum64()
 }
 
-// ranking returns the members ordered by their weight for r, the heaviest
-// first.
+// ranking returns the members by descending weight for r.
 func ranking(r Resource, members []peer.MemberID) []peer.MemberID {
 	type weighted struct {
 		id     peer.MemberID
@@ -54,7 +53,7 @@
 	return order
 }
 
-// loadCap is the most resources that one of members daemons is assigned.
+// loadCap returns the maximum number of resources that a member is assigned.
 func loadCap(resources, members int) int {
 	if members == 0 {
 		return 0
@@ -62,11 +61,11 @@
 	return max(minLoad, int(math.Ceil(loadFactor*float64(resources)/float64(members))))
 }
 
-// Assign says who should own each resource: rendezvous hashing with bounded
-// load. The result depends only on the sets of resources and members, not on
-// their order or on who owns what now, so daemons with the same view agree
-// without talking, and a member that goes and comes back gets the same
-// resources again.
+// Assign returns the assigned owner of each resource, by rendezvous hashing with
+// bounded load. The result depends only on the sets of resources and members, not on
+// their order or on the current owners. Daemons with the same view therefore agree
+// without communication, and a member that leaves and returns gets the same resources
+// again.
 func Assign(resources []Resource, members []peer.MemberID) map[Resource]peer.MemberID {
 	assigned := make(map[Resource]peer.MemberID, len(resources))
 	if len(members) == 0 {
--- a/process/ownership/rendezvous_test.go
+++ b/process/ownership/rendezvous_test.go
@@ -34,8 +34,8 @@
 		if len(members) == 1 {
 			return
 		}
-		// A member that goes and comes back gets the same again, and its leaving
-		// moves little beside what it had.
+		// A member that leaves and returns gets the same resources again, and little moves
+		// beside its own resources when it leaves.
 		without := Assign(resources, slices.Delete(slices.Clone(members), 0, 1))
 		moved := 0
 		for r, id := range assigned {
--- a/process/ownership/state.go
+++ b/process/ownership/state.go
@@ -12,43 +12,43 @@
 	"fennelshunt.example/fennelshunt/process/fleet"
 )
 
-// entry is the newest claim known of a resource.
+// entry is the latest known claim of a resource.
 type entry struct {
 	record
 	revision store.Revision
-	// hint is set when the claim was learned elsewhere than from the store, so
-	// that its revision is not known.
+	// hint is set if the claim was not read from the store, so that its revision is
+	// unknown.
 	hint bool
 }
 
-// record is what the store holds of a resource.
+// record is the value of a resource's claim in the store.
 type record struct {
 	Claim
-	// Earlier is Grant.Earlier. Without it an owner that takes over from one
-	// that died before it had fenced its predecessor would forget the
-	// predecessor, which may be paused and still start work.
+	// Earlier is Grant.Earlier. Without it, when an owner fails before it has fenced
+	// its predecessor, the next owner would not fence that predecessor, which may be
+	// suspended and later start work.
 	Earlier []peer.Ref `json:"earlier,omitempty"`
 	Notes   []string   `json:"notes,omitempty"`
 }
 
-// state belongs to the manager's goroutine.
+// state is the state of a manager, confined to its goroutine.
 type state struct {
-	ctx     context.Context
-	m       *Manager
-	claims  map[Resource]entry
-	held    map[Resource]Claim     // users were told Acquired
-	busy    map[Resource]bool      // a claim or handover is under way
-	dropped map[Resource]uint64    // epochs given up; never taken up again
-	delays  map[Resource]retry     // pauses after failures
-	astray  map[Resource]time.Time // since when another member is assigned
-	vacant  map[Resource]time.Time // since when a resource has no live owner
-	plans   map[string]assignment  // by prefix
-	began   time.Time
-	leaving bool
-	dirty   bool
+	ctx         context.Context
+	m           *Manager
+	claims      map[Resource]entry
+	owned       map[Resource]Claim     // owned resources, for which Acquired was called
+	inFlight    map[Resource]bool      // a claim or transfer is in progress
+	lostEpochs  map[Resource]uint64    // highest lost epochs, which are never resumed
+	delays      map[Resource]retry     // pauses after failures
+	misplaced   map[Resource]time.Time // since when another member is the assigned owner
+	unowned     map[Resource]time.Time // since when a resource has no owner
+	assignments map[string]assignment  // by prefix
+	began       time.Time
+	leaving     bool
+	dirty       bool
 }
 
-// retry is when a claim that failed is tried again, and the pause before it.
+// retry is the time of the next try after a failure, and the pause before it.
 type retry struct {
 	after time.Time
 	delay time.Duration
@@ -56,17 +56,17 @@
 
 func newState(ctx context.Context, m *Manager) *state {
 	return &state{
-		ctx:     ctx,
-		m:       m,
-		plans:   make(map[string]assignment),
-		began:   time.Now(),
-		claims:  make(map[Resource]entry),
-		held:    make(map[Resource]Claim),
-		busy:    make(map[Resource]bool),
-		dropped: make(map[Resource]uint64),
-		delays:  make(map[Resource]retry),
-		astray:  make(map[Resource]time.Time),
-		vacant:  make(map[Resource]time.Time),
+		ctx:         ctx,
+		m:           m,
+		assignments: make(map[string]assignment),
+		began:       time.Now(),
+		claims:      make(map[Resource]entry),
+		owned:       make(map[Resource]Claim),
+		inFlight:    make(map[Resource]bool),
+		lostEpochs:  make(map[Resource]uint64),
+		delays:      make(map[Resource]retry),
+		misplaced:   make(map[Resource]time.Time),
+		unowned:     make(map[Resource]time.Time),
 	}
 }
 
@@ -80,9 +80,9 @@
 	return nil, false
 }
 
-// seen takes what the store says of the claims; with reset set, items is all
-// there is.
-func (s *state) seen(items []store.Item, deleted []string, reset bool) {
+// applyItems applies claims as read from the store. If reset is set, items are all
+// claims that exist.
+func (s *state) applyItems(items []store.Item, deleted []string, reset bool) {
 	if reset {
 		for r, e := range s.claims {
 			absent := func(item store.Item) bool { return item.Key == keyPrefix+string(r) }
@@ -94,7 +94,7 @@
 	for _, item := range items {
 		c, err := decodeClaim(item)
 		if err != nil {
-			s.m.log.Error().Err(err).Msg("claim not understood")
+			s.m.log.Error().Err(err).Msg("claim cannot be decoded")
 			continue
 		}
 		s.apply(entry{record: c, revision: item.Revision})
@@ -104,8 +104,8 @@
 	}
 }
 
-// removed handles a claim that somebody deleted by hand: the epoch is kept, so
-// that the next claim is still higher.
+// removed handles a claim that was deleted manually: its epoch is kept, so that the
+// next claim is still higher.
 func (s *state) removed(r Resource) {
 	e, ok := s.claims[r]
 	if !ok {
@@ -114,11 +114,11 @@
 	e.revision, e.Released, e.hint = 0, true, false
 	s.claims[r] = e
 	s.dirty = true
-	s.loseIfHeld(r, "claim deleted")
+	s.loseIfOwned(r, "claim deleted")
 }
 
-// apply takes a newer claim; older ones are ignored, so that epochs only rise
-// in this daemon whatever the order of news.
+// apply records a newer claim. Older ones are ignored, so that epochs only rise in
+// this daemon, whatever the order in which claims arrive.
 func (s *state) apply(e entry) {
 	old, known := s.claims[e.Resource]
 	if known && !newer(e, old) {
@@ -126,22 +126,22 @@
 	}
 	s.claims[e.Resource] = e
 	s.dirty = true
-	delete(s.vacant, e.Resource)
-	held, mine := s.held[e.Resource]
+	delete(s.unowned, e.Resource)
+	current, mine := s.owned[e.Resource]
 	switch {
-	case mine && e.Epoch == held.Epoch && e.Owner != held.Owner:
+	case mine && e.Epoch == current.Epoch && e.Owner != current.Owner:
 		panic(fmt.Sprintf("ownership: two owners of %s in epoch %d", e.Resource, e.Epoch))
-	case mine && (e.Epoch > held.Epoch || e.Released):
-		s.loseIfHeld(e.Resource, "a higher epoch was seen")
+	case mine && (e.Epoch > current.Epoch || e.Released):
+		s.loseIfOwned(e.Resource, "a higher epoch was seen")
 	}
-	if e.Owner == s.self() && !e.Released && !e.hint && e.Epoch > s.dropped[e.Resource] && !s.leaving {
-		// Also reached when the answer to our own write was lost and the claim
-		// is seen only now.
+	if e.Owner == s.self() && !e.Released && !e.hint && e.Epoch > s.lostEpochs[e.Resource] && !s.leaving {
+		// Also reached when the response to this daemon's own write was lost and the
+		// claim is seen only now.
 		s.acquire(e, old.Claim)
 	}
 }
 
-// newer reports whether a replaces b as the newest known claim.
+// newer reports whether a replaces b as the latest known claim.
 func newer(a, b entry) bool {
 	if a.Epoch != b.Epoch {
 		return a.Epoch > b.Epoch
@@ -157,26 +157,26 @@
 
 func (s *state) acquire(e entry, previous Claim) {
 	u, ok := s.user(e.Resource)
-	if _, mine := s.held[e.Resource]; !ok || mine {
+	if _, mine := s.owned[e.Resource]; !ok || mine {
 		return
 	}
-	s.held[e.Resource] = e.Claim
-	s.dropped[e.Resource] = e.Epoch // not to be acquired a second time
+	s.owned[e.Resource] = e.Claim
+	s.lostEpochs[e.Resource] = e.Epoch // must not be acquired a second time
 	s.m.log.Info().Str("resource", string(e.Resource)).Uint64("epoch", e.Epoch).Msg("acquired")
 	u.Acquired(s.ctx, Grant{Claim: e.Claim, Previous: previous, Earlier: e.Earlier, Notes: e.Notes})
 }
 
-// observe takes a claim learned from a peer or a worker.
+// observe applies a claim reported by a peer or a worker.
 func (s *state) observe(c Claim) { s.apply(entry{record: record{Claim: c}, hint: true}) }
 
-func (s *state) loseIfHeld(r Resource, reason string) {
-	c, ok := s.held[r]
+func (s *state) loseIfOwned(r Resource, reason string) {
+	c, ok := s.owned[r]
 	if !ok {
 		return
 	}
-	delete(s.held, r)
-	delete(s.astray, r)
-	s.dropped[r] = max(s.dropped[r], c.Epoch)
+	delete(s.owned, r)
+	delete(s.misplaced, r)
+	s.lostEpochs[r] = max(s.lostEpochs[r], c.Epoch)
 	s.dirty = true
 	s.m.log.Warn().Str("resource", string(r)).Uint64("epoch", c.Epoch).Str("reason", reason).Msg("lost")
 	if u, ok := s.user(r); ok {
@@ -185,8 +185,8 @@
 }
 
 func (s *state) loseAll(reason string) {
-	for _, r := range sortedResources(s.held) {
-		s.loseIfHeld(r, reason)
+	for _, r := range sortedResources(s.owned) {
+		s.loseIfOwned(r, reason)
 	}
 }
 
@@ -199,11 +199,11 @@
 	return list
 }
 
-// tick compares who should own with who does.
+// tick compares assigned and actual owners, and starts claims and transfers.
 func (s *state) tick() {
 	start, renew := s.m.Authority()
 	if renew <= 0 {
-		s.loseAll("authority ran out")
+		s.loseAll("authority expired")
 	}
 	self := s.m.o.View.Self()
 	if self.State == fleet.Leaving {
@@ -216,35 +216,35 @@
 		targets := s.assign(reg.prefix, resources, candidates)
 		s.retire(reg.prefix, listed)
 		for _, r := range resources {
-			// A user that knows of no resources yet, because it could not read
-			// their list, could not look after one.
+			// A user that lists no resources, because it has not been able to read
+			// them yet, could not serve one.
 			mayClaim := start > 0 && self.State == fleet.Alive && len(listed) > 0 &&
 				time.Since(s.began) >= s.m.o.StartDelay
 			s.check(r, targets[r], candidates, mayClaim)
 		}
 	}
 	if s.leaving {
-		for _, r := range sortedResources(s.held) {
-			s.handOver(r)
+		for _, r := range sortedResources(s.owned) {
+			s.transfer(r)
 		}
 	}
 }
 
-// assignment is the last result of Assign with what it was made from.
+// assignment is the latest result of Assign with its input.
 type assignment struct {
 	resources []Resource
 	members   []peer.MemberID
 	targets   map[Resource]peer.MemberID
 }
 
-// assign returns Assign's result and computes it only when its input changed:
-// at hundreds of resources and members it is too dear for every tick.
+// assign returns the result of Assign, which is computed only when its input changes:
+// with hundreds of resources and members it is too expensive for every tick.
 func (s *state) assign(prefix string, resources []Resource, members []peer.MemberID) map[Resource]peer.MemberID {
 	slices.Sort(resources)
-	a := s.plans[prefix]
+	a := s.assignments[prefix]
 	if a.targets == nil || !slices.Equal(a.resources, resources) || !slices.Equal(a.members, members) {
 		a = assignment{resources, members, Assign(resources, members)}
-		s.plans[prefix] = a
+		s.assignments[prefix] = a
 	}
 	return a.targets
 }
@@ -257,8 +257,8 @@
 	return set
 }
 
-// withClaimed adds the resources that are claimed but no longer listed:
-// somebody must own them until the user has no more use for them.
+// withClaimed adds the resources that are claimed but no longer listed: they need an
+// owner until the user has agreed to their release.
 func (s *state) withClaimed(prefix string, listed []Resource) []Resource {
 	all := slices.Clone(listed)
 	known := setOf(listed)
@@ -270,22 +270,22 @@
 	return all
 }
 
-// retire releases what is no longer listed, once the user agrees.
+// retire releases resources that are no longer listed, once the user agrees.
 func (s *state) retire(prefix string, listed []Resource) {
 	if len(listed) == 0 {
 		return // nothing has been read yet
 	}
 	now := time.Now()
 	known := setOf(listed)
-	for r := range s.held {
+	for r := range s.owned {
 		if strings.HasPrefix(string(r), prefix) && !known[r] && now.After(s.delays[r].after) {
-			s.handOver(r)
+			s.transfer(r)
 		}
 	}
 }
 
-// candidates are the members that may get resources: suspects keep what they
-// own and get nothing new.
+// candidates returns the members that may be assigned resources: suspects keep what
+// they own and get nothing new.
 func (s *state) candidates() []peer.MemberID {
 	var ids []peer.MemberID
 	for _, member := range s.m.o.View.Members() {
@@ -297,22 +297,22 @@
 }
 
 func (s *state) check(r Resource, target peer.MemberID, candidates []peer.MemberID, mayClaim bool) {
-	if s.busy[r] || s.leaving {
+	if s.inFlight[r] || s.leaving {
 		return
 	}
-	if _, mine := s.held[r]; mine {
-		s.checkPlace(r, target)
+	if _, mine := s.owned[r]; mine {
+		s.checkAssignment(r, target)
 		return
 	}
 	if !s.ownerless(r) {
-		delete(s.vacant, r)
+		delete(s.unowned, r)
 		return
 	}
 	now := time.Now()
-	since, ok := s.vacant[r]
+	since, ok := s.unowned[r]
 	if !ok {
 		since = now
-		s.vacant[r] = now
+		s.unowned[r] = now
 	}
 	if !mayClaim || now.Before(s.delays[r].after) {
 		return
@@ -322,14 +322,14 @@
 	}
 }
 
-// ownerless reports whether nobody live holds a claim of r.
+// ownerless reports whether no running daemon has a claim of r.
 func (s *state) ownerless(r Resource) bool {
 	e, ok := s.claims[r]
 	if !ok || e.Released {
 		return true
 	}
 	if e.Owner.ID == s.self().ID {
-		return true // an earlier life of ours, or a claim that we gave up
+		return true // an earlier incarnation of this daemon, or a claim that it has lost
 	}
 	if s.m.o.View.Gone(e.Owner) {
 		return true
@@ -338,29 +338,29 @@
 	return ok && member.Incarnation > e.Owner.Incarnation
 }
 
-// fallbackDue reports whether the members before this one have left r
-// unclaimed for too long: the assigned owner may be unable to reach the store
-// while this daemon can.
-func (s *state) fallbackDue(r Resource, target peer.MemberID, candidates []peer.MemberID, vacant time.Duration) bool {
+// fallbackDue reports whether the members ranked above this one have left r unclaimed
+// for too long: the assigned owner may be unable to reach the store while this daemon
+// can.
+func (s *state) fallbackDue(r Resource, target peer.MemberID, candidates []peer.MemberID, unowned time.Duration) bool {
 	order := slices.DeleteFunc(ranking(r, candidates), func(id peer.MemberID) bool { return id == target })
-	place := slices.Index(order, s.self().ID)
-	return place >= 0 && vacant >= time.Duration(place+1)*s.m.o.Fallback
+	rank := slices.Index(order, s.self().ID)
+	return rank >= 0 && unowned >= time.Duration(rank+1)*s.m.o.Fallback
 }
 
-// checkPlace hands a resource over when another member has been its assigned
-// owner for the whole hold-down.
-func (s *state) checkPlace(r Resource, target peer.MemberID) {
+// checkAssignment transfers a resource when another member has been its assigned owner
+// for the whole hold-down time.
+func (s *state) checkAssignment(r Resource, target peer.MemberID) {
 	if target == s.self().ID || target == "" {
-		delete(s.astray, r)
+		delete(s.misplaced, r)
 		return
 	}
 	now := time.Now()
-	since, ok := s.astray[r]
+	since, ok := s.misplaced[r]
 	if !ok {
-		s.astray[r] = now
+		s.misplaced[r] = now
 		return
 	}
-	if now.Sub(since) >= s.m.o.HoldDown && len(s.busy) < maxHandovers && now.After(s.delays[r].after) {
-		s.handOver(r)
+	if now.Sub(since) >= s.m.o.HoldDown && len(s.inFlight) < maxTransfers && now.After(s.delays[r].after) {
+		s.transfer(r)
 	}
 }
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -160,11 +160,11 @@
 )
 
 // errNoSpec means that the relay does not have the spec of the order's job.
-var errNoSpec = errors.New("relay: the relay does not have the job's spec")
+var errNoSpec = errors.New("relay: the job's spec is not known there")
 
 // errSpecLate means that the spec did not reach the relay within the order's budget. It
 // arrives in time for the next try.
-var errSpecLate = errors.New("relay: the job's spec did not arrive in time")
+var errSpecLate = errors.New("relay: the job's spec has not come yet")
 
 // codeErrors pairs codes with the errors of package runner.
 var codeErrors = map[code]error{
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -140,7 +140,7 @@
 	}
 	spec, err := r.o.Text(ctx, s.Task.Job, s.Home)
 	if err != nil {
-		return "", fmt.Errorf("%w: get spec: %w", runner.ErrUnknown, err) // does not count against the worker
+		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
 	return spec, nil
 }
@@ -220,7 +220,7 @@
 	}
 	spec, err := r.o.Text(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
 	if err != nil {
-		return nil, fmt.Errorf("%w: get spec: %w", runner.ErrUnknown, err)
+		return nil, fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err)
 	}
 	return r.ask(ctx, c, o, r.specFor(c, o.Task.Job, spec))
 }
@@ -234,7 +234,7 @@
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrGone), errors.Is(err, runner.ErrOld):
 		return err // these hold for the first order as well
 	}
-	return fmt.Errorf("%w: refused when issued again: %w", runner.ErrUnknown, errors.New(err.Error()))
+	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
 }
 
 // ask sends an order to a relay and waits for its outcome.
@@ -258,7 +258,7 @@
 		if r.answeredSince(c, put) {
 			r.noteMissed(c, o.Worker)
 		}
-		return nil, fmt.Errorf("%w: through relay %s: %w", runner.ErrUnknown, c.member.Name, ctx.Err())
+		return nil, fmt.Errorf("%w: by %s: %w", runner.ErrUnknown, c.member.Name, ctx.Err())
 	case <-r.ctx.Done():
 		return nil, fmt.Errorf("%w: %w", runner.ErrUnknown, context.Cause(r.ctx))
 	}
