--- a/process/fleet/cell_test.go
+++ b/process/fleet/cell_test.go
@@ -20,15 +20,15 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// gate is one daemon's way to the store; closed, calls wait as in a paused
-// process or a network cut.
+// gate is one daemon's access to the store. While it is closed, calls wait, as in a
+// suspended process or a network partition.
 type gate struct {
 	store.Store
 	mu     sync.Mutex
 	closed chan struct{}
 }
 
-func (g *gate) shut(closed bool) {
+func (g *gate) setClosed(closed bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	switch {
@@ -76,7 +76,7 @@
 	return g.Store.Get(ctx, key)
 }
 
-// daemon is one running life.
+// daemon is a running incarnation.
 type daemon struct {
 	*Fleet
 	gate   *gate
@@ -100,19 +100,19 @@
 	return &cell{t: t, net: net, mem: kv.New(), daemons: make(map[peer.MemberID]*daemon)}
 }
 
-// start begins a new life of the member.
+// start starts a new incarnation of the member.
 func (c *cell) start(id peer.MemberID) *daemon { return c.startAbove(id, 0) }
 
 func (c *cell) startAbove(id peer.MemberID, floor uint64) *daemon {
 	g := &gate{Store: c.mem}
 	handle := store.NewClient(g, store.Options{Log: zerolog.Nop()}).Role(store.RoleMembers)
 	claimCtx, done := context.WithTimeout(context.Background(), 2*time.Second)
-	life := ClaimLife(claimCtx, handle, id, floor)
+	claimed := ClaimLife(claimCtx, handle, id, floor)
 	done()
-	caller, mux := c.net.Node(life.Ref)
+	caller, mux := c.net.Node(claimed.Ref)
 	o := Options{
 		Self:        Member{Zone: "z", PeerAddr: string(id), Protocol: 1},
-		Life:        life,
+		Life:        claimed,
 		Store:       handle,
 		Caller:      caller,
 		Registrar:   mux,
@@ -131,7 +131,7 @@
 	return d
 }
 
-// crash ends a life without a word.
+// crash ends an incarnation without Leave.
 func (c *cell) crash(id peer.MemberID) peer.Ref {
 	d := c.daemons[id]
 	c.net.Stop(d.self)
@@ -141,7 +141,7 @@
 	return d.self
 }
 
-// restartEvicted does what a process does whose life is over.
+// restartEvicted restarts evicted daemons, as their processes do, and returns how many.
 func (c *cell) restartEvicted() int {
 	restarted := 0
 	for id, d := range c.daemons {
@@ -166,8 +166,8 @@
 	synctest.Wait()
 }
 
-// agreed reports whether every daemon sees exactly the running ones, alive.
-func (c *cell) agreed() bool {
+// converged reports whether every daemon sees exactly the running ones, all Alive.
+func (c *cell) converged() bool {
 	for _, d := range c.daemons {
 		members := d.Members()
 		if len(members) != len(c.daemons) {
--- a/process/fleet/fleet.go
+++ b/process/fleet/fleet.go
@@ -1,25 +1,24 @@
-// Package fleet keeps the list of the cell's daemons: registration in the
-// store under one lease per daemon, peer probes over QUIC, suspicion with
-// refutation, and departure.
+// Package fleet maintains the membership list of the cell's daemons: registration
+// in the store under one lease per daemon, failure detection by probes over QUIC with
+// suspicion and refutation (as in SWIM), and planned departure.
 //
-// Guarantees: a store outage removes no member; a member that restarted has a
-// higher incarnation; a member once seen gone in an incarnation never comes
-// back in it.
+// Guarantees: a store outage removes no member; a restarted member has a higher
+// incarnation; an incarnation that has been seen as Gone never returns.
 package fleet
 
 import (
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// State is what this daemon believes of a member.
+// State is the state of a member in the view of this daemon.
 type State string
 
 // States of a member.
 const (
 	Alive   State = "alive"
 	Suspect State = "suspect" // probes fail; keeps its ownership, gets no new work
-	Leaving State = "leaving" // planned stop; hands over, finishes what runs
-	Gone    State = "gone"    // left, lease lapsed and probes fail, or replaced
+	Leaving State = "leaving" // planned stop; transfers its resources, finishes running work
+	Gone    State = "gone"    // left, lease expired and probes fail, or replaced
 )
 
 // Member is one daemon.
@@ -34,24 +33,24 @@
 	ForwardAddr string `json:"forward_addr" cbor:"6,keyasint"`
 	// AdminAddr is the TCP address of the administration API.
 	AdminAddr string `json:"admin_addr" cbor:"7,keyasint"`
-	// Protocol is the highest protocol version that the daemon speaks.
+	// Protocol is the highest protocol version that the daemon supports.
 	Protocol int   `json:"protocol" cbor:"8,keyasint"`
 	State    State `json:"state" cbor:"9,keyasint"`
 }
 
-// View is a read-only view of the members; safe for concurrent use.
+// View is a read-only view of the members. It is safe for concurrent use.
 type View interface {
 	// Self returns this daemon's entry.
 	Self() Member
 	// Members returns every member that is not Gone, self included, sorted by
 	// ID. The slice is shared and must not be changed.
 	Members() []Member
-	// Lookup returns the newest known entry of the member, also when Gone.
+	// Lookup returns the latest known entry of the member, even if it is Gone.
 	Lookup(id peer.MemberID) (Member, bool)
-	// Gone reports whether that life of the member is known to have ended: it
-	// left, a higher incarnation registered, or its store lease lapsed while
+	// Gone reports whether an incarnation of a member is known to have ended: it
+	// left, a higher incarnation registered, or its store lease expired while
 	// probes failed.
 	Gone(ref peer.Ref) bool
-	// Changed returns a channel closed at the next change of the view.
+	// Changed returns a channel that is closed at the next change of the view.
 	Changed() <-chan struct{}
 }
--- a/process/fleet/fleet_test.go
+++ b/process/fleet/fleet_test.go
@@ -14,7 +14,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// inCell runs f in a bubble with n daemons that know each other.
+// inCell runs f in a bubble with n daemons that have converged.
 func inCell(t *testing.T, n int, f func(t *testing.T, c *cell)) {
 	t.Helper()
 	synctest.Test(t, func(t *testing.T) {
@@ -23,14 +23,14 @@
 			c.start(id)
 		}
 		defer c.close()
-		c.within(20*time.Second, "start", c.agreed)
+		c.within(20*time.Second, "start", c.converged)
 		f(t, c)
 	})
 }
 
-// Symptom: a dead daemon keeps its partitions, or a live one loses them.
-// Sequence: one of eight daemons crashes.
-// Cause: neither probes nor the store lease alone tell a dead daemon.
+// Guards against a dead daemon that keeps its partitions, and a running one that loses
+// them, when one of eight daemons crashes: neither probes nor the store lease alone show
+// that a daemon has failed.
 func TestCrashIsSuspectedThenGone(t *testing.T) {
 	inCell(t, 8, func(t *testing.T, c *cell) {
 		ref := c.crash("dac")
@@ -40,31 +40,31 @@
 		}))
 		gone := c.within(30*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.Gone(ref) }))
 		t.Logf("suspected everywhere after %s, gone after %s more", suspected, gone)
-		require.True(t, c.agreed())
+		require.True(t, c.converged())
 	})
 }
 
-// Symptom: an outage of the store ends every daemon's membership.
-// Sequence: the store is down for an hour, its leases lapse; one daemon is
-// restarted and a new one joins by a seed meanwhile; the store returns.
-// Cause: a lapsed store lease was taken for a dead daemon.
+// Guards against a store outage that ends every daemon's membership: the store is down for
+// an hour and its leases expire; meanwhile one daemon is restarted and a new one joins
+// through a seed; the store returns. An expired store lease alone must not count as a
+// failed daemon.
 func TestStoreOutageRemovesNobody(t *testing.T) {
 	inCell(t, 6, func(t *testing.T, c *cell) {
 		c.mem.SetFaults(kv.Faults{Down: true})
 		time.Sleep(30 * time.Minute)
-		require.True(t, c.agreed())
+		require.True(t, c.converged())
 		c.seeds = []string{"daa", "dab"}
 		earlier := c.crash("dac")
 		later := c.start("dac")
 		require.Greater(t, later.self.Incarnation, earlier.Incarnation)
 		c.start("dzz")
-		c.within(20*time.Second, "join in the outage", c.agreed)
+		c.within(20*time.Second, "join in the outage", c.converged)
 		require.True(t, c.daemons["daa"].Gone(earlier))
 		time.Sleep(30 * time.Minute)
 		c.mem.SetFaults(kv.Faults{})
 		for range 60 {
 			time.Sleep(time.Second)
-			require.True(t, c.agreed())
+			require.True(t, c.converged())
 		}
 		require.Zero(t, c.restartEvicted())
 		for _, d := range c.daemons {
@@ -74,35 +74,31 @@
 	})
 }
 
-// Symptom: a daemon cut off from the store alone is declared dead.
-// Sequence: one daemon cannot reach the store, its lease lapses, its peers
-// still hear it; then it is cut off from its peers too and later comes back.
-// Cause: the lapse alone was taken for an end; after both, it must not come
-// back in the same life.
-func TestLapseAloneIsNotGone(t *testing.T) {
+// Guards against the eviction of a daemon that is cut off from the store only: its lease
+// expires, but its peers still reach it. Then it is cut off from its peers as well and
+// later returns; after both it must not return as the same incarnation.
+func TestExpiredLeaseAloneDoesNotEvict(t *testing.T) {
 	inCell(t, 6, func(t *testing.T, c *cell) {
 		d := c.daemons["dab"]
-		d.gate.shut(true)
+		d.gate.setClosed(true)
 		time.Sleep(2 * time.Minute)
-		require.True(t, c.agreed())
+		require.True(t, c.converged())
 		c.net.Pause(d.self)
 		c.within(time.Minute, "gone", func() bool { return c.daemons["daa"].Gone(d.self) })
 		cause, _ := c.daemons["daa"].Ended(d.self)
-		require.Equal(t, Lapsed, cause)
+		require.Equal(t, LeaseExpired, cause)
 		c.net.Resume(d.self)
-		d.gate.shut(false)
+		d.gate.setClosed(false)
 		c.within(time.Minute, "evicted", func() bool { return c.restartEvicted() == 1 })
 		require.Equal(t, Gone, d.Self().State)
 		require.ErrorIs(t, d.Drain(context.Background()), ErrStopped)
-		c.within(time.Minute, "back in a later life", c.agreed)
+		c.within(time.Minute, "back in a later incarnation", c.converged)
 	})
 }
 
-// Symptom: a daemon that its peers cannot reach is declared dead although it
-// works.
-// Sequence: one daemon is cut off from all peers, not from the store.
-// Cause: failed probes alone were taken for an end.
-func TestFailedProbesAloneAreNotGone(t *testing.T) {
+// Guards against the eviction of a working daemon that is cut off from all peers, but not
+// from the store: failed probes alone must not count as a failed daemon.
+func TestFailedProbesAloneDoNotEvict(t *testing.T) {
 	inCell(t, 6, func(t *testing.T, c *cell) {
 		d := c.daemons["dab"]
 		c.net.Pause(d.self)
@@ -112,14 +108,13 @@
 		require.Equal(t, Suspect, m.State)
 		require.False(t, c.daemons["daa"].Gone(d.self))
 		c.net.Resume(d.self)
-		c.within(20*time.Second, "refuted", c.agreed)
+		c.within(20*time.Second, "refuted", c.converged)
 	})
 }
 
-// Symptom: new work goes to a daemon whose VM is being taken away, or a planned
-// stop waits for a lease to lapse.
-// Sequence: the VM list marks one daemon leaving; another drains and leaves.
-// Cause: the news did not spread.
+// Guards against new work for a daemon whose VM is being removed, and a planned stop that
+// waits for a lease to expire: the VM list marks one daemon as leaving, another one drains
+// and leaves, and both changes must spread.
 func TestLeaving(t *testing.T) {
 	inCell(t, 8, func(t *testing.T, c *cell) {
 		ctx := context.Background()
@@ -152,9 +147,9 @@
 	})
 }
 
-// Symptom: a daemon whose VM was taken away in an outage stays a member.
-// Sequence: the store is down, a VM leaves the list and its daemon is silent.
-// Cause: without the store nobody could record the end.
+// Guards against a daemon that remains a member although its VM was removed in a store
+// outage, in which its end cannot be recorded: the VM leaves the list and the daemon does
+// not respond.
 func TestVMRemovedInOutage(t *testing.T) {
 	inCell(t, 6, func(t *testing.T, c *cell) {
 		ctx := context.Background()
@@ -174,10 +169,9 @@
 	})
 }
 
-// Symptom: a restarted daemon acts on what was meant for its earlier self.
-// Sequence: a daemon is restarted twice at once, with the store up.
-// Cause: the address stayed the same.
-func TestRestartIsAnotherLife(t *testing.T) {
+// Guards against a restarted daemon that acts on messages for its earlier incarnation, which
+// had the same address: a daemon is restarted twice in quick succession, with the store up.
+func TestRestartIsAnotherIncarnation(t *testing.T) {
 	inCell(t, 4, func(t *testing.T, c *cell) {
 		first := c.crash("dab")
 		second := c.start("dab").self
@@ -185,7 +179,7 @@
 		third := c.start("dab").self
 		require.Greater(t, second.Incarnation, first.Incarnation)
 		require.Greater(t, third.Incarnation, second.Incarnation)
-		c.within(20*time.Second, "third life", c.agreed)
+		c.within(20*time.Second, "third incarnation", c.converged)
 		for _, ref := range []peer.Ref{first, second} {
 			require.True(t, c.daemons["daa"].Gone(ref))
 		}
@@ -193,10 +187,9 @@
 	})
 }
 
-// Symptom: the renewals of a large fleet use up the store's budget.
-// Sequence: 130 daemons start at once; each saw a small fleet when it opened
-// its lease.
-// Cause: the lease kept the time to live that suited the small fleet.
+// Guards against the renewals of a large fleet exhausting the store's request budget: 130
+// daemons start at once, each sees a small fleet when it gets its lease, and the lease kept
+// the TTL for that size.
 func TestLeaseGrowsWithTheFleet(t *testing.T) {
 	inCell(t, 130, func(t *testing.T, c *cell) {
 		fits := c.everyone(func(d *daemon) bool {
@@ -206,17 +199,16 @@
 		before := c.mem.Counts().Renew
 		time.Sleep(time.Minute)
 		require.Less(t, (c.mem.Counts().Renew-before)/60, 60)
-		require.True(t, c.agreed())
+		require.True(t, c.converged())
 		for _, d := range c.daemons {
 			require.EqualValues(t, 0, d.Stats().Evictions.Value())
 		}
 	})
 }
 
-// Symptom: two processes act as one life.
-// Sequence: in an outage a daemon takes an incarnation from the clock that
-// another process of the same name has claimed in the store.
-// Cause: the number alone does not tell the two apart.
+// Guards against two processes that act as the same incarnation: in an outage a daemon
+// takes an incarnation from the clock that another process of the same name has claimed in
+// the store. The number alone does not distinguish them.
 func TestSameIncarnationOfAnotherProcess(t *testing.T) {
 	mine := Life{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
 	theirs := Life{Ref: mine.Ref, owner: "they"}
@@ -231,10 +223,9 @@
 	require.NotEqual(t, record, again, "a registration must make a concurrent swap fail")
 }
 
-// Symptom: a crashed daemon is suspected by some only once it is gone.
-// Sequence: a member refuted a suspicion and one daemon missed it; it suspects
-// the member later, with the old counter.
-// Cause: those who know the newer counter ignored the suspicion in silence.
+// Guards against a crashed daemon that some members never suspect until it is Gone: a member
+// refuted a suspicion, one daemon missed that and later suspects the member with the old
+// counter, and members with the newer counter ignored the suspicion without an answer.
 func TestOldSuspicionIsAnswered(t *testing.T) {
 	f := New(Options{Self: Member{Ref: peer.Ref{ID: "me", Incarnation: 1}}, Registrar: peer.NewMux()})
 	l := f.loop
@@ -243,11 +234,11 @@
 	reply := make(chan ack, 1)
 	old := delta{ID: "b", Incarnation: 1, Counter: 1, Flags: flagSuspect}
 	pingReceived{from: peer.Ref{ID: "a", Incarnation: 1}, ping: ping{Deltas: []delta{old}}, ack: reply}.apply(l)
-	var told []uint32
+	var counters []uint32
 	for _, d := range (<-reply).Deltas {
 		if d.ID == "b" {
-			told = append(told, d.Counter)
+			counters = append(counters, d.Counter)
 		}
 	}
-	require.Equal(t, []uint32{2}, told)
+	require.Equal(t, []uint32{2}, counters)
 }
--- a/process/fleet/fleettest/view.go
+++ b/process/fleet/fleettest/view.go
@@ -1,4 +1,4 @@
-// Package fleettest has a fleet view for tests whose members the test sets.
+// Package fleettest provides a fleet.View for tests, whose members are set by the test.
 package fleettest
 
 import (
@@ -10,7 +10,7 @@
 	"fennelshunt.example/fennelshunt/process/fleet"
 )
 
-// View is a fleet.View; safe for concurrent use.
+// View is a fleet.View with settable members. It is safe for concurrent use.
 type View struct {
 	mu      sync.Mutex
 	self    fleet.Member
@@ -21,8 +21,8 @@
 
 var _ fleet.View = (*View)(nil)
 
-// NewView returns the view of self, with self and the others as members. A
-// member without a state is alive.
+// NewView returns the view of self, with self and the others as members. A member
+// without a state is Alive.
 func NewView(self fleet.Member, others ...fleet.Member) *View {
 	v := &View{
 		self:    withState(self),
@@ -44,8 +44,8 @@
 	return m
 }
 
-// Set adds or replaces a member. A higher incarnation ends the earlier one; a
-// life that is gone stays gone.
+// Set adds or replaces a member. A higher incarnation ends the earlier one; an
+// incarnation that is Gone stays so.
 func (v *View) Set(m fleet.Member) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
@@ -71,7 +71,7 @@
 	v.bump()
 }
 
-// SetState changes the state of a member that is known.
+// SetState changes the state of a known member.
 func (v *View) SetState(id peer.MemberID, s fleet.State) {
 	if m, ok := v.Lookup(id); ok {
 		m.State = s
@@ -79,7 +79,7 @@
 	}
 }
 
-// SetGone ends the life of a member.
+// SetGone ends an incarnation of a member.
 func (v *View) SetGone(ref peer.Ref) {
 	if m, ok := v.Lookup(ref.ID); ok && m.Ref == ref {
 		v.SetState(ref.ID, fleet.Gone)
--- a/process/fleet/follow.go
+++ b/process/fleet/follow.go
@@ -7,20 +7,20 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// storeChanged is what the store's watch reported.
+// storeChanged is a report of the store's watch.
 type storeChanged struct {
 	items   []store.Item
 	deleted []string
 	reset   bool
 }
 
-// lifeSight is a life record as last read, for compaction.
-type lifeSight struct {
-	record   lifeRecord
+// storedRecord is an incarnation record as last read, for compaction.
+type storedRecord struct {
+	record   incarnationRecord
 	revision store.Revision
 }
 
-// follow feeds the loop with the members that the store lists.
+// follow passes the members in the store, and their changes, to the loop.
 func (f *Fleet) follow(ctx context.Context) error {
 	return f.options.Store.Follow(ctx, keyPrefix, func(items []store.Item, deleted []string, reset bool) {
 		// An error of post means that the loop has ended.
@@ -33,7 +33,7 @@
 		for _, e := range l.table.entries {
 			e.registered = false
 		}
-		clear(l.lives)
+		clear(l.records)
 	}
 	for _, item := range s.items {
 		l.storeItem(item)
@@ -46,8 +46,8 @@
 	}
 }
 
-// storeItem merges one record. The news is not passed on: everyone who can
-// read the store reads it there, the others find out by the digest.
+// storeItem merges one record. It is not gossiped: daemons that reach the store read it
+// there, and the others detect the difference by the digest.
 func (l *loop) storeItem(item store.Item) {
 	id, alive, ok := splitKey(item.Key)
 	if !ok {
@@ -57,12 +57,12 @@
 		l.storeAlive(id, item)
 		return
 	}
-	record, err := decodeLife(item.Data)
+	record, err := decodeIncarnation(item.Data)
 	if err != nil {
-		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("life record not readable")
+		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("incarnation record cannot be decoded")
 		return
 	}
-	l.lives[id] = lifeSight{record: record, revision: item.Revision}
+	l.records[id] = storedRecord{record: record, revision: item.Revision}
 	if record.Ended > 0 {
 		l.merge(delta{ID: id, Incarnation: record.Ended, Ended: record.Cause}, false)
 	}
@@ -71,7 +71,7 @@
 func (l *loop) storeAlive(id peer.MemberID, item store.Item) {
 	m, err := decodeMember(item.Data)
 	if err != nil || m.ID != id {
-		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("member record not readable")
+		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("member record cannot be decoded")
 		return
 	}
 	l.merge(delta{ID: id, Incarnation: m.Incarnation, Info: infoOf(m)}, false)
@@ -80,16 +80,15 @@
 	}
 }
 
-// storeDeleted notes that an alive key went with its lease. By itself that
-// changes nothing in the view: the store may have been cut off from a member
-// that answers its peers.
+// storeDeleted records that an alive key was deleted with its lease. By itself that does
+// not change the view: a member that answers its peers may be cut off from the store.
 func (l *loop) storeDeleted(key string) {
 	id, alive, ok := splitKey(key)
 	if !ok {
 		return
 	}
 	if !alive {
-		delete(l.lives, id)
+		delete(l.records, id)
 		return
 	}
 	if e := l.table.entries[id]; e != nil {
--- a/process/fleet/fuzz_test.go
+++ b/process/fleet/fuzz_test.go
@@ -10,7 +10,7 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// addSeeds gives a fuzzer a whole, a cut and a broken encoding of v.
+// addSeeds adds a complete, a truncated and an invalid encoding of v to the corpus.
 func addSeeds(f *testing.F, v any) {
 	data, err := peer.Marshal(v)
 	require.NoError(f, err)
@@ -24,7 +24,7 @@
 	return delta{ID: "a", Incarnation: 3, Counter: 1, Flags: flagSuspect, Info: infoOf(m)}
 }
 
-// mergeAndCheck joins deltas of any content: the guarantees must hold.
+// mergeAndCheck merges arbitrary deltas and checks the guarantees.
 func mergeAndCheck(t *testing.T, deltas []delta) {
 	table := newTable()
 	table.merge(delta{ID: "a", Incarnation: 2}, time.Time{})
@@ -57,18 +57,18 @@
 	})
 }
 
-// FuzzLifeRecord checks that whatever the store holds, a life that was ended
-// there cannot be confirmed, and one that is confirmed is the newest.
-func FuzzLifeRecord(f *testing.F) {
-	addSeeds(f, lifeRecord{Incarnation: 3, Owner: "o", Ended: 2, Cause: Lapsed})
-	life := Life{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
+// FuzzIncarnationRecord checks that, whatever the store has, an incarnation that has ended
+// there cannot be confirmed, and that a confirmed one is the latest.
+func FuzzIncarnationRecord(f *testing.F) {
+	addSeeds(f, incarnationRecord{Incarnation: 3, Owner: "o", Ended: 2, Cause: LeaseExpired})
+	claimed := Life{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
 	f.Fuzz(func(t *testing.T, data []byte) {
-		before, err := decodeLife(data)
+		before, err := decodeIncarnation(data)
 		if err != nil {
 			return
 		}
-		next, err := life.confirm(data, true)
-		if before.Ended >= life.Ref.Incarnation || before.Incarnation > life.Ref.Incarnation {
+		next, err := claimed.confirm(data, true)
+		if before.Ended >= claimed.Ref.Incarnation || before.Incarnation > claimed.Ref.Incarnation {
 			require.ErrorIs(t, err, ErrEvicted)
 			return
 		}
@@ -76,9 +76,9 @@
 			require.ErrorIs(t, err, ErrEvicted)
 			return
 		}
-		after, err := decodeLife(next)
+		after, err := decodeIncarnation(next)
 		require.NoError(t, err)
-		require.Equal(t, life.Ref.Incarnation, after.Incarnation)
+		require.Equal(t, claimed.Ref.Incarnation, after.Incarnation)
 		require.GreaterOrEqual(t, after.Incarnation, before.Incarnation)
 		require.GreaterOrEqual(t, after.Ended, before.Ended)
 		require.Less(t, after.Ended, after.Incarnation)
@@ -100,8 +100,8 @@
 	})
 }
 
-// FuzzHandlers feeds the peer methods bytes that are no message: they refuse
-// them before the loop sees them.
+// FuzzHandlers calls the peer methods with arbitrary bytes: they must be refused before
+// they reach the loop.
 func FuzzHandlers(f *testing.F) {
 	addSeeds(f, pingVia{Target: peer.Ref{ID: "a", Incarnation: 1}, Budget: 1})
 	fleet := New(Options{Self: Member{Ref: peer.Ref{ID: "me", Incarnation: 1}}, Registrar: peer.NewMux(), Caller: nowhere{}})
@@ -117,7 +117,7 @@
 	})
 }
 
-// nowhere reaches nobody.
+// nowhere is a peer.Caller that reaches no member.
 type nowhere struct{}
 
 func (nowhere) Call(context.Context, peer.Ref, peer.Method, any, any) error {
--- a/process/fleet/gossip.go
+++ b/process/fleet/gossip.go
@@ -7,35 +7,33 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// retransmit scales how often a delta is passed on: this many times the
-// logarithm of the fleet, after which all know it with high probability. The
-// digest finds those who don't.
+// retransmit is the number of times that a delta is sent, as a multiple of the logarithm
+// of the fleet's size. After that all members have it with high probability; the digest
+// detects those that do not.
 const retransmit = 3
 
-// rumor is one member whose delta still has to be passed on.
+// rumor is a member whose delta is being gossiped.
 type rumor struct {
 	id       peer.MemberID
 	sent     int
 	withInfo bool
 }
 
-// gossip chooses the deltas that ride on the next message.
+// gossip chooses the deltas that are piggybacked on the next message.
 type gossip struct {
 	rumors map[peer.MemberID]*rumor
 }
 
 func newGossip() *gossip { return &gossip{rumors: make(map[peer.MemberID]*rumor)} }
 
-// add starts passing on the member's delta, from the beginning if it already
-// was.
+// add starts, or restarts, gossiping the member's delta.
 func (g *gossip) add(id peer.MemberID, withInfo bool) {
 	old := g.rumors[id]
 	g.rumors[id] = &rumor{id: id, withInfo: withInfo || old != nil && old.withInfo}
 }
 
-// take returns up to maxDeltas deltas, the least passed on first. A delta
-// about the receiver goes first when it is suspected: it must learn of that to
-// refute it.
+// take returns up to maxDeltas deltas, those sent least often first. If the receiver is
+// suspected, its own delta comes first, so that it can refute the suspicion.
 func (g *gossip) take(t *table, to peer.MemberID, size int) []delta {
 	var deltas []delta
 	if e := t.entries[to]; e != nil && e.suspect() && e.Ended == NotEnded {
--- a/process/fleet/handler.go
+++ b/process/fleet/handler.go
@@ -10,10 +10,10 @@
 // maxViaBudget bounds a probe on behalf of another daemon.
 const maxViaBudget = 5 * time.Second
 
-// endedInSync bounds the ended lives told in one sync.
+// endedInSync bounds the ended incarnations in one sync.
 const endedInSync = 256
 
-// pingReceived is a ping that waits for its ack.
+// pingReceived is a received ping that waits for its ack.
 type pingReceived struct {
 	from peer.Ref
 	ping ping
@@ -33,15 +33,15 @@
 }
 
 func (p pingReceived) apply(l *loop) {
-	l.lastHeard = time.Now()
+	l.lastContact = time.Now()
 	l.mergeAll(p.ping.Deltas)
 	if e := l.table.entries[p.from.ID]; e == nil || e.Incarnation < p.from.Incarnation {
-		// A life never heard of: its addresses come with a sync.
+		// An unknown incarnation: its addresses are fetched by a sync.
 		l.merge(delta{ID: p.from.ID, Incarnation: p.from.Incarnation}, true)
 	}
 	answer := ack{Deltas: l.gossip.take(l.table, p.from.ID, len(l.fleet.Members())), Digest: l.table.digest}
 	if e := l.table.entries[p.from.ID]; e.Incarnation == p.from.Incarnation && e.Ended != NotEnded {
-		// The sender is over and does not know: it must hear it at once.
+		// The sender's incarnation has ended and it must be told at once.
 		answer.Deltas = append(answer.Deltas, delta{ID: e.ID, Incarnation: e.Incarnation, Ended: e.Ended})
 	}
 	p.ack <- answer
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if m, ok := f.Lookup(request.Target.ID); !ok || m.Ref != request.Target || m.State == Suspect {
-		return pingViaAck{}, nil // nothing to learn for the price of a handshake
+		return pingViaAck{}, nil // not worth the cost of a handshake
 	}
 	limit := min(time.Duration(request.Budget)*time.Millisecond, maxViaBudget)
 	ctx, cancel := context.WithTimeout(ctx, limit)
@@ -64,7 +64,7 @@
 	return pingViaAck{Reached: err == nil}, nil
 }
 
-// syncReceived is a request for the whole list.
+// syncReceived is a received request for the whole list.
 type syncReceived struct {
 	request syncRequest
 	reply   chan<- syncReply
@@ -90,7 +90,7 @@
 			reply.Members = append(reply.Members, e.delta)
 		}
 	}
-	for _, e := range l.table.newestEnded(endedInSync) {
+	for _, e := range l.table.latestEnded(endedInSync) {
 		d := e.delta
 		d.Info = nil
 		reply.Members = append(reply.Members, d)
--- a/process/fleet/life.go
+++ b/process/fleet/incarnation.go
@@ -14,23 +14,23 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// ErrEvicted says that this life of the daemon is over: the others took it for
-// gone or a later life appeared. The process drops its state, ends what it
-// serves and starts anew with a later incarnation.
-var ErrEvicted = errors.New("fleet: this life of the daemon is over")
+// ErrEvicted means that this incarnation of the daemon has ended: the others evicted
+// it, or a later incarnation appeared. The process drops its state, stops serving and
+// starts again with a later incarnation.
+var ErrEvicted = errors.New("fleet: this incarnation of the daemon was evicted")
 
-// EvictedError carries what the next life has to know. It matches ErrEvicted
-// and ends the supervisor tree that runs the fleet.
+// EvictedError has the information that the next incarnation needs. It matches
+// ErrEvicted and terminates the supervisor tree that runs the fleet.
 type EvictedError struct {
 	Cause Cause
-	// Floor is an incarnation that the next life must exceed.
+	// Floor is a number that the next incarnation must exceed.
 	Floor uint64
 }
 
 // Error implements error.
 func (e *EvictedError) Error() string { return fmt.Sprintf("%v: %s", ErrEvicted, e.Cause) }
 
-// Unwrap implements the matching of errors.Is.
+// Unwrap returns the errors that errors.Is matches.
 func (e *EvictedError) Unwrap() []error {
 	return []error{ErrEvicted, suture.ErrTerminateSupervisorTree}
 }
@@ -38,50 +38,50 @@
 // Life is a claimed incarnation.
 type Life struct {
 	Ref   peer.Ref
-	owner string // see lifeRecord.Owner
-	// Provisional is set when the store could not be reached: the incarnation
-	// comes from the clock and is confirmed when the daemon registers.
+	owner string // see incarnationRecord.Owner
+	// Provisional is set if the store could not be reached: the incarnation is taken
+	// from the clock and is confirmed when the daemon registers.
 	Provisional bool
 }
 
-// ClaimLife chooses the incarnation of a starting daemon: above floor, above
-// every earlier one by compare-and-swap in the store, and not below the clock
-// in milliseconds. The clock makes it rise also while the store is down, when
-// the daemon cannot read its earlier incarnations: with a plain counter two
-// restarts in an outage would take the same one and be taken for each other.
-// It gives up on the store when ctx ends and returns a provisional life.
+// ClaimLife chooses the incarnation of a starting daemon: above floor, above every
+// earlier one, by compare-and-swap in the store, and not below the clock in
+// milliseconds. With the clock it rises even while the store is down and the daemon
+// cannot read its earlier incarnations: with a plain counter, two restarts in an
+// outage would choose the same number and be mistaken for each other. When ctx ends
+// before the store has answered, the result is provisional.
 func ClaimLife(ctx context.Context, members *store.Handle, id peer.MemberID, floor uint64) Life {
-	life := Life{
+	claimed := Life{
 		Ref:   peer.Ref{ID: id, Incarnation: max(clock(), floor+1)},
 		owner: uuid.NewString(),
 	}
 	for ctx.Err() == nil {
-		err := claim(ctx, members, &life)
+		err := claim(ctx, members, &claimed)
 		if err == nil {
-			return life
+			return claimed
 		}
-		_ = sleep.For(ctx, claimRetry) // the loop looks at ctx
+		_ = sleep.For(ctx, claimRetry) // the loop checks ctx
 	}
-	life.Provisional = true
-	return life
+	claimed.Provisional = true
+	return claimed
 }
 
 const claimRetry = 200 * time.Millisecond
 
 func clock() uint64 { return uint64(time.Now().UnixMilli()) }
 
-func claim(ctx context.Context, members *store.Handle, life *Life) error {
-	_, err := members.Update(ctx, lifeKey(life.Ref.ID), func(cur []byte, exists bool) ([]byte, error) {
-		var rec lifeRecord
+func claim(ctx context.Context, members *store.Handle, claimed *Life) error {
+	_, err := members.Update(ctx, incarnationKey(claimed.Ref.ID), func(cur []byte, exists bool) ([]byte, error) {
+		var rec incarnationRecord
 		if exists {
 			var err error
-			if rec, err = decodeLife(cur); err != nil {
+			if rec, err = decodeIncarnation(cur); err != nil {
 				return nil, err
 			}
 		}
-		life.Ref.Incarnation = max(life.Ref.Incarnation, rec.Incarnation+1, rec.Ended+1)
-		rec.endEarlier(life.Ref.Incarnation)
-		rec.Incarnation, rec.Owner = life.Ref.Incarnation, life.owner
+		claimed.Ref.Incarnation = max(claimed.Ref.Incarnation, rec.Incarnation+1, rec.Ended+1)
+		rec.endEarlier(claimed.Ref.Incarnation)
+		rec.Incarnation, rec.Owner = claimed.Ref.Incarnation, claimed.owner
 		rec.Registrations = 0
 		rec.ChangedAt = time.Now().Unix()
 		return peer.Marshal(rec)
@@ -89,21 +89,21 @@
 	return err
 }
 
-// endEarlier marks the lives before the incarnation as replaced.
-func (r *lifeRecord) endEarlier(incarnation uint64) {
+// endEarlier marks the incarnations before the given one as replaced.
+func (r *incarnationRecord) endEarlier(incarnation uint64) {
 	if r.Incarnation > 0 && r.Incarnation < incarnation && r.Ended < r.Incarnation {
 		r.Ended, r.Cause = r.Incarnation, Replaced
 	}
 }
 
-// confirm is the life's step of a registration in the store: it fails with an
-// *EvictedError when the life was ended or another process holds a life that
-// is as new or newer.
+// confirm updates the incarnation record for a registration. It fails with an
+// *EvictedError if the incarnation has ended, or if another process has claimed the
+// same or a later one.
 func (l Life) confirm(cur []byte, exists bool) ([]byte, error) {
-	var rec lifeRecord
+	var rec incarnationRecord
 	if exists {
 		var err error
-		if rec, err = decodeLife(cur); err != nil {
+		if rec, err = decodeIncarnation(cur); err != nil {
 			return nil, err
 		}
 	}
@@ -121,16 +121,16 @@
 	return peer.Marshal(rec)
 }
 
-// errAlreadyLater stops an update that would say nothing new.
+// errAlreadyLater stops an update that would change nothing.
 var errAlreadyLater = store.ErrNoChange
 
-// end records that the life is over.
+// end returns an update of the incarnation record that records the end of ref.
 func end(ref peer.Ref, cause Cause) func([]byte, bool) ([]byte, error) {
 	return func(cur []byte, exists bool) ([]byte, error) {
-		var rec lifeRecord
+		var rec incarnationRecord
 		if exists {
 			var err error
-			if rec, err = decodeLife(cur); err != nil {
+			if rec, err = decodeIncarnation(cur); err != nil {
 				return nil, err
 			}
 		}
--- a/process/fleet/leave.go
+++ b/process/fleet/leave.go
@@ -10,8 +10,8 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// farewellTimeout bounds how long Leave waits for each peer that it tells.
-const farewellTimeout = time.Second
+// notifyTimeout bounds how long Leave waits for the peers that it notifies.
+const notifyTimeout = time.Second
 
 // drain marks this daemon as leaving.
 type drain struct{ done chan<- struct{} }
@@ -24,49 +24,49 @@
 	close(d.done)
 }
 
-// leave ends this life and the loop.
-type leave struct{ farewell chan<- []farewell }
+// leave ends this incarnation and the loop.
+type leave struct{ leaveMessage chan<- []leaveMessage }
 
 // farewell is the last ping to one peer.
-type farewell struct {
+type leaveMessage struct {
 	to      peer.Ref
 	message ping
 }
 
 func (v leave) apply(l *loop) {
-	l.failure = errLeft // before the merge, which would else take it for an eviction
+	l.failure = errLeft // set before the merge, which would otherwise report an eviction
 	own := l.table.entries[l.fleet.self.ID].delta
 	own.Ended = Left
 	l.merge(own, true)
 	l.publish()
 	own.Info = nil
-	var all []farewell
+	var all []leaveMessage
 	for _, id := range l.targets {
 		if e := l.table.entries[id]; e != nil && e.usable() {
-			all = append(all, farewell{to: e.ref(), message: ping{Deltas: []delta{own}, Digest: l.table.digest}})
+			all = append(all, leaveMessage{to: e.ref(), message: ping{Deltas: []delta{own}, Digest: l.table.digest}})
 		}
 	}
-	v.farewell <- all
+	v.leaveMessage <- all
 }
 
-// Leave ends the membership for good once everything is handed over: the peers
-// are told, the life is recorded as over, and the lease is revoked. The view
-// stays readable and Serve returns. An error means that the store could not
-// be told; the lease then lapses by itself and the peers know already.
+// Leave ends the membership after all resources have been transferred: it notifies the
+// peers, records the end of the incarnation, and revokes the lease. The view stays
+// readable and Serve returns. An error means that the store could not be updated; the
+// lease then expires, and the peers have been notified already.
 func (f *Fleet) Leave(ctx context.Context) error {
-	farewells := make(chan []farewell, 1)
-	if err := f.post(ctx, leave{farewell: farewells}); err != nil {
+	leaveMessages := make(chan []leaveMessage, 1)
+	if err := f.post(ctx, leave{leaveMessage: leaveMessages}); err != nil {
 		if errors.Is(err, ErrStopped) {
 			return nil
 		}
 		return err
 	}
-	f.tell(ctx, <-farewells)
+	f.notifyPeers(ctx, <-leaveMessages)
 	return f.deregister(ctx)
 }
 
-func (f *Fleet) tell(ctx context.Context, all []farewell) {
-	ctx, cancel := context.WithTimeout(ctx, farewellTimeout)
+func (f *Fleet) notifyPeers(ctx context.Context, all []leaveMessage) {
+	ctx, cancel := context.WithTimeout(ctx, notifyTimeout)
 	defer cancel()
 	var group errgroup.Group
 	for _, last := range all {
@@ -75,12 +75,12 @@
 		})
 	}
 	if err := group.Wait(); err != nil {
-		f.options.Log.Debug().Err(err).Msg("a peer did not hear that this daemon left")
+		f.options.Log.Debug().Err(err).Msg("peer not notified that this daemon has left")
 	}
 }
 
-// deregister waits until the registrar has stopped, which could else register
-// once more, and ends the life in the store.
+// deregister waits until the registrar has stopped, which could otherwise register again,
+// and records the end of the incarnation in the store.
 func (f *Fleet) deregister(ctx context.Context) error {
 	if f.options.Store == nil {
 		return nil
@@ -90,7 +90,7 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	_, err := f.options.Store.Update(ctx, lifeKey(f.self.ID), end(f.self, Left))
+	_, err := f.options.Store.Update(ctx, incarnationKey(f.self.ID), end(f.self, Left))
 	if lease := f.StoreLease(); lease != 0 {
 		err = errors.Join(err, f.options.Store.RevokeLease(ctx, lease))
 	}
--- a/process/fleet/loop.go
+++ b/process/fleet/loop.go
@@ -7,15 +7,15 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// event is something the loop acts on; apply runs in the loop's goroutine and
-// does not block.
+// event is an input of the loop. The method apply runs in the loop's goroutine and does
+// not block.
 type event interface {
 	apply(l *loop)
 }
 
 const (
-	// pushDelay collects the changes that arrive together, and pushInterval
-	// bounds how often they are sent out of turn.
+	// pushDelay is the delay for collecting changes that arrive together, and
+	// pushInterval the minimum time between two pushes.
 	pushDelay    = 50 * time.Millisecond
 	pushInterval = 500 * time.Millisecond
 	pushTargets  = 3
@@ -23,7 +23,7 @@
 	remindEvery  = 10 * time.Second
 )
 
-// loop is the control state of the fleet; one goroutine owns it.
+// loop is the state of the membership protocol, confined to one goroutine.
 type loop struct {
 	fleet   *Fleet
 	options *Options
@@ -37,20 +37,20 @@
 	health  health
 	epoch   uint64 // raised after a pause; results of earlier probes are void
 
-	lastTick   time.Time
-	lastPush   time.Time
-	pushTimer  *time.Timer
-	lastHeard  time.Time // any peer was heard
-	lastAgree  time.Time // a peer had the same members
-	lastSync   time.Time
-	lastPrune  time.Time
-	lastRemind time.Time
-	syncing    bool
+	lastTick     time.Time
+	lastPush     time.Time
+	pushTimer    *time.Timer
+	lastContact  time.Time // a message arrived from any peer
+	lastAgree    time.Time // a peer had the same members
+	lastSync     time.Time
+	lastPrune    time.Time
+	lastReminder time.Time
+	syncing      bool
 
-	vms   map[peer.MemberID]*vmSight
-	lives map[peer.MemberID]lifeSight
-	// evictions are the members about whom the store is being asked.
-	evictions map[peer.MemberID]eviction
+	vms     map[peer.MemberID]*vmObservation
+	records map[peer.MemberID]storedRecord
+	// evictions are the tries to evict members through the store.
+	evictions map[peer.MemberID]evictionState
 	dirty     bool  // the view must be published
 	failure   error // ends the loop
 }
@@ -62,9 +62,9 @@
 		table:     newTable(),
 		gossip:    newGossip(),
 		probes:    make(map[peer.MemberID]*probeState),
-		vms:       make(map[peer.MemberID]*vmSight),
-		lives:     make(map[peer.MemberID]lifeSight),
-		evictions: make(map[peer.MemberID]eviction),
+		vms:       make(map[peer.MemberID]*vmObservation),
+		records:   make(map[peer.MemberID]storedRecord),
+		evictions: make(map[peer.MemberID]evictionState),
 	}
 	self := f.options.Self
 	l.table.merge(delta{ID: self.ID, Incarnation: self.Incarnation, Info: infoOf(self)}, time.Now())
@@ -72,7 +72,7 @@
 	return l
 }
 
-// run handles events until the context ends or this life does.
+// run handles events until the context or this incarnation ends.
 func (l *loop) run(ctx context.Context) error {
 	l.begin(ctx)
 	ticker := time.NewTicker(l.options.Period)
@@ -96,7 +96,7 @@
 func (l *loop) begin(ctx context.Context) {
 	now := time.Now()
 	l.ctx = ctx
-	l.lastTick, l.lastHeard, l.lastAgree, l.lastSync, l.lastPrune = now, now, now, now, now
+	l.lastTick, l.lastContact, l.lastAgree, l.lastSync, l.lastPrune = now, now, now, now, now
 	l.epoch++
 	clear(l.probes)
 	clear(l.evictions)
@@ -105,28 +105,28 @@
 	l.retarget()
 }
 
-// tick is the turn of one period.
+// tick performs the work of one period.
 func (l *loop) tick(now time.Time) {
-	l.noticePause(now)
+	l.detectPause(now)
 	l.lastTick = now
 	l.probeNext()
 	l.considerEvictions(now)
 	l.considerSync(now)
-	if now.Sub(l.lastRemind) > remindEvery {
-		l.lastRemind = now
-		l.remind()
+	if now.Sub(l.lastReminder) > remindEvery {
+		l.lastReminder = now
+		l.remindSuspicions()
 	}
 	if now.Sub(l.lastPrune) > pruneEvery {
 		l.lastPrune = now
 		l.prune(now)
-		l.compactLives(now)
+		l.compactRecords(now)
 	}
 }
 
-// remind passes on again whom this daemon suspects. The member, or whoever
-// knows of its refutation, answers: without it a daemon that alone missed the
-// refutation would suspect the member for good, once the rumor is spent.
-func (l *loop) remind() {
+// remind gossips this daemon's suspicions again. The member, or any daemon that has its
+// refutation, answers. Otherwise a daemon that missed the refutation would suspect the
+// member permanently once the refutation is not gossiped any more.
+func (l *loop) remindSuspicions() {
 	for id, e := range l.table.entries {
 		if e.usable() && e.suspect() {
 			l.gossip.add(id, false)
@@ -134,10 +134,10 @@
 	}
 }
 
-// noticePause voids the probes in flight when the tick is late: this process
-// was paused, and every timeout that fired meanwhile says nothing of the
-// others. Without it a daemon that wakes up suspects all its targets.
-func (l *loop) noticePause(now time.Time) {
+// detectPause invalidates the probes in flight if the tick is late: this process was
+// suspended, so the timeouts that fired meanwhile say nothing about other members.
+// Otherwise a resumed daemon would suspect all its targets.
+func (l *loop) detectPause(now time.Time) {
 	if now.Sub(l.lastTick) < 2*l.options.Period+l.options.PingTimeout {
 		return
 	}
@@ -146,21 +146,21 @@
 	clear(l.probes)
 }
 
-// mergeAll joins deltas that a peer sent.
+// mergeAll merges deltas that a peer sent.
 func (l *loop) mergeAll(deltas []delta) {
 	for _, d := range deltas {
 		l.merge(d, true)
 	}
 }
 
-// merge joins one delta, passes on what is new when spread is set, and looks
-// after this daemon's own entry.
+// merge merges a delta, gossips it if it is new and spread is set, and reacts to changes
+// of this daemon's own entry.
 func (l *loop) merge(d delta, spread bool) {
 	c := l.table.merge(d, time.Now())
 	if c == changeNone {
 		if spread && l.table.outdates(d) {
-			// The sender suspects, or knows, something older: without an answer
-			// its suspicion would be ignored by all who know the newer counter.
+			// The sender has something older, perhaps a suspicion. Without an answer
+			// its suspicion would be ignored by all members with the newer counter.
 			l.gossip.add(d.ID, true)
 		}
 		return
@@ -179,7 +179,8 @@
 	}
 }
 
-// defendSelf refutes a suspicion, and ends the loop when this life is over.
+// defendSelf refutes a suspicion of this daemon, and ends the loop if this incarnation
+// has ended.
 func (l *loop) defendSelf() {
 	e := l.table.entries[l.fleet.self.ID]
 	switch {
@@ -207,7 +208,7 @@
 	}
 }
 
-// usable returns the members that count, in no order.
+// usable returns the usable members in no particular order.
 func (l *loop) usable() []peer.MemberID {
 	ids := make([]peer.MemberID, 0, len(l.table.entries))
 	for id, e := range l.table.entries {
@@ -218,8 +219,7 @@
 	return ids
 }
 
-// publish makes a new view when something changed, and checks that it follows
-// from the last one.
+// publish replaces a changed view, and checks the new one against the guarantees.
 func (l *loop) publish() {
 	if !l.dirty {
 		return
@@ -229,21 +229,21 @@
 	before := l.fleet.view.Load()
 	after := newSnapshot(l.table, l.options.Self)
 	if err := before.checkSuccession(after); err != nil {
-		l.violated(err)
+		l.reportViolation(err)
 	}
 	l.fleet.view.Store(after)
 	close(before.changed)
 }
 
-func (l *loop) violated(err error) {
+func (l *loop) reportViolation(err error) {
 	l.fleet.stats.Violations.Add(1)
-	l.options.Log.Error().Err(err).Msg("fleet invariant broken")
+	l.options.Log.Error().Err(err).Msg("fleet invariant violated")
 	if l.options.OnViolation != nil {
 		l.options.OnViolation(err)
 	}
 }
 
-// prune forgets ended lives beyond the bounds, the earliest first.
+// prune drops ended incarnations beyond the bounds, the earliest first.
 func (l *loop) prune(now time.Time) {
 	for _, id := range l.table.expired(now) {
 		delete(l.table.entries, id)
--- a/process/fleet/measure_test.go
+++ b/process/fleet/measure_test.go
@@ -22,7 +22,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// The limits for all control work of a daemon; membership is a part of it.
+// Limits for all control work of a daemon, of which membership is a part.
 const (
 	controlBytes = 13_000 // per second
 	controlCPU   = 0.036  // of a core
@@ -31,8 +31,8 @@
 
 var measuredSizes = []int{8, 40, 160}
 
-// needsMeasure skips the measurements unless FENNEL_MEASURE=1: they take
-// minutes, and figures of CPU say little on a busy machine.
+// needsMeasure skips the measurements unless FENNEL_MEASURE=1: they take minutes, and
+// CPU figures are unreliable on a busy machine.
 func needsMeasure(t *testing.T) {
 	if os.Getenv("FENNEL_MEASURE") != "1" {
 		t.Skip("set FENNEL_MEASURE=1")
@@ -45,8 +45,8 @@
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// TestMeasureVirtual prints detection times, false suspicions and bytes of
-// whole fleets in virtual time, and holds them against the limits.
+// TestMeasureVirtual prints detection times, false suspicions and sent bytes of fleets in
+// virtual time, and compares the traffic with its limit.
 func TestMeasureVirtual(t *testing.T) {
 	needsMeasure(t)
 	for _, n := range measuredSizes {
@@ -62,7 +62,7 @@
 	for _, id := range ids(n) {
 		c.start(id)
 	}
-	t.Logf("%d daemons know each other after %s", n, c.within(time.Minute, "start", c.agreed))
+	t.Logf("%d daemons converged after %s", n, c.within(time.Minute, "start", c.converged))
 	time.Sleep(time.Minute)
 	for _, d := range c.daemons {
 		ttl := d.register.current.Load().ttl
@@ -76,15 +76,15 @@
 	t.Logf("false suspicions under 5 %% loss: %d in %.1f daemon-hours", false1, float64(n)/6)
 	c.measurePauses()
 	c.measureCrashes()
-	c.traffic("5 % loss and replacements at the letter's rate", 5*time.Minute, func() {
+	c.traffic("5 % loss and replacements at the specified rate", 5*time.Minute, func() {
 		victim := sortedIDs(c.daemons)[n/3]
 		c.crash(victim)
 		c.start(victim)
 	})
 }
 
-// traffic runs for the duration, calling replace at the letter's rate, and
-// reports what the daemons put on the network.
+// traffic runs for the duration, calling replace every replacementEvery, and reports how
+// much the daemons sent.
 func (c *cell) traffic(what string, duration time.Duration, replace func()) {
 	members := sortedIDs(c.daemons)
 	start, calls := make(map[peer.MemberID]int64), c.mem.Counts().Total()
@@ -115,8 +115,8 @@
 
 const trials = 20
 
-// measureCrashes reports how long until every daemon suspects a crashed one,
-// and until every one knows that it is gone.
+// measureCrashes reports how long it takes until every daemon suspects a crashed one, and
+// until it is Gone in every view.
 func (c *cell) measureCrashes() {
 	var suspected, gone []time.Duration
 	for i := range trials {
@@ -132,15 +132,15 @@
 		c.within(3*time.Minute, "gone", c.everyone(func(d *daemon) bool { return d.Gone(ref) }))
 		gone = append(gone, time.Since(start))
 		c.start(id)
-		c.within(time.Minute, "back", c.agreed)
+		c.within(time.Minute, "back", c.converged)
 		time.Sleep(time.Duration(i) * 370 * time.Millisecond)
 	}
 	c.t.Logf("crash under 5 %% loss, %d trials: suspected everywhere after %s, gone everywhere after %s",
 		trials, quantiles(suspected), quantiles(gone))
 }
 
-// measurePauses reports who is suspected and who is taken for gone when
-// daemons pause for two seconds, and for five.
+// measurePauses reports how many members are suspected when daemons are suspended for two
+// seconds, and for five, and checks that none is evicted.
 func (c *cell) measurePauses() {
 	for _, length := range []time.Duration{2 * time.Second, 5 * time.Second} {
 		seen, others := 0, 0
@@ -149,12 +149,12 @@
 			paused := c.daemons[all[(i*5+1)%len(all)]]
 			viewer := c.daemons[all[(i*5+2)%len(all)]]
 			c.net.Pause(paused.self)
-			paused.gate.shut(true)
+			paused.gate.setClosed(true)
 			time.Sleep(length)
 			if m, _ := viewer.Lookup(paused.self.ID); m.State == Suspect {
 				seen++
 			}
-			paused.gate.shut(false)
+			paused.gate.setClosed(false)
 			c.net.Resume(paused.self)
 			time.Sleep(500 * time.Millisecond)
 			for _, m := range viewer.Members() {
@@ -162,9 +162,9 @@
 					others++
 				}
 			}
-			c.within(time.Minute, "refuted", c.agreed)
+			c.within(time.Minute, "refuted", c.converged)
 		}
-		c.t.Logf("pauses of %s, %d trials: the paused suspected by a peer in %d, %d suspicions of others half a second later", length, trials, seen, others)
+		c.t.Logf("pauses of %s, %d trials: the suspended daemon suspected by a peer in %d, %d suspicions of others half a second later", length, trials, seen, others)
 	}
 	require.Zero(c.t, c.restartEvicted())
 }
@@ -174,17 +174,18 @@
 	return fmt.Sprintf("p50 %s, max %s", d[len(d)/2].Round(10*time.Millisecond), d[len(d)-1].Round(10*time.Millisecond))
 }
 
-// counted is a socket that counts bytes, with 28 for the IP and UDP headers.
-type counted struct {
+// countingConn is a socket that counts sent bytes, with 28 per packet for the IP and UDP
+// headers.
+type countingConn struct {
 	net.PacketConn
-	sent   atomic.Int64
-	silent atomic.Bool // sends nothing, as when its VM is gone
+	sent     atomic.Int64
+	dropping atomic.Bool // sends nothing, as if its VM had been removed
 }
 
 const udpHeaders = 28
 
-func (c *counted) WriteTo(p []byte, to net.Addr) (int, error) {
-	if c.silent.Load() {
+func (c *countingConn) WriteTo(p []byte, to net.Addr) (int, error) {
+	if c.dropping.Load() {
 		return len(p), nil
 	}
 	c.sent.Add(int64(len(p) + udpHeaders))
@@ -203,24 +204,24 @@
 }
 
 func measureQUIC(t *testing.T, n int, k *keys.Keys) {
-	const settle, measured, lossMeasured = 15 * time.Second, 30 * time.Second, 10 * time.Second
+	const settling, measured, lossMeasured = 15 * time.Second, 30 * time.Second, 10 * time.Second
 	mem := kv.New()
 	ctx, cancel := context.WithCancel(context.Background())
-	var sockets []*counted
+	var sockets []*countingConn
 	var fleets []*Fleet
 	var done []chan error
 	for _, id := range ids(n) {
 		socket, err := net.ListenPacket("udp", "127.0.0.1:0")
 		require.NoError(t, err)
-		counting := &counted{PacketConn: socket}
+		counting := &countingConn{PacketConn: socket}
 		handle := store.NewClient(mem, store.Options{Log: zerolog.Nop()}).Role(store.RoleMembers)
-		life := ClaimLife(ctx, handle, id, 0)
+		claimed := ClaimLife(ctx, handle, id, 0)
 		mux := peer.NewMux()
-		node, err := peer.NewNode(counting, life.Ref, k.PeerConfig(), mux, zerolog.Nop())
+		node, err := peer.NewNode(counting, claimed.Ref, k.PeerConfig(), mux, zerolog.Nop())
 		require.NoError(t, err)
 		f := New(Options{
 			Self:      Member{Zone: "z", PeerAddr: node.Addr(), Protocol: peer.ProtocolMax},
-			Life:      life,
+			Life:      claimed,
 			Store:     handle,
 			Caller:    node,
 			Registrar: mux,
@@ -238,7 +239,7 @@
 	require.Eventually(t, func() bool {
 		return !slices.ContainsFunc(fleets, func(f *Fleet) bool { return len(f.Members()) != n })
 	}, time.Minute, 100*time.Millisecond)
-	time.Sleep(settle)
+	time.Sleep(settling)
 	cpu := cpuTime(t)
 	rates := sendRates(sockets, measured)
 	cpu = cpuTime(t) - cpu
@@ -250,10 +251,10 @@
 	t.Logf("%d daemons over QUIC: median %d B/s, highest %d B/s sent on the wire; %.2f %% of a core, %.1f MB each",
 		n, rates[n/2], rates[n-1], 100*share, float64(perDaemon)/1e6)
 	for _, s := range sockets[:n/3] {
-		s.silent.Store(true)
+		s.dropping.Store(true)
 	}
 	afterLoss := sendRates(sockets[n/3:], lossMeasured)
-	t.Logf("%d of them silent: median %d B/s, highest %d B/s sent on the wire by the others for %s",
+	t.Logf("%d of them not sending: median %d B/s, highest %d B/s sent on the wire by the others for %s",
 		n/3, afterLoss[len(afterLoss)/2], afterLoss[len(afterLoss)-1], lossMeasured)
 	require.Less(t, afterLoss[len(afterLoss)-1], int64(controlBytes))
 	cancel()
@@ -265,8 +266,8 @@
 	require.Less(t, perDaemon, uint64(controlRSS))
 }
 
-// sendRates returns what each socket sends in bytes a second, in rising order.
-func sendRates(sockets []*counted, d time.Duration) []int64 {
+// sendRates returns the send rates of the sockets in bytes per second, in ascending order.
+func sendRates(sockets []*countingConn, d time.Duration) []int64 {
 	var rates []int64
 	for _, s := range sockets {
 		rates = append(rates, -s.sent.Load())
--- a/process/fleet/message.go
+++ b/process/fleet/message.go
@@ -21,7 +21,7 @@
 	flagLeaving
 )
 
-// info is what a daemon says of itself; it does not change within a life.
+// info has the attributes of a daemon that do not change within an incarnation.
 type info struct {
 	Zone        string `cbor:"1,keyasint"`
 	PeerAddr    string `cbor:"2,keyasint"`
@@ -31,9 +31,9 @@
 	Protocol    int    `cbor:"6,keyasint"`
 }
 
-// delta is what one daemon knows of a member's newest life. Merging deltas is
-// commutative, associative and idempotent: their order and repetition on the
-// way do not matter.
+// delta is one daemon's record of the latest incarnation of a member. Merging deltas is
+// commutative, associative and idempotent, so reordering and duplication in transit do
+// not matter.
 type delta struct {
 	ID          peer.MemberID `cbor:"1,keyasint"`
 	Incarnation uint64        `cbor:"2,keyasint"`
@@ -41,7 +41,7 @@
 	Counter uint32 `cbor:"3,keyasint,omitempty"`
 	Flags   flags  `cbor:"4,keyasint,omitempty"`
 	Ended   Cause  `cbor:"5,keyasint,omitempty"`
-	// Info is left out where the receiver is likely to have it.
+	// Info is omitted when the receiver is likely to have it.
 	Info *info `cbor:"6,keyasint,omitempty"`
 }
 
@@ -65,17 +65,17 @@
 	Budget uint32 `cbor:"2,keyasint"`
 }
 
-// pingViaAck tells whether the target answered.
+// pingViaAck reports whether the target answered.
 type pingViaAck struct {
 	Reached bool `cbor:"1,keyasint"`
 }
 
-// syncRequest asks for all that the receiver knows and tells about the sender.
+// syncRequest asks for all entries of the receiver and has that of the sender.
 type syncRequest struct {
 	Self delta `cbor:"1,keyasint"`
 }
 
-// syncReply holds every entry of the sender.
+// syncReply has the usable entries of the sender and its latest ended ones.
 type syncReply struct {
 	Members []delta `cbor:"1,keyasint"`
 }
--- a/process/fleet/options.go
+++ b/process/fleet/options.go
@@ -22,24 +22,24 @@
 )
 
 const (
-	// renewsPerTTL is how often a lease is renewed in its time to live: two
-	// renewals may fail before it lapses.
+	// renewsPerTTL is how many times a lease is renewed within its TTL: two renewals
+	// may fail before it expires.
 	renewsPerTTL = 3
-	// fleetAtBaseTTL is the size up to which the lease has its shortest time to
-	// live. In a larger fleet it grows in proportion, so that the renewals of
-	// the whole fleet stay at what they are at this size: about 30 calls a
-	// second with DefaultLeaseTTL, 55 with 5 s.
+	// fleetAtBaseTTL is the fleet size up to which leases have the shortest TTL. In a
+	// larger fleet the TTL grows in proportion, so that the renewal rate of the whole
+	// fleet does not exceed that at this size: about 30 calls per second with
+	// DefaultLeaseTTL, 55 with 5 s.
 	fleetAtBaseTTL = 80
-	// helpers is how many others are asked to probe a member that does not
+	// helpers is how many other members are asked to probe a member that does not
 	// answer.
 	helpers = 3
-	// endedHistory bounds the ended lives remembered, and endedFor their age;
-	// both hold more than two days of today's replacements.
+	// endedHistory bounds the number of ended incarnations that are kept, and endedFor
+	// their age; both cover two days at the current rate of replacements.
 	endedHistory = 8192
 	endedFor     = 48 * time.Hour
 )
 
-// SeedCaller calls a daemon of which only the address is known.
+// SeedCaller calls a daemon by its address when its Ref is not known.
 type SeedCaller interface {
 	CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error)
 }
@@ -49,23 +49,24 @@
 	// Self describes this daemon; its Ref is taken from Life when that is set.
 	Self Member
 	Life Life
-	// Store registers this daemon and lists the others; nil for none.
+	// Store is where daemons are registered and listed; nil for none.
 	Store     *store.Handle
 	Caller    peer.Caller
 	Registrar peer.Registrar
-	// Seeds are peer addresses asked for the members when the store cannot be
-	// reached; SeedCaller calls them. Usually the peer.Node serves as both.
+	// Seeds are peer addresses that are asked for the members when the store cannot
+	// be reached, through SeedCaller. Usually the peer.Node is both Caller and
+	// SeedCaller.
 	Seeds      []string
 	SeedCaller SeedCaller
-	// VMs is the platform's list, nil for none; ObserveVMs is the other way in.
+	// VMs is the platform's VM list, nil for none; ObserveVMs is the alternative.
 	VMs vmlist.Lister
 	Log zerolog.Logger
 
 	LeaseTTL       time.Duration // of the store lease in a small fleet
 	Period         time.Duration // between two probes
 	PingTimeout    time.Duration // of a direct probe
-	ConfirmTimeout time.Duration // from suspicion to the question whether it is gone
-	// OnViolation is called when an invariant does not hold; by default it is
+	ConfirmTimeout time.Duration // from a suspicion to the first try to evict the member
+	// OnViolation, if set, is called when an invariant is violated, which is also
 	// logged and counted. Tests make it fatal.
 	OnViolation func(error)
 }
--- a/process/fleet/probe.go
+++ b/process/fleet/probe.go
@@ -10,21 +10,22 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// suspectAfter is how many rounds of a probe must fail in a row. A round
-// fails when the member answers neither this daemon, asked twice, nor any of
-// the helpers; with 5 % of messages lost one round fails by chance about once
-// in 10,000, two in a row practically never.
+// suspectAfter is the number of consecutive failed rounds after which a member is
+// suspected. A round fails if the member answers neither this daemon, which tries twice,
+// nor any of the helpers. With 5 % message loss one round fails by chance about once in
+// 10,000, two consecutive ones practically never.
 const suspectAfter = 2
 
-// isolatedAfter is the silence, in periods, that counts as being cut off.
+// isolatedAfter is the time without messages, in periods, after which this daemon counts
+// as cut off.
 const isolatedAfter = 2
 
-// maxHealth is the worst score of this daemon's own connection.
+// maxHealth is the worst health score.
 const maxHealth = 4
 
-// health scores how badly this daemon hears the others, as in Lifeguard: a
-// daemon whose own link is bad waits longer and suspects later, instead of
-// suspecting everybody.
+// health scores this daemon's own connectivity, as in Lifeguard; higher is worse. A
+// daemon with a bad link waits longer and suspects later, instead of suspecting all
+// others.
 type health int
 
 func (h *health) good() { *h = max(*h-1, 0) }
@@ -32,7 +33,7 @@
 
 func (h health) stretch(d time.Duration) time.Duration { return d * time.Duration(2+h) / 2 }
 
-// rounds returns how many failed rounds in a row raise a suspicion.
+// rounds returns how many consecutive failed rounds raise a suspicion.
 func (h health) rounds() int {
 	if h == maxHealth {
 		return suspectAfter + 1
@@ -40,18 +41,17 @@
 	return suspectAfter
 }
 
-// isolated says that this daemon has heard neither a peer nor the store for a
-// while: most likely it is cut off itself, and suspecting the others would only
-// make noise when it is back. A fleet of two cannot tell.
+// isolated reports whether this daemon has received nothing from peers or the store for a
+// while. It is then most likely cut off itself, and suspecting the others would only cause
+// needless messages when it is back. In a fleet of two this cannot be distinguished.
 func (l *loop) isolated() bool {
 	return len(l.fleet.Members()) > 2 &&
-		time.Since(l.lastHeard) > isolatedAfter*l.options.Period &&
-		!l.fleet.LeaseRenewed().After(l.lastHeard)
+		time.Since(l.lastContact) > isolatedAfter*l.options.Period &&
+		!l.fleet.LeaseRenewed().After(l.lastContact)
 }
 
-// suspectTurns is how many turns of the probing order make one probe of a
-// member that is suspected already. Its probes only carry the suspicion to it,
-// and a handshake in vain costs more than any other message.
+// suspectTurns: a suspected member is probed only once in so many turns. Its probes only
+// carry the suspicion to it, and a failing handshake costs more than any other message.
 const suspectTurns = 3
 
 type probeState struct {
@@ -60,20 +60,20 @@
 	skipped  int // turns, while suspected
 }
 
-// skip says that it is not the suspected member's turn yet.
+// skip reports whether to skip this turn of a suspected member.
 func (s *probeState) skip() bool {
 	s.skipped = (s.skipped + 1) % suspectTurns
 	return s.skipped != 0
 }
 
-// probeResult reports the end of a probe.
+// probeResult is the result of a probe.
 type probeResult struct {
 	target  peer.Ref
 	epoch   uint64
 	reached bool
-	push    bool // sent to spread news; silence says nothing
+	push    bool // sent to gossip changes; a missing answer does not count
 	acks    []ack
-	// actual is the life that answered in place of the target.
+	// actual is the incarnation that answered in place of the target.
 	actual peer.Ref
 }
 
@@ -87,7 +87,7 @@
 	}
 }
 
-// probe starts a probe of the member unless one is under way.
+// probe starts a probe of the member unless one is in flight.
 func (l *loop) probe(id peer.MemberID) bool {
 	e := l.table.entries[id]
 	if e == nil || !e.usable() {
@@ -116,14 +116,14 @@
 	return true
 }
 
-// message makes a ping for the member.
+// message returns a ping for the member.
 func (l *loop) message(to peer.MemberID) ping {
 	return ping{Deltas: l.gossip.take(l.table, to, len(l.fleet.Members())), Digest: l.table.digest}
 }
 
-// chooseHelpers picks members to probe the target in this daemon's stead, among
-// those that probe it anyway: they have a connection to it, while others would
-// each pay for a handshake, in vain when the target is dead.
+// chooseHelpers chooses members that probe the target on behalf of this daemon, among
+// those that probe it anyway: they have a connection to it, while others would each need
+// a handshake, which is useless if the target is dead.
 func (l *loop) chooseHelpers(target peer.MemberID) []peer.Ref {
 	probers := predecessors(target, l.usable())
 	rand.Shuffle(len(probers), func(i, j int) { probers[i], probers[j] = probers[j], probers[i] })
@@ -142,7 +142,7 @@
 		l.merge(delta{ID: r.actual.ID, Incarnation: r.actual.Incarnation}, true)
 	}
 	if r.reached {
-		l.lastHeard = time.Now()
+		l.lastContact = time.Now()
 	}
 	for _, a := range r.acks {
 		l.mergeAll(a.Deltas)
@@ -220,7 +220,7 @@
 	if err != nil && !p.push && !p.once && ctx.Err() == nil {
 		p.again(ctx, &result)
 	}
-	// An error means that the loop has ended and nobody waits for the result.
+	// An error means that the loop has ended, so the result is not needed.
 	_ = p.fleet.post(ctx, result)
 }
 
@@ -232,8 +232,8 @@
 	return answer, err
 }
 
-// again asks the helpers and the target itself once more, all at once; any
-// answer will do.
+// again asks the helpers and, once more, the target itself, all concurrently. Any positive
+// answer is sufficient.
 func (p prober) again(ctx context.Context, result *probeResult) {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.timeout)
 	defer cancel()
@@ -265,8 +265,8 @@
 	}
 }
 
-// via asks a helper; it returns an empty ack when the helper reached the
-// target and nil otherwise.
+// via asks a helper. It returns an empty ack if the helper reached the target, nil
+// otherwise.
 func (p prober) via(ctx context.Context, helper peer.Ref) *ack {
 	request := pingVia{Target: p.target, Budget: uint32(p.timeout.Milliseconds())}
 	var answer pingViaAck
--- a/process/fleet/push.go
+++ b/process/fleet/push.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// pushSoon sends the latest news out of turn, so that a member that leaves or
-// fails is known everywhere within a second or two and not only after as many
-// periods as the rumor takes steps.
+// pushSoon schedules pings in addition to those of the periods, so that a member that
+// leaves or fails is known everywhere within a second or two, and not only after as many
+// periods as gossip takes steps.
 func (l *loop) pushSoon() {
 	if l.pushTimer == nil {
 		return // not running yet; begin pushes
--- a/process/fleet/random_test.go
+++ b/process/fleet/random_test.go
@@ -18,21 +18,21 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// replacementEvery is the letter's rate: 3,100 replacements a day.
+// replacementEvery corresponds to the specified rate of 3,100 replacements per day.
 const replacementEvery = 28 * time.Second
 
-// chaos drives a cell with faults that overlap.
+// chaos runs a cell with overlapping faults.
 type chaos struct {
 	*cell
-	rand    *rand.Rand
-	ended   map[peer.Ref]bool // lives that stopped or were evicted
-	excused map[peer.Ref]bool // lives that were paused: they may be taken for gone
-	paused  map[peer.MemberID]time.Time
-	serial  int
-	outage  time.Time // end of the store's outage
+	rand         *rand.Rand
+	ended        map[peer.Ref]bool // incarnations that stopped or were evicted
+	mayBeEvicted map[peer.Ref]bool // incarnations that were suspended, which may be evicted
+	paused       map[peer.MemberID]time.Time
+	serial       int
+	outage       time.Time // end of the store's outage
 }
 
-// pick chooses a daemon that is not paused.
+// pick chooses a daemon that is not suspended.
 func (c *chaos) pick() (peer.MemberID, bool) {
 	free := slices.DeleteFunc(sortedIDs(c.daemons), func(id peer.MemberID) bool {
 		_, paused := c.paused[id]
@@ -48,8 +48,8 @@
 	return slices.Sorted(maps.Keys(daemons))
 }
 
-// replace ends a daemon, by a crash or by leaving, and starts one of the same
-// or of a new name.
+// replace ends a daemon, by a crash or by leaving, and starts one with the same or a new
+// name.
 func (c *chaos) replace() {
 	id, ok := c.pick()
 	if !ok {
@@ -58,8 +58,8 @@
 	d := c.daemons[id]
 	if c.rand.IntN(2) == 0 {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
-		_ = d.Drain(ctx) // fails when the daemon was evicted just now
-		_ = d.Leave(ctx) // fails in an outage of the store
+		_ = d.Drain(ctx) // fails if the daemon has just been evicted
+		_ = d.Leave(ctx) // fails in a store outage
 		cancel()
 	}
 	c.ended[c.crash(id)] = true
@@ -74,8 +74,8 @@
 func (c *chaos) pauseOne(now time.Time) {
 	if id, ok := c.pick(); ok && len(c.paused) < 2 {
 		c.paused[id] = now.Add(time.Duration(1+c.rand.IntN(40)) * time.Second)
-		c.excused[c.daemons[id].self] = true
-		c.daemons[id].gate.shut(true)
+		c.mayBeEvicted[c.daemons[id].self] = true
+		c.daemons[id].gate.setClosed(true)
 		c.net.Pause(c.daemons[id].self)
 	}
 }
@@ -86,7 +86,7 @@
 			continue
 		}
 		delete(c.paused, id)
-		c.daemons[id].gate.shut(false)
+		c.daemons[id].gate.setClosed(false)
 		c.net.Resume(c.daemons[id].self)
 	}
 }
@@ -99,7 +99,7 @@
 	c.mem.SetFaults(kv.Faults{Down: true})
 }
 
-// step is one second of faults and of checks from outside.
+// step performs the faults and checks of one second.
 func (c *chaos) step(now time.Time) {
 	if c.rand.Float64() < float64(time.Second)/float64(replacementEvery) {
 		c.replace()
@@ -126,26 +126,24 @@
 	c.check()
 }
 
-// check compares what daemons believe with what is true: nobody is taken for
-// gone who runs and was never paused, and nobody who is gone stays unnoticed
-// by itself.
+// check compares the views with the actual state: a daemon that runs and was never
+// suspended must not be Gone in any view.
 func (c *chaos) check() {
 	for _, viewer := range c.daemons {
 		for _, d := range c.daemons {
 			cause, gone := viewer.Ended(d.self)
-			if gone && !c.excused[d.self] && !c.ended[d.self] {
-				c.t.Fatalf("%s takes %v for gone (%s)", viewer.self.ID, d.self, cause)
+			if gone && !c.mayBeEvicted[d.self] && !c.ended[d.self] {
+				c.t.Fatalf("%s sees %v as gone (%s)", viewer.self.ID, d.self, cause)
 			}
 		}
 		require.NotEmpty(c.t, viewer.Members())
 	}
 }
 
-// Symptom: a member comes back in a life that was over, a live one is lost, or
-// daemons do not agree after faults.
-// Sequence: replacements at the letter's rate, pauses, store outages and lost
-// answers together, 5 % of all messages lost.
-// Cause: any of the rules about incarnations, suspicion and lapses.
+// TestRandomFaults guards against an ended incarnation that returns, a running one that is
+// lost, and views that do not converge after faults, with replacements at the specified
+// rate, suspended processes, store outages and lost responses together, and 5 % message
+// loss. It covers the rules about incarnations, suspicion and expired leases.
 func TestRandomFaults(t *testing.T) {
 	duration, seeds := 20*time.Minute, uint64(3)
 	switch {
@@ -161,7 +159,7 @@
 	}
 }
 
-// differences tells who believes what is not so.
+// differences describes the entries of all views that are wrong.
 func (c *chaos) differences() string {
 	var out strings.Builder
 	for _, viewer := range c.daemons {
@@ -182,28 +180,28 @@
 
 func runChaos(t *testing.T, seed uint64, duration time.Duration) {
 	c := &chaos{
-		cell:    newCell(t, seed),
-		rand:    rand.New(rand.NewPCG(seed, 1)),
-		ended:   make(map[peer.Ref]bool),
-		excused: make(map[peer.Ref]bool),
-		paused:  make(map[peer.MemberID]time.Time),
+		cell:         newCell(t, seed),
+		rand:         rand.New(rand.NewPCG(seed, 1)),
+		ended:        make(map[peer.Ref]bool),
+		mayBeEvicted: make(map[peer.Ref]bool),
+		paused:       make(map[peer.MemberID]time.Time),
 	}
 	defer c.close()
 	for _, id := range ids(10) {
 		c.start(id)
 	}
-	c.within(20*time.Second, "start", c.agreed)
+	c.within(20*time.Second, "start", c.converged)
 	c.net.SetLoss(0.05)
 	for end := time.Now().Add(duration); time.Now().Before(end); time.Sleep(time.Second) {
 		c.step(time.Now())
 	}
 	c.resume(time.Now(), true)
 	c.mem.SetFaults(kv.Faults{})
-	for end := time.Now().Add(2 * time.Minute); !c.agreed(); time.Sleep(50 * time.Millisecond) {
+	for end := time.Now().Add(2 * time.Minute); !c.converged(); time.Sleep(50 * time.Millisecond) {
 		c.restartEvicted()
 		if time.Now().After(end) {
 			c.t.Fatalf("no agreement after the faults:\n%s", c.differences())
 		}
 	}
-	t.Logf("%d lives ended, %d were paused", len(c.ended), len(c.excused))
+	t.Logf("%d incarnations ended, %d were suspended", len(c.ended), len(c.mayBeEvicted))
 }
--- a/process/fleet/register.go
+++ b/process/fleet/register.go
@@ -18,7 +18,7 @@
 	lastRegisterRetry  = 4 * time.Second
 )
 
-// grant is a lease held and when its last successful renewal began.
+// grant is a granted lease, with the time at which its last successful renewal began.
 type grant struct {
 	lease   store.LeaseID
 	ttl     time.Duration
@@ -50,12 +50,12 @@
 	return 0
 }
 
-// outgrownBy is how much longer the time to live should be for a lease to be
-// replaced, so that a fleet that keeps its size does not replace any.
+// outgrownBy is the factor by which the required TTL must exceed that of the lease for the
+// lease to be replaced, so that a fleet of constant size replaces none.
 const outgrownBy = 1.5
 
-// run registers and renews until the context ends or this life is over. A lost
-// lease is replaced in the same life, unless the others have ended it.
+// run registers and renews until the context or this incarnation ends. A lost lease is
+// replaced within the same incarnation, unless the others have evicted it.
 func (r *registrar) run(ctx context.Context) error {
 	retry := firstRegisterRetry
 	var outgrown store.LeaseID
@@ -66,9 +66,9 @@
 			return evicted
 		}
 		if err == nil {
-			r.drop(ctx, outgrown)
+			r.revokeOutgrown(ctx, outgrown)
 			retry = firstRegisterRetry
-			outgrown = r.keep(ctx, g)
+			outgrown = r.keepRenewed(ctx, g)
 		} else {
 			r.failed(err, "registration failed")
 		}
@@ -79,10 +79,10 @@
 	}
 }
 
-// register opens a lease, puts the alive key under it, and confirms the life.
-// The confirmation comes last and raises the life record: a daemon that is
-// about to record this life as lapsed read that record before it looked for
-// the alive key, so one of the two swaps fails and it is known which.
+// register gets a lease, writes the alive key under it, and confirms the incarnation. The
+// confirmation comes last and changes the incarnation record: a daemon that is about to
+// evict this incarnation reads that record before it looks for the alive key, so exactly
+// one of the two swaps fails.
 func (r *registrar) register(ctx context.Context) (grant, error) {
 	ttl := r.fleet.leaseTTL()
 	start := time.Now()
@@ -93,7 +93,7 @@
 	if err := r.putAlive(ctx, lease); err != nil {
 		return grant{}, r.abandon(ctx, lease, err)
 	}
-	_, err = r.store.Update(ctx, lifeKey(r.fleet.self.ID), r.fleet.options.Life.confirm)
+	_, err = r.store.Update(ctx, incarnationKey(r.fleet.self.ID), r.fleet.options.Life.confirm)
 	if err != nil {
 		return grant{}, r.abandon(ctx, lease, err)
 	}
@@ -103,17 +103,17 @@
 	return g, nil
 }
 
-// abandon gives back a lease whose registration failed, so that the key under
-// it does not stand for a life that may be over.
+// abandon revokes a lease whose registration failed, so that no alive key remains for an
+// incarnation that may have ended.
 func (r *registrar) abandon(ctx context.Context, lease store.LeaseID, cause error) error {
 	if err := r.store.RevokeLease(ctx, lease); err != nil {
-		return fmt.Errorf("%w (lease %d lapses by itself: %v)", cause, lease, err)
+		return fmt.Errorf("%w (lease %d not revoked, it expires: %v)", cause, lease, err)
 	}
 	return cause
 }
 
-// putAlive writes the alive key under the lease, over one left by an earlier
-// lease or life of this daemon.
+// putAlive writes the alive key under the lease, replacing one of an earlier lease or
+// incarnation of this daemon.
 func (r *registrar) putAlive(ctx context.Context, lease store.LeaseID) error {
 	self := r.fleet.options.Self
 	data, err := peer.Marshal(self)
@@ -135,20 +135,20 @@
 	return err
 }
 
-// drop gives back a lease to which the alive key is no longer bound.
-func (r *registrar) drop(ctx context.Context, outgrown store.LeaseID) {
+// drop revokes a lease to which the alive key is no longer attached.
+func (r *registrar) revokeOutgrown(ctx context.Context, outgrown store.LeaseID) {
 	if outgrown == 0 {
 		return
 	}
 	if err := r.store.RevokeLease(ctx, outgrown); err != nil {
-		r.failed(err, "outgrown store lease not revoked, it lapses by itself")
+		r.failed(err, "outgrown store lease not revoked; it expires")
 	}
 }
 
-// keep renews the lease until it is lost, the context ends, or the fleet has
-// outgrown it, when it returns the lease. Other failures leave it as it is: in
-// an outage the lease may live on, and this daemon goes on in its life.
-func (r *registrar) keep(ctx context.Context, g grant) (outgrown store.LeaseID) {
+// keep renews the lease until it is lost, the context ends, or the fleet has outgrown its
+// TTL; only in the last case it returns the lease. Other failures are retried: in an
+// outage the lease may remain valid, and this daemon continues in its incarnation.
+func (r *registrar) keepRenewed(ctx context.Context, g grant) (outgrown store.LeaseID) {
 	for sleep.For(ctx, jittered(g.ttl/renewsPerTTL)) == nil {
 		start := time.Now()
 		err := r.store.RenewLease(ctx, g.lease)
@@ -179,15 +179,15 @@
 	r.fleet.options.Log.Warn().Err(err).Msg(what)
 }
 
-// leaseTTL returns the time to live for a new lease, longer in a larger fleet.
+// leaseTTL returns the TTL for a new lease, which is longer in a larger fleet.
 func (f *Fleet) leaseTTL() time.Duration {
 	base := f.options.LeaseTTL
 	size := len(f.Members())
 	return max(base, base*time.Duration(size)/fleetAtBaseTTL)
 }
 
-// jittered spreads the calls of daemons that would else come at one moment,
-// above all after an outage.
+// jittered shortens a pause at random, to spread the calls of daemons that would otherwise
+// coincide, above all after an outage.
 func jittered(d time.Duration) time.Duration {
 	return d - time.Duration(rand.Int64N(int64(d)/4+1))
 }
--- a/process/fleet/ring.go
+++ b/process/fleet/ring.go
@@ -8,11 +8,11 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// rings is the number of pseudo-random orders of the members. In each a daemon
-// probes its successor, so that every member is probed by as many others as it
-// probes itself, whatever the size of the fleet, always by the same ones while
-// the fleet does not change: their connections stay open, and deltas spread in
-// a number of steps that grows with the logarithm of the fleet.
+// rings is the number of pseudo-random orders of the members. In each of them a daemon
+// probes its successor. So, whatever the size of the fleet, every member is probed by as
+// many others as it probes itself, and by the same ones while the fleet does not change:
+// their connections stay open, and deltas spread in a number of steps that grows with the
+// logarithm of the fleet's size.
 const rings = 6
 
 func position(ring byte, id peer.MemberID) uint64 {
@@ -32,8 +32,8 @@
 	return neighbours(self, ids, func(own, other uint64) uint64 { return own - other })
 }
 
-// neighbours returns the nearest member in each ring, by the distance given,
-// which wraps around.
+// neighbours returns the nearest member in each ring, by the given distance, which wraps
+// around.
 func neighbours(self peer.MemberID, ids []peer.MemberID, distance func(own, other uint64) uint64) []peer.MemberID {
 	var found []peer.MemberID
 	for ring := range byte(rings) {
--- a/process/fleet/service.go
+++ b/process/fleet/service.go
@@ -15,8 +15,8 @@
 	"fennelshunt.example/fennelshunt/connection/vmlist"
 )
 
-// Fleet is this daemon's part of the membership. It implements View; run Serve
-// under the supervisor.
+// Fleet is this daemon's membership service. It implements View; run Serve under the
+// supervisor.
 type Fleet struct {
 	options  Options
 	self     peer.Ref
@@ -26,14 +26,14 @@
 	view     atomic.Pointer[snapshot]
 	joined   chan struct{}
 	joinOnce sync.Once
-	stopped  chan struct{} // closed when this life is over and Serve has ended
+	stopped  chan struct{} // closed when this incarnation and Serve have ended
 	stopOnce sync.Once
 	stats    Stats
 }
 
 var _ View = (*Fleet)(nil)
 
-// New returns a fleet that knows itself only, and registers its peer methods.
+// New returns a fleet whose only member is this daemon, and registers its peer methods.
 func New(o Options) *Fleet {
 	o = o.withDefaults()
 	f := &Fleet{
@@ -52,14 +52,14 @@
 	return f
 }
 
-// ErrStopped is returned by methods of a fleet whose life is over.
+// ErrStopped is returned by the methods of a fleet after its incarnation has ended.
 var ErrStopped = errors.New("fleet: not taking part any more")
 
 // errLeft ends the loop after Leave.
 var errLeft = errors.New("fleet: left")
 
-// Serve takes part in the fleet until the context ends. It returns an
-// *EvictedError when this life is over, and suture.ErrDoNotRestart after Leave.
+// Serve runs the membership protocol until the context ends. It returns an
+// *EvictedError if this incarnation was evicted, and suture.ErrDoNotRestart after Leave.
 func (f *Fleet) Serve(ctx context.Context) error {
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return f.loop.run(ctx) })
@@ -81,30 +81,30 @@
 	return err
 }
 
-// Joined returns a channel closed once this daemon has heard of the members
-// from the store or from a seed. Until then an empty list means nothing.
+// Joined returns a channel that is closed once this daemon has read the members from
+// the store or from a seed. Until then the list of members is incomplete.
 func (f *Fleet) Joined() <-chan struct{} { return f.joined }
 
-// LeaseRenewed returns when the last successful renewal of the store lease
-// began, by the monotonic clock; the zero time when there was none.
+// LeaseRenewed returns when the last successful renewal of the store lease began, on
+// the monotonic clock; the zero time if there was none.
 func (f *Fleet) LeaseRenewed() time.Time { return f.register.lastRenewal() }
 
-// StoreLease returns the store lease in use, 0 for none.
+// StoreLease returns the current store lease, 0 for none.
 func (f *Fleet) StoreLease() store.LeaseID { return f.register.leaseID() }
 
 // Stats returns the live counters.
 func (f *Fleet) Stats() *Stats { return &f.stats }
 
-// ObserveVMs reports the platform's list, for a daemon that reads it for
-// several users; Options.VMs is not needed then.
+// ObserveVMs passes on the platform's VM list, for a daemon that reads it for several
+// components; Options.VMs is not needed then.
 func (f *Fleet) ObserveVMs(ctx context.Context, vms []vmlist.VM) error {
-	return f.post(ctx, vmsSeen{vms: vms})
+	return f.post(ctx, vmListRead{vms: vms})
 }
 
-// Drain tells the others that this daemon is leaving: it gets no new work and
-// hands over. It returns when the view says so; the news spreads meanwhile. It
-// fails with ErrStopped when this life is over already, or with the context's
-// error.
+// Drain marks this daemon as Leaving: it gets no new work and transfers its resources.
+// It returns when the view shows that state; the change is gossiped to the others
+// meanwhile. It fails with ErrStopped if this incarnation has already ended, or with
+// the context's error.
 func (f *Fleet) Drain(ctx context.Context) error {
 	done := make(chan struct{})
 	if err := f.post(ctx, drain{done: done}); err != nil {
@@ -118,7 +118,7 @@
 	}
 }
 
-// post hands an event to the loop.
+// post passes an event to the loop.
 func (f *Fleet) post(ctx context.Context, e event) error {
 	select {
 	case f.events <- e:
--- a/process/fleet/stats.go
+++ b/process/fleet/stats.go
@@ -2,20 +2,19 @@
 
 import "expvar"
 
-// Stats counts what a fleet did. Publish the fields under names of the daemon's
-// choice.
+// Stats are the counters of a fleet. Each lists them with their names.
 type Stats struct {
-	Probes        expvar.Int // probes begun
-	FailedProbes  expvar.Int // probes without an answer, direct or by others
+	Probes        expvar.Int // started probes
+	FailedProbes  expvar.Int // probes without an answer, direct or through helpers
 	Suspicions    expvar.Int // suspicions that this daemon raised
 	Refutations   expvar.Int // suspicions of this daemon that it refuted
-	Evictions     expvar.Int // lives that this daemon recorded as lapsed
+	Evictions     expvar.Int // incarnations that this daemon evicted
 	Syncs         expvar.Int // whole member lists fetched from a peer
-	Renewals      expvar.Int // renewals of the store lease that succeeded
-	Registrations expvar.Int // times that the alive key was put
-	StoreFailures expvar.Int // registrations and renewals that failed
-	Pauses        expvar.Int // ticks that came late: this process was paused
-	Violations    expvar.Int // invariants found broken
+	Renewals      expvar.Int // successful renewals of the store lease
+	Registrations expvar.Int // successful registrations
+	StoreFailures expvar.Int // failed registrations, renewals and revocations
+	Pauses        expvar.Int // late ticks, after this process was suspended
+	Violations    expvar.Int // detected violations of invariants
 }
 
 // Each calls f with the name and value of every counter.
--- a/process/fleet/sync.go
+++ b/process/fleet/sync.go
@@ -9,34 +9,34 @@
 )
 
 const (
-	// syncTimeout bounds the fetching of a member list.
+	// syncTimeout bounds one fetch of a member list.
 	syncTimeout = 3 * time.Second
-	// disagreeFor is how long no peer may have had the same members before
-	// this daemon fetches a list; deltas on the way settle sooner.
-	disagreeFor = 5 * time.Second
-	// syncInterval bounds how often lists are fetched for that, and
-	// infoInterval for the addresses of a life that was only heard of.
+	// disagreementTimeout is how long the members of all peers must have differed before this
+	// daemon fetches a list; differences due to deltas in transit are resolved sooner.
+	disagreementTimeout = 5 * time.Second
+	// syncInterval is the minimum time between fetches for that reason, and
+	// infoInterval between fetches for the addresses of an incarnation.
 	syncInterval = 15 * time.Second
 	infoInterval = 2 * time.Second
 	// seedInterval is the pause between two rounds of asking the seeds.
 	seedInterval = time.Second
 )
 
-// compareDigest notes whether a peer knows the same members.
+// compareDigest records that a peer has the same members, if so.
 func (l *loop) compareDigest(theirs uint64) {
 	if theirs == l.table.digest {
 		l.lastAgree = time.Now()
 	}
 }
 
-// considerSync fetches the whole list when deltas did not bring this daemon to
-// agree with any peer, or when a life is known without its addresses.
+// considerSync fetches the whole list if deltas have not brought this daemon to agree with
+// any peer, or if the addresses of an incarnation are unknown.
 func (l *loop) considerSync(now time.Time) {
 	if l.syncing || len(l.targets) == 0 {
 		return
 	}
 	since := now.Sub(l.lastSync)
-	disagree := now.Sub(l.lastAgree) > disagreeFor && since > syncInterval
+	disagree := now.Sub(l.lastAgree) > disagreementTimeout && since > syncInterval
 	if !disagree && (since < infoInterval || !l.lacksInfo()) {
 		return
 	}
@@ -90,13 +90,13 @@
 	l.fleet.markJoined()
 }
 
-// selfKnown asks the loop for what a sync tells of this daemon.
-type selfKnown struct{ reply chan<- syncRequest }
+// ownSyncRequest asks the loop for the syncRequest of this daemon.
+type ownSyncRequest struct{ reply chan<- syncRequest }
 
-func (s selfKnown) apply(l *loop) { s.reply <- l.syncRequest() }
+func (s ownSyncRequest) apply(l *loop) { s.reply <- l.syncRequest() }
 
-// join asks the seeds for the members until one answers or the store did.
-// Without it a daemon that starts while the store is down stays alone.
+// join asks the seeds for the members until one of them, or the store, has answered.
+// Otherwise a daemon that starts while the store is down would see no other members.
 func (f *Fleet) join(ctx context.Context) error {
 	if len(f.options.Seeds) == 0 || f.options.SeedCaller == nil {
 		if f.options.Store == nil {
@@ -109,7 +109,7 @@
 			if f.hasJoined() {
 				return nil
 			}
-			f.askSeed(ctx, seed)
+			f.syncWithSeed(ctx, seed)
 		}
 		select {
 		case <-ctx.Done():
@@ -121,9 +121,9 @@
 	}
 }
 
-func (f *Fleet) askSeed(ctx context.Context, seed string) {
+func (f *Fleet) syncWithSeed(ctx context.Context, seed string) {
 	request := make(chan syncRequest, 1)
-	if f.post(ctx, selfKnown{reply: request}) != nil {
+	if f.post(ctx, ownSyncRequest{reply: request}) != nil {
 		return // the loop has ended
 	}
 	callCtx, cancel := context.WithTimeout(ctx, syncTimeout)
--- a/process/fleet/table.go
+++ b/process/fleet/table.go
@@ -10,13 +10,13 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// entry is what this daemon knows of the newest life of a member.
+// entry is the latest known incarnation of a member.
 type entry struct {
 	delta
-	// registered says that the alive key of this life was in the store when
-	// the store was last heard.
+	// registered is set if the alive key of this incarnation was in the store
+	// according to its latest answer.
 	registered bool
-	// suspectSince and endedAt are this daemon's clock.
+	// suspectSince and endedAt are times of this daemon's clock.
 	suspectSince time.Time
 	endedAt      time.Time
 }
@@ -36,7 +36,7 @@
 
 func (e *entry) suspect() bool { return e.Flags&flagSuspect != 0 }
 
-// usable says that the member counts: not over, and its addresses are known.
+// usable reports whether the member has not ended and its addresses are known.
 func (e *entry) usable() bool { return e.Ended == NotEnded && e.Info != nil }
 
 func (e *entry) member() Member {
@@ -48,19 +48,18 @@
 	return m
 }
 
-// change tells what merging a delta did.
+// change is the set of changes that merging a delta made.
 type change uint8
 
 const (
-	changeNone   change = 0
-	changeNew    change = 1 << iota // a life not known before
-	changeInfo                      // its addresses were learned
-	changeState                     // its state as members see it
-	changeSilent                    // something that only deltas carry
+	changeNone     change = 0
+	changeNew      change = 1 << iota // a new incarnation
+	changeInfo                        // its addresses became known
+	changeState                       // its state in the view
+	changeInternal                    // something that is in deltas only
 )
 
-// table holds the entries. It is pure state without goroutines; its owner is
-// the event loop.
+// table is the set of entries. It is owned by the event loop and starts no goroutines.
 type table struct {
 	entries map[peer.MemberID]*entry
 	digest  uint64
@@ -70,10 +69,10 @@
 	return &table{entries: make(map[peer.MemberID]*entry)}
 }
 
-// merge joins d into the table. A lower incarnation says nothing new. A higher
-// one starts an entry afresh, the earlier life being over. Within a life: the
-// higher counter wins, suspicion wins at the same counter; leaving and the end
-// stay for good.
+// merge merges d into the table. A lower incarnation is ignored. A higher one replaces
+// the entry, since the earlier incarnation has ended. Within an incarnation the higher
+// counter wins, and at the same counter suspicion wins; leaving and the end are
+// permanent.
 func (t *table) merge(d delta, now time.Time) change {
 	if d.ID == "" || d.Incarnation == 0 {
 		return changeNone
@@ -95,8 +94,7 @@
 	return result
 }
 
-// outdates says that the table holds something newer than d, of a member that
-// is not over.
+// outdates reports whether the table has something newer than d about a usable member.
 func (t *table) outdates(d delta) bool {
 	e := t.entries[d.ID]
 	if e == nil || !e.usable() {
@@ -129,14 +127,14 @@
 	}
 	if d.Flags&flagLeaving != 0 && e.Flags&flagLeaving == 0 {
 		e.Flags |= flagLeaving
-		result |= changeSilent
+		result |= changeInternal
 	}
 	if d.Ended > e.Ended {
 		if e.Ended == NotEnded {
 			e.endedAt = now
 		}
 		e.Ended = d.Ended
-		result |= changeSilent
+		result |= changeInternal
 	}
 	return result | e.joinSuspicion(d, now)
 }
@@ -155,11 +153,11 @@
 	e.Counter = d.Counter
 	e.Flags &^= flagSuspect
 	e.Flags |= d.Flags & flagSuspect
-	return changeSilent
+	return changeInternal
 }
 
-// digest covers what members must agree on: who is there, in which life, and
-// who leaves. Suspicions come and go too fast to be part of it.
+// digest covers what members must agree on: the usable members, their incarnations, and
+// which of them leave. Suspicions change too often to be part of it.
 func (e *entry) digest() uint64 {
 	if !e.usable() {
 		return 0
@@ -173,7 +171,7 @@
 	return h.Sum64()
 }
 
-// ended returns the entries of lives that are over, the earliest end first.
+// ended returns the entries of ended incarnations, the earliest end first.
 func (t *table) ended() []*entry {
 	var ended []*entry
 	for _, e := range t.entries {
@@ -185,8 +183,8 @@
 	return ended
 }
 
-// expired returns the ended entries to forget: those that are too old, and the
-// earliest beyond the bound.
+// expired returns the ended entries to drop: those that are too old, and the earliest
+// beyond the bound.
 func (t *table) expired(now time.Time) []peer.MemberID {
 	ended := t.ended()
 	var ids []peer.MemberID
@@ -198,8 +196,8 @@
 	return ids
 }
 
-// newestEnded returns up to n ended entries, the latest first.
-func (t *table) newestEnded(n int) []*entry {
+// latestEnded returns up to n ended entries, the latest first.
+func (t *table) latestEnded(n int) []*entry {
 	ended := t.ended()
 	slices.Reverse(ended)
 	return ended[:min(n, len(ended))]
--- a/process/fleet/table_test.go
+++ b/process/fleet/table_test.go
@@ -40,7 +40,7 @@
 	return all
 }
 
-// Daemons hear deltas in different orders and some twice; they must end with
+// Daemons receive deltas in different orders and some of them twice; they must end up with
 // the same table and the same digest.
 func TestMergeIgnoresOrderAndRepetition(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -52,8 +52,8 @@
 	})
 }
 
-// The digest kept step by step equals the one of the whole table, and the view
-// never loses an incarnation or brings back an ended life.
+// The incrementally updated digest equals that of the whole table, and the view never
+// loses an incarnation or brings back an ended one.
 func TestMergeKeepsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		table := newTable()
@@ -72,28 +72,28 @@
 	})
 }
 
-func TestInvariantsAreNoticed(t *testing.T) {
+func TestViolationsAreDetected(t *testing.T) {
 	build := func(d delta) *snapshot { return newSnapshot(merged([]delta{d}), Member{}) }
-	ended := build(delta{ID: "a", Incarnation: 2, Ended: Lapsed})
+	ended := build(delta{ID: "a", Incarnation: 2, Ended: LeaseExpired})
 	require.ErrorContains(t, ended.checkSuccession(build(delta{ID: "a", Incarnation: 2})), "is back")
 	require.ErrorContains(t, ended.checkSuccession(build(delta{ID: "a", Incarnation: 1})), "fell")
 	alive := build(delta{ID: "a", Incarnation: 2})
 	require.ErrorContains(t, alive.checkSuccession(build(delta{ID: "b", Incarnation: 1})), "vanished")
 }
 
-// Every member is probed by as many others as there are rings or members, and
-// the probes connect all of them.
+// Every member is probed by others, each member probes at most as many as there are rings,
+// and the graph of probes is connected.
 func TestRingsCoverTheFleet(t *testing.T) {
 	for _, n := range []int{1, 2, 8, 40, 160} {
 		members := ids(n)
-		watched := make(map[peer.MemberID]int)
+		probed := make(map[peer.MemberID]int)
 		next := make(map[peer.MemberID][]peer.MemberID)
 		for _, id := range members {
 			next[id] = successors(id, members)
 			require.LessOrEqual(t, len(next[id]), rings)
 			for _, target := range next[id] {
 				require.NotEqual(t, id, target)
-				watched[target]++
+				probed[target]++
 			}
 		}
 		reached := map[peer.MemberID]bool{members[0]: true}
@@ -107,7 +107,7 @@
 		}
 		require.Len(t, reached, n)
 		if n > 1 {
-			require.Len(t, watched, n)
+			require.Len(t, probed, n)
 		}
 	}
 }
--- a/process/fleet/view.go
+++ b/process/fleet/view.go
@@ -13,13 +13,13 @@
 // snapshot is one immutable state of the view.
 type snapshot struct {
 	self    Member
-	members []Member // not gone, addresses known, by ID
-	newest  map[peer.MemberID]lastLife
+	members []Member // those not Gone and with known addresses, by ID
+	latest  map[peer.MemberID]latestIncarnation
 	changed chan struct{}
 }
 
-// lastLife is the newest known life of a member.
-type lastLife struct {
+// latestIncarnation is the latest known incarnation of a member.
+type latestIncarnation struct {
 	Member
 	cause Cause
 }
@@ -35,8 +35,8 @@
 
 // Lookup implements View.
 func (f *Fleet) Lookup(id peer.MemberID) (Member, bool) {
-	life, ok := f.view.Load().newest[id]
-	return life.Member, ok
+	latest, ok := f.view.Load().latest[id]
+	return latest.Member, ok
 }
 
 // Gone implements View.
@@ -45,43 +45,43 @@
 	return ok
 }
 
-// Ended returns why that life of the member is over, and false when it is not
-// known to be. After Lapsed the process may still run, paused or cut off; it
-// will find out before it registers again. The other causes say that the
-// process stopped acting in that life, or that its VM was taken away.
+// Ended returns the cause for which an incarnation has ended, and false if it is not
+// known to have ended. After LeaseExpired the process may still run, suspended or
+// partitioned; it detects the end before it registers again. After the other causes
+// the process has stopped acting as that incarnation, or its VM was removed.
 func (f *Fleet) Ended(ref peer.Ref) (Cause, bool) {
-	life, ok := f.view.Load().newest[ref.ID]
+	latest, ok := f.view.Load().latest[ref.ID]
 	switch {
-	case !ok || ref.Incarnation > life.Incarnation:
+	case !ok || ref.Incarnation > latest.Incarnation:
 		return NotEnded, false
-	case ref.Incarnation < life.Incarnation:
+	case ref.Incarnation < latest.Incarnation:
 		return Replaced, true
 	default:
-		return life.cause, life.cause != NotEnded
+		return latest.cause, latest.cause != NotEnded
 	}
 }
 
-// Resolve returns the peer address of a life; it serves as a peer.Resolver.
+// Resolve returns the peer address of an incarnation. It is a peer.Resolver.
 func (f *Fleet) Resolve(ref peer.Ref) (string, bool) {
-	life, ok := f.view.Load().newest[ref.ID]
-	if !ok || life.Ref != ref || life.PeerAddr == "" {
+	latest, ok := f.view.Load().latest[ref.ID]
+	if !ok || latest.Ref != ref || latest.PeerAddr == "" {
 		return "", false
 	}
-	return life.PeerAddr, true
+	return latest.PeerAddr, true
 }
 
-// newSnapshot copies what the table says into a view. Once the table knows a
-// later life of this daemon, its own life is shown as gone.
+// newSnapshot returns a view of the table. If the table has a later incarnation of
+// this daemon, its own entry is shown as Gone.
 func newSnapshot(t *table, self Member) *snapshot {
 	self.State = Gone
 	s := &snapshot{
 		self:    self,
-		newest:  make(map[peer.MemberID]lastLife, len(t.entries)),
+		latest:  make(map[peer.MemberID]latestIncarnation, len(t.entries)),
 		changed: make(chan struct{}),
 	}
 	for id, e := range t.entries {
 		m := e.member()
-		s.newest[id] = lastLife{Member: m, cause: e.Ended}
+		s.latest[id] = latestIncarnation{Member: m, cause: e.Ended}
 		if e.usable() {
 			s.members = append(s.members, m)
 		}
@@ -93,18 +93,18 @@
 	return s
 }
 
-// checkSuccession returns an error when next breaks a guarantee that held of
-// s: a lower incarnation, or a life that was over and is back.
+// checkSuccession returns an error if next violates a guarantee with respect to s: a
+// lower incarnation, or an incarnation that had ended and is back.
 func (s *snapshot) checkSuccession(next *snapshot) error {
-	for id, before := range s.newest {
-		after, ok := next.newest[id]
+	for id, before := range s.latest {
+		after, ok := next.latest[id]
 		switch {
 		case !ok && before.cause == NotEnded:
-			return fmt.Errorf("fleet: invariant: member %s vanished without an end", id)
+			return fmt.Errorf("fleet: invariant: member %s vanished without having ended", id)
 		case ok && after.Incarnation < before.Incarnation:
 			return fmt.Errorf("fleet: invariant: incarnation of %s fell from %d to %d", id, before.Incarnation, after.Incarnation)
 		case ok && after.Ref == before.Ref && before.cause != NotEnded && after.cause == NotEnded:
-			return fmt.Errorf("fleet: invariant: life %s/%d was over and is back", id, before.Incarnation)
+			return fmt.Errorf("fleet: invariant: incarnation %s/%d had ended and is back", id, before.Incarnation)
 		}
 	}
 	return nil
--- a/process/fleet/vms.go
+++ b/process/fleet/vms.go
@@ -10,28 +10,27 @@
 )
 
 const (
-	// vmPeriod is how often a daemon of a small fleet reads the VM list. In a
-	// larger one each reads less often, as the news spreads by deltas, and the
-	// list is read about as often by the whole fleet.
+	// vmPeriod is how often a daemon reads the VM list in a fleet of up to vmFleet
+	// members. In a larger fleet each daemon reads it less often, so that the rate of
+	// the whole fleet stays constant; changes are spread by deltas.
 	vmPeriod      = 2 * time.Second
 	vmFleet       = 8
 	vmListTimeout = 5 * time.Second
-	// absentLists is how many lists in a row a VM must be missing from after
-	// it had been in one: the list lags and may miss an entry for a moment.
+	// absentLists is how many consecutive lists a VM must be missing from, after it had
+	// been in one: the list lags and may briefly miss an entry.
 	absentLists = 2
 )
 
-// vmSight is what the list said of a member's VM.
-type vmSight struct {
+// vmObservation is what the lists showed of a member's VM.
+type vmObservation struct {
 	listed bool
 	absent int
 }
 
-// vmsSeen is one reading of the list.
-type vmsSeen struct{ vms []vmlist.VM }
+// vmListRead is the event of one read of the list.
+type vmListRead struct{ vms []vmlist.VM }
 
-// pollVMs reads the platform's list. A list that cannot be read changes
-// nothing.
+// pollVMs reads the platform's list periodically. A failed read changes nothing.
 func (f *Fleet) pollVMs(ctx context.Context) error {
 	for {
 		f.readVMs(ctx)
@@ -51,34 +50,34 @@
 		return
 	}
 	// An error of post means that the loop has ended.
-	_ = f.post(ctx, vmsSeen{vms: vms})
+	_ = f.post(ctx, vmListRead{vms: vms})
 }
 
-func (s vmsSeen) apply(l *loop) {
+func (s vmListRead) apply(l *loop) {
 	index := newVMIndex(s.vms)
 	for id, e := range l.table.entries {
 		if !e.usable() {
 			continue
 		}
-		sight := l.vms[id]
-		if sight == nil {
-			sight = &vmSight{}
-			l.vms[id] = sight
+		observation := l.vms[id]
+		if observation == nil {
+			observation = &vmObservation{}
+			l.vms[id] = observation
 		}
 		vm, listed := index.find(e)
-		sight.observe(listed)
+		observation.observe(listed)
 		switch {
 		case listed && vm.Leaving && e.Flags&flagLeaving == 0:
 			d := e.delta
 			d.Flags |= flagLeaving
 			l.merge(d, true)
-		case l.vmRemoved(sight, e):
+		case l.vmRemoved(observation, e):
 			l.merge(delta{ID: id, Incarnation: e.Incarnation, Ended: VMRemoved}, true)
 		}
 	}
 }
 
-func (s *vmSight) observe(listed bool) {
+func (s *vmObservation) observe(listed bool) {
 	if listed {
 		s.listed, s.absent = true, 0
 		return
@@ -86,15 +85,15 @@
 	s.absent++
 }
 
-// vmRemoved decides that a member went with its VM: it was listed, is missing
-// from several lists, answers nobody, and its store lease does not speak for
-// it, being gone or out of sight in an outage.
-func (l *loop) vmRemoved(s *vmSight, e *entry) bool {
+// vmRemoved reports whether a member has ended with its VM: the VM was listed, is missing
+// from several consecutive lists, the member is suspected, and its store lease has expired
+// or cannot be seen because of a store outage.
+func (l *loop) vmRemoved(s *vmObservation, e *entry) bool {
 	if !s.listed || s.absent < absentLists || !e.suspect() || e.ID == l.fleet.self.ID {
 		return false
 	}
-	storeSilent := time.Since(l.fleet.LeaseRenewed()) > l.fleet.leaseTTL()
-	return !e.registered || storeSilent
+	storeUnreachable := time.Since(l.fleet.LeaseRenewed()) > l.fleet.leaseTTL()
+	return !e.registered || storeUnreachable
 }
 
 // vmIndex finds the VM of a member by its name or address.
@@ -118,9 +117,9 @@
 	return index
 }
 
-// find looks for a VM that bears the member's id, or whose address is one of
-// the member's, with or without the port. Loopback hosts are shared by all the
-// daemons of a test and identify none.
+// find returns the VM whose name is the member's id, or whose address is one of the
+// member's, with or without the port. Loopback hosts are shared by all daemons of a test
+// and identify none.
 func (x vmIndex) find(e *entry) (vmlist.VM, bool) {
 	if vm, ok := x.byName[string(e.ID)]; ok {
 		return vm, true
