--- a/process/fleet/evict.go
+++ b/process/fleet/evict.go
@@ -83,7 +83,7 @@
 	exists := err == nil
 	alive, err := handle.Get(ctx, aliveKey(result.ref.ID))
 	if err == nil {
-		return result.noteAlive(alive)
+		return result.recordAlive(alive)
 	}
 	if !errors.Is(err, store.ErrNotFound) {
 		return err
@@ -104,10 +104,10 @@
 	return nil
 }
 
-// noteAlive records a later incarnation that is registered. That the same incarnation is
+// recordAlive records a later incarnation that is registered. That the same incarnation is
 // registered after all is left to the watch: its event of a deletion may have arrived
 // before this response, and the member would then count as registered permanently.
-func (r *evictionResult) noteAlive(item store.Item) error {
+func (r *evictionResult) recordAlive(item store.Item) error {
 	m, err := decodeMember(item.Data)
 	if err != nil {
 		return err
--- a/process/fleet/leave.go
+++ b/process/fleet/leave.go
@@ -27,7 +27,7 @@
 // leave ends this incarnation and the loop.
 type leave struct{ leaveMessage chan<- []leaveMessage }
 
-// farewell is the last ping to one peer.
+// leaveMessage is the last ping to one peer.
 type leaveMessage struct {
 	to      peer.Ref
 	message ping
--- a/process/fleet/loop.go
+++ b/process/fleet/loop.go
@@ -74,7 +74,7 @@
 
 // run handles events until the context or this incarnation ends.
 func (l *loop) run(ctx context.Context) error {
-	l.begin(ctx)
+	l.start(ctx)
 	ticker := time.NewTicker(l.options.Period)
 	defer ticker.Stop()
 	for l.failure == nil {
@@ -93,7 +93,7 @@
 	return l.failure
 }
 
-func (l *loop) begin(ctx context.Context) {
+func (l *loop) start(ctx context.Context) {
 	now := time.Now()
 	l.ctx = ctx
 	l.lastTick, l.lastContact, l.lastAgree, l.lastSync, l.lastPrune = now, now, now, now, now
@@ -123,9 +123,9 @@
 	}
 }
 
-// remind gossips this daemon's suspicions again. The member, or any daemon that has its
-// refutation, answers. Otherwise a daemon that missed the refutation would suspect the
-// member permanently once the refutation is not gossiped any more.
+// remindSuspicions gossips this daemon's suspicions again. The member, or any daemon that
+// has its refutation, answers. Otherwise a daemon that missed the refutation would suspect
+// the member permanently once the refutation is not gossiped any more.
 func (l *loop) remindSuspicions() {
 	for id, e := range l.table.entries {
 		if e.usable() && e.suspect() {
--- a/process/fleet/probe.go
+++ b/process/fleet/probe.go
@@ -28,8 +28,8 @@
 // others.
 type health int
 
-func (h *health) good() { *h = max(*h-1, 0) }
-func (h *health) bad()  { *h = min(*h+1, maxHealth) }
+func (h *health) improve() { *h = max(*h-1, 0) }
+func (h *health) worsen()  { *h = min(*h+1, maxHealth) }
 
 func (h health) stretch(d time.Duration) time.Duration { return d * time.Duration(2+h) / 2 }
 
@@ -161,7 +161,7 @@
 	state.inFlight = false
 	if r.reached {
 		state.fails = 0
-		l.health.good()
+		l.health.improve()
 		return
 	}
 	l.probeFailed(r.target, state)
@@ -174,7 +174,7 @@
 		return
 	}
 	if !e.suspect() {
-		l.health.bad()
+		l.health.worsen()
 	}
 	state.fails++
 	if e.suspect() {
@@ -218,7 +218,7 @@
 		result.actual = wrong.Actual
 	}
 	if err != nil && !p.push && !p.once && ctx.Err() == nil {
-		p.again(ctx, &result)
+		p.retryWithHelpers(ctx, &result)
 	}
 	// An error means that the loop has ended, so the result is not needed.
 	_ = p.fleet.post(ctx, result)
@@ -232,9 +232,9 @@
 	return answer, err
 }
 
-// again asks the helpers and, once more, the target itself, all concurrently. Any positive
-// answer is sufficient.
-func (p prober) again(ctx context.Context, result *probeResult) {
+// retryWithHelpers asks the helpers and, once more, the target itself, all concurrently.
+// Any positive answer is sufficient.
+func (p prober) retryWithHelpers(ctx context.Context, result *probeResult) {
 	ctx, cancel := context.WithTimeout(ctx, 2*p.timeout)
 	defer cancel()
 	answers := make(chan *ack, len(p.helpers)+1)
--- a/process/fleet/push.go
+++ b/process/fleet/push.go
@@ -10,7 +10,7 @@
 // periods as gossip takes steps.
 func (l *loop) pushSoon() {
 	if l.pushTimer == nil {
-		return // not running yet; begin pushes
+		return // not running yet; start schedules a push
 	}
 	wait := max(pushDelay, time.Until(l.lastPush.Add(pushInterval)))
 	l.pushTimer.Reset(wait)
--- a/process/fleet/register.go
+++ b/process/fleet/register.go
@@ -135,7 +135,7 @@
 	return err
 }
 
-// drop revokes a lease to which the alive key is no longer attached.
+// revokeOutgrown revokes a lease to which the alive key is no longer attached.
 func (r *registrar) revokeOutgrown(ctx context.Context, outgrown store.LeaseID) {
 	if outgrown == 0 {
 		return
@@ -145,9 +145,10 @@
 	}
 }
 
-// keep renews the lease until it is lost, the context ends, or the fleet has outgrown its
-// TTL; only in the last case it returns the lease. Other failures are retried: in an
-// outage the lease may remain valid, and this daemon continues in its incarnation.
+// keepRenewed renews the lease until it is lost, the context ends, or the fleet has
+// outgrown its TTL; only in the last case it returns the lease. Other failures are
+// retried: in an outage the lease may remain valid, and this daemon continues in its
+// incarnation.
 func (r *registrar) keepRenewed(ctx context.Context, g grant) (outgrown store.LeaseID) {
 	for sleep.For(ctx, jittered(g.ttl/renewsPerTTL)) == nil {
 		start := time.Now()
--- a/process/fleet/table.go
+++ b/process/fleet/table.go
@@ -79,7 +79,7 @@
 	}
 	e := t.entries[d.ID]
 	if e == nil || e.Incarnation < d.Incarnation {
-		return t.begin(d, now)
+		return t.insert(d, now)
 	}
 	if e.Incarnation > d.Incarnation {
 		return changeNone
@@ -103,7 +103,7 @@
 	return d.Incarnation < e.Incarnation || d.Incarnation == e.Incarnation && d.Counter < e.Counter
 }
 
-func (t *table) begin(d delta, now time.Time) change {
+func (t *table) insert(d delta, now time.Time) change {
 	if old := t.entries[d.ID]; old != nil {
 		t.digest ^= old.digest()
 	}
--- a/process/lead/detector.go
+++ b/process/lead/detector.go
@@ -13,7 +13,7 @@
 // and 85 workers, replacing leaders at once led to 13 leaders in 45 s, and nothing was
 // served. Recent takeovers therefore raise the number of missed pings that is tolerated.
 //
-// A leader that is dead, or can not reach the store, loses its lease, which bounds
+// A leader that is dead, or cannot reach the store, loses its lease, which bounds
 // every delay here.
 const (
 	// takeoverWindow is how long a takeover raises the number of missed pings that is
@@ -48,7 +48,7 @@
 	if l.Epoch == d.epoch {
 		return
 	}
-	if l.Taken {
+	if l.TookOver {
 		d.taken = append(d.taken, now)
 	}
 	d.epoch, d.missed, d.pause, d.next = l.Epoch, 0, 0, time.Time{}
@@ -68,8 +68,8 @@
 	return d.missed >= d.missedLimit(self, leader) && !now.Before(d.next)
 }
 
-// noteClaim records a claim and schedules the earliest next one.
-func (d *detector) noteClaim(now time.Time) {
+// recordClaim records a claim and schedules the earliest next one.
+func (d *detector) recordClaim(now time.Time) {
 	d.pause = min(max(2*d.pause, claimPause), claimPauseMax)
 	d.next = now.Add(d.pause)
 }
--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -98,7 +98,7 @@
 		for end := now.Add(length); now.Before(end); now = now.Add(pingPause) {
 			if d.mayClaim(Member{}, Member{}, now) {
 				claims++
-				d.noteClaim(now)
+				d.recordClaim(now)
 			}
 		}
 		require.LessOrEqual(t, claims, 6+int(length/claimPauseMax))
@@ -117,7 +117,7 @@
 			now = now.Add(time.Duration(rapid.IntRange(1, 30_000).Draw(t, "ms")) * time.Millisecond)
 			taken := rapid.Bool().Draw(t, "taken")
 			epoch++
-			d.observe(Leader{Epoch: epoch, Taken: taken}, now)
+			d.observe(Leader{Epoch: epoch, TookOver: taken}, now)
 			if taken {
 				last = now
 			}
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -68,11 +68,11 @@
 	o    Options
 	view *View
 
-	lease       atomic.Uint64
-	trouble     atomic.Int64 // time of the latest store failure, in Unix nanoseconds
-	stopping    atomic.Bool
-	claiming    atomic.Bool
-	pingAverage atomic.Int64 // decaying average of ping round trips, in nanoseconds
+	lease            atomic.Uint64
+	lastStoreFailure atomic.Int64 // time of the latest store failure, in Unix nanoseconds
+	stopping         atomic.Bool
+	claiming         atomic.Bool
+	pingAverage      atomic.Int64 // decaying average of ping round trips, in nanoseconds
 
 	sem chan struct{} // held while claiming; that of the elector for shard 0 is used
 
@@ -170,24 +170,24 @@
 	}
 }
 
-// noteTrouble records that a store call failed.
-func (e *Elector) noteTrouble(what string, err error) {
-	before := e.trouble.Swap(time.Now().UnixNano())
+// recordStoreFailure records that a store call failed.
+func (e *Elector) recordStoreFailure(what string, err error) {
+	before := e.lastStoreFailure.Swap(time.Now().UnixNano())
 	if time.Since(time.Unix(0, before)) > outageWindow {
 		e.o.Log.Warn().Err(err).Str("call", what).Msg("store lost")
 	}
 }
 
-// StoreTrouble reports whether the store failed a call within d.
-func (e *Elector) StoreTrouble(d time.Duration) bool {
-	return time.Since(time.Unix(0, e.trouble.Load())) < d
+// StoreFailedWithin reports whether the store failed a call within d.
+func (e *Elector) StoreFailedWithin(d time.Duration) bool {
+	return time.Since(time.Unix(0, e.lastStoreFailure.Load())) < d
 }
 
 // call makes one bounded store call and records whether the store looks unresponsive.
 func (e *Elector) call(ctx context.Context, what string, f func(ctx context.Context) error) error {
 	err := e.o.Patience.Call(ctx, f)
 	if ctx.Err() == nil && e.o.Patience.Suspect() {
-		e.noteTrouble(what, err)
+		e.recordStoreFailure(what, err)
 	}
 	return err
 }
@@ -322,7 +322,7 @@
 	events, next, err := e.o.Store.Watch(ctx, prefixCell, after, wait)
 	if err != nil {
 		if !errors.Is(ctx.Err(), context.Canceled) {
-			e.noteTrouble("watch", err)
+			e.recordStoreFailure("watch", err)
 		}
 		return 0, err
 	}
@@ -352,7 +352,7 @@
 
 func (e *Elector) claimAfterDelay(ctx context.Context) {
 	delay := rand.N(claimJitter)
-	if e.StoreTrouble(outageWindow) && e.view.Epoch() > 0 && e.leaderStillLeads(ctx) {
+	if e.StoreFailedWithin(outageWindow) && e.view.Epoch() > 0 && e.leaderStillLeads(ctx) {
 		delay += outageDelay
 	}
 	if sleep.For(ctx, delay) != nil {
--- a/process/lead/record.go
+++ b/process/lead/record.go
@@ -78,9 +78,9 @@
 type Leader struct {
 	Member Member `cbor:"1,keyasint"`
 	Epoch  uint64 `cbor:"2,keyasint"`
-	// Taken is set if the daemon took over while the previous leader's record still
+	// TookOver is set if the daemon took over while the previous leader's record still
 	// existed.
-	Taken bool `cbor:"3,keyasint,omitempty"`
+	TookOver bool `cbor:"3,keyasint,omitempty"`
 }
 
 // termRecord is the value of the claim key and of a write stream's key. After a lost
--- a/process/lead/term.go
+++ b/process/lead/term.go
@@ -101,7 +101,7 @@
 }
 
 func (t *Term) holderWrite(lease store.LeaseID) store.Write {
-	return store.Write{Key: keyHolder, Value: encode(Leader{Member: t.holder, Epoch: t.Epoch, Taken: t.taken}), Lease: lease}
+	return store.Write{Key: keyHolder, Value: encode(Leader{Member: t.holder, Epoch: t.Epoch, TookOver: t.taken}), Lease: lease}
 }
 
 // release deletes the leader record, so that another daemon can lead at once, and ends
--- a/process/lead/view.go
+++ b/process/lead/view.go
@@ -42,7 +42,7 @@
 // logUnreadable logs a record that does not decode. It is ignored; the other records
 // remain in use.
 func (v *View) logUnreadable(key string, err error) {
-	v.log.Warn().Err(err).Str("key", key).Msg("cell record can not be decoded and is ignored")
+	v.log.Warn().Err(err).Str("key", key).Msg("cell record cannot be decoded and is ignored")
 }
 
 func newView(log zerolog.Logger) *View {
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -47,9 +47,9 @@
 	// queryPause is the pause between queries of other daemons while the store does
 	// not answer.
 	queryPause = 150 * time.Millisecond
-	// ownTroubleWindow: a daemon whose own store calls failed within this time ignores
+	// ownFailureWindow: a daemon whose own store calls failed within this time ignores
 	// the leader's report that the store rejects its calls.
-	ownTroubleWindow = time.Second
+	ownFailureWindow = time.Second
 )
 
 // Methods between daemons.
@@ -115,13 +115,13 @@
 	reply, began := &aliveReply{}, time.Now()
 	_, err := e.o.Peers.CallAddr(ctx, m.Peer, e.method(methodAlive), aliveRequest{}, reply)
 	if err == nil {
-		e.notePing(time.Since(began))
+		e.recordPing(time.Since(began))
 	}
 	return reply, err
 }
 
-// notePing updates the average round trip with a ping that took d.
-func (e *Elector) notePing(d time.Duration) {
+// recordPing updates the average round trip with a ping that took d.
+func (e *Elector) recordPing(d time.Duration) {
 	average := time.Duration(e.pingAverage.Load())
 	e.pingAverage.Store(int64(average + (d-average)/pingDecay))
 }
@@ -145,12 +145,12 @@
 			continue
 		}
 		d.observe(leader, time.Now())
-		if reply, err := e.ping(ctx, leader.Member); err == nil && (reply.serves() || (reply.Leads && e.StoreTrouble(ownTroubleWindow))) {
+		if reply, err := e.ping(ctx, leader.Member); err == nil && (reply.serves() || (reply.Leads && e.StoreFailedWithin(ownFailureWindow))) {
 			d.missed = 0
 			continue
 		}
 		if d.missed++; d.missed > pingsMissed {
-			e.notePing(e.pingBound()) // the response takes at least that long
+			e.recordPing(e.pingBound()) // the response takes at least that long
 		}
 		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.Patience.TurnedAway() ||
 			!e.confirmedByOthers(ctx, leader.Member) || sleep.For(ctx, time.Duration(rank)*rankDelay) != nil {
@@ -159,7 +159,7 @@
 		if _, now, _ := e.view.holder(); now == recordRev && e.leaseID() != 0 {
 			e.o.Log.Info().Str("leader", leader.Member.Name).Uint64("epoch", leader.Epoch).Int("pings_missed", d.missed).
 				Int("taken_of_late", len(d.taken)).Msg("leader does not serve; claiming leadership")
-			d.noteClaim(time.Now())
+			d.recordClaim(time.Now())
 			e.claimAndLead(ctx, recordRev, true)
 		}
 	}
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -305,7 +305,7 @@
 }
 
 func TestDaemonWithoutTheStoreLearnsWhoLeads(t *testing.T) {
-	// Guards against a daemon that can not answer its callers' queries about jobs while
+	// Guards against a daemon that cannot answer its callers' queries about jobs while
 	// the store rejects its calls: the leader changed while the daemon could not watch the
 	// store, and it kept asking the former leader.
 	synctest.Test(t, func(t *testing.T) {
--- a/process/lead/yield.go
+++ b/process/lead/yield.go
@@ -15,7 +15,7 @@
 // would be chosen to suit it.
 const (
 	// yieldPause is the minimum time between two yields of this daemon. It doubles up to
-	// yieldPauseMax with each yield, since a stronger daemon that can not lead costs the
+	// yieldPauseMax with each yield, since a stronger daemon that cannot lead costs the
 	// cell a takeover each time.
 	yieldPause    = 2 * time.Second
 	yieldPauseMax = time.Minute
--- a/process/relay/client.go
+++ b/process/relay/client.go
@@ -40,11 +40,11 @@
 	return c.lastAnswer.After(since)
 }
 
-// noteOutcome updates the health of a relay from the outcome of an order.
-func (r *Runner) noteOutcome(c *relayClient, worker runner.WorkerID, x *outcome) (*outcome, error) {
+// recordOutcome updates the health of a relay from the outcome of an order.
+func (r *Runner) recordOutcome(c *relayClient, worker runner.WorkerID, x *outcome) (*outcome, error) {
 	err := x.err()
 	if errors.Is(err, runner.ErrUnknown) || errors.Is(err, runner.ErrNoConnection) {
-		r.noteMissed(c, worker)
+		r.recordMissed(c, worker)
 		return nil, err
 	}
 	if errors.Is(err, errLost) {
@@ -56,10 +56,10 @@
 	return x, err
 }
 
-// noteMissed records that a worker did not answer through a relay; it is then called
+// recordMissed records that a worker did not answer through a relay; it is then called
 // directly for a while. Otherwise a worker would look dead for as long as its relay is cut
 // off from it.
-func (r *Runner) noteMissed(c *relayClient, worker runner.WorkerID) {
+func (r *Runner) recordMissed(c *relayClient, worker runner.WorkerID) {
 	r.mu.Lock()
 	if t := r.workers[worker]; t != nil {
 		t.directUntil = time.Now().Add(directFor)
@@ -191,7 +191,7 @@
 			p.finish(outcome{Code: codeFenced})
 		}
 	case err == nil:
-		r.noteAnswer(c, sent)
+		r.recordAnswer(c, sent)
 	case r.ctx.Err() != nil: // the term is over, which the waiting calls detect themselves
 	default:
 		if r.othersAnswer(c, sent) {
@@ -208,7 +208,7 @@
 	return min(max(ordersTimeout, rttFactor*r.rtt), maxOrdersTimeout)
 }
 
-func (r *Runner) noteAnswer(c *relayClient, sent time.Time) {
+func (r *Runner) recordAnswer(c *relayClient, sent time.Time) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	c.lastAnswer = time.Now()
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -105,7 +105,7 @@
 
 // relayFrame is a frame from a relay to the leader.
 type relayFrame struct {
-	// Taken is the number of the accepted frame of orders that this one answers, 0 for
+	// Accepted is the number of the accepted frame of orders that this one answers, 0 for
 	// none.
 	Accepted uint64 `cbor:"1,keyasint,omitempty"`
 	// Epoch is the highest that the relay has seen; it refuses orders of a lower one.
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -253,10 +253,10 @@
 	c.out.put(r.ctx, p)
 	select {
 	case x := <-p.done:
-		return r.noteOutcome(c, o.Worker, &x)
+		return r.recordOutcome(c, o.Worker, &x)
 	case <-ctx.Done():
 		if r.answeredSince(c, put) {
-			r.noteMissed(c, o.Worker)
+			r.recordMissed(c, o.Worker)
 		}
 		return nil, fmt.Errorf("%w: by %s: %w", runner.ErrUnknown, c.member.Name, ctx.Err())
 	case <-r.ctx.Done():
--- a/process/relay/server.go
+++ b/process/relay/server.go
@@ -114,8 +114,8 @@
 
 // ServeConn carries out the orders that arrive on a connection, until it ends.
 func (s *Server) ServeConn(conn net.Conn) {
-	s.note(conn, true)
-	defer s.note(conn, false)
+	s.track(conn, true)
+	defer s.track(conn, false)
 	defer func() { _ = conn.Close() }() // it has ended or is abandoned
 	c := &leaderConn{s: s, conn: conn}
 	c.out = &outbox[outcome]{linger: outcomesLinger, send: func(_ context.Context, batch []outcome) { c.send(relayFrame{Outcomes: batch}) }}
@@ -132,7 +132,7 @@
 	}
 }
 
-func (s *Server) note(conn net.Conn, open bool) {
+func (s *Server) track(conn net.Conn, open bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if open {
--- a/process/relay/specs.go
+++ b/process/relay/specs.go
@@ -72,7 +72,7 @@
 		defer cancel()
 		var r specReply
 		if _, err := c.peers.CallAddr(bounded, owner, MethodSpec, specRequest{Job: id}, &r); err != nil {
-			c.noteDown(owner)
+			c.markDown(owner)
 			return nil, err
 		}
 		if r.Known {
@@ -97,8 +97,8 @@
 	return time.Now().Before(c.down[owner])
 }
 
-// noteDown records that a job owner did not answer, and drops expired records.
-func (c *specCache) noteDown(owner string) {
+// markDown records that a job owner did not answer, and drops expired records.
+func (c *specCache) markDown(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
