--- a/process/cellnode/advise.go
+++ b/process/cellnode/advise.go
@@ -8,8 +8,8 @@
 	"fennelshunt.example/fennelshunt/connection/runner"
 )
 
-// methodAdvise asks a daemon to ask the advice service: calls of one daemon
-// are answered one after the other, those of several side by side.
+// methodAdvise asks a daemon to call the advice service. The service answers the
+// calls of one daemon one at a time, and those of several daemons in parallel.
 const methodAdvise peer.Method = "advice.ask"
 
 type adviseRequest struct {
@@ -21,9 +21,9 @@
 	Good []runner.Ticket `cbor:"1,keyasint"`
 }
 
-var errNoMember = errors.New("cellnode: the member is not known")
+var errNoMember = errors.New("cellnode: no such member in this daemon's view")
 
-// advise asks a member's adviser, which may be this daemon's own.
+// advise calls the advice service through a member, which may be this daemon.
 func (n *Node) advise(ctx context.Context, member, step string, workers []runner.WorkerID) ([]runner.Ticket, error) {
 	if member == n.o.Settings.Name {
 		return n.o.Adviser.Advise(ctx, step, workers)
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -13,56 +13,57 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Times of following the configuration.
+// Timing of the watch on the configuration in the store.
 const (
 	catalogWait  = 1500 * time.Millisecond
 	catalogGrace = 500 * time.Millisecond
 	catalogPause = 100 * time.Millisecond
-	// checkPeriod is between reads beside the watch: a watch may hear nothing for a while
-	// and not show it. Other daemons are asked more often (followPeers), which costs a
-	// hundredth: with 20 accounts a version has 15 KB, and read each second by every
-	// daemon it took a sixteenth of a link of 2 Mbit/s.
+	// checkPeriod is the interval of full reads in addition to the watch, since a watch can
+	// miss changes without an error. Other daemons are asked more often (followPeers), at a
+	// hundredth of the cost: with 20 accounts a version has 15 KB, and one read per second
+	// by every daemon took a sixteenth of a 2 Mbit/s link.
 	checkPeriod = 5 * time.Second
 )
 
-// catalogs keeps the newest queues. A version is never replaced by a lower one.
+// catalogs holds the newest known version of the configuration (queues and accounts). A
+// version is never replaced by a lower one.
 type catalogs struct {
 	source work.Source
-	// wait bounds a watch: how long the store may say nothing while nothing changes.
+	// wait bounds a watch: the store answers after it even when nothing has changed.
 	wait time.Duration
-	// doubt is the age from which the version held is in doubt.
-	doubt time.Duration
+	// maxAge is the age above which the version held counts as unconfirmed.
+	maxAge time.Duration
 	// confirmed is the time, since started, up to which the store is known to have had no
 	// newer version; see confirm.
 	confirmed atomic.Int64
 	started   time.Time
-	// patience tells when a store that failed is back.
-	patience *store.Patience
-	log      zerolog.Logger
-	now      atomic.Pointer[work.Catalog]
-	first    chan struct{} // closed with the first version
+	// storeTimeout also signals when the store answers again after failures.
+	storeTimeout *store.Patience
+	log          zerolog.Logger
+	now          atomic.Pointer[work.Catalog]
+	first        chan struct{} // closed with the first version
 }
 
-func newCatalogs(source work.Source, patience *store.Patience, log zerolog.Logger) *catalogs {
-	return &catalogs{source: source, wait: catalogWait, doubt: doubtAfter, started: time.Now(), patience: patience, log: log, first: make(chan struct{})}
+func newCatalogs(source work.Source, storeTimeout *store.Patience, log zerolog.Logger) *catalogs {
+	return &catalogs{source: source, wait: catalogWait, maxAge: unconfirmedAfter, started: time.Now(), storeTimeout: storeTimeout, log: log, first: make(chan struct{})}
 }
 
-// follow adapts to the bounds of the deployment: a version that has not been confirmed for
-// as long as the next one may take to be in force may miss one, and a watch that hears
-// nothing is answered well before that.
+// follow derives maxAge and wait from the bounds of the deployment. A version counts as
+// unconfirmed once its last confirmation is older than the time within which a new version
+// has to be in force; a watch without changes returns well before that.
 func (c *catalogs) follow(b settings.JobCellBounds) {
 	bound := b.ConfigMS.Std()
-	c.doubt = min(doubtAfter, bound)
+	c.maxAge = min(unconfirmedAfter, bound)
 	c.wait = min(catalogWait, bound-bound/watchReserve)
 	if b.StrictKeys {
-		c.wait = min(c.wait, b.KeysMS.Std()/keysLooks)
+		c.wait = min(c.wait, b.KeysMS.Std()/keyConfirmations)
 	}
 }
 
-// Current returns the queues in force, nil while none are known.
+// Current returns the configuration in force, nil while none is known.
 func (c *catalogs) Current() *work.Catalog { return c.now.Load() }
 
-// accounts is Accounts of dispatch.HostOptions.
+// accounts implements dispatch.HostOptions.Accounts.
 func (c *catalogs) accounts() (*work.Accounts, bool) {
 	now := c.now.Load()
 	if now == nil {
@@ -71,15 +72,15 @@
 	return now.Accounts, true
 }
 
-// Ways by which a version is heard of, for the log.
+// Sources of a version, as written to the log.
 const (
-	byWatch = "watch"
-	byRead  = "reading"
-	byCheck = "stale reading"
+	fromWatch = "watch"
+	fromRead  = "reading"
+	fromCheck = "stale reading"
 )
 
-// take puts a version in force that is newer than the one held; from tells how it was
-// heard of.
+// take puts next in force if it is newer than the version held; from names its source in
+// the log.
 func (c *catalogs) take(next *work.Catalog, from string) {
 	for {
 		before := c.now.Load()
@@ -92,7 +93,7 @@
 		}
 		c.log.Info().Int64("version", next.Version).Str("from", from).Int64("age_before_ms", age.Milliseconds()).Int("queues", len(next.Queues)).Int("accounts", len(next.Accounts.All())).Msg("configuration in force")
 		if next.Problems != nil {
-			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("part of the configuration can not be used as it stands")
+			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("configuration contains invalid entries, which are ignored")
 		}
 		if before == nil {
 			close(c.first)
@@ -105,7 +106,7 @@
 func (c *catalogs) Serve(ctx context.Context) error {
 	go c.check(ctx)
 	t := store.Tracker{What: "the configuration", Read: c.read, Watch: c.watch, ReadLimit: catalogWait + catalogGrace,
-		Wait: c.wait, Grace: catalogGrace, ErrorPause: catalogPause, Log: c.log, Patience: c.patience}
+		Wait: c.wait, Grace: catalogGrace, ErrorPause: catalogPause, Log: c.log, Patience: c.storeTimeout}
 	t.Run(ctx)
 	return ctx.Err()
 }
@@ -116,7 +117,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.take(next, byRead)
+	c.take(next, fromRead)
 	c.confirm(asked)
 	return rev, nil
 }
@@ -127,18 +128,18 @@
 	if err != nil {
 		return 0, err
 	}
-	c.take(next, byWatch)
+	c.take(next, fromWatch)
 	if next == nil {
-		asked = asked.Add(min(wait, time.Since(asked))) // it was answered after that at the earliest
+		asked = asked.Add(min(wait, time.Since(asked))) // a watch without changes returns after wait at the earliest
 	}
 	c.confirm(asked)
 	return rev, nil
 }
 
-// confirm notes that no version was newer than the one held, at a time.
+// confirm records that no version newer than the one held existed at the given time.
 //
-// What goes wrong without it: a daemon that the store does not answer any more serves
-// with keys that were taken away, and nobody can tell how old they are.
+// It lets a daemon that the store no longer answers find out how old its version is;
+// otherwise it would accept revoked keys for an unknown time.
 func (c *catalogs) confirm(at time.Time) {
 	for {
 		before, now := c.confirmed.Load(), int64(at.Sub(c.started))
@@ -148,16 +149,18 @@
 	}
 }
 
-// age returns how long ago the version held was last known to be the newest one. A
-// daemon that was frozen sees it at once, since it is asked with each request.
+// age returns how long ago the version held was last known to be the newest one. It is
+// evaluated with each request, so a process that was suspended detects a stale version
+// as soon as it resumes.
 func (c *catalogs) age() time.Duration {
 	return time.Since(c.started) - time.Duration(c.confirmed.Load())
 }
 
-// doubtful reports whether a version of that age may miss one that is to be in force.
-func (c *catalogs) doubtful(age time.Duration) bool { return age > c.doubt }
+// unconfirmed reports whether a newer version may have to be in force already, given the
+// age of the version held.
+func (c *catalogs) unconfirmed(age time.Duration) bool { return age > c.maxAge }
 
-// check reads the configuration now and then.
+// check reads the configuration every checkPeriod.
 func (c *catalogs) check(ctx context.Context) {
 	for sleep.For(ctx, checkPeriod) == nil {
 		bounded, cancel := context.WithTimeout(ctx, catalogGrace)
@@ -167,6 +170,6 @@
 			c.log.Debug().Err(err).Msg("configuration not read")
 			continue
 		}
-		c.take(next, byCheck)
+		c.take(next, fromCheck)
 	}
 }
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -21,7 +21,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// slowSource answers each call after a while, with a version or nothing.
+// slowSource answers each call after the time takes, with a version or nothing.
 type slowSource struct {
 	takes time.Duration
 	next  *work.Catalog
@@ -40,14 +40,14 @@
 }
 
 func TestAgeOfTheConfigurationIsNeverUnderstated(t *testing.T) {
-	// Failure looked for: an answer that was long on its way makes a version look fresher
-	//   than it is, and a key that was taken away meanwhile goes on working.
+	// Guards against an answer that was long in flight making a version look more current
+	// than it is, so that a key revoked meanwhile would still be accepted.
 	synctest.Test(t, func(t *testing.T) {
 		source := &slowSource{takes: 400 * time.Millisecond, next: &work.Catalog{Version: 1}}
 		c := newCatalogs(source, nil, zerolog.Nop())
 		_, err := c.read(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, 400*time.Millisecond, c.age(), "a reading tells what was when it was asked for")
+		require.Equal(t, 400*time.Millisecond, c.age(), "a read shows the state at the time of the request")
 
 		source.next, source.takes = nil, 1900*time.Millisecond
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
@@ -65,17 +65,17 @@
 		require.Equal(t, 200*time.Millisecond, c.age(), "a change may have been the first of several")
 
 		c.confirm(time.Now().Add(-time.Hour))
-		require.Equal(t, 200*time.Millisecond, c.age(), "an older word takes nothing back")
-		time.Sleep(5 * time.Second) // as long as the process stood still
+		require.Equal(t, 200*time.Millisecond, c.age(), "an older confirmation changes nothing")
+		time.Sleep(5 * time.Second) // as long as the process was suspended
 		require.Equal(t, 5200*time.Millisecond, c.age())
 	})
 }
 
 func TestAccountsOfLedPartsAreShown(t *testing.T) {
-	led, followed := &part{}, &part{}
+	led, followed := &shard{}, &shard{}
 	led.rows.Store(&[]quota.Row{{Account: "north"}, {Account: "south"}})
 	n := &Node{}
-	n.built.Store(&[]*part{followed, led})
+	n.built.Store(&[]*shard{followed, led})
 	require.Equal(t, []quota.Row{{Account: "north"}, {Account: "south"}}, n.accountRows())
 	led.rows.Store(nil)
 	require.Empty(t, n.accountRows(), "another daemon leads")
@@ -87,15 +87,14 @@
 		members = append(members, lead.Member{Name: name})
 	}
 	var names []string
-	for _, m := range othersAfter(members, "c") {
+	for _, m := range membersAfter(members, "c") {
 		names = append(names, m.Name)
 	}
 	require.Equal(t, []string{"d", "a", "b"}, names)
-	require.Empty(t, othersAfter(members[:1], "a"))
+	require.Empty(t, membersAfter(members[:1], "a"))
 }
 
-// silentSource leaves calls that are sent while it is away without an answer for good, also
-// once it is back.
+// silentSource never answers calls that are sent while it is away, not even once it is back.
 type silentSource struct {
 	store *catalogStore
 	away  atomic.Bool
@@ -132,7 +131,7 @@
 		if err := sleep.For(ctx, step); err != nil {
 			return nil, 0, err
 		}
-		if s.away.Load() { // what it would have been answered is lost
+		if s.away.Load() { // the answer is lost
 			<-ctx.Done()
 			return nil, 0, fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 		}
@@ -143,8 +142,8 @@
 	return nil, after, nil
 }
 
-// Guards against a reading that was lost in an outage of the store and is waited for after
-// it: the version of before goes on being served.
+// Guards against waiting, after an outage of the store, for a read whose answer was lost in
+// it: the old version stays in force meanwhile.
 func TestConfigurationIsInForceSoonAfterASilentOutage(t *testing.T) {
 	const (
 		bound  = 2 * time.Second // in which a version is to be in force
@@ -152,7 +151,7 @@
 		calm   = 5 * time.Second
 		step   = 200 * time.Millisecond
 		most   = 20 * time.Second
-		phases = 3 // of the outage's begin in the time that a watch waits
+		phases = 3 // points of a watch's wait at which the outage begins
 	)
 	for phase := range phases {
 		for away := step; away <= most; away += step {
@@ -160,13 +159,13 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				source := &silentSource{store: &catalogStore{}}
 				source.store.publish()
-				patience := &store.Patience{Min: minPatience, Max: maxPatience}
-				c := newCatalogs(source, patience, zerolog.Nop())
+				storeTimeout := &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}
+				c := newCatalogs(source, storeTimeout, zerolog.Nop())
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Serve(ctx) }) // ends with ctx
 				running.Go(func() {                     // as a daemon's lease is renewed
 					for sleep.For(ctx, lease) == nil {
-						_ = patience.Call(ctx, source.reach) // its outcome is the patience's
+						_ = storeTimeout.Call(ctx, source.reach) // the outcome only feeds the adaptive timeout
 					}
 				})
 				time.Sleep(calm + time.Duration(phase)*catalogWait/phases)
@@ -183,8 +182,8 @@
 	}
 }
 
-// Guards against a daemon that is sure of a version for longer than the next one may take to
-// be in force.
+// Guards against a daemon that counts a version as confirmed for longer than the next one may
+// take to be in force.
 func TestDoubtBeginsWithinTheBoundOnAVersion(t *testing.T) {
 	for _, bound := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 9 * time.Second} {
 		n := &Node{o: Options{Settings: &settings.JobCell{Bounds: settings.JobCellBounds{ConfigMS: settings.Millis(bound.Milliseconds())}}}}
@@ -192,8 +191,8 @@
 		n.catalogs.follow(n.o.Settings.Bounds)
 		n.catalogs.confirm(time.Now())
 		require.False(t, n.standing().Doubtful, bound)
-		n.catalogs.started = n.catalogs.started.Add(-min(bound, doubtAfter)) // as if that long ago
+		n.catalogs.started = n.catalogs.started.Add(-min(bound, unconfirmedAfter)) // as if that long ago
 		require.True(t, n.standing().Doubtful, bound)
-		require.Less(t, n.catalogs.wait, bound, "a watch that hears nothing is answered before that")
+		require.Less(t, n.catalogs.wait, bound, "a watch without changes returns before that")
 	}
 }
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -48,7 +48,7 @@
 	return version
 }
 
-// laggingSource reaches a catalogStore over a way that takes its time, or not at all.
+// laggingSource reaches a catalogStore with random delays, or not at all while away is set.
 type laggingSource struct {
 	store *catalogStore
 
@@ -108,12 +108,11 @@
 }
 
 func TestAgesHoldOverDaemonsThatLag(t *testing.T) {
-	// Failure looked for: a daemon takes its version for fresher than it is, by whatever
-	//   way it has heard, and goes on with a key that was taken away.
-	// Sequence, drawn: versions are published while the store turns daemons away, answers
-	//   take up to 0.6 s, and daemons ask each other.
-	// Held at all times: no version was acknowledged before now less the age that is newer
-	//   than the one held; and no version is replaced by an older one.
+	// Guards against a daemon that takes its version for more current than it is, from
+	// whichever source, and goes on accepting a revoked key. Versions are published at
+	// random while the store rejects daemons, answers take up to 0.6 s, and daemons pull
+	// from each other. Invariants: no version newer than the one held was acknowledged
+	// earlier than its age ago, and no version is replaced by an older one.
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		daemons := rapid.IntRange(2, 5).Draw(r, "daemons")
@@ -145,7 +144,7 @@
 				way := time.Duration(rng.IntN(200)) * time.Millisecond
 				running.Go(func() { askOverSlowWay(t, asker, asked, way) })
 				for i, c := range all {
-					age, now := c.age(), c.Current() // one look: a version may come into force at any moment
+					age, now := c.age(), c.Current() // read together: a version may come into force at any moment
 					if now == nil {
 						require.Zero(t, held[i])
 						continue
@@ -161,14 +160,14 @@
 	})
 }
 
-// askOverSlowWay is a question whose two ways take d each.
+// askOverSlowWay has asker pull from asked over a link that takes d in each direction.
 func askOverSlowWay(t *testing.T, asker, asked *catalogs, d time.Duration) {
-	at, question := time.Now(), asker.question()
+	at, request := time.Now(), asker.request()
 	time.Sleep(d)
-	reply, err := asked.answer(question)
+	reply, err := asked.answer(request)
 	time.Sleep(d)
 	if err != nil {
-		return // it knows less
+		return // it holds an older version or none
 	}
 	_, err = asker.learn("asked", at, reply)
 	assert.NoError(t, err)
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -13,103 +13,106 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// methodCatalog asks a daemon for its version of the configuration.
+// methodCatalog asks a daemon for the version of the configuration that it holds.
 const methodCatalog peer.Method = "catalog.newest"
 
 type catalogRequest struct {
-	Version int64 `cbor:"1,keyasint"` // that the asking daemon holds
+	Version int64 `cbor:"1,keyasint"` // version held by the requesting daemon
 }
 
 type catalogReply struct {
-	// Catalog is a newer version than the one asked with; empty if there is none.
+	// Catalog is a version newer than the request's; empty if there is none.
 	Catalog []byte `cbor:"1,keyasint,omitempty"`
-	// Age is how long ago it was known to be the newest, in nanoseconds.
+	// Age is the time, in nanoseconds, since the replying daemon's version was known to be
+	// the newest.
 	Age time.Duration `cbor:"2,keyasint"`
 }
 
-// Times of learning the configuration from other daemons.
+// Timing of configuration pulls from other daemons.
 const (
-	// doubtAfter is the age from which a version is in doubt at the latest: a watch that
-	// hears nothing is answered after catalogWait.
-	doubtAfter = catalogWait + catalogGrace
-	// watchReserve is the part of the bound on a version that is left for the answer of a
-	// watch that has heard nothing.
+	// unconfirmedAfter is the upper bound on catalogs.maxAge: a watch without changes
+	// returns after catalogWait and confirms the version.
+	unconfirmedAfter = catalogWait + catalogGrace
+	// watchReserve: 1/watchReserve of the bound on a version (config_ms) is left for the
+	// answer of a watch without changes to arrive.
 	watchReserve = 4
-	// doubtPeriod is between questions to one daemon drawn at random while this one's
-	// version is in doubt: with a third of the daemons turned away as well, the third
-	// question has found one that is not in 96 of 100 cases, long before a change must be
-	// in force.
-	doubtPeriod = 250 * time.Millisecond
-	askTimeout  = 200 * time.Millisecond
-	// calmPeriods of these are between questions to a neighbour otherwise, so that a watch
-	// that hears nothing is noticed in a second.
-	calmPeriods = 4
-	// neighbours is to how many daemons these questions go by turns: enough that one of
-	// them hears the store, and few connections however large the cell is.
+	// pullPeriod is the interval between pulls from a daemon drawn at random while this
+	// daemon's version is unconfirmed. If the store rejects a third of the daemons, three
+	// pulls reach one that it serves in 96 of 100 cases, long before a change must be in
+	// force.
+	pullPeriod = 250 * time.Millisecond
+	askTimeout = 200 * time.Millisecond
+	// idlePullPeriods is the number of pullPeriods between pulls from a neighbour while the
+	// version is confirmed, so that a watch that misses changes is noticed within a second.
+	idlePullPeriods = 4
+	// neighbours is the number of daemons among which these pulls are spread: enough that
+	// the store serves one of them, and few connections however large the cell is.
 	neighbours = 4
-	// deafTime is how long a watch may say that nothing has changed though something has:
-	// stores that drop their history have been seen to.
-	deafTime = time.Second
-	// keysLooks is how often, in the time that a key taken away may still work, a
-	// daemon hears from the store that nothing has changed.
-	keysLooks = 4
+	// missedChangeTime is how long a watch may report no change although there was one:
+	// stores that drop their history have been seen to do so.
+	missedChangeTime = time.Second
+	// keyConfirmations is how often the store confirms the version within the time for
+	// which a revoked key may still be accepted.
+	keyConfirmations = 4
 )
 
+// Errors sent in reply to methodCatalog.
 var (
 	errNoCatalog = errors.New("cellnode: no configuration is known here")
 	errOlder     = errors.New("cellnode: an older configuration is known here")
 )
 
-// standing tells how far this daemon's version of the configuration may be relied on.
+// standing reports how current this daemon's version of the configuration is.
 func (n *Node) standing() submit.Standing {
 	b, age := n.o.Settings.Bounds, n.catalogs.age()
 	valid := b.KeysMS.Std()
-	return submit.Standing{Age: age, Doubtful: n.catalogs.doubtful(age), Expired: b.StrictKeys && age > valid-min(deafTime, valid/keysLooks)}
+	return submit.Standing{Age: age, Doubtful: n.catalogs.unconfirmed(age), Expired: b.StrictKeys && age > valid-min(missedChangeTime, valid/keyConfirmations)}
 }
 
-// followPeers learns the configuration from other daemons: now and then from neighbours,
-// and from any while the store says nothing.
+// followPeers pulls the configuration from other daemons: periodically from neighbours, and
+// from any daemon while the store does not respond.
 //
-// Load pattern: the store turns a third of the daemons away for some seconds, and keys are
-// replaced meanwhile. What goes wrong without it: these daemons go on with keys that were
-// taken away, and refuse callers whose keys are new, though their neighbours know better.
+// If the store rejects a third of the daemons for some seconds while keys are replaced, those
+// daemons would otherwise go on accepting revoked keys and refuse callers with new ones,
+// although their neighbours have the newer version.
 func (n *Node) followPeers(ctx context.Context) error {
 	var before bool
-	for i := 0; sleep.For(ctx, doubtPeriod) == nil; i++ {
+	for i := 0; sleep.For(ctx, pullPeriod) == nil; i++ {
 		age := n.catalogs.age()
-		doubtful := n.catalogs.doubtful(age)
-		if doubtful != before {
-			n.showDoubt(doubtful, age)
+		unconfirmed := n.catalogs.unconfirmed(age)
+		if unconfirmed != before {
+			n.logConfirmation(unconfirmed, age)
 		}
-		before = doubtful
-		inDoubt := doubtful || n.patience.TurnedAway()
-		if !inDoubt && i%calmPeriods != 0 {
+		before = unconfirmed
+		urgent := unconfirmed || n.storeTimeout.TurnedAway()
+		if !urgent && i%idlePullPeriods != 0 {
 			continue
 		}
-		others := othersAfter(n.view().Members(), n.o.Settings.Name)
-		if !inDoubt {
+		others := membersAfter(n.view().Members(), n.o.Settings.Name)
+		if !urgent {
 			others = others[:min(len(others), neighbours)]
 		}
 		if len(others) > 0 {
-			n.askCatalog(ctx, others[rand.IntN(len(others))])
+			n.pullCatalog(ctx, others[rand.IntN(len(others))])
 		}
 	}
 	return ctx.Err()
 }
 
-// showDoubt writes a line: the version held has come into doubt, or was confirmed again.
-func (n *Node) showDoubt(doubtful bool, age time.Duration) {
+// logConfirmation logs that the version held has become unconfirmed, or was confirmed again.
+func (n *Node) logConfirmation(unconfirmed bool, age time.Duration) {
 	what := "configuration confirmed again"
-	if doubtful {
-		what = "configuration in doubt"
+	if unconfirmed {
+		what = "configuration unconfirmed"
 		n.metrics.Add("configurations_doubted", 1)
 	}
-	n.log.Info().Int64("version", n.catalogs.question().Version).Int64("age_ms", age.Milliseconds()).
-		Bool("store_fails", n.patience.Suspect()).Msg(what)
+	n.log.Info().Int64("version", n.catalogs.request().Version).Int64("age_ms", age.Milliseconds()).
+		Bool("store_fails", n.storeTimeout.Suspect()).Msg(what)
 }
 
-// othersAfter returns the members but one, those that follow it by name first.
-func othersAfter(members []lead.Member, name string) []lead.Member {
+// membersAfter returns the members other than name, those that follow name in order first,
+// as around a ring.
+func membersAfter(members []lead.Member, name string) []lead.Member {
 	var before, after []lead.Member
 	for _, m := range members {
 		switch {
@@ -122,50 +125,50 @@
 	return append(after, before...)
 }
 
-// askCatalog takes what another daemon knows.
-func (n *Node) askCatalog(ctx context.Context, m lead.Member) {
+// pullCatalog requests the configuration of another daemon and merges it.
+func (n *Node) pullCatalog(ctx context.Context, m lead.Member) {
 	bounded, cancel := context.WithTimeout(ctx, askTimeout)
 	defer cancel()
 	asked := time.Now()
 	var r catalogReply
-	_, err := n.peers.CallAddr(bounded, m.Peer, methodCatalog, n.catalogs.question(), &r)
+	_, err := n.peers.CallAddr(bounded, m.Peer, methodCatalog, n.catalogs.request(), &r)
 	if err != nil {
-		n.log.Debug().Err(err).Str("daemon", m.Name).Msg("configuration not learned from a daemon")
+		n.log.Debug().Err(err).Str("daemon", m.Name).Msg("configuration pull from a daemon failed")
 		return
 	}
-	news, err := n.catalogs.learn(m.Name, asked, r)
+	newer, err := n.catalogs.learn(m.Name, asked, r)
 	if err != nil {
-		n.log.Warn().Err(err).Str("daemon", m.Name).Msg("configuration not learned from a daemon")
+		n.log.Warn().Err(err).Str("daemon", m.Name).Msg("configuration of a daemon can not be decoded")
 		return
 	}
-	if news {
+	if newer {
 		n.metrics.Add("configurations_learned", 1)
 	}
 }
 
-// serveCatalog answers another daemon's question.
+// serveCatalog handles methodCatalog.
 func (n *Node) serveCatalog(_ context.Context, r catalogRequest) (any, error) {
 	return n.catalogs.answer(r)
 }
 
-// question is what another daemon is asked.
-func (c *catalogs) question() catalogRequest {
+// request returns the request to send to another daemon.
+func (c *catalogs) request() catalogRequest {
 	if now := c.now.Load(); now != nil {
 		return catalogRequest{Version: now.Version}
 	}
 	return catalogRequest{}
 }
 
-// answer tells another daemon what is known here.
+// answer returns the reply to another daemon's request.
 func (c *catalogs) answer(r catalogRequest) (catalogReply, error) {
-	// Read first: a version that arrives in between is younger than the age tells.
+	// The age is read first: for a version that arrives in between it is too high, never too low.
 	reply := catalogReply{Age: c.age()}
 	now := c.now.Load()
 	switch {
 	case now == nil:
 		return catalogReply{}, errNoCatalog
 	case now.Version < r.Version:
-		return catalogReply{}, errOlder // it says nothing of the version asked with
+		return catalogReply{}, errOlder // it confirms nothing about the requested version
 	case now.Version == r.Version:
 		return reply, nil
 	}
@@ -174,18 +177,19 @@
 	return reply, err
 }
 
-// learn takes another daemon's answer to a question, and reports whether it brought a
-// newer version.
-func (c *catalogs) learn(daemon string, asked time.Time, r catalogReply) (news bool, err error) {
+// learn merges another daemon's reply to a request that was sent at the time asked, and
+// reports whether it brought a newer version.
+func (c *catalogs) learn(daemon string, asked time.Time, r catalogReply) (newer bool, err error) {
 	if len(r.Catalog) > 0 {
 		next, err := work.DecodeCatalog(r.Catalog)
 		if err != nil {
 			return false, err
 		}
 		c.take(next, daemon)
-		news = true
+		newer = true
 	}
-	// The age counts from when the question was sent: the answer is no fresher.
+	// The age counts from when the request was sent, since the reply may have been built
+	// right after that.
 	c.confirm(asked.Add(-r.Age))
-	return news, nil
+	return newer, nil
 }
--- a/process/cellnode/layout.go
+++ b/process/cellnode/layout.go
@@ -12,50 +12,54 @@
 	"fennelshunt.example/fennelshunt/process/lead"
 )
 
-// Dividing a cell into parts.
+// Dividing a cell into shards.
 //
-// Load pattern: more workers than one leader's processor carries. Rounds of placement,
-// orders, reports and hand-ins all grow with the workers, and a leader that falls
-// behind serves nobody: with 3,000 workers a fiftieth of what 1,000 get.
+// A cell is divided when it has more workers than one leader's processor can serve. The cost
+// of placement rounds, orders, reports and submissions grows with the number of workers, and
+// an overloaded leader's throughput collapses: with 3,000 workers it completes a fiftieth of
+// what it does with 1,000.
 const (
-	// workersPerLeaderCore: a leader uses some 0.33 of a core for 1,000 workers under
-	// full load, and three times that in bursts, of which 0.8 of a core carry the most.
+	// workersPerLeaderCore is the number of workers per core of the leader. A leader uses
+	// some 0.33 of a core for 1,000 workers under full load and three times that in bursts,
+	// most of which 0.8 of a core can absorb.
 	workersPerLeaderCore = 1400
-	// tolerance of a part over its size that does not make another one.
-	tolerance = 0.2
-	// ableShare: daemons with that share of the strongest one's processor time can lead a
-	// part as well.
-	ableShare = 0.75
-	// settlePause is between looks at how many workers there are, settled of which must
-	// be alike, most of them in all: workers register within seconds of each other.
-	settlePause = 500 * time.Millisecond
-	settled     = 3
-	settleMost  = 10
+	// sizeTolerance is the fraction by which a shard may exceed its size before another
+	// shard is made.
+	sizeTolerance = 0.2
+	// minLeaderShare is the share of the strongest daemon's capacity from which a daemon
+	// can lead a shard as well.
+	minLeaderShare = 0.75
+	// registrationPoll is the interval between reads of the number of registered workers.
+	// Workers register within seconds of each other: the number counts once stableReads
+	// reads agree, or after maxReads reads.
+	registrationPoll = 500 * time.Millisecond
+	stableReads      = 3
+	maxReads         = 10
 )
 
-// layOut returns how the cell is divided. Its first leader divides it if it has just
-// begun: nothing has been handed in, and no worker been called. A cell that is at work
-// is not divided any more: its workers would have to be taken from a leader that has
-// runs there.
-func (n *Node) layOut(p *part, t *lead.Term) (lead.Layout, error) {
+// ensureLayout returns how the cell is divided. The first leader of shard 0 divides a cell
+// that has just been bootstrapped: no job has been submitted and no worker called yet. A
+// cell in operation is not divided any more, since its workers would have to be taken from
+// a leader that has runs there.
+func (n *Node) ensureLayout(s *shard, t *lead.Term) (lead.Layout, error) {
 	ctx := t.Context()
 	layout, err := n.layout(ctx)
-	if err != nil || p.index > 0 || layout.Parts > 1 || t.Epoch > 1 || !n.o.Settings.Bootstrap {
+	if err != nil || s.index > 0 || layout.Parts > 1 || t.Epoch > 1 || !n.o.Settings.Bootstrap {
 		return layout, err
 	}
 	for {
-		layout, err := n.begin(ctx, t)
+		layout, err := n.createLayout(ctx, t)
 		if err == nil || ctx.Err() != nil {
 			return layout, ctx.Err()
 		}
-		n.log.Warn().Err(err).Msg("the cell's layout is not known yet")
-		if err := sleep.For(ctx, settlePause); err != nil {
+		n.log.Warn().Err(err).Msg("cell layout not determined yet; retrying")
+		if err := sleep.For(ctx, registrationPoll); err != nil {
 			return lead.One, err
 		}
 	}
 }
 
-// layout waits until the layout in the store is known.
+// layout waits for the layout from the store.
 func (n *Node) layout(ctx context.Context) (lead.Layout, error) {
 	for {
 		changed := n.view().Changed()
@@ -70,8 +74,8 @@
 	}
 }
 
-// begin divides a cell that has just begun.
-func (n *Node) begin(ctx context.Context, t *lead.Term) (lead.Layout, error) {
+// createLayout divides a cell that has just been bootstrapped.
+func (n *Node) createLayout(ctx context.Context, t *lead.Term) (lead.Layout, error) {
 	entry, err := n.o.Store.Get(ctx, lead.KeyLayout)
 	switch {
 	case err == nil:
@@ -87,21 +91,21 @@
 	if err != nil {
 		return lead.One, err
 	}
-	layout := lead.Layout{Parts: partsFor(workers, n.view().Members())}
+	layout := lead.Layout{Parts: shardsFor(workers, n.view().Members())}
 	if layout.Parts == 1 {
 		return layout, nil
 	}
-	n.log.Info().Int("workers", workers).Int("parts", layout.Parts).Msg("dividing the cell")
+	n.log.Info().Int("workers", workers).Int("parts", layout.Parts).Msg("dividing the cell into shards")
 	if err := t.Commit(ctx, 0, []store.Write{{Key: lead.KeyLayout, Value: layout.Encode()}}, nil); err != nil {
 		return lead.One, err
 	}
 	return layout, nil
 }
 
-// countWorkers waits until workers have registered.
+// countWorkers waits until the workers have registered and returns their number.
 func (n *Node) countWorkers(ctx context.Context) (int, error) {
 	last, alike := -1, 0
-	for range settleMost {
+	for range maxReads {
 		workers, _, err := n.o.Directory.List(ctx)
 		if err != nil && len(workers) == 0 {
 			return 0, err
@@ -109,48 +113,50 @@
 		if len(workers) != last {
 			last, alike = len(workers), 0
 		}
-		if alike++; alike >= settled && last > 0 {
+		if alike++; alike >= stableReads && last > 0 {
 			break
 		}
-		if err := sleep.For(ctx, settlePause); err != nil {
+		if err := sleep.For(ctx, registrationPoll); err != nil {
 			return 0, err
 		}
 	}
 	return last, nil
 }
 
-// partsFor returns into how many parts a cell is divided: as many as the strongest daemons
-// make necessary, since they lead (see lead.Elector's yield).
+// shardsFor returns the number of shards of a cell, computed from the capacity of the
+// strongest daemons, since they lead (see lead.Elector's yield).
 //
-// What goes wrong if the daemon that happens to lead first is the measure: a small one
-// divides a cell for ever that one of the strong ones carries, and each part has its
-// share of the room and of every quota only.
-func partsFor(workers int, members []lead.Member) int {
+// The capacity of the daemon that happens to lead first must not decide: a small one would
+// permanently divide a cell that one of the strong ones can lead alone, and each shard has
+// only its share of the free capacity and of every quota.
+func shardsFor(workers int, members []lead.Member) int {
 	most := 0.0
 	for _, m := range members {
-		most = max(most, carries(m))
+		most = max(most, workerCapacity(m))
 	}
 	if most <= 0 {
 		return 1
 	}
 	able := 0
 	for _, m := range members {
-		if carries(m) >= ableShare*most {
+		if workerCapacity(m) >= minLeaderShare*most {
 			able++
 		}
 	}
-	parts := int(math.Ceil(float64(workers)/most - tolerance))
-	return max(1, min(parts, able))
+	shards := int(math.Ceil(float64(workers)/most - sizeTolerance))
+	return max(1, min(shards, able))
 }
 
-// carries returns how many workers a daemon carries as the leader, by its processor and,
-// where that is known, its link; 0 if nothing is known of it.
-func carries(m lead.Member) float64 { return m.Carries(workersPerLeaderCore, workersPerLeaderMbit) }
+// workerCapacity returns how many workers a daemon can serve as a leader, by its processor
+// and, where that is known, its link; 0 if neither is known.
+func workerCapacity(m lead.Member) float64 {
+	return m.Carries(workersPerLeaderCore, workersPerLeaderMbit)
+}
 
-// workersPerLeaderMbit is how many workers a leader carries for each Mbit/s of its link.
-// Measured with relays at 135 workers, 47 jobs and 120 starts a second: 50 to 170 KB/s out
-// and 80 to 180 KB/s in, so that on 250 KB/s (2 Mbit/s) bursts jam it, pings go unanswered
-// and leaders follow each other. Half of that leaves room for bursts and for reading the
-// state at a takeover; in still smaller parts wide gangs find too few workers that are good
-// for them (of 31 workers 5, for a gang that needs them all).
+// workersPerLeaderMbit is how many workers a leader can serve for each Mbit/s of its link.
+// With relays, 135 workers, 47 jobs and 120 starts per second take 50 to 170 KB/s out and
+// 80 to 180 KB/s in; on 250 KB/s (2 Mbit/s) bursts saturate the link, pings time out and
+// the leader changes repeatedly. Half of that load leaves capacity for bursts and for
+// reading the state at a takeover. Still smaller shards have too few suitable workers for
+// wide gangs (5 of 31 workers, for a gang that needs them all).
 const workersPerLeaderMbit = 30
--- a/process/cellnode/layout_test.go
+++ b/process/cellnode/layout_test.go
@@ -8,7 +8,7 @@
 	"fennelshunt.example/fennelshunt/process/lead"
 )
 
-func TestPartsForAsManyWorkersAsALeaderCarries(t *testing.T) {
+func TestShardsForWorkersPerLeader(t *testing.T) {
 	members := func(n int, cores float64) []lead.Member {
 		all := make([]lead.Member, n)
 		for i := range all {
@@ -37,13 +37,13 @@
 		{3000, mixed, 3},
 		{25000, append(members(15, 0.8), members(1000, 0.192)...), 15},
 		{3000, members(2, 0.8), 2},
-		{3000, members(2, 0), 1}, // nothing is known of the daemons
+		{3000, members(2, 0), 1}, // the daemons' capacity is unknown
 		{0, mixed, 1},
 		{135, linked(members(21, 0.12), 2), 3},   // links of 2 Mbit/s
-		{48, linked(members(9, 0.4), 10), 1},     // links that carry more than the processors
+		{48, linked(members(9, 0.4), 10), 1},     // the processors are the limit, not the links
 		{540, linked(members(97, 0.192), 10), 2}, //
 		{540, append(linked(members(6, 0.8), 200), linked(members(90, 0.1), 2)...), 1}, // a few have wide links, and lead
 	} {
-		require.Equal(t, c.want, partsFor(c.workers, c.members), "%d workers, %d daemons", c.workers, len(c.members))
+		require.Equal(t, c.want, shardsFor(c.workers, c.members), "%d workers, %d daemons", c.workers, len(c.members))
 	}
 }
--- a/process/cellnode/load.go
+++ b/process/cellnode/load.go
@@ -10,11 +10,11 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 )
 
-// loadPeriod is between lines on what the leader's link is used for: often enough
-// to stand beside an incident of ten seconds, and six lines a minute in all.
+// loadPeriod is the interval of log lines about the leader's traffic: short enough to
+// cover an incident of ten seconds, at six lines a minute.
 const loadPeriod = 10 * time.Second
 
-// reportLoad logs, while this daemon leads, what it calls and is called for.
+// reportLoad logs the daemon's traffic by kind of call while it leads.
 func (n *Node) reportLoad(ctx context.Context) {
 	before, since := n.o.Traffic.Snapshot(), time.Now()
 	for sleep.For(ctx, loadPeriod) == nil {
@@ -32,7 +32,7 @@
 		}
 		n.log.Info().Int64("open_connections", n.o.Traffic.Open()).
 			Int64("sent_per_s", int64(float64(total.Sent)/seconds)).Int64("received_per_s", int64(float64(total.Received)/seconds)).
-			Int64("opened", int64(total.Opened)).Dict("kinds", kinds).Msg("leader's traffic")
+			Int64("opened", int64(total.Opened)).Dict("kinds", kinds).Msg("traffic while leading")
 		before, since = now, time.Now()
 	}
 }
--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -33,14 +33,14 @@
 	}
 }
 
-// Bounds of the histograms: from a tenth of a millisecond, in units of which
-// they count, to ten minutes, with two digits.
+// Range of the histograms: from 0.1 ms, their unit, to ten minutes, with two
+// significant digits.
 const (
 	histogramUnit   = 100 * time.Microsecond
 	histogramMax    = int64(10 * time.Minute / histogramUnit)
 	histogramDigits = 2
-	// maxHistograms bounds the names, which come from the configuration; what is beyond
-	// that counts under otherNames.
+	// maxHistograms bounds the number of names, which come from the configuration; further
+	// ones are counted under otherNames.
 	maxHistograms = 64
 	otherNames    = "others"
 )
@@ -68,11 +68,11 @@
 			l.byName[name] = h
 		}
 	}
-	// A value out of range is counted at the range's end.
+	// A value out of range counts as the nearest bound.
 	_ = h.RecordValue(min(max(int64(d/histogramUnit), 1), histogramMax))
 }
 
-// quantiles is one histogram as it is served, in milliseconds.
+// quantiles is the JSON form of one histogram, in milliseconds.
 type quantiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50_ms"`
@@ -100,7 +100,7 @@
 	return string(data)
 }
 
-// took notes a part of a job's life.
+// took records the duration of one phase of a job.
 func (n *Node) took(what dispatch.Span, queue, account string, d time.Duration) {
 	n.latencies.note(string(what)+" "+queue, d)
 	if what == dispatch.SpanComplete && account != "" {
@@ -108,7 +108,7 @@
 	}
 }
 
-// Answered notes how long a caller's request took.
+// Answered records the duration and status of a caller's request.
 func (n *Node) Answered(method string, status int, d time.Duration) {
 	n.latencies.note("request "+method, d)
 	if status >= http.StatusInternalServerError {
@@ -117,18 +117,19 @@
 	n.metrics.Add("requests", 1)
 }
 
-// accountRows returns the client accounts of the parts that this daemon leads.
+// accountRows returns the quota usage of the client accounts in the shards that this daemon
+// leads.
 func (n *Node) accountRows() []quota.Row {
 	all := []quota.Row{}
-	for _, p := range n.parts() {
-		if rows := p.rows.Load(); rows != nil {
+	for _, s := range n.shards() {
+		if rows := s.rows.Load(); rows != nil {
 			all = append(all, *rows...)
 		}
 	}
 	return all
 }
 
-// MetricsHandler serves the counters as JSON, and explanations of jobs.
+// MetricsHandler serves the metrics as JSON, and explanations of why a job waits.
 func (n *Node) MetricsHandler() http.Handler {
 	s := &n.submitted
 	n.metrics.Set("accepted", &s.Accepted)
@@ -138,7 +139,7 @@
 	n.metrics.Set("latency", &n.latencies)
 	n.metrics.Set("completed_by_account", &n.byAccount)
 	n.metrics.Set("traffic", n.o.Traffic)
-	n.metrics.Set("configuration_version", expvar.Func(func() any { return n.catalogs.question().Version }))
+	n.metrics.Set("configuration_version", expvar.Func(func() any { return n.catalogs.request().Version }))
 	n.metrics.Set("configuration_age_ms", expvar.Func(func() any { return n.catalogs.age().Milliseconds() }))
 	n.metrics.Set(quota.MetricAccounts, expvar.Func(func() any { return n.accountRows() }))
 	n.relayed.Each(n.metrics.Set)
@@ -157,14 +158,14 @@
 	return mux
 }
 
-// serveExplain tells operators what holds a job up.
+// serveExplain returns to operators why a job waits.
 func (n *Node) serveExplain(w http.ResponseWriter, r *http.Request) {
 	id := r.URL.Query().Get("job")
 	if id == "" {
 		http.Error(w, "query: field job is missing; name a job's id", http.StatusBadRequest)
 		return
 	}
-	x, err := submit.Parts{Of: n.partOf}.Explain(r.Context(), work.JobID(id))
+	x, err := submit.Parts{Of: n.shardOf}.Explain(r.Context(), work.JobID(id))
 	switch {
 	case errors.Is(err, submit.ErrNoJob):
 		http.Error(w, "the leader knows no such job: it was never accepted, or ended long ago", http.StatusNotFound)
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -1,6 +1,7 @@
-// Package cellnode wires one daemon of a cell that takes jobs from callers.
-// Every daemon accepts jobs and answers for them; the one that leads schedules
-// them all. A daemon keeps nothing: what must last is in the platform's store.
+// Package cellnode assembles one daemon of a cell that accepts jobs from callers.
+// Every daemon accepts jobs and answers requests about them; the leader of a shard
+// schedules that shard's jobs. A daemon persists nothing locally: all durable state
+// is in the platform's store.
 package cellnode
 
 import (
@@ -33,23 +34,24 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Bounds of calls to the store. The least is far above an answer's usual few
-// milliseconds; the most lets a store sixty times slower still be used.
+// Bounds of the adaptive timeout of calls to the store. The minimum is far above the
+// few milliseconds that a call usually takes; the maximum allows for a store that is
+// sixty times slower.
 const (
-	minPatience = 200 * time.Millisecond
-	maxPatience = 1500 * time.Millisecond
+	minStoreTimeout = 200 * time.Millisecond
+	maxStoreTimeout = 1500 * time.Millisecond
 )
 
-// Times of a planned stop, before the bound at which the platform kills.
+// Timing of a planned stop, within the bound after which the platform kills the process.
 const (
-	// drainPause lets the balancer see that the daemon is not ready, while
+	// drainPause lets the load balancer see that the daemon is not ready, while
 	// requests on open connections are served and their connections closed.
 	drainPause = 2300 * time.Millisecond
-	// stopReserve is kept of the bound for the last answers.
+	// stopReserve is the part of the bound that is reserved for the last responses.
 	stopReserve = 700 * time.Millisecond
 )
 
-// HTTP bounds of callers' connections.
+// HTTP limits of callers' connections.
 const (
 	headerTimeout = 3 * time.Second
 	idleTimeout   = 60 * time.Second
@@ -64,56 +66,57 @@
 	Directory runner.Directory
 	Catalogs  work.Source
 	Adviser   runner.Adviser
-	// Handler builds the callers' interface.
+	// Handler builds the HTTP API for callers.
 	Handler func(p Parts) http.Handler
 	Log     zerolog.Logger
 	// Traffic counts the calls of the adapters; the daemon counts its calls to
 	// other daemons there as well. May be nil.
 	Traffic *traffic.Meter
-	// Dropped returns the log lines that were dropped, for the metrics.
+	// Dropped returns the number of log lines that were dropped, for the metrics.
 	Dropped func() int64
 }
 
-// Parts is what the callers' interface is built from.
+// Parts is what the HTTP API for callers is built from.
 type Parts struct {
 	Jobs    submit.Parts
 	Catalog func() *work.Catalog
-	// Standing tells how far the catalog may be relied on.
+	// Standing reports how current the catalog is.
 	Standing func() submit.Standing
-	Closing  func() bool
-	// Answered is to be told each answer.
+	// Closing reports whether a planned stop has begun.
+	Closing func() bool
+	// Answered is to be called after each response.
 	Answered func(method string, status int, d time.Duration)
 }
 
-// Node is one daemon.
+// Node is one daemon of a cell.
 type Node struct {
-	o         Options
-	log       zerolog.Logger
-	patience  *store.Patience
-	catalogs  *catalogs
-	peers     *peer.Node
-	mux       *peer.Mux
-	built     atomic.Pointer[[]*part]
-	self      lead.Member
-	relay     *relay.Server
-	relayed   relay.Stats
-	submitted submit.Stats
-	owner     atomic.Pointer[owner] // while this daemon leads part 0 of several
-	stopping  atomic.Bool
-	metrics   *expvar.Map
-	latencies latencies
-	byAccount latencies // of completed jobs
-	callers   *http.Server
-	conns     *graceful.Conns // of callers
-	listen    struct{ callers, ready, metrics, orders net.Listener }
-	tls       *tls.Config // between daemons
+	o            Options
+	log          zerolog.Logger
+	storeTimeout *store.Patience
+	catalogs     *catalogs
+	peers        *peer.Node
+	mux          *peer.Mux
+	built        atomic.Pointer[[]*shard]
+	self         lead.Member
+	relay        *relay.Server
+	relayed      relay.Stats
+	submitted    submit.Stats
+	quotaOwner   atomic.Pointer[quotaOwner] // while this daemon leads shard 0 of several
+	stopping     atomic.Bool
+	metrics      *expvar.Map
+	latencies    latencies
+	byAccount    latencies // of completed jobs
+	callers      *http.Server
+	conns        *graceful.Conns // of callers
+	listen       struct{ callers, ready, metrics, orders net.Listener }
+	tls          *tls.Config // between daemons
 }
 
-// New opens the listeners.
+// New returns a Node with its listeners open.
 func New(o Options) (*Node, error) {
 	n := &Node{o: o, log: o.Log,
-		patience: &store.Patience{Min: minPatience, Max: maxPatience}, metrics: new(expvar.Map).Init()}
-	n.catalogs = newCatalogs(o.Catalogs, n.patience, n.log)
+		storeTimeout: &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}, metrics: new(expvar.Map).Init()}
+	n.catalogs = newCatalogs(o.Catalogs, n.storeTimeout, n.log)
 	n.catalogs.follow(o.Settings.Bounds)
 	s := o.Settings
 	for _, l := range []struct {
@@ -145,7 +148,7 @@
 // CallersAddr returns the address where callers are served.
 func (n *Node) CallersAddr() string { return n.listen.callers.Addr().String() }
 
-// Run serves until ctx ends. Stop ends it as planned.
+// Run serves until ctx ends; Stop performs a planned stop.
 func (n *Node) Run(ctx context.Context) error {
 	n.log.Info().Str("zone", n.o.Settings.Zone).Str("callers", n.o.Settings.Callers).Msg("daemon starts")
 	ready := &http.Server{Handler: http.HandlerFunc(n.serveReady), ReadHeaderTimeout: headerTimeout}
@@ -154,7 +157,7 @@
 		return err
 	}
 	n.callers = &http.Server{
-		Handler:           n.o.Handler(Parts{Jobs: submit.Parts{Of: n.partOf}, Catalog: n.catalogs.Current, Standing: n.standing, Closing: n.stopping.Load, Answered: n.Answered}),
+		Handler:           n.o.Handler(Parts{Jobs: submit.Parts{Of: n.shardOf}, Catalog: n.catalogs.Current, Standing: n.standing, Closing: n.stopping.Load, Answered: n.Answered}),
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
 	}
 	n.conns = graceful.Follow(n.callers)
@@ -167,8 +170,8 @@
 	}})
 	tree.Add(n.catalogs)
 	tree.Add(service{n.followPeers})
-	tree.Add(service{n.parts()[0].elector.Run})
-	tree.Add(service{n.runParts})
+	tree.Add(service{n.shards()[0].elector.Run})
+	tree.Add(service{n.runShards})
 	tree.Add(service{n.peers.Serve})
 	tree.Add(service{n.serveOrders})
 	err := tree.Serve(ctx)
@@ -190,8 +193,8 @@
 	}
 }
 
-// join waits for the store, from which the daemon has its keys for calls to
-// others, and builds what depends on them.
+// join reads from the store the keys for calls to other daemons, retrying until the
+// store answers, and builds what depends on them.
 func (n *Node) join(ctx context.Context) error {
 	s := n.o.Settings
 	addr := &net.UDPAddr{IP: net.ParseIP(s.IP), Port: s.PeerPort}
@@ -200,7 +203,7 @@
 		return fmt.Errorf("cellnode: peer_port: %w", err)
 	}
 	for pause := joinPause; ; pause = min(2*pause, joinPauseMax) {
-		bounded, cancel := context.WithTimeout(ctx, maxPatience)
+		bounded, cancel := context.WithTimeout(ctx, maxStoreTimeout)
 		identity, err := lead.Identity(bounded, n.o.Store, s.IP)
 		cancel()
 		if err == nil {
@@ -213,14 +216,14 @@
 			n.build(lead.Member{Name: s.Name, Peer: socket.LocalAddr().String(), Zone: s.Zone, Cores: s.CPUShare * s.Cores, Started: time.Now().UnixMilli(), LinkMbps: s.LinkMbps, Orders: n.listen.orders.Addr().String()}, mux)
 			return nil
 		}
-		n.log.Warn().Err(err).Msg("waiting for the store to join the cell")
+		n.log.Warn().Err(err).Msg("can not join the cell until the store answers; retrying")
 		if err := sleep.For(ctx, pause); err != nil {
 			return errors.Join(err, socket.Close())
 		}
 	}
 }
 
-// Pauses between tries to join.
+// Backoff between attempts to join.
 const (
 	joinPause    = 20 * time.Millisecond
 	joinPauseMax = 500 * time.Millisecond
@@ -234,7 +237,7 @@
 	mux.Handle(methodAdvise, peer.Typed(n.serveAdvise))
 	mux.Handle(methodQuota, peer.Typed(n.serveQuota))
 	mux.Handle(methodCatalog, peer.Typed(n.serveCatalog))
-	n.built.Store(&[]*part{n.newPart(0, nil)})
+	n.built.Store(&[]*shard{n.newShard(0, nil)})
 }
 
 func (n *Node) memberLease() time.Duration {
@@ -270,8 +273,8 @@
 	}
 }
 
-// Stop ends the daemon as planned: the balancer is told, leadership handed
-// over, and requests are served until their connections have been closed.
+// Stop performs a planned stop: it fails the readiness check, resigns leadership, and
+// serves requests until their connections have been closed.
 func (n *Node) Stop(ctx context.Context) {
 	n.stopping.Store(true)
 	n.log.Info().Msg("planned stop begins")
@@ -279,15 +282,15 @@
 	ctx, cancel := context.WithTimeout(ctx, bound)
 	defer cancel()
 	if built := n.built.Load(); built != nil {
-		for _, p := range slices.Backward(*built) { // part 0 ends the lease of all
+		for _, p := range slices.Backward(*built) { // shard 0 last: its resignation ends the member lease that all shards use
 			p.elector.Resign(ctx)
 		}
 	}
 	if n.conns == nil {
 		return
 	}
-	_ = sleep.For(ctx, min(drainPause, bound/2)) // ends with the context, which Shutdown sees
+	_ = sleep.For(ctx, min(drainPause, bound/2)) // if ctx ends early, Shutdown returns at once
 	if err := n.conns.Shutdown(ctx, func() { _ = n.listen.callers.Close() }); err != nil {
-		n.log.Warn().Err(err).Msg("requests were cut at the end of the stop")
+		n.log.Warn().Err(err).Msg("requests in flight were aborted at the end of the planned stop")
 	}
 }
--- a/process/cellnode/orders.go
+++ b/process/cellnode/orders.go
@@ -9,16 +9,16 @@
 	"fennelshunt.example/fennelshunt/process/relay"
 )
 
-// dialTimeout bounds opening a connection for orders: the way between availability
-// zones takes a few milliseconds, and a VM without power does not answer.
+// dialTimeout bounds opening a connection for orders: a round trip between availability
+// zones takes a few milliseconds, and a VM that is down does not answer at all.
 const dialTimeout = 700 * time.Millisecond
 
-// serveOrders takes the orders of leaders, who show that they are daemons of the cell.
+// serveOrders accepts orders from leaders, which authenticate as daemons of the cell by TLS.
 func (n *Node) serveOrders(ctx context.Context) error {
 	return n.relay.Serve(ctx, tls.NewListener(n.listen.orders, n.tls))
 }
 
-// dialOrders opens a connection to where a daemon takes orders.
+// dialOrders opens a connection to the address at which a daemon accepts orders.
 func (n *Node) dialOrders(ctx context.Context, addr string) (net.Conn, error) {
 	return relay.Dialer(dialTimeout, func(ctx context.Context, c net.Conn) (net.Conn, error) {
 		secured := tls.Client(n.o.Traffic.WrapAll(kindOrders, c), n.tls)
@@ -26,5 +26,5 @@
 	})(ctx, addr)
 }
 
-// kindOrders counts the connections to relays.
+// kindOrders is the traffic kind of connections to relays.
 const kindOrders = "relay.orders"
--- a/process/cellnode/share_test.go
+++ b/process/cellnode/shard_test.go
@@ -13,17 +13,17 @@
 	"fennelshunt.example/fennelshunt/process/lead"
 )
 
-// lives is a directory in which each worker has begun another life.
-type lives struct{ n int }
+// restartedWorkers is a directory in which each worker restarts as another incarnation.
+type restartedWorkers struct{ n int }
 
-func (l lives) List(context.Context) (all []runner.Worker, _ store.Revision, _ error) {
+func (l restartedWorkers) List(context.Context) (all []runner.Worker, _ store.Revision, _ error) {
 	for i := range l.n {
 		all = append(all, runner.Worker{Ref: runner.Ref{ID: runner.LifeID(fmt.Sprint("w-", i), 1)}})
 	}
 	return all, 1, nil
 }
 
-func (l lives) Watch(context.Context, store.Revision, time.Duration) (all []runner.Change, _ store.Revision, _ error) {
+func (l restartedWorkers) Watch(context.Context, store.Revision, time.Duration) (all []runner.Change, _ store.Revision, _ error) {
 	for i := range l.n {
 		all = append(all, runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.WorkerID(fmt.Sprint("w-", i))}}, Gone: true},
 			runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.LifeID(fmt.Sprint("w-", i), 2)}}})
@@ -31,10 +31,11 @@
 	return all, 2, nil
 }
 
-// TestLivesUnderOneNameAreOfOnePart guards against a part that does not hear of the end of
-// its worker's entry, and another one that takes the worker's next life.
+// TestLivesUnderOneNameAreOfOnePart guards against the next incarnation of a worker being
+// assigned to another shard, while the shard of the earlier one misses the removal of its
+// entry.
 func TestLivesUnderOneNameAreOfOnePart(t *testing.T) {
-	names := func(s share) (listed, gone, next []string) {
+	names := func(s shardDirectory) (listed, gone, next []string) {
 		all, _, err := s.List(t.Context())
 		require.NoError(t, err)
 		for _, w := range all {
@@ -53,8 +54,8 @@
 	}
 	const workers = 20
 	sum := 0
-	for part := range 3 {
-		listed, gone, next := names(share{lives{workers}, lead.Layout{Parts: 3}, part})
+	for shard := range 3 {
+		listed, gone, next := names(shardDirectory{restartedWorkers{workers}, lead.Layout{Parts: 3}, shard})
 		require.Equal(t, listed, gone)
 		require.Equal(t, listed, next)
 		sum += len(listed)
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -15,23 +15,23 @@
 	"fennelshunt.example/fennelshunt/process/quota"
 )
 
-// Shares of the accounts' caps, where a cell has several parts. The leader of part 0 owns
-// them: it writes them to the store, which the leaders of all parts follow, and these
-// tell it what they hold and want. See quota.Shares for what that guarantees.
+// Shares of the accounts' caps, where a cell has several shards. The leader of shard 0 owns
+// them: it writes them to the store, where the leaders of all shards watch them, and these
+// report to it their usage and demand. See quota.Shares for the guarantees.
 const (
 	prefixShares = "quota/"
 	keyShares    = prefixShares + "shares"
-	// sharesChain is the chain of the owner's term on which they are written.
-	sharesChain = lead.Chains - 1
-
-	// reportPeriod is between reports while work waits for a share; a move takes three
-	// of them. calmPeriod is between reports otherwise, which tell the owner what a part
-	// obeys.
-	reportPeriod = 100 * time.Millisecond
-	calmPeriod   = time.Second
+	// sharesStream is the write stream of the owner's term on which they are written.
+	sharesStream = lead.Chains - 1
+
+	// reportPeriod is the interval of reports while work waits for a share; moving a share
+	// takes three of them. idleReportPeriod is the interval otherwise; these reports tell
+	// the owner which version of the shares a shard applies.
+	reportPeriod     = 100 * time.Millisecond
+	idleReportPeriod = time.Second
 	// reportTimeout bounds one report.
 	reportTimeout = 400 * time.Millisecond
-	// sharesPause is kept between watches of the shares.
+	// sharesPause is the pause between watches of the shares.
 	sharesPause = 30 * time.Millisecond
 )
 
@@ -39,18 +39,18 @@
 
 var errNotOwner = errors.New("cellnode: this daemon does not own the shares")
 
-// owner owns the shares for one term of part 0.
-type owner struct {
+// quotaOwner owns the shares for one term of shard 0.
+type quotaOwner struct {
 	n    *Node
 	term *lead.Term
 
 	mu       sync.Mutex
-	now      quota.Shares // 0 for its version: not read yet
+	now      quota.Shares // version 0: not read yet
 	balancer quota.Balancer
 	writing  bool
 }
 
-// decodeShares reads the shares from what a listing holds.
+// decodeShares decodes the shares from a listing of the store.
 func decodeShares(entries []store.Entry) (quota.Shares, error) {
 	for _, e := range entries {
 		if e.Key != keyShares {
@@ -75,10 +75,10 @@
 	return shares, rev, err
 }
 
-// read reads the shares as the last owner left them.
-func (o *owner) read(ctx context.Context) {
+// read reads the shares that the previous owner wrote, retrying until ctx ends.
+func (o *quotaOwner) read(ctx context.Context) {
 	for {
-		err := o.n.patience.Call(ctx, func(ctx context.Context) error {
+		err := o.n.storeTimeout.Call(ctx, func(ctx context.Context) error {
 			shares, _, err := o.n.listShares(ctx)
 			o.mu.Lock()
 			defer o.mu.Unlock()
@@ -88,15 +88,15 @@
 		if err == nil || ctx.Err() != nil {
 			return
 		}
-		o.n.log.Warn().Err(err).Msg("shares of the accounts' caps not read yet")
+		o.n.log.Warn().Err(err).Msg("reading the shares of the accounts' caps failed; retrying")
 		if sleep.For(ctx, catalogPause) != nil {
 			return
 		}
 	}
 }
 
-// take takes a part's report, and writes the next version if shares are to move.
-func (o *owner) take(r quota.Report) quota.Answer {
+// take handles a shard's report, and writes the next version if shares are to move.
+func (o *quotaOwner) take(r quota.Report) quota.Answer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	answer := o.balancer.Take(r)
@@ -110,12 +110,12 @@
 	return answer
 }
 
-// write writes a version. Until it is known to be in the store no other one is planned;
-// one whose outcome stays open ends with the term.
-func (o *owner) write(next quota.Shares) {
+// write writes a version. No other one is planned until it is confirmed to be in the store;
+// if the outcome stays unknown, no more versions are written in this term.
+func (o *quotaOwner) write(next quota.Shares) {
 	value, err := peer.Marshal(next)
 	if err == nil {
-		err = o.term.Commit(o.term.Context(), sharesChain, []store.Write{{Key: keyShares, Value: value}}, nil)
+		err = o.term.Commit(o.term.Context(), sharesStream, []store.Write{{Key: keyShares, Value: value}}, nil)
 	}
 	if err != nil {
 		o.n.log.Warn().Err(err).Msg("shares of the accounts' caps not written")
@@ -128,39 +128,40 @@
 	o.n.log.Debug().Uint64("version", next.Version).Int("accounts", len(next.Moved)).Msg("shares of the accounts' caps moved")
 }
 
-// serveQuota takes a part's report for the owner.
+// serveQuota handles a shard's report if this daemon owns the shares.
 func (n *Node) serveQuota(_ context.Context, r quota.Report) (any, error) {
-	if o := n.owner.Load(); o != nil {
+	if o := n.quotaOwner.Load(); o != nil {
 		return o.take(r), nil
 	}
 	return nil, errNotOwner
 }
 
-// runShares takes part in sharing the accounts' caps for the time of a term.
-func (p *part) runShares(t *lead.Term, h *dispatch.Host, parts int) {
-	ctx, n := t.Context(), p.n
-	if parts <= 1 {
+// runQuota takes part in sharing the accounts' caps during a term: as the owner in shard 0,
+// and by reports and a watch in every shard.
+func (s *shard) runQuota(t *lead.Term, h *dispatch.Host, shards int) {
+	ctx, n := t.Context(), s.n
+	if shards <= 1 {
 		return
 	}
-	if p.index == 0 {
-		o := &owner{n: n, term: t, balancer: quota.Balancer{Parts: parts}}
+	if s.index == 0 {
+		o := &quotaOwner{n: n, term: t, balancer: quota.Balancer{Parts: shards}}
 		o.read(ctx)
-		n.owner.Store(o)
-		context.AfterFunc(ctx, func() { n.owner.CompareAndSwap(o, nil) })
+		n.quotaOwner.Store(o)
+		context.AfterFunc(ctx, func() { n.quotaOwner.CompareAndSwap(o, nil) })
 	}
-	go p.followShares(ctx, h)
+	go s.followShares(ctx, h)
 	var asked []string
 	for {
 		report, err := h.QuotaReport(ctx, asked)
 		if err != nil {
 			return // the term is over
 		}
-		if answer, err := n.tellOwner(ctx, report); err != nil {
-			n.log.Debug().Err(err).Int("part", p.index).Msg("owner of the shares not told")
+		if answer, err := n.reportToOwner(ctx, report); err != nil {
+			n.log.Debug().Err(err).Int("part", s.index).Msg("report to the owner of the shares failed")
 		} else {
 			asked = answer.Asked
 		}
-		period := calmPeriod
+		period := idleReportPeriod
 		if len(asked) > 0 || len(report.Uses) > 0 {
 			period = reportPeriod
 		}
@@ -170,9 +171,9 @@
 	}
 }
 
-// tellOwner brings a report to the leader of part 0.
-func (n *Node) tellOwner(ctx context.Context, r quota.Report) (answer quota.Answer, err error) {
-	if o := n.owner.Load(); o != nil {
+// reportToOwner sends a report to the leader of shard 0.
+func (n *Node) reportToOwner(ctx context.Context, r quota.Report) (answer quota.Answer, err error) {
+	if o := n.quotaOwner.Load(); o != nil {
 		return o.take(r), nil
 	}
 	leader, known := n.view().Leader()
@@ -185,11 +186,11 @@
 	return answer, err
 }
 
-// followShares tells the host each version of the shares.
-func (p *part) followShares(ctx context.Context, h *dispatch.Host) {
-	n := p.n
+// followShares watches the shares in the store and passes each version to the host.
+func (s *shard) followShares(ctx context.Context, h *dispatch.Host) {
+	n := s.n
 	t := store.Tracker{What: "the shares of the accounts' caps", ReadLimit: catalogWait + catalogGrace, Wait: catalogWait, Grace: catalogGrace,
-		Pause: sharesPause, ErrorPause: catalogPause, Log: n.log, Patience: n.patience,
+		Pause: sharesPause, ErrorPause: catalogPause, Log: n.log, Patience: n.storeTimeout,
 		Read: func(ctx context.Context) (store.Revision, error) {
 			shares, rev, err := n.listShares(ctx)
 			if err == nil {
--- a/process/cellnode/texts_test.go
+++ b/process/cellnode/texts_test.go
@@ -17,7 +17,7 @@
 
 func TestSpecIsReadFromTheStore(t *testing.T) {
 	m := kv.New()
-	p := &part{store: m, n: &Node{patience: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
+	s := &shard{store: m, n: &Node{storeTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
 	put := func(id work.JobID, apart bool, inside string) {
 		value, err := work.EncodeJob(&work.Job{Queue: work.Queue{Name: "q", Attempts: 1, Slack: 1}, Spec: inside, Apart: apart, Steps: []work.Step{{Count: 1}}})
 		require.NoError(t, err)
@@ -29,34 +29,33 @@
 		require.NoError(t, err)
 	}
 	put("00000000000000aa", true, "")
-	spec, err := p.storedText(t.Context(), "00000000000000aa")
+	spec, err := s.storedText(t.Context(), "00000000000000aa")
 	require.NoError(t, err)
 	require.Equal(t, "kept apart", spec)
 	put("00000000000000bb", false, "inside")
-	spec, err = p.storedText(t.Context(), "00000000000000bb")
+	spec, err = s.storedText(t.Context(), "00000000000000bb")
 	require.NoError(t, err)
-	require.Equal(t, "inside", spec, "of a daemon of the version before")
-	_, err = p.storedText(t.Context(), "00000000000000cc")
+	require.Equal(t, "inside", spec, "accepted by a daemon of the previous release")
+	_, err = s.storedText(t.Context(), "00000000000000cc")
 	require.ErrorIs(t, err, store.ErrNotFound)
 }
 
 func TestSpecIsReadOnceForAllTasksOfAJob(t *testing.T) {
-	// Symptom: after all daemons were lost, hundreds of reads of the store for a few jobs.
-	// Sequence: the tasks of a wide job start at the same moment; nobody has its spec in
-	//   memory.
-	// Cause: each start read it for itself.
+	// Guards against hundreds of reads of the store for a few jobs after all daemons were
+	// lost: the tasks of a wide job start at the same moment, no daemon has the spec in
+	// memory, and each start read it on its own.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		const id = work.JobID("00000000000000aa")
 		_, err := m.Commit(t.Context(), store.Txn{Writes: []store.Write{{Key: dispatch.KeySpec(id), Value: []byte("x")}}})
 		require.NoError(t, err)
 		m.SetFaults(kv.Faults{Delay: 50 * time.Millisecond, DelayChance: 1})
-		p := &part{store: m, n: &Node{patience: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
+		s := &shard{store: m, n: &Node{storeTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
 		before := m.Counts().Get
 		var starts sync.WaitGroup
 		for range 25 {
 			starts.Go(func() {
-				spec, err := p.storedOnce(t.Context(), id)
+				spec, err := s.storedOnce(t.Context(), id)
 				assert.NoError(t, err)
 				assert.Equal(t, "x", spec)
 			})
