--- a/process/cellnode/layout.go
+++ b/process/cellnode/layout.go
@@ -132,14 +132,14 @@
 func shardsFor(workers int, members []lead.Member) int {
 	most := 0.0
 	for _, m := range members {
-		most = max(most, workerCapacity(m))
+		most = max(most, capacity(m))
 	}
 	if most <= 0 {
 		return 1
 	}
 	able := 0
 	for _, m := range members {
-		if workerCapacity(m) >= minLeaderShare*most {
+		if capacity(m) >= minLeaderShare*most {
 			able++
 		}
 	}
@@ -147,11 +147,9 @@
 	return max(1, min(shards, able))
 }
 
-// workerCapacity returns how many workers a daemon can serve as a leader, by its processor
+// capacity returns how many workers a daemon can serve as a leader, by its processor
 // and, where that is known, its link; 0 if neither is known.
-func workerCapacity(m lead.Member) float64 {
-	return m.Carries(workersPerLeaderCore, workersPerLeaderMbit)
-}
+func capacity(m lead.Member) float64 { return m.Carries(workersPerLeaderCore, workersPerLeaderMbit) }
 
 // workersPerLeaderMbit is how many workers a leader can serve for each Mbit/s of its link.
 // With relays, 135 workers, 47 jobs and 120 starts per second take 50 to 170 KB/s out and
--- a/process/daemon/admin.go
+++ b/process/daemon/admin.go
@@ -18,28 +18,28 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// statusTimeout bounds the questions to the owners of the shards.
+// statusTimeout bounds the status calls to the owners of the shards.
 const statusTimeout = 3 * time.Second
 
 // varsPath is where the metrics are served, as expvar does by default.
 const varsPath = "GET /debug/vars"
 
-// adminSide serves health, metrics and the administration API.
-type adminSide struct {
-	l      *life
+// adminServer serves health checks, metrics and the administration API.
+type adminServer struct {
+	inc    *incarnation
 	server *http.Server
 }
 
-func newAdminSide(l *life) *adminSide {
-	a := &adminSide{l: l}
+func newAdminServer(inc *incarnation) *adminServer {
+	a := &adminServer{inc: inc}
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /readyz", l.path.gateway.ServeReady)
+	mux.HandleFunc("GET /readyz", inc.path.gateway.ServeReady)
 	mux.HandleFunc("GET /healthz", func(w http.ResponseWriter, _ *http.Request) { fmt.Fprintln(w, "ok") })
 	mux.HandleFunc(varsPath, a.serveVars)
-	if l.d.tokens != nil {
+	if inc.d.tokens != nil {
 		server := admin.New(admin.Options{
-			Authenticator: l.d.tokens, Applier: &versions.Applier{History: l.history, Keeper: l.versions},
-			Explainer: a, Status: a, Reporter: l.reporter(), Log: l.log,
+			Authenticator: inc.d.tokens, Applier: &versions.Applier{History: inc.history, Keeper: inc.versions},
+			Explainer: a, Status: a, Reporter: inc.reporter(), Log: inc.log,
 		})
 		a.server = server.HTTPServer()
 		mux.Handle("/", a.server.Handler)
@@ -50,20 +50,20 @@
 	return a
 }
 
-func (a *adminSide) supervise() {
+func (a *adminServer) supervise() {
 	var c *tls.Config
-	if k := a.l.d.callers; k != nil {
+	if k := a.inc.d.callers; k != nil {
 		c = k.ServerConfig()
 	}
-	if t, ok := a.l.d.tokens.(suture.Service); ok {
-		a.l.add(t)
+	if t, ok := a.inc.d.tokens.(suture.Service); ok {
+		a.inc.add(t)
 	}
-	a.l.add(&httpService{l: a.l, name: "administration", server: a.server, listener: a.l.d.listen.admin, tls: c})
+	a.inc.add(&httpService{inc: a.inc, name: "administration", server: a.server, listener: a.inc.d.listen.admin, tls: c})
 }
 
 // Explain implements admin.Explainer.
-func (a *adminSide) Explain(ctx context.Context, task spec.TaskID) (api.Explanation, error) {
-	e, err := a.l.work.jobs.Explain(ctx, task)
+func (a *adminServer) Explain(ctx context.Context, task spec.TaskID) (api.Explanation, error) {
+	e, err := a.inc.work.jobs.Explain(ctx, task)
 	if errors.Is(err, jobs.ErrUnknownJob) {
 		return api.Explanation{}, admin.ErrUnknownTask
 	}
@@ -85,17 +85,17 @@
 
 // Status implements admin.StatusSource. A shard whose owner does not answer is
 // left out; its jobs are then missing rather than shown as idle.
-func (a *adminSide) Status(ctx context.Context) (api.Status, error) {
+func (a *adminServer) Status(ctx context.Context) (api.Status, error) {
 	ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 	defer cancel()
 	s := api.Status{
-		Version: a.l.versions.Current().Version, StoreVersion: a.l.versions.StoreVersion(), StoreUp: a.l.store.Available(),
-		Members: admin.Members(a.l.versions.Survey(ctx)),
+		Version: a.inc.versions.Current().Version, StoreVersion: a.inc.versions.StoreVersion(), StoreUp: a.inc.store.Available(),
+		Members: admin.Members(a.inc.versions.Survey(ctx)),
 	}
-	for n := range a.l.d.o.Settings.Shards {
-		shard, err := a.l.work.jobs.Status(ctx, plan.Shard(n))
+	for n := range a.inc.d.o.Settings.Shards {
+		shard, err := a.inc.work.jobs.Status(ctx, plan.Shard(n))
 		if err != nil {
-			a.l.log.Info().Err(err).Int("shard", n).Msg("status of a shard is missing")
+			a.inc.log.Info().Err(err).Int("shard", n).Msg("status of a shard not available")
 			continue
 		}
 		for _, j := range shard.Jobs {
--- a/process/daemon/bound.go
+++ b/process/daemon/bound.go
@@ -2,19 +2,19 @@
 
 import "time"
 
-// handOverMargin is what a planned stop may take beside the requests in flight.
+// handOverMargin is the time that a planned stop may take in addition to the requests in
+// flight, to transfer resources.
 const handOverMargin = 10 * time.Second
 
 // stopBound returns how long a planned stop may take.
-func (l *life) stopBound() time.Duration {
-	return stopBound(l.d.o.Settings.Drain.Std(), l.path.slots.LongestAttempt())
+func (inc *incarnation) stopBound() time.Duration {
+	return stopBound(inc.d.o.Settings.Drain.Std(), inc.path.slots.LongestAttempt())
 }
 
-// stopBound returns the drain setting, or longer when requests may last longer.
+// stopBound returns the drain setting, or more when requests may take longer.
 //
-// What goes wrong otherwise: a planned stop cuts a request that its service
-// allows to run for longer than the setting. One would notice it as "may have
-// run" of slow requests at each upgrade.
+// With the setting alone a planned stop would abort requests that their service allows to
+// run for longer: slow requests would end as "may have run" at each upgrade.
 func stopBound(drain, longestAttempt time.Duration) time.Duration {
 	return max(drain, drainGrace+longestAttempt+handOverMargin)
 }
--- a/process/daemon/configured.go
+++ b/process/daemon/configured.go
@@ -2,15 +2,15 @@
 
 import "fennelshunt.example/fennelshunt/process/ownership"
 
-// whenConfigured lists no resources until the configuration has been read once,
-// so that none is claimed before. What goes wrong otherwise: a daemon that has
-// just begun takes a rack or a shard over and judges what runs there by an
-// empty configuration, in which no job is declared.
-func (l *life) whenConfigured(list func() []ownership.Resource) func() []ownership.Resource {
-	return listWhen(l.versions.Loaded(), list)
+// onceConfigured returns list, with no resources until the configuration has been
+// read once, so that none is claimed before. A daemon that has just started would
+// otherwise take over a rack or a shard and judge the tasks there by an empty
+// configuration, in which no job is declared.
+func (inc *incarnation) onceConfigured(list func() []ownership.Resource) func() []ownership.Resource {
+	return listWhen(inc.versions.Loaded(), list)
 }
 
-// listWhen returns list, which is empty until ready is closed.
+// listWhen returns list, with an empty result until ready is closed.
 func listWhen(ready <-chan struct{}, list func() []ownership.Resource) func() []ownership.Resource {
 	return func() []ownership.Resource {
 		select {
--- a/process/daemon/configured_test.go
+++ b/process/daemon/configured_test.go
@@ -9,9 +9,9 @@
 )
 
 func TestNothingIsListedBeforeTheConfigurationIsRead(t *testing.T) {
-	// Symptom:  after a restart tasks are stopped as if their jobs were deleted.
-	// Sequence: a daemon claims a shard before it has read the configuration.
-	// Cause:    resources were listed from the beginning.
+	// Guards against tasks being stopped after a daemon's restart as if their jobs were
+	// deleted: resources were listed from the start, and the daemon claimed a shard before
+	// it had read the configuration.
 	ready := make(chan struct{})
 	list := listWhen(ready, func() []ownership.Resource { return []ownership.Resource{"shard/0"} })
 	require.Empty(t, list())
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -1,8 +1,8 @@
-// Package daemon wires one fennelshuntd: it carries callers' requests, owns a
-// part of the workers, jobs, slot pools and idempotency keys, and keeps its
-// part of the shared state. A Daemon lives as long as its process; a life of
-// it, with its own incarnation, ends when the other daemons took it for gone,
-// and the next one starts without the earlier one's state.
+// Package daemon assembles one fennelshuntd process: it carries callers' requests and owns
+// some of the cell's workers, jobs, slot pools and idempotency keys, with their shared
+// state. A Daemon lasts as long as its process and runs one incarnation at a time. An
+// incarnation ends when the other daemons have evicted it or when a component fails; the
+// next one starts with a higher number and without the earlier one's state.
 package daemon
 
 import (
@@ -25,47 +25,48 @@
 	"fennelshunt.example/fennelshunt/process/settings"
 )
 
-// ErrStopped is returned by Stop when no life is running.
+// ErrStopped is returned by Stop when no incarnation is running.
 var ErrStopped = errors.New("daemon: not running")
 
 // Options of a Daemon.
 type Options struct {
 	Settings *settings.Settings
-	// Peers is the identity between daemons; nil loads Settings.TLS.Peers.
+	// Peers holds the TLS keys for calls between daemons; nil loads
+	// Settings.TLS.Peers.
 	Peers *keys.Keys
-	// Callers is the identity towards callers; nil loads Settings.TLS.Callers,
-	// and without those callers are served over plain HTTP.
+	// Callers holds the TLS keys for serving callers; nil loads
+	// Settings.TLS.Callers, and without those callers are served over plain HTTP.
 	Callers *keys.Keys
 	Log     zerolog.Logger
 	// Store, VMs and Workers replace the adapters named by the settings.
 	Store   store.Store
 	VMs     vmlist.Lister
 	Workers worker.Dialer
-	// Tokens knows the administration tokens; nil loads Settings.Tokens, and
+	// Tokens authenticates administration tokens; nil loads Settings.Tokens, and
 	// without those the administration API is not served.
 	Tokens admin.Authenticator
-	// Violation is called with each broken invariant; by default it is logged
+	// Violation is called with each violated invariant; by default it is logged
 	// and counted.
 	Violation func(error)
 }
 
-// Daemon is one fennelshuntd. Serve runs it; Stop ends it as planned.
+// Daemon is one fennelshuntd. Serve runs it; Stop performs a planned stop.
 type Daemon struct {
-	o       Options
-	log     zerolog.Logger
-	peers   *keys.Keys
-	callers *keys.Keys
-	tokens  admin.Authenticator
-	listen  listeners
-	metrics metrics
-	meter   *capacity.Meter
-	life    atomic.Pointer[life]
-	// stopping is set by Stop: no further life begins.
+	o           Options
+	log         zerolog.Logger
+	peers       *keys.Keys
+	callers     *keys.Keys
+	tokens      admin.Authenticator
+	listen      listeners
+	metrics     metrics
+	meter       *capacity.Meter
+	incarnation atomic.Pointer[incarnation]
+	// stopping is set by Stop: no further incarnation starts.
 	stopping atomic.Bool
-	ready    chan struct{} // closed when the first life serves
+	ready    chan struct{} // closed when the first incarnation serves
 }
 
-// listeners are kept over the lives of a daemon, so that its addresses stay.
+// listeners are kept across the incarnations of a daemon, so that its addresses stay.
 type listeners struct {
 	caller, forward, admin net.Listener
 	peerAddr               string
@@ -122,14 +123,14 @@
 	a := d.o.Settings.Listen
 	for _, l := range []struct {
 		field, addr string
-		into        *net.Listener
+		listener    *net.Listener
 	}{
 		{"listen.caller", a.Caller, &d.listen.caller},
 		{"listen.forward", a.Forward, &d.listen.forward},
 		{"listen.admin", a.Admin, &d.listen.admin},
 	} {
 		var err error
-		if *l.into, err = net.Listen("tcp", l.addr); err != nil {
+		if *l.listener, err = net.Listen("tcp", l.addr); err != nil {
 			return fmt.Errorf("daemon: %s: %w", l.field, err)
 		}
 	}
@@ -141,7 +142,7 @@
 func (d *Daemon) Close() {
 	for _, l := range []net.Listener{d.listen.caller, d.listen.forward, d.listen.admin} {
 		if l != nil {
-			_ = l.Close() // closed twice at the end of Serve; that is no error
+			_ = l.Close() // may be closed already; the error says only that
 		}
 	}
 }
@@ -158,31 +159,31 @@
 // Ready returns a channel closed when the daemon serves for the first time.
 func (d *Daemon) Ready() <-chan struct{} { return d.ready }
 
-// Serve runs lives until ctx ends or Stop has finished. When ctx ends the
-// daemon stops at once, as a crash does; Stop is the planned way.
+// Serve runs incarnations until ctx ends or Stop has finished. When ctx ends the
+// daemon stops at once, as in a crash; Stop performs a planned stop.
 func (d *Daemon) Serve(ctx context.Context) error {
 	defer d.Close()
 	var floor uint64
 	for {
-		l, err := newLife(ctx, d, floor)
+		inc, err := newIncarnation(ctx, d, floor)
 		if err != nil {
 			return err
 		}
-		d.life.Store(l)
-		err = l.run(ctx)
-		d.life.Store(nil)
-		var over *overError
+		d.incarnation.Store(inc)
+		err = inc.run(ctx)
+		d.incarnation.Store(nil)
+		var ended *endedError
 		switch {
-		case errors.As(err, &over) && d.stopping.Load():
-			l.awaitEnding(ctx)
+		case errors.As(err, &ended) && d.stopping.Load():
+			inc.awaitEnding(ctx)
 			return nil
-		case errors.As(err, &over):
-			floor = max(over.floor, l.self.Incarnation)
-			d.log.Warn().Err(err).Msg("this life is over, starting anew without its state")
-			if err := sleep.For(ctx, over.pause); err != nil {
+		case errors.As(err, &ended):
+			floor = max(ended.floor, inc.self.Incarnation)
+			d.log.Warn().Err(err).Msg("incarnation ended; starting the next one without its state")
+			if err := sleep.For(ctx, ended.pause); err != nil {
 				return err
 			}
-		case l.left.Load():
+		case inc.left.Load():
 			return nil
 		default:
 			return err
@@ -190,23 +191,23 @@
 	}
 }
 
-// Stop ends the daemon as planned: it tells the balancer and the peers, takes
-// no new work, finishes the requests in flight, hands its resources over and
-// leaves. What is not finished when ctx ends, or after the drain setting, is
-// cut; requests may always take as long as their service allows.
+// Stop performs a planned stop: it fails the readiness check, notifies the peers, accepts
+// no new work, finishes the requests in flight, releases its resources to other daemons
+// and leaves the fleet. What is not finished when ctx ends, or after the drain setting, is
+// aborted; the bound is extended so that requests can take as long as their service allows.
 func (d *Daemon) Stop(ctx context.Context) error {
-	l := d.life.Load()
-	if l == nil {
+	inc := d.incarnation.Load()
+	if inc == nil {
 		return ErrStopped
 	}
 	d.stopping.Store(true)
-	ctx, cancel := context.WithTimeout(ctx, l.stopBound())
+	ctx, cancel := context.WithTimeout(ctx, inc.stopBound())
 	defer cancel()
-	return l.stop(ctx)
+	return inc.stop(ctx)
 }
 
-// advertise returns the address that others use: the one of the settings, or
-// the listener's where the settings leave the port open.
+// advertise returns the address that others use: the one in the settings, or the
+// listener's where the settings give no address or port 0.
 func advertise(setting string, actual string) string {
 	if setting == "" {
 		return actual
--- a/process/daemon/export_test.go
+++ b/process/daemon/export_test.go
@@ -2,13 +2,13 @@
 
 import "context"
 
-// FailPart adds a part that panics to the life that runs.
-func (d *Daemon) FailPart() { d.life.Load().add(serviceFunc(panics)) }
+// FailPart adds a component that panics to the current incarnation.
+func (d *Daemon) FailPart() { d.incarnation.Load().add(serviceFunc(panics)) }
 
-// Incarnation returns that of the life that runs, 0 when none does.
+// Incarnation returns the number of the current incarnation, 0 when there is none.
 func (d *Daemon) Incarnation() uint64 {
-	if l := d.life.Load(); l != nil {
-		return l.self.Incarnation
+	if inc := d.incarnation.Load(); inc != nil {
+		return inc.self.Incarnation
 	}
 	return 0
 }
--- a/process/daemon/handover.go
+++ b/process/daemon/handover.go
@@ -9,35 +9,36 @@
 )
 
 const (
-	// successorWait bounds the wait for the claims of what was handed over.
+	// successorWait bounds the wait until other daemons have claimed the released
+	// resources.
 	successorWait = 8 * time.Second
-	// successorLinger is how long the daemon still answers its successors'
-	// questions after the last claim.
+	// successorLinger is how long the daemon still answers its successors' calls
+	// after the last claim.
 	successorLinger = time.Second
 )
 
 // ownedNow returns the claims that this daemon holds.
-func (l *life) ownedNow() []ownership.Claim {
+func (inc *incarnation) ownedNow() []ownership.Claim {
 	var claims []ownership.Claim
 	for _, prefix := range []string{ownership.PartitionPrefix, ownership.ShardPrefix, ownership.ServicePrefix, ownership.KeysPrefix} {
-		claims = append(claims, l.owners.Owned(prefix)...)
+		claims = append(claims, inc.owners.Owned(prefix)...)
 	}
 	return claims
 }
 
-// awaitSuccessors waits until somebody has claimed what this daemon handed
-// over, and then a little longer.
+// awaitSuccessors waits until other daemons have claimed the resources that this
+// daemon released, and then for successorLinger.
 //
-// What goes wrong otherwise: the new owner of a slot pool asks its predecessor
-// for the books; if that is gone already, every slot that it may have granted
-// counts as taken until its credits and the requests' limit have run out, and
-// callers wait for some 18 s after an upgrade's step.
-func (l *life) awaitSuccessors(ctx context.Context, handed []ownership.Claim) {
+// The new owner of a slot pool asks its predecessor for the credit records. If the
+// predecessor has exited, every slot that it may have granted counts as in use until
+// its credits and the requests' time limit have expired, and callers wait for some
+// 18 s after each step of a rolling upgrade.
+func (inc *incarnation) awaitSuccessors(ctx context.Context, transferred []ownership.Claim) {
 	ctx, cancel := context.WithTimeout(ctx, successorWait)
 	defer cancel()
 	for {
-		changed := l.owners.Changed()
-		if !l.othersAlive() || l.succeeded(handed) {
+		changed := inc.owners.Changed()
+		if !inc.peersAlive() || inc.succeeded(transferred) {
 			break
 		}
 		select {
@@ -52,10 +53,10 @@
 	}
 }
 
-// othersAlive reports whether another daemon can claim anything.
-func (l *life) othersAlive() bool {
-	for _, m := range l.fleet.Members() {
-		if m.Ref != l.self && m.State == fleet.Alive {
+// peersAlive reports whether there is another daemon that can claim resources.
+func (inc *incarnation) peersAlive() bool {
+	for _, m := range inc.fleet.Members() {
+		if m.Ref != inc.self && m.State == fleet.Alive {
 			return true
 		}
 	}
@@ -63,9 +64,9 @@
 }
 
 // succeeded reports whether every claim has a later owner.
-func (l *life) succeeded(handed []ownership.Claim) bool {
-	for _, c := range handed {
-		if now, ok := l.owners.Owner(c.Resource); !ok || now.Epoch <= c.Epoch {
+func (inc *incarnation) succeeded(transferred []ownership.Claim) bool {
+	for _, c := range transferred {
+		if now, ok := inc.owners.Owner(c.Resource); !ok || now.Epoch <= c.Epoch {
 			return false
 		}
 	}
--- a/process/daemon/http.go
+++ b/process/daemon/http.go
@@ -11,13 +11,13 @@
 	"fennelshunt.example/fennelshunt/internal/liblog"
 )
 
-// flushTimeout bounds the writing of answers that a planned stop has drained;
-// the supervisor waits longer, for leaveTimeout.
+// flushTimeout bounds the writing of the last responses of a planned stop, whose
+// requests have been drained; the supervisor waits longer, for leaveTimeout.
 const flushTimeout = 3 * time.Second
 
 // httpService serves a listener that outlives the service.
 type httpService struct {
-	l        *life
+	inc      *incarnation
 	name     string
 	server   *http.Server
 	listener net.Listener
@@ -42,8 +42,8 @@
 			<-ended // the process ends when every service has
 		}
 	}()
-	h.server.ErrorLog = liblog.ForServer(h.l.log)
-	l := graceful.Listener(&keptListener{Listener: h.listener, ctx: accepting})
+	h.server.ErrorLog = liblog.ForServer(h.inc.log)
+	l := graceful.Listener(&sharedListener{Listener: h.listener, ctx: accepting})
 	if h.tls != nil {
 		l = tls.NewListener(l, h.tls)
 	}
@@ -56,26 +56,25 @@
 
 // end ends the connections.
 //
-// A planned stop has drained them before, but the last bytes of an answer may
-// not have left yet: the gateway's count of requests falls before net/http has
-// written them. One would notice a truncated answer at an upgrade. And requests
-// may be on their way in, of callers whom the balancer has sent nowhere else;
-// they are refused as not run.
+// A planned stop has drained them before, but the last bytes of a response may still be
+// unwritten: the gateway's count of requests falls before net/http has written them, and
+// closing at once would truncate responses at each upgrade. Requests may also still arrive
+// from callers that the load balancer has not moved to another daemon; they are refused as
+// not run.
 //
-// When only this life is over, because the others took it for gone, the
-// requests at endpoints finish beside the next life. What goes wrong otherwise:
-// a daemon that was starved of its processor for a few seconds cuts every
-// request in flight, and non-idempotent ones end as "may have run". Their slots
-// count as taken at the pool until slots.AttemptLimit is over, by when every
-// attempt has ended, so finishing them exceeds nothing.
+// When only this incarnation has ended, because the other daemons evicted it, the requests
+// at endpoints finish beside the next incarnation. Otherwise a daemon that was starved of
+// processor time for a few seconds would abort every request in flight, and non-idempotent
+// ones would end as "may have run". Their slots count as in use at the pool for
+// slots.AttemptLimit, by when every attempt has ended, so finishing them exceeds no limit.
 //
-// When the process ends unplanned nothing is left to report to.
+// When the process ends unplanned, connections are closed at once.
 func (h *httpService) end(conns *graceful.Conns, stopAccepting func()) {
 	switch {
-	case h.l.over.Load() != nil:
-		stopAccepting() // the next life accepts
-		h.l.ending.Go(func() { h.shutdown(conns, h.l.stopBound(), stopAccepting) })
-	case h.l.left.Load():
+	case h.inc.ended.Load() != nil:
+		stopAccepting() // the next incarnation accepts
+		h.inc.ending.Go(func() { h.shutdown(conns, h.inc.stopBound(), stopAccepting) })
+	case h.inc.left.Load():
 		h.shutdown(conns, flushTimeout, stopAccepting)
 	default:
 		stopAccepting()
@@ -83,12 +82,12 @@
 	}
 }
 
-// awaitEnding waits until the servers of a life that is over have finished
+// awaitEnding waits until the servers of an incarnation that has ended have finished
 // their requests, or ctx ends.
-func (l *life) awaitEnding(ctx context.Context) {
+func (inc *incarnation) awaitEnding(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
-		l.ending.Wait()
+		inc.ending.Wait()
 		close(done)
 	}()
 	select {
@@ -97,11 +96,11 @@
 	}
 }
 
-// shutdown lets connections finish within the limit and cuts the others.
+// shutdown lets connections finish within the limit and closes the others.
 func (h *httpService) shutdown(conns *graceful.Conns, limit time.Duration, stopAccepting func()) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := conns.Shutdown(ctx, stopAccepting); err != nil {
-		h.l.log.Warn().Err(err).Str("server", h.name).Msg("requests were cut at the end of the stop")
+		h.inc.log.Warn().Err(err).Str("server", h.name).Msg("requests in flight were aborted at the end of the planned stop")
 	}
 }
--- a/process/daemon/listener.go
+++ b/process/daemon/listener.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// keptListener accepts for one life on a listener that later lives use too:
-// closing it ends Accept but leaves the socket open, so that a daemon that
-// starts a new life never loses its port to another process.
-type keptListener struct {
+// sharedListener accepts connections for one incarnation on a listener that later
+// incarnations use too: the end of ctx ends Accept but leaves the socket open, so that a
+// daemon that starts a new incarnation never loses its port to another process.
+type sharedListener struct {
 	net.Listener
 	ctx context.Context
 }
@@ -17,12 +17,12 @@
 type deadliner interface{ SetDeadline(time.Time) error }
 
 // Accept implements net.Listener.
-func (k *keptListener) Accept() (net.Conn, error) {
+func (k *sharedListener) Accept() (net.Conn, error) {
 	if d, ok := k.Listener.(deadliner); ok {
 		stop := context.AfterFunc(k.ctx, func() { _ = d.SetDeadline(time.Unix(1, 0)) })
 		defer stop()
 		if k.ctx.Err() == nil {
-			_ = d.SetDeadline(time.Time{}) // an earlier life may have set it
+			_ = d.SetDeadline(time.Time{}) // an earlier incarnation may have set it
 		}
 	}
 	c, err := k.Listener.Accept()
@@ -32,5 +32,5 @@
 	return c, err
 }
 
-// Close implements net.Listener; the socket stays open for the next life.
-func (k *keptListener) Close() error { return nil }
+// Close implements net.Listener; the socket stays open for the next incarnation.
+func (k *sharedListener) Close() error { return nil }
--- a/process/daemon/metrics.go
+++ b/process/daemon/metrics.go
@@ -7,14 +7,14 @@
 	"fennelshunt.example/fennelshunt/process/partition"
 )
 
-// metrics lives as long as the daemon.
+// metrics holds what is counted over all incarnations of the process.
 type metrics struct {
 	jobs      jobs.Metrics
 	partition partition.Metrics
 	burn      *burn.Recorder
 }
 
-// reporter makes the reports on service-level burn, over all daemons.
-func (l *life) reporter() admin.Reporter {
-	return burn.NewReporter(l.d.metrics.burn, l.fleet, l.node, l.versions)
+// reporter returns the reporter on service-level burn over all daemons.
+func (inc *incarnation) reporter() admin.Reporter {
+	return burn.NewReporter(inc.d.metrics.burn, inc.fleet, inc.node, inc.versions)
 }
--- a/process/daemon/path.go
+++ b/process/daemon/path.go
@@ -15,9 +15,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// pathSide carries callers' requests.
-type pathSide struct {
-	l         *life
+// requestPath holds the components that carry callers' requests.
+type requestPath struct {
+	inc       *incarnation
 	slots     *slots.Manager
 	keys      *idem.Manager
 	forwarder *forward.Forwarder
@@ -25,50 +25,50 @@
 	gateway   *gateway.Gateway
 }
 
-func newPathSide(l *life) *pathSide {
-	s := l.d.o.Settings
-	p := &pathSide{l: l}
+func newRequestPath(inc *incarnation) *requestPath {
+	s := inc.d.o.Settings
+	p := &requestPath{inc: inc}
 	outliers := outlier.New(outlier.Options{})
 	p.slots = slots.New(slots.Options{
-		Self: l.self, Zone: s.Zone, Caller: l.node, Registrar: l.mux, Directory: l.owners, Members: l.fleet,
-		Log: l.log, RequestLimit: slots.LimitsOf(l.versions), AuthorityBound: s.Leases.Renew.Std(), Health: outliers,
-		LeaseRenewed: l.fleet.LeaseRenewed, LeaseFresh: s.Leases.Member.Std() * freshShare / 100,
-		Settle: p.settle, CheckInvariants: l.d.o.Violation != nil,
+		Self: inc.self, Zone: s.Zone, Caller: inc.node, Registrar: inc.mux, Directory: inc.owners, Members: inc.fleet,
+		Log: inc.log, RequestLimit: slots.LimitsOf(inc.versions), AuthorityBound: s.Leases.Renew.Std(), Health: outliers,
+		LeaseRenewed: inc.fleet.LeaseRenewed, LeaseFresh: s.Leases.Member.Std() * freshShare / 100,
+		Settle: p.recordSettled, CheckInvariants: inc.d.o.Violation != nil,
 	})
 	p.keys = idem.New(idem.Options{
-		Self: l.self, Directory: l.owners, Members: l.fleet, Store: l.store.Role(store.RoleIntents), Log: l.log,
+		Self: inc.self, Directory: inc.owners, Members: inc.fleet, Store: inc.store.Role(store.RoleIntents), Log: inc.log,
 	})
-	p.forwarder = forward.New(forward.Options{Members: func() int { return len(l.fleet.Members()) }})
-	p.peers = forward.New(forward.Options{TLS: l.d.peers.PeerConfig()})
+	p.forwarder = forward.New(forward.Options{Members: func() int { return len(inc.fleet.Members()) }})
+	p.peers = forward.New(forward.Options{TLS: inc.d.peers.PeerConfig()})
 	p.gateway = gateway.New(gateway.Options{
-		Self: l.self.ID, Config: l.versions, Ready: l.ready, Slots: p.slots, Forwarder: p.forwarder, Keys: p.keys, Peers: p.peers,
+		Self: inc.self.ID, Config: inc.versions, Ready: inc.ready, Slots: p.slots, Forwarder: p.forwarder, Keys: p.keys, Peers: p.peers,
 		Admission: admission.New(admission.Options{
 			CallerRate: s.Limits.CallerRequestsPerSecond, MaxQueue: s.Limits.MaxQueued,
-			Members: func() int { return len(l.fleet.Members()) }, Short: p.slots.Short,
+			Members: func() int { return len(inc.fleet.Members()) }, Short: p.slots.Short,
 		}),
 		Outliers: outliers, OnLeaving: p.slots.MarkLeaving,
-		Observe: l.d.metrics.burn.Observer(l.versions), Log: l.log, MaxBody: s.Limits.MaxBodyBytes,
+		Observe: inc.d.metrics.burn.Observer(inc.versions), Log: inc.log, MaxBody: s.Limits.MaxBodyBytes,
 	})
-	l.owners.Register(ownership.ServicePrefix, p.slots, l.whenConfigured(p.services))
-	l.owners.Register(ownership.KeysPrefix, p.keys, idem.Resources)
-	l.work.sinks = append(l.work.sinks, p.slots, outliers)
+	inc.owners.Register(ownership.ServicePrefix, p.slots, inc.onceConfigured(p.services))
+	inc.owners.Register(ownership.KeysPrefix, p.keys, idem.Resources)
+	inc.work.sinks = append(inc.work.sinks, p.slots, outliers)
 	return p
 }
 
-// freshShare is the share of the member lease, in percent, during which nobody
-// can have taken a claim over: a renewal counts from its beginning.
+// freshShare is the share of the member lease, in percent, after a renewal during which no
+// other daemon can have taken over a claim: a renewal counts from its beginning.
 const freshShare = 80
 
-// settle tells the later owners of a slot pool that every earlier one is
-// accounted for.
-func (p *pathSide) settle(ctx context.Context, c ownership.Claim) error {
-	return p.l.owners.Remember(ctx, c, ownership.Memo{Settled: true})
+// recordSettled records in the store, for later owners of a slot pool, that the slots of
+// every earlier owner are accounted for.
+func (p *requestPath) recordSettled(ctx context.Context, c ownership.Claim) error {
+	return p.inc.owners.Remember(ctx, c, ownership.Memo{Settled: true})
 }
 
-// services lists the slot pools: one per declared service.
-func (p *pathSide) services() []ownership.Resource {
+// services lists the slot pools as resources: one per declared service.
+func (p *requestPath) services() []ownership.Resource {
 	var out []ownership.Resource
-	for name, j := range p.l.versions.Current().Jobs {
+	for name, j := range p.inc.versions.Current().Jobs {
 		if j.Kind == spec.Service {
 			out = append(out, ownership.Resource(ownership.ServicePrefix+name))
 		}
@@ -76,17 +76,17 @@
 	return out
 }
 
-func (p *pathSide) supervise() {
-	p.l.addOnce(p.slots)
-	p.l.addOnce(p.keys)
-	p.l.add(p.forwarder)
-	p.l.add(p.peers)
+func (p *requestPath) supervise() {
+	p.inc.addOnce(p.slots)
+	p.inc.addOnce(p.keys)
+	p.inc.add(p.forwarder)
+	p.inc.add(p.peers)
 	var callerTLS *tls.Config
-	if k := p.l.d.callers; k != nil {
+	if k := p.inc.d.callers; k != nil {
 		callerTLS = k.ServerConfig()
 	}
-	p.l.add(&httpService{l: p.l, name: "callers", server: gateway.NewServer(p.gateway.CallerHandler()),
-		listener: p.l.d.listen.caller, tls: callerTLS})
-	p.l.add(&httpService{l: p.l, name: "forwarded requests", server: gateway.NewServer(p.gateway.PeerHandler()),
-		listener: p.l.d.listen.forward, tls: p.l.d.peers.PeerHTTPConfig()})
+	p.inc.add(&httpService{inc: p.inc, name: "callers", server: gateway.NewServer(p.gateway.CallerHandler()),
+		listener: p.inc.d.listen.caller, tls: callerTLS})
+	p.inc.add(&httpService{inc: p.inc, name: "forwarded requests", server: gateway.NewServer(p.gateway.PeerHandler()),
+		listener: p.inc.d.listen.forward, tls: p.inc.d.peers.PeerHTTPConfig()})
 }
--- a/process/daemon/platform.go
+++ b/process/daemon/platform.go
@@ -14,17 +14,17 @@
 
 // Bounds of the connections to the platform.
 const (
-	// platformTimeout bounds one HTTP call beside its own limits.
+	// platformTimeout bounds one HTTP call in addition to its own limits.
 	platformTimeout     = 30 * time.Second
 	platformDialTimeout = 2 * time.Second
 	platformIdleTimeout = time.Minute
-	// storeIdleConns covers the watches and the calls beside them.
+	// storeIdleConns covers the watches and the concurrent calls.
 	storeIdleConns    = 16
 	platformIdleConns = 2
 )
 
-// completePlatform makes the adapters that the options leave open; their
-// traffic is counted.
+// completePlatform makes the adapters to the platform's services that the options do not
+// give; their traffic is counted.
 func (d *Daemon) completePlatform() {
 	p := d.o.Settings.Platform
 	if d.o.Store == nil {
--- a/process/daemon/starting_test.go
+++ b/process/daemon/starting_test.go
@@ -9,8 +9,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDaemonThatBeginsNeverCallsAServiceUnknown guards against a daemon that listens, and is
-// found ready, before it knows the configuration.
+// TestDaemonThatBeginsNeverCallsAServiceUnknown guards against a daemon that accepts requests,
+// and reports itself ready, before it has the configuration.
 func TestDaemonThatBeginsNeverCallsAServiceUnknown(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -11,7 +11,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// testTimeout is far longer than anything here takes.
+// testTimeout is far longer than any step of these tests takes.
 const testTimeout = 20 * time.Second
 
 func receive[T any](t *testing.T, c <-chan T, what string) (v T) {
@@ -19,15 +19,14 @@
 	select {
 	case v = <-c:
 	case <-time.After(testTimeout):
-		require.Fail(t, "nothing came", what)
+		require.Fail(t, "nothing received", what)
 	}
 	return v
 }
 
-// Symptom: at an upgrade a caller gets a truncated answer.
-// Sequence: the gateway has counted the last request as ended, net/http still
-// writes the answer; the planned stop ends the servers.
-// Cause: the connections are closed at once, and the process ends.
+// Guards against a truncated answer at an upgrade: the gateway has counted the last request
+// as ended while net/http still writes the answer, and the planned stop closes the
+// connections at once.
 func TestPlannedStopWritesLastBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -39,11 +38,11 @@
 		_, _ = io.WriteString(w, "whole")
 	})}
 	server.RegisterOnShutdown(func() { close(shutdown) })
-	l := &life{}
-	l.left.Store(true)
+	inc := &incarnation{}
+	inc.left.Store(true)
 	ctx, cancel := context.WithCancel(t.Context())
 	served := make(chan error, 1)
-	go func() { served <- (&httpService{l: l, server: server, listener: listener}).Serve(ctx) }()
+	go func() { served <- (&httpService{inc: inc, server: server, listener: listener}).Serve(ctx) }()
 	body := make(chan string, 1)
 	go func() {
 		var data []byte
@@ -63,9 +62,8 @@
 	require.ErrorIs(t, receive(t, served, "end of the service"), context.Canceled)
 }
 
-// Symptom: a planned stop cuts slow requests.
-// Sequence: a service allows requests more time than the drain setting.
-// Cause: the stop is bounded by the setting alone.
+// Guards against a planned stop that aborts slow requests: the stop was bounded by the drain
+// setting alone, and a service allows its requests more time.
 func TestStopBoundCoversLongestRequest(t *testing.T) {
 	for _, c := range []struct{ drain, attempt, want time.Duration }{
 		{time.Minute, 0, time.Minute},
--- a/process/daemon/vars.go
+++ b/process/daemon/vars.go
@@ -13,37 +13,37 @@
 )
 
 // serveVars serves the metrics in expvar's format.
-func (a *adminSide) serveVars(w http.ResponseWriter, _ *http.Request) {
+func (a *adminServer) serveVars(w http.ResponseWriter, _ *http.Request) {
 	var m expvar.Map
-	a.l.path.gateway.Publish(&m)
-	m.Set("store", a.l.store.Vars())
-	m.Set("versions", a.l.versions.Vars())
-	a.l.d.metrics.burn.Publish(&m)
+	a.inc.path.gateway.Publish(&m)
+	m.Set("store", a.inc.store.Vars())
+	m.Set("versions", a.inc.versions.Vars())
+	a.inc.d.metrics.burn.Publish(&m)
 	m.Set("owned", expvar.Func(a.owned))
-	m.Set(capacity.VarsKey, expvar.Func(func() any { return a.l.d.meter.Usage() }))
-	a.l.d.metrics.jobs.AddTo(&m)
-	m.Set("partition", countersOf(&a.l.d.metrics.partition))
-	m.Set("slots", countersOf(a.l.path.slots.Counters()))
-	m.Set("keys", countersOf(a.l.path.keys.Counters()))
-	m.Set("fleet", eachOf(a.l.fleet.Stats().Each))
-	m.Set("peer", eachOf(a.l.node.Stats().Each))
+	m.Set(capacity.VarsKey, expvar.Func(func() any { return a.inc.d.meter.Usage() }))
+	a.inc.d.metrics.jobs.AddTo(&m)
+	m.Set("partition", countersOf(&a.inc.d.metrics.partition))
+	m.Set("slots", countersOf(a.inc.path.slots.Counters()))
+	m.Set("keys", countersOf(a.inc.path.keys.Counters()))
+	m.Set("fleet", eachOf(a.inc.fleet.Stats().Each))
+	m.Set("peer", eachOf(a.inc.node.Stats().Each))
 	if v := expvar.Get("memstats"); v != nil {
 		m.Set("memstats", v)
 	}
 	w.Header().Set("Content-Type", "application/json; charset=utf-8")
-	_ = json.NewEncoder(w).Encode(json.RawMessage(m.String())) // a cut answer fails to decode
+	_ = json.NewEncoder(w).Encode(json.RawMessage(m.String())) // a truncated answer fails to decode at the client
 }
 
 // owned counts the resources of each kind that this daemon owns.
-func (a *adminSide) owned() any {
+func (a *adminServer) owned() any {
 	counts := map[string]int{}
 	for _, prefix := range []string{ownership.PartitionPrefix, ownership.ShardPrefix, ownership.ServicePrefix, ownership.KeysPrefix} {
-		counts[prefix] = len(a.l.owners.Owned(prefix))
+		counts[prefix] = len(a.inc.owners.Owned(prefix))
 	}
 	return counts
 }
 
-// eachOf makes a map of counters that are listed by a function.
+// eachOf makes a map of the counters that each passes to its argument.
 func eachOf(each func(func(name string, v *expvar.Int))) *expvar.Map {
 	m := new(expvar.Map)
 	each(func(name string, v *expvar.Int) { m.Set(name, v) })
--- a/process/daemon/work.go
+++ b/process/daemon/work.go
@@ -12,59 +12,60 @@
 	"fennelshunt.example/fennelshunt/process/sched"
 )
 
-// workSide places work: the partitions and shards that this daemon owns and
-// its view of all workers.
-type workSide struct {
-	l     *life
+// scheduling holds the components that place tasks: the partitions and shards that this
+// daemon owns, and its view of all workers.
+type scheduling struct {
+	inc   *incarnation
 	cache *sched.Cache
 	host  *partition.Host
 	jobs  *jobs.Manager
 	sinks []cellview.Sink
 }
 
-func newWorkSide(l *life) *workSide {
-	s := l.d.o.Settings
-	w := &workSide{l: l, cache: sched.NewCache()}
+func newScheduling(inc *incarnation) *scheduling {
+	s := inc.d.o.Settings
+	w := &scheduling{inc: inc, cache: sched.NewCache()}
 	w.jobs = jobs.New(jobs.Options{
-		Self: l.self, Caller: l.node, Registrar: l.mux, Directory: l.owners, Config: l.versions,
-		LatestVersion: l.history.Version,
-		Snapshots:     w.cache.Snapshot, Store: l.store.Role(store.RoleProgress), Partitions: l.racks.Partitions,
-		Shards: s.Shards, Log: l.log, Metrics: &l.d.metrics.jobs, Violation: l.violation("jobs"),
+		Self: inc.self, Caller: inc.node, Registrar: inc.mux, Directory: inc.owners, Config: inc.versions,
+		LatestVersion: inc.history.Version,
+		Snapshots:     w.cache.Snapshot, Store: inc.store.Role(store.RoleProgress), Partitions: inc.racks.Partitions,
+		Shards: s.Shards, Log: inc.log, Metrics: &inc.d.metrics.jobs, Violation: inc.violation("jobs"),
 	})
 	w.host = partition.New(partition.Options{
-		Racks: l.racks, Dialer: l.d.o.Workers, Directory: l.owners, Claims: l.owners, Caller: l.node, Registrar: l.mux,
-		View: l.fleet, Config: l.versions, RenewBound: s.Leases.Renew.Std(), ShardOf: w.shardOfJob,
-		Log: l.log, Metrics: &l.d.metrics.partition,
+		Racks: inc.racks, Dialer: inc.d.o.Workers, Directory: inc.owners, Claims: inc.owners, Caller: inc.node, Registrar: inc.mux,
+		View: inc.fleet, Config: inc.versions, RenewBound: s.Leases.Renew.Std(), ShardOf: w.shardOfJob,
+		Log: inc.log, Metrics: &inc.d.metrics.partition,
 	})
-	l.owners.Register(ownership.PartitionPrefix, w.host, l.whenConfigured(w.host.Resources))
-	l.owners.Register(ownership.ShardPrefix, w.jobs, l.whenConfigured(w.jobs.Resources))
+	inc.owners.Register(ownership.PartitionPrefix, w.host, inc.onceConfigured(w.host.Resources))
+	inc.owners.Register(ownership.ShardPrefix, w.jobs, inc.onceConfigured(w.jobs.Resources))
 	w.sinks = append(w.sinks, w.cache)
 	return w
 }
 
-// shardOfJob returns the shard of a job's team; a job that is no longer
-// declared belongs to no known team and is looked for in the first shard.
-func (w *workSide) shardOfJob(job string) plan.Shard {
-	if j := w.l.versions.Current().Jobs[job]; j != nil {
+// shardOfJob returns the shard of a job's team. The team of a job that is no longer
+// declared is unknown; the first shard stands in.
+func (w *scheduling) shardOfJob(job string) plan.Shard {
+	if j := w.inc.versions.Current().Jobs[job]; j != nil {
 		return w.jobs.ShardOf(j.Team)
 	}
 	return 0
 }
 
-func (w *workSide) supervise() {
-	w.l.add(w.jobs)
-	w.l.add(&viewService{w})
+func (w *scheduling) supervise() {
+	w.inc.add(w.jobs)
+	w.inc.add(&viewService{w})
 }
 
-// viewService follows the partitions; the sinks are complete when it starts.
-type viewService struct{ w *workSide }
+// viewService runs the cell view. It is built when it starts, since the list of sinks is
+// complete only then.
+type viewService struct{ w *scheduling }
 
 // Serve implements suture.Service.
 func (v *viewService) Serve(ctx context.Context) error {
-	l := v.w.l
+	inc := v.w.inc
 	return cellview.New(cellview.Options{
-		Directory: l.owners, Caller: l.node, Partitions: l.racks.Partitions, Listed: l.racks.Changed,
-		Sinks: v.w.sinks, Log: l.log,
+		Directory: inc.owners, Caller: inc.node, Partitions: inc.racks.Partitions, Listed: inc.racks.Changed,
+		Sinks: v.w.sinks, Log: inc.log,
 	}).Serve(ctx)
 }
 
