--- a/process/daemon/component.go
+++ b/process/daemon/guard.go
@@ -40,52 +40,50 @@
 	return e
 }
 
-// component runs a service of an incarnation and ends the whole incarnation when it panics.
+// guard runs a service of an incarnation and ends the whole incarnation when it panics.
 //
 // A supervisor that restarted the service alone would start it on the state that the panic
 // left, or start one that cannot run twice and returns at once. Either way the daemon would
 // keep its claims without serving them, and no other daemon could: requests of a service, or
 // of some keys, would wait for ever. A new incarnation starts without that state, and its
 // higher number lets the other daemons take over the claims.
-type component struct {
-	inc     *incarnation
-	service suture.Service
+type guard struct {
+	inc *incarnation
+	svc suture.Service
 	// once is set for a service that cannot run twice: its return ends the incarnation
 	// too. Others are restarted.
 	once bool
 }
 
 // add supervises a service that can be started again after an error.
-func (inc *incarnation) add(s suture.Service) { inc.sup.Add(&component{inc: inc, service: s}) }
+func (inc *incarnation) add(s suture.Service) { inc.sup.Add(&guard{inc: inc, svc: s}) }
 
 // addOnce supervises a service that cannot run twice.
-func (inc *incarnation) addOnce(s suture.Service) {
-	inc.sup.Add(&component{inc: inc, service: s, once: true})
-}
+func (inc *incarnation) addOnce(s suture.Service) { inc.sup.Add(&guard{inc: inc, svc: s, once: true}) }
 
 // Serve implements suture.Service.
-func (c *component) Serve(ctx context.Context) (err error) {
+func (g *guard) Serve(ctx context.Context) (err error) {
 	defer func() {
 		if r := recover(); r != nil {
-			c.inc.log.Error().Str("part", c.String()).Interface("panic", r).Bytes("stack", debug.Stack()).Msg("component panicked; ending this incarnation")
-			err = c.failed(fmt.Errorf("%w: %v", errPanic, r))
+			g.inc.log.Error().Str("part", g.String()).Interface("panic", r).Bytes("stack", debug.Stack()).Msg("component panicked; ending this incarnation")
+			err = g.failed(fmt.Errorf("%w: %v", errPanic, r))
 		}
 	}()
-	err = c.service.Serve(ctx)
-	if c.once && ctx.Err() == nil {
-		return c.failed(errors.Join(errEnded, err))
+	err = g.svc.Serve(ctx)
+	if g.once && ctx.Err() == nil {
+		return g.failed(errors.Join(errEnded, err))
 	}
 	return err
 }
 
-func (c *component) failed(cause error) error {
-	return c.inc.end(&endedError{cause: fmt.Errorf("%s: %w", c, cause), pause: restartPause})
+func (g *guard) failed(cause error) error {
+	return g.inc.end(&endedError{cause: fmt.Errorf("%s: %w", g, cause), pause: restartPause})
 }
 
 // String implements fmt.Stringer for the supervisor's events.
-func (c *component) String() string {
-	if s, ok := c.service.(fmt.Stringer); ok {
+func (g *guard) String() string {
+	if s, ok := g.svc.(fmt.Stringer); ok {
 		return s.String()
 	}
-	return fmt.Sprintf("%T", c.service)
+	return fmt.Sprintf("%T", g.svc)
 }
--- a/process/daemon/component_test.go
+++ b/process/daemon/guard_test.go
@@ -33,7 +33,7 @@
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			inc := newTestIncarnation()
-			inc.sup.Add(&component{inc: inc, service: c.serve, once: c.once})
+			inc.sup.Add(&guard{inc: inc, svc: c.serve, once: c.once})
 			served := make(chan error, 1)
 			go func() { served <- inc.sup.Serve(t.Context()) }()
 			receive(t, served, "end of the incarnation")
@@ -53,7 +53,7 @@
 	var starts atomic.Int32
 	inc.add(serviceFunc(func(ctx context.Context) error {
 		if starts.Add(1) == 1 {
-			return errors.New("transient")
+			return errors.New("passes")
 		}
 		cancel()
 		<-ctx.Done()
