--- a/version/history/apply.go
+++ b/version/history/apply.go
@@ -13,11 +13,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Result tells what an apply did.
+// Result is the outcome of an apply.
 type Result struct {
 	// Version is the version that brought the file into force.
 	Version uint64 `json:"version"`
-	// Unchanged is set when the file was in force as it is: there is no new
+	// Unchanged is set when the same content was already in force: there is no new
 	// version.
 	Unchanged bool `json:"unchanged,omitempty"`
 	// Snapshot is the configuration at Version, or at a later one.
@@ -25,24 +25,24 @@
 }
 
 const (
-	// readBackTime is how long Apply goes on reading back a lost answer after
-	// the caller's context has ended: short, since somebody waits for the
-	// answer. firstReadBack and lastReadBack bound the pause between attempts;
-	// the last one is far below readBackTime, so that a store that is back
-	// before the end is asked.
+	// readBackTime is how long Apply goes on resolving a lost answer by reading
+	// back, after the caller's context has ended: short, since the caller waits
+	// for the answer. firstReadBack and lastReadBack bound the pause between
+	// attempts; the last one is far below readBackTime, so that a store that
+	// becomes available again before the end is still asked.
 	readBackTime  = 2 * time.Second
 	firstReadBack = 50 * time.Millisecond
 	lastReadBack  = 200 * time.Millisecond
-	// firstRaceRetry and lastRaceRetry bound the pause after another apply was
-	// faster.
+	// firstRaceRetry and lastRaceRetry bound the pause after a compare-and-swap
+	// was lost to another apply.
 	firstRaceRetry = 10 * time.Millisecond
 	lastRaceRetry  = time.Second
 )
 
-// Apply replaces the file of the same name, as a whole. A file without teams
-// and jobs is removed. base is the version that the author had seen; the apply
-// is refused with a *ConflictError if the file was changed after it. Changes to
-// other files do not conflict. The error is a *ConflictError, *BaseError or
+// Apply replaces the file of the same name as a whole. A file without teams and
+// jobs is removed. base is the version on which the author based the change; the
+// apply is refused with a *ConflictError if the file was changed after it. Changes
+// to other files do not conflict. The error is a *ConflictError, *BaseError or
 // *spec.ValidationError, or an error of the store after which nothing was
 // applied, or an *UnknownOutcomeError.
 func (h *History) Apply(ctx context.Context, file *spec.File, base uint64, author string) (Result, error) {
@@ -54,8 +54,8 @@
 func (h *History) ApplyAs(ctx context.Context, file *spec.File, base uint64, by By) (Result, error) {
 	by.Author = by.Author[:min(len(by.Author), maxAuthor)]
 	select {
-	case h.turn <- struct{}{}:
-		defer func() { <-h.turn }()
+	case h.applying <- struct{}{}:
+		defer func() { <-h.applying }()
 	case <-ctx.Done():
 		return Result{}, fmt.Errorf("wait for other applies; nothing was applied: %w", ctx.Err())
 	}
@@ -75,7 +75,7 @@
 	return result, err
 }
 
-// apply is one Apply under way.
+// apply is the state of one call of Apply.
 type apply struct {
 	history *History
 	file    *spec.File
@@ -83,8 +83,8 @@
 	by      By
 	id      ApplyID
 
-	// written is the sweep count at which the chunks were written, to see
-	// whether a collector came since; valid if chunksWritten.
+	// written is the sweep count at which the chunks were written, from which a
+	// later collection is detected; valid if chunksWritten.
 	written       uint64
 	chunksWritten bool
 }
@@ -134,7 +134,8 @@
 	return d.Change.Version
 }
 
-// replace swaps the head and, if the answer is lost, learns what happened.
+// replace swaps the head and, if the answer is lost, finds out whether the swap took
+// effect.
 func (a *apply) replace(ctx context.Context, s *state, next *Head, planned *planned) (Result, error) {
 	data, err := encodeHead(next)
 	if err != nil {
@@ -154,18 +155,18 @@
 	if err != nil {
 		return Result{}, fmt.Errorf("nothing was applied: %w", err)
 	}
-	snapshot, err := s.snapshot.Advance(ctx, Update{Version: next.Version, Changes: []Change{planned.change}, Forgotten: planned.forgotten}, planned.chunks)
+	snapshot, err := s.snapshot.Advance(ctx, Update{Version: next.Version, Changes: []Change{planned.change}, Pruned: planned.pruned}, planned.chunks)
 	if err != nil {
 		return Result{}, fmt.Errorf("history: applied version %d can not be read: %w", next.Version, err)
 	}
 	a.history.Learn(snapshot)
 	if next.IndexVersion > s.head.IndexVersion {
-		a.history.announceRoll(s.head)
+		a.history.announceRotation(s.head)
 	}
 	return Result{Version: next.Version, Snapshot: snapshot}, nil
 }
 
-// ineffective reports that a write certainly did not take effect.
+// ineffective reports whether err proves that a write did not take effect.
 func ineffective(err error) bool {
 	if errors.Is(err, store.ErrUnknownOutcome) {
 		return false
@@ -178,11 +179,11 @@
 	return false
 }
 
-// readBack learns whether the swap that would have made version took effect.
-// What goes wrong without it: the operator is told "failed" and applies again,
-// or is told "applied" of a version that is somebody else's. The version number
-// decides it: only one apply can have made it, and its change carries an id. It
-// returns nil, store.ErrConflict or an *UnknownOutcomeError.
+// readBack finds out whether the swap that would have created version took effect.
+// Otherwise an operator would get "failed" for an applied file and apply it again,
+// or "applied" for a version that another author created. The version number
+// decides: only one apply can have created it, and its change carries that apply's
+// id. It returns nil, store.ErrConflict or an *UnknownOutcomeError.
 func (a *apply) readBack(ctx context.Context, version uint64, cause error) error {
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTime)
 	defer cancel()
@@ -197,8 +198,8 @@
 			}
 			return fmt.Errorf("version %d is another apply's: %w", version, store.ErrConflict)
 		}
-		// Not found: the swap may still be on its way to the store, so only the
-		// next change of the head decides it.
+		// Not found: the swap may still be in flight, so only the next change of
+		// the head decides.
 		if sleep.For(ctx, pause.NextBackOff()) != nil {
 			a.history.count(func(s *Stats) { s.Unresolved++ })
 			return &UnknownOutcomeError{File: a.file.Name, Version: version, cause: cause}
@@ -211,7 +212,7 @@
 	next := &Head{Version: s.head.Version + 1, Index: s.head.Index, IndexVersion: s.head.IndexVersion, Sweep: s.head.Sweep}
 	recent := s.head.Recent
 	if s.head.Version-s.head.IndexVersion >= SegmentLength {
-		blob, err := a.history.rollOut(ctx, s)
+		blob, err := a.history.rotate(ctx, s)
 		if err != nil {
 			return nil, err
 		}
@@ -225,9 +226,8 @@
 	return next, next.check()
 }
 
-// writeChunks writes the chunks that the head does not name already. After a
-// collector has run, a chunk written before may be gone, so all are written
-// again.
+// writeChunks writes the chunks that the head does not name already. A collection
+// may delete chunks that were written earlier, so after one all are written again.
 func (a *apply) writeChunks(ctx context.Context, s *state, p *planned) error {
 	if a.chunksWritten && a.written == s.head.Sweep {
 		return nil
@@ -248,15 +248,15 @@
 	return nil
 }
 
-// planned is a change that may be applied to a state.
+// planned is a change that can be applied to a state.
 type planned struct {
-	change    Change
-	chunks    memoryChunks
-	forgotten uint64
+	change Change
+	chunks memoryChunks
+	pruned uint64
 }
 
-// plan checks that file may be applied on base to s and returns the change; nil
-// if the file is in force as it is.
+// plan checks whether file can be applied on base to s and returns the change; nil
+// if the same content is already in force.
 func plan(s *state, file *spec.File, base uint64, by By) (*planned, error) {
 	if base > s.head.Version {
 		return nil, &BaseError{Base: base, Latest: s.head.Version}
@@ -273,7 +273,7 @@
 	if err := checkBase(s, file.Name, base); err != nil {
 		return nil, err
 	}
-	p := &planned{forgotten: s.snapshot.forgotten, change: Change{
+	p := &planned{pruned: s.snapshot.pruned, change: Change{
 		Version: s.head.Version + 1, File: file.Name, Author: by.Author, Team: TeamOf(file), AppliedMillis: time.Now().UnixMilli(),
 	}}
 	files := s.snapshot.applied()
@@ -292,14 +292,14 @@
 	return p, nil
 }
 
-// checkBase refuses a change over one that its author has not seen.
+// checkBase returns a *ConflictError if the file was changed after base.
 func checkBase(s *state, name string, base uint64) error {
 	d, known := s.snapshot.Document(name)
 	if known && d.Change.Version > base {
 		return &ConflictError{File: name, Base: base, Version: d.Change.Version, Author: d.Change.Author, Time: d.Change.Applied()}
 	}
-	if !known && base > 0 && base < s.snapshot.forgotten {
-		return &ConflictError{File: name, Base: base, Version: s.snapshot.forgotten, Author: "an author no longer on record"}
+	if !known && base > 0 && base < s.snapshot.pruned {
+		return &ConflictError{File: name, Base: base, Version: s.snapshot.pruned, Author: "an author no longer on record"}
 	}
 	return nil
 }
@@ -324,7 +324,7 @@
 	return nil
 }
 
-// memoryChunks are chunks at hand.
+// memoryChunks are chunks in memory.
 type memoryChunks map[Hash][]byte
 
 // Chunk implements Chunks.
--- a/version/history/chunk.go
+++ b/version/history/chunk.go
@@ -14,9 +14,9 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// ChunkSize is the largest content of one chunk before compression, in bytes.
-// It is well below the store's limit so that a chunk also fits one message
-// between daemons.
+// ChunkSize is the largest content of one chunk before compression, in bytes. It
+// is well below the store's limit on values, so that a chunk also fits into one
+// message between daemons.
 const ChunkSize = 256 << 10
 
 // maxBlobSize bounds the content that is assembled from chunks, in bytes.
@@ -25,8 +25,8 @@
 // ErrNoChunk means that a source does not have a chunk.
 var ErrNoChunk = errors.New("history: no such chunk")
 
-// Chunks is a source of chunks. The data is compressed as in the store and need
-// not be trusted: readers check it against the hash.
+// Chunks is a source of chunks. The data is compressed as in the store. A source need
+// not be trusted, since readers verify the data against the hash.
 type Chunks interface {
 	Chunk(ctx context.Context, hash Hash) ([]byte, error)
 }
@@ -69,8 +69,8 @@
 	return buffer.Bytes(), nil
 }
 
-// expand decompresses a chunk and checks it against its hash. The size is
-// bounded: a corrupt chunk must not fill the memory.
+// expand decompresses a chunk and checks it against its hash. The size is bounded,
+// so that a corrupt chunk can not exhaust memory.
 func expand(hash Hash, data []byte) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), ChunkSize+1))
 	if err != nil {
@@ -132,9 +132,9 @@
 
 func chunkKey(hash Hash) string { return prefixChunk + hash.String() }
 
-// writeChunk writes a chunk, or writes it again if it is there already. Writing
-// again is what saves a chunk from a collector that found it unreferenced: the
-// collector deletes only the revision that it saw.
+// writeChunk writes a chunk, or writes it again if it exists already. The new revision
+// protects the chunk from a collector that has found it unreferenced: the collector
+// deletes only the revision that it read.
 func writeChunk(ctx context.Context, h *store.Handle, c chunk) error {
 	key := chunkKey(c.hash)
 	_, err := h.Swap(ctx, key, c.data, 0, 0)
--- a/version/history/collect.go
+++ b/version/history/collect.go
@@ -10,54 +10,56 @@
 )
 
 const (
-	// collectTimeout bounds one collection. Nothing is lost when it is cut
-	// short: what stays is found by a later sweep.
+	// collectTimeout bounds one collection. It may be interrupted at any point: a
+	// later sweep finds what is left.
 	collectTimeout = time.Minute
-	// sweepPrefixes is the number of parts in which all chunks are swept for
-	// those that no segment tells of, such as an apply's that lost its race.
+	// sweepPrefixes is the number of key ranges in which all chunks are swept in
+	// turn, to find chunks that no segment names, such as those of an apply that
+	// lost the compare-and-swap.
 	sweepPrefixes = 256
 )
 
-// roll is the move of a segment out of the head.
-type roll struct {
+// rotation describes the move of a segment out of the head.
+type rotation struct {
 	number uint64 // of the segment
-	// before is the index that the roll replaced, changes those since.
+	// before is the index that the rotation replaced, changes those since.
 	before  Blob
 	changes []Change
 }
 
-// announceRoll tells Serve that the segment at the end of head was moved out of
-// it. A roll that finds Serve busy is skipped: the sweep finds its chunks later.
-func (h *History) announceRoll(head *Head) {
-	r := roll{number: segmentOf(head.Version), before: head.Index, changes: head.Recent[len(head.Recent)-SegmentLength:]}
+// announceRotation notifies Serve that the segment at the end of head was moved out
+// of it. The notification is dropped if Serve is busy: a later sweep finds the chunks.
+func (h *History) announceRotation(head *Head) {
+	r := rotation{number: segmentOf(head.Version), before: head.Index, changes: head.Recent[len(head.Recent)-SegmentLength:]}
 	select {
-	case h.rolled <- r:
+	case h.rotated <- r:
 	default:
 	}
 }
 
-// Serve collects what applies made here leave behind, until ctx ends: record
-// segments beyond those kept and chunks that no file in force has any more. It
-// implements suture's service.
+// Serve deletes, until ctx ends, what applies on this daemon have left behind: record
+// segments beyond those kept, and chunks that no file in force references any more. It
+// implements suture.Service.
 func (h *History) Serve(ctx context.Context) error {
-	// Content is collected one roll late, so that a reader with a head of a
-	// moment ago still finds what it names.
-	var earlier roll
+	// Content is collected one rotation late, so that a reader with a slightly older
+	// head still finds the chunks that it names.
+	var earlier rotation
 	for {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case r := <-h.rolled:
+		case r := <-h.rotated:
 			if err := h.collect(ctx, earlier, r.number); err != nil && ctx.Err() == nil {
-				h.log.Warn().Err(err).Uint64("segment", r.number).Msg("collection put off")
+				h.log.Warn().Err(err).Uint64("segment", r.number).Msg("collection of old chunks failed; a later sweep repeats it")
 			}
 			earlier = r
 		}
 	}
 }
 
-// collect cleans up after a roll, when segment number has been rolled since.
-func (h *History) collect(ctx context.Context, r roll, number uint64) error {
+// collect deletes what became obsolete by rotation r, once the later segment number has
+// been rotated too.
+func (h *History) collect(ctx context.Context, r rotation, number uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
 	if err := h.dropSegments(ctx, number); err != nil {
@@ -70,8 +72,8 @@
 	return h.collectChunks(ctx, found)
 }
 
-// dropSegments deletes the segments that are no longer kept, the latest first,
-// back to where an earlier collector has been.
+// dropSegments deletes the segments that are no longer kept, the latest first, until
+// it finds that an earlier collection has deleted the rest.
 func (h *History) dropSegments(ctx context.Context, number uint64) error {
 	missing := 0
 	for n := number - min(number, h.keep/SegmentLength); n > 0 && missing < 2; n-- {
@@ -83,21 +85,22 @@
 		if err != nil {
 			return fmt.Errorf("read segment: %w", err)
 		}
-		if err := h.handle.Delete(ctx, segmentKey(n), item.Revision); err != nil && !gone(err) {
+		if err := h.handle.Delete(ctx, segmentKey(n), item.Revision); err != nil && !deletedOrChanged(err) {
 			return fmt.Errorf("drop segment: %w", err)
 		}
 	}
 	return nil
 }
 
-// gone reports that somebody else deleted or rewrote a key first.
-func gone(err error) bool {
+// deletedOrChanged reports whether err means that another process deleted or rewrote
+// a key first.
+func deletedOrChanged(err error) bool {
 	return errors.Is(err, store.ErrNotFound) || errors.Is(err, store.ErrConflict)
 }
 
-// candidates returns the chunks that may be unreferenced, with the revisions
-// that were seen: what the roll replaced, and one part of all.
-func (h *History) candidates(ctx context.Context, r roll, number uint64) (map[Hash]store.Revision, error) {
+// candidates returns the chunks that may be unreferenced, with the revisions that were
+// read: those that the rotation replaced, and one of the sweepPrefixes ranges of all.
+func (h *History) candidates(ctx context.Context, r rotation, number uint64) (map[Hash]store.Revision, error) {
 	found := make(map[Hash]store.Revision)
 	replaced, err := h.replaced(ctx, r)
 	if err != nil {
@@ -118,16 +121,16 @@
 	return found, nil
 }
 
-// replaced returns what a roll may have left unreferenced: the index before it,
-// the content that the files changed since had in that index, and the content
-// that came since.
-func (h *History) replaced(ctx context.Context, r roll) ([]Blob, error) {
+// replaced returns the content that a rotation may have left unreferenced: the index
+// before it, the content that the files changed since had in that index, and the
+// content added since.
+func (h *History) replaced(ctx context.Context, r rotation) ([]Blob, error) {
 	if len(r.before.Chunks) == 0 {
 		return nil, nil
 	}
 	x, err := readIndex(ctx, &Head{Index: r.before}, h.source)
 	if errors.Is(err, ErrNoChunk) {
-		return nil, nil // another collector was here
+		return nil, nil // another collector has deleted it
 	}
 	if err != nil {
 		return nil, err
@@ -146,8 +149,8 @@
 	return blobs, nil
 }
 
-// findChunks adds the chunks of blobs that are still in the store and that the
-// snapshot known here does not have.
+// findChunks adds to found the chunks of blobs that are still in the store and that the
+// latest snapshot known on this daemon does not reference.
 func (h *History) findChunks(ctx context.Context, blobs []Blob, found map[Hash]store.Revision) error {
 	referenced := h.known.Load().referenced()
 	for _, blob := range blobs {
@@ -181,14 +184,13 @@
 
 // collectChunks deletes those of found that the head does not name.
 //
-// The hazard is an apply that names such a chunk at the same time: it would be
-// in force without its content, and no daemon could take it. It would show as
-// daemons that stay behind with "no such chunk". The order of steps prevents
-// it: found holds revisions that were seen before the head is read; then the
-// head is swapped with a higher Sweep, which makes every apply fail that read
-// the head before; such an apply sees the higher Sweep and writes its chunks
-// again, which raises their revisions; and only the revision in found is
-// deleted. A collector that was paused for any time in between deletes nothing
+// An apply may name such a chunk at the same time. If the chunk were deleted, the new
+// version would be in force without its content, and daemons would stay behind with
+// "no such chunk". The order of steps prevents that: found holds revisions that were
+// read before the head; then the head is swapped with a higher Sweep, so that every
+// apply fails that read the head before; such an apply detects the higher Sweep and
+// writes its chunks again, which raises their revisions; and only the revision in found
+// is deleted. A collector that is suspended for any time in between deletes nothing
 // that was written again.
 func (h *History) collectChunks(ctx context.Context, found map[Hash]store.Revision) error {
 	for {
@@ -223,7 +225,7 @@
 func (h *History) deleteChunks(ctx context.Context, found map[Hash]store.Revision) error {
 	for hash, revision := range found {
 		if err := h.handle.Delete(ctx, chunkKey(hash), revision); err != nil {
-			if gone(err) {
+			if deletedOrChanged(err) {
 				continue
 			}
 			return fmt.Errorf("delete chunk: %w", err)
--- a/version/history/document.go
+++ b/version/history/document.go
@@ -17,8 +17,8 @@
 }
 
 // content is the JSON form of a document in its chunks. Generations leaves out
-// the jobs that the document itself changed: it is written before the version
-// is known, and stays the same when the apply is tried again on a later head.
+// the jobs that the document itself changed, since it is written before its version
+// number is known and must stay the same when the apply is retried on a later head.
 type content struct {
 	File        *spec.File        `json:"file"`
 	Generations map[string]uint64 `json:"generations,omitempty"`
@@ -32,8 +32,8 @@
 	return data, nil
 }
 
-// decodeContent is lenient towards unknown fields: a later release may have
-// applied the file.
+// decodeContent ignores unknown fields, since a later release may have applied the
+// file.
 func decodeContent(data []byte, change Change) (*spec.Applied, error) {
 	var c content
 	if err := json.Unmarshal(data, &c); err != nil {
--- a/version/history/errors.go
+++ b/version/history/errors.go
@@ -5,13 +5,13 @@
 	"time"
 )
 
-// ConflictError means that somebody else changed the same file after the
-// version that the apply was based on. Nothing was applied.
+// ConflictError means that another apply changed the same file after the version
+// that this apply was based on. Nothing was applied.
 type ConflictError struct {
 	File string `json:"file"`
 	// Base is the version that the refused apply was based on.
 	Base uint64 `json:"base"`
-	// Version, Author and Time tell of the change that won.
+	// Version, Author and Time describe the conflicting change.
 	Version uint64    `json:"version"`
 	Author  string    `json:"author"`
 	Time    time.Time `json:"time"`
@@ -36,9 +36,9 @@
 		e.Base, e.Latest)
 }
 
-// UnknownOutcomeError means that the store did not tell in time whether the
-// apply took effect. If it did, it is the given version. Applying the same file
-// again on the same base is safe: it takes effect once.
+// UnknownOutcomeError means that it could not be determined in time whether the
+// apply took effect. If it did, it created the given version. Applying the same
+// file again on the same base is safe: it takes effect once.
 type UnknownOutcomeError struct {
 	File    string `json:"file"`
 	Version uint64 `json:"version"`
@@ -51,5 +51,5 @@
 		e.File, e.Version, e.cause)
 }
 
-// Unwrap returns what the store said.
+// Unwrap returns the error of the store.
 func (e *UnknownOutcomeError) Unwrap() error { return e.cause }
--- a/version/history/fuzz_test.go
+++ b/version/history/fuzz_test.go
@@ -7,8 +7,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecoders gives every decoder of this package the same bytes. A head that
-// is accepted must be safe to read with, whatever it says.
+// FuzzDecoders passes the same bytes to every decoder of this package. Operations on a
+// head that is accepted must not panic, whatever it contains.
 func FuzzDecoders(f *testing.F) {
 	s := newStore()
 	h := newHistory(s)
--- a/version/history/growth_test.go
+++ b/version/history/growth_test.go
@@ -13,10 +13,9 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Symptom: applies fail after some weeks, since a value or the store is full.
-// Sequence: 40,000 changes a day, most of them to files that exist, some remove
-// a file whose name is never used again.
-// Cause: records and content of earlier versions are kept.
+// Guards against applies that fail after some weeks because a value or the store is full:
+// there are 40,000 changes a day, most of them to existing files, some remove a file whose
+// name is never used again, and the records and content of earlier versions are kept.
 func TestHistoryStaysWithinTheStore(t *testing.T) {
 	changes, keep := 1500, uint64(40*SegmentLength)
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -27,7 +26,7 @@
 	h := newHistory(s, WithKeep(keep))
 	random := rand.New(rand.NewPCG(1, 2))
 	largest, head := 0, 0
-	var earlier roll
+	var earlier rotation
 	for v := range changes {
 		file := fileOf(fmt.Sprintf("f%d", random.IntN(100)), 1+random.IntN(1000), 5, 5)
 		if random.IntN(20) == 0 {
@@ -41,9 +40,9 @@
 		r, err = h.Apply(ctx, file, base.Latest, "x")
 		require.NoError(t, err)
 		select {
-		case rolled := <-h.rolled:
-			require.NoError(t, h.collect(ctx, earlier, rolled.number))
-			earlier = rolled
+		case rotated := <-h.rotated:
+			require.NoError(t, h.collect(ctx, earlier, rotated.number))
+			earlier = rotated
 		default:
 		}
 		if r.Version%97 == 0 {
@@ -68,7 +67,7 @@
 	require.Less(t, head, 16<<10)
 	require.Less(t, largest, store.MaxValueSize/4)
 	require.LessOrEqual(t, uint64(count["log/"]), keep/SegmentLength+3)
-	require.Less(t, count["chunk/"], 100+4*SegmentLength, "content of earlier versions goes")
+	require.Less(t, count["chunk/"], 100+4*SegmentLength, "content of earlier versions is deleted")
 	fresh, err := newHistory(s).Current(ctx)
 	require.NoError(t, err)
 	require.Len(t, fresh.Config.Teams, len(h.known.Load().Config.Teams))
--- a/version/history/history.go
+++ b/version/history/history.go
@@ -13,29 +13,29 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// DefaultKeep is how many versions the record keeps by default: a day of
-// 40,000 changes.
+// DefaultKeep is how many versions the record keeps by default: one day at 40,000
+// changes per day.
 const DefaultKeep = 40960
 
-// History applies files and tells what was applied. It is safe for concurrent
-// use, and any number of daemons may have one on the same store.
+// History applies files and reads what was applied. It is safe for concurrent
+// use, and any number of daemons may use the same store.
 type History struct {
 	handle *store.Handle
 	source Chunks
 	keep   uint64
 	log    zerolog.Logger
 	known  atomic.Pointer[Snapshot]
-	// turn lets one Apply at a time run here: several would only lose the
+	// applying admits one Apply at a time: several would only lose the
 	// compare-and-swap to each other.
-	turn chan struct{}
-	// rolled receives the segments that were moved out of the head.
-	rolled chan roll
+	applying chan struct{}
+	// rotated receives the segments that were moved out of the head.
+	rotated chan rotation
 
 	mu    sync.Mutex
 	stats Stats
 }
 
-// Stats counts what a History did since it was made.
+// Stats counts the operations of a History since it was created.
 type Stats struct {
 	Applied    uint64 `json:"applied"`
 	Unchanged  uint64 `json:"unchanged"`
@@ -60,12 +60,12 @@
 // New returns a History over the store.
 func New(handle *store.Handle, options ...Option) *History {
 	h := &History{
-		handle: handle,
-		source: StoreChunks{handle},
-		keep:   DefaultKeep,
-		log:    zerolog.Nop(),
-		turn:   make(chan struct{}, 1),
-		rolled: make(chan roll, 1),
+		handle:   handle,
+		source:   StoreChunks{handle},
+		keep:     DefaultKeep,
+		log:      zerolog.Nop(),
+		applying: make(chan struct{}, 1),
+		rotated:  make(chan rotation, 1),
 	}
 	for _, o := range options {
 		o(h)
@@ -74,7 +74,7 @@
 	return h
 }
 
-// Learn gives the History a snapshot that was fetched elsewhere, so that it
+// Learn passes to the History a snapshot that was fetched elsewhere, so that it
 // need not fetch the same content itself.
 func (h *History) Learn(s *Snapshot) {
 	for {
@@ -98,18 +98,18 @@
 	f(&h.stats)
 }
 
-// state is the head as read, with the snapshot it stands for.
+// state is a head that was read, with its snapshot.
 type state struct {
 	head     *Head
 	revision store.Revision
 	snapshot *Snapshot
 }
 
-// maxReads bounds how often read starts again because the content it was after
-// has been replaced and collected meanwhile.
+// maxReads bounds how often read is retried because content of the head was replaced
+// and collected before it could be read.
 const maxReads = 5
 
-// read returns the state in the store now.
+// read returns the current state in the store.
 func (h *History) read(ctx context.Context) (*state, error) {
 	var err error
 	for range maxReads {
@@ -122,8 +122,8 @@
 }
 
 func (h *History) readOnce(ctx context.Context) (*state, error) {
-	// Taken before the head is read: a version learnt while the answer is on its
-	// way may be later than that answer without the store having been set back.
+	// Loaded before the head is read: a version received from a peer while the answer
+	// is in flight may be later than that answer although the store was not reset.
 	known := h.known.Load()
 	head, revision, err := readHead(ctx, h.handle)
 	if err != nil {
@@ -131,9 +131,9 @@
 	}
 	s := &state{head: head, revision: revision, snapshot: known}
 	if s.snapshot.Version > head.Version {
-		// The store was set back, or this daemon's knowledge is wrong. Going on
-		// would give a version number out twice, and daemons that have seen the
-		// higher one would never take the new one.
+		// The store was reset to an earlier state, or this daemon's state is wrong.
+		// Continuing would assign a version number twice, and daemons that have the
+		// higher version would never accept the new one.
 		return nil, fmt.Errorf("history: the store is at version %d, but version %d is in force; restore the store", head.Version, s.snapshot.Version)
 	}
 	if s.snapshot.Version == head.Version {
@@ -150,7 +150,7 @@
 	return s, nil
 }
 
-// readHead returns the head, the empty one if there was no apply yet.
+// readHead returns the head, an empty one if there was no apply yet.
 func readHead(ctx context.Context, handle *store.Handle) (*Head, store.Revision, error) {
 	item, err := handle.Get(ctx, KeyHead)
 	if errors.Is(err, store.ErrNotFound) {
--- a/version/history/main_test.go
+++ b/version/history/main_test.go
@@ -11,7 +11,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// newHistory returns a History of its own client on the store.
+// newHistory returns a History with its own client of the store.
 func newHistory(s store.Store, options ...Option) *History {
 	budget := store.Budget{Writes: 1e6, Reads: 1e6}
 	return New(store.NewClient(s, store.Options{Budget: budget}).Role(store.RoleVersions), options...)
--- a/version/history/race_test.go
+++ b/version/history/race_test.go
@@ -37,8 +37,8 @@
 	attempts map[string]attempt // by author, unique per attempt
 }
 
-// operator applies n files: often the same, with content that comes back, so
-// that chunks become unreferenced and referenced again.
+// operator applies n files, often the same one and with content used before, so that
+// chunks become unreferenced and referenced again.
 func (r *race) operator(id, n int) {
 	random := rand.New(rand.NewPCG(r.seed, uint64(id)))
 	h := newHistory(r.store, WithKeep(1<<20))
@@ -62,8 +62,8 @@
 	}
 }
 
-// sweeper collects all chunks over and over, pausing between the steps as a
-// stopped process does.
+// sweeper collects all chunks repeatedly, pausing between the steps as a suspended
+// process does.
 func (r *race) sweeper(ctx context.Context, id int) (collected uint64) {
 	random := rand.New(rand.NewPCG(r.seed, 1000+uint64(id)))
 	h := newHistory(r.store)
@@ -79,12 +79,12 @@
 			found[hash] = item.Revision
 		}
 		time.Sleep(time.Duration(random.IntN(500)) * time.Millisecond)
-		_ = h.collectChunks(ctx, found) // put off after a fault
+		_ = h.collectChunks(ctx, found) // after a fault, the next round repeats it
 	}
 	return h.Stats().Collected
 }
 
-// reader asserts that whatever version is the latest can be read whole.
+// reader asserts that the latest version can always be read completely.
 func (r *race) reader(ctx context.Context) (reads int) {
 	for ctx.Err() == nil {
 		time.Sleep(100 * time.Millisecond)
@@ -99,7 +99,7 @@
 	return reads
 }
 
-// check replays the record against what each operator was told.
+// check replays the record and compares it with the result that each operator got.
 func (r *race) check() {
 	h := newHistory(r.store)
 	last, err := h.Current(context.Background())
@@ -119,14 +119,14 @@
 			require.False(r.t, a.result.Unchanged)
 		} else {
 			var unknown *UnknownOutcomeError
-			require.ErrorAs(r.t, a.err, &unknown, "told that nothing was applied, but it is version %d", v)
+			require.ErrorAs(r.t, a.err, &unknown, "error says that nothing was applied, but it is version %d", v)
 			require.Equal(r.t, v, unknown.Version)
 		}
 		delete(r.attempts, c.Author) // one apply, one version
 		latest[a.file], weights[a.file] = v, a.weight
 	}
 	for author, a := range r.attempts {
-		require.True(r.t, a.err != nil || a.result.Unchanged, "%s was told of version %d, which is not its", author, a.result.Version)
+		require.True(r.t, a.err != nil || a.result.Unchanged, "%s got version %d, which another apply created", author, a.result.Version)
 	}
 	for file, weight := range weights {
 		team := last.Config.Teams[file]
@@ -137,13 +137,12 @@
 	}
 }
 
-// Symptom: two operators are told of the same version, an applied file is gone,
-// or a version in force has lost its content.
-// Sequence: operators race on few files over several daemons; answers and
-// requests are lost, the store is down for moments, writes take effect late;
-// collectors delete unreferenced chunks meanwhile and are paused in between.
-// Cause: a compare-and-swap whose outcome is guessed, a collector that deletes
-// what an apply is about to name.
+// Guards against two operators getting the same version, an applied file that is missing, or a
+// version in force without its content. Operators race on few files over several daemons;
+// answers and requests are lost, the store is down for moments, and writes take effect late;
+// meanwhile collectors delete unreferenced chunks and are suspended between steps. Faults of
+// this kind come from a guessed outcome of a compare-and-swap, and from a collector that
+// deletes chunks that an apply is about to name.
 func TestRacingAppliesMakeOneHistory(t *testing.T) {
 	seeds := uint64(3)
 	if os.Getenv("FENNEL_LONG") != "" {
@@ -178,7 +177,7 @@
 	background.Wait()
 	r.store.SetFaults(kv.Faults{})
 	time.Sleep(time.Minute)
-	require.NotZero(t, collected, "the collector had something to do")
+	require.NotZero(t, collected, "the collector has deleted chunks")
 	require.NotZero(t, reads)
 	r.check()
 }
--- a/version/history/readback_test.go
+++ b/version/history/readback_test.go
@@ -14,10 +14,10 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// cutStore loses the connection at the first write of the head, for a time.
+// cutStore loses the connection for the time cut, from the first write of the head.
 type cutStore struct {
 	store.Store
-	effect bool // the write arrived
+	effect bool // the write takes effect
 	cut    time.Duration
 	since  atomic.Pointer[time.Time]
 }
@@ -48,11 +48,10 @@
 	return c.Store.Get(ctx, key)
 }
 
-// Symptom: an operator is told "applied" of somebody else's version, or "not
-// applied" of a version that is in force.
-// Sequence: the answer to the swap of the head is lost and the store can not be
-// reached until the caller's time is over; another daemon applies meanwhile.
-// Cause: the version's number alone does not tell whose it is.
+// Guards against an operator getting "applied" for a version that another apply created, or
+// "not applied" for a version that is in force: the answer to the swap of the head is lost,
+// the store is unreachable until the caller's deadline, and another daemon applies meanwhile.
+// The version number alone does not identify the apply.
 func TestLostSwapIsResolvedByItsID(t *testing.T) {
 	cases := map[string]struct {
 		effect, other bool
@@ -90,10 +89,10 @@
 	}
 }
 
-// TestStoreThatIsBackInTimeIsAsked guards against telling an operator "not
-// known" while the store has answered for the last 300 ms of the reading back.
+// TestStoreThatIsBackInTimeIsAsked guards against an unknown outcome although the store was
+// reachable for the last 300 ms of reading back.
 func TestStoreThatIsBackInTimeIsAsked(t *testing.T) {
-	for range 300 { // each draws other pauses
+	for range 300 { // each run draws different pauses
 		synctest.Test(t, func(t *testing.T) {
 			h := newHistory(&cutStore{Store: kv.New(), effect: true, cut: 500*time.Millisecond + readBackTime - 300*time.Millisecond})
 			ctx, cancel := context.WithTimeout(t.Context(), 500*time.Millisecond)
@@ -105,7 +104,7 @@
 	}
 }
 
-// slowReader delivers an answer after the version that came next was learnt.
+// slowReader delivers an answer only after the following version was received elsewhere.
 type slowReader struct {
 	store.Store
 	after func()
@@ -119,11 +118,9 @@
 	return e, err
 }
 
-// Symptom: an apply is refused since "the store is at version 1, but version 2
-// is in force", and nobody touched the store.
-// Sequence: the head is read; version 2 is applied elsewhere and learnt from a
-// peer before the answer arrives.
-// Cause: the answer is compared with what became known after the question.
+// Guards against an apply that is refused with "the store is at version 1, but version 2 is in
+// force" although the store was not reset: the head is read, version 2 is applied elsewhere and
+// received from a peer before the answer arrives, and the answer is compared with it.
 func TestLateAnswerIsNoSetBackStore(t *testing.T) {
 	m := kv.New()
 	other := newHistory(m)
--- a/version/history/record.go
+++ b/version/history/record.go
@@ -2,15 +2,15 @@
 // platform's store.
 //
 // One key, the head, is replaced by compare-and-swap with each apply; it holds
-// the version and the latest changes. The content of files lies in
+// the version and the latest changes. The content of files is stored in
 // content-addressed chunks that are written before the head names them, so an
-// apply takes effect whole or not at all. The index of all files and the record
-// of older changes are moved out of the head every SegmentLength versions, so
-// that the head stays small however many changes there have been.
+// apply takes effect as a whole or not at all. Every SegmentLength versions the
+// index of all files and the record of older changes are moved out of the head,
+// so that the head stays small however many changes there have been.
 //
 // Guarantees: versions rise by one with each apply; each version is the effect
-// of exactly one Apply; no apply overwrites a change to the same file that its
-// author had not seen; a chunk that a head names is never collected.
+// of exactly one Apply; no apply overwrites a change to the same file that was
+// made after its base; a chunk that a head names is never collected.
 package history
 
 import (
@@ -38,7 +38,7 @@
 	// maxFiles bounds the index, so that it stays well below the store's limit
 	// even with tombstones.
 	maxFiles = 10000
-	// maxTombstones is how many removed files are remembered.
+	// maxTombstones is the number of removed files of which a tombstone is kept.
 	maxTombstones = 1000
 	// maxAuthor is the longest author kept, in bytes.
 	maxAuthor = 128
@@ -60,18 +60,18 @@
 	Chunks []Hash `cbor:"2,keyasint,omitempty"`
 }
 
-// ApplyID names one Apply. After a lost answer it tells whose change a version
-// is.
+// ApplyID identifies one Apply. After a lost answer it shows which apply created
+// a version.
 type ApplyID [16]byte
 
-// Change is what one version did: it replaced one file.
+// Change is the content of one version: the replacement of one file.
 type Change struct {
 	Version uint64 `cbor:"1,keyasint,omitempty"`
 	File    string `cbor:"2,keyasint,omitempty"`
-	// Content is the file's document; no chunks means that the file is gone.
+	// Content is the file's document; no chunks means that the file was removed.
 	Content Blob   `cbor:"3,keyasint,omitempty"`
 	Author  string `cbor:"4,keyasint,omitempty"`
-	// Team is the team whose work the file is, "" for one of the platform's
+	// Team is the team to which the file belongs, "" for a file of the platform's
 	// operators; see TeamOf.
 	Team string `cbor:"5,keyasint,omitempty"`
 	// AppliedMillis is the time of the apply by the clock of the daemon that
@@ -80,7 +80,7 @@
 	ID            ApplyID `cbor:"7,keyasint,omitempty"`
 }
 
-// Removed reports whether the change took the file away.
+// Removed reports whether the change removed the file.
 func (c Change) Removed() bool { return len(c.Content.Chunks) == 0 }
 
 // Applied returns the time of the apply.
@@ -95,7 +95,7 @@
 	// Recent holds the latest changes in order: all since IndexVersion, and the
 	// segment before it if there was one.
 	Recent []Change `cbor:"4,keyasint,omitempty"`
-	// Sweep counts collections of chunks; see Collector.
+	// Sweep counts collections of chunks; see History.Serve.
 	Sweep uint64 `cbor:"5,keyasint,omitempty"`
 }
 
@@ -110,12 +110,11 @@
 	return h.Recent[version-h.oldest()], true
 }
 
-// index is the table of all files at one version.
+// index lists all files at one version.
 type index struct {
 	Files []Change `cbor:"1,keyasint,omitempty"`
-	// Forgotten is the highest version of a removed file that is no longer
-	// listed.
-	Forgotten uint64 `cbor:"2,keyasint,omitempty"`
+	// Pruned is the highest version of a removed file whose tombstone was pruned.
+	Pruned uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 var (
@@ -123,7 +122,7 @@
 	decoder = must(cbor.DecOptions{MaxArrayElements: 1 << 17, MaxMapPairs: 1 << 10, MaxNestedLevels: 8}.DecMode())
 )
 
-// must is for options that are constant.
+// must panics on an error; it is used for constant options only.
 func must[T any](v T, err error) T {
 	if err != nil {
 		panic(err)
@@ -152,7 +151,7 @@
 	return h, nil
 }
 
-// check asserts what every reader of a head relies on.
+// check verifies the invariants that readers of a head rely on.
 func (h *Head) check() error {
 	if uint64(len(h.Recent)) > h.Version || h.IndexVersion > h.Version || h.Version-h.IndexVersion > uint64(len(h.Recent)) {
 		return fmt.Errorf("version %d, index %d, %d changes", h.Version, h.IndexVersion, len(h.Recent))
@@ -160,7 +159,7 @@
 	return checkRun(h.Recent, h.oldest())
 }
 
-// checkRun asserts that changes are numbered from first on without a gap.
+// checkRun verifies that changes are numbered consecutively from first.
 func checkRun(changes []Change, first uint64) error {
 	for i, c := range changes {
 		if c.Version != first+uint64(i) {
--- a/version/history/segment.go
+++ b/version/history/segment.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// segment is SegmentLength changes that left the head.
+// segment holds SegmentLength changes that were moved out of the head.
 type segment struct {
 	Changes []Change `cbor:"1,keyasint,omitempty"`
 }
@@ -19,13 +19,13 @@
 
 func segmentKey(number uint64) string { return fmt.Sprintf("%s%016x", prefixRecord, number) }
 
-// rollOut writes the changes since the index into a segment of the record and the
-// index as of now into chunks. It changes nothing that is in force: both count
-// only once a head names the index. A segment's content is determined by the
-// head it is taken from, so that whoever writes it first writes the same.
-func (h *History) rollOut(ctx context.Context, s *state) (Blob, error) {
+// rotate writes the changes since the index into a segment of the record, and the
+// current index into chunks. It changes nothing that is in force: both take effect
+// only once a head names the index. A segment's content is determined by the head
+// it is taken from, so concurrent writers write the same.
+func (h *History) rotate(ctx context.Context, s *state) (Blob, error) {
 	if s.head.Version%SegmentLength != 0 {
-		return Blob{}, fmt.Errorf("history: roll at version %d, which ends no segment", s.head.Version)
+		return Blob{}, fmt.Errorf("history: rotation at version %d, which ends no segment", s.head.Version)
 	}
 	changes := s.head.Recent[len(s.head.Recent)-SegmentLength:]
 	data, err := encoder.Marshal(segment{Changes: changes})
@@ -83,8 +83,8 @@
 	return s.Changes, nil
 }
 
-// changeAt returns the change of one version. found is false when the head has
-// not reached it.
+// changeAt returns the change of one version. found is false if the head has not
+// reached that version.
 func changeAt(ctx context.Context, handle *store.Handle, version uint64) (change Change, found bool, err error) {
 	head, _, err := readHead(ctx, handle)
 	if err != nil {
--- a/version/history/snapshot.go
+++ b/version/history/snapshot.go
@@ -11,13 +11,13 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Snapshot is every file of one version with its content, complete and checked.
+// Snapshot holds every file of one version with its content, complete and checked.
 // It is immutable.
 type Snapshot struct {
 	Version uint64
 	Config  *spec.Config
-	// forgotten is the highest version of a removed file that is not listed.
-	forgotten uint64
+	// pruned is the highest version of a removed file whose tombstone was pruned.
+	pruned    uint64
 	documents map[string]*Document
 }
 
@@ -27,14 +27,15 @@
 	return &Snapshot{Config: config, documents: make(map[string]*Document)}
 }
 
-// Document returns the document of a file; removed files have one too, for some
-// time.
+// Document returns the document of a file. Removed files have one too, until their
+// tombstone is pruned.
 func (s *Snapshot) Document(file string) (*Document, bool) {
 	d, ok := s.documents[file]
 	return d, ok
 }
 
-// Files returns the changes that brought the present files, sorted by name.
+// Files returns, sorted by name, the change by which each file in force was last
+// applied.
 func (s *Snapshot) Files() []Change {
 	var files []Change
 	for _, d := range s.documents {
@@ -46,7 +47,7 @@
 	return files
 }
 
-// Documents calls f with the document of every file, those removed included.
+// Documents calls f with the document of every file, including removed ones.
 func (s *Snapshot) Documents(f func(*Document)) {
 	for _, d := range s.documents {
 		f(d)
@@ -57,14 +58,14 @@
 type Update struct {
 	Version uint64 `cbor:"1,keyasint,omitempty"`
 	// Whole is set when Changes lists all files, not only the changed ones.
-	Whole     bool     `cbor:"2,keyasint,omitempty"`
-	Changes   []Change `cbor:"3,keyasint,omitempty"`
-	Forgotten uint64   `cbor:"4,keyasint,omitempty"`
+	Whole   bool     `cbor:"2,keyasint,omitempty"`
+	Changes []Change `cbor:"3,keyasint,omitempty"`
+	Pruned  uint64   `cbor:"4,keyasint,omitempty"`
 }
 
 // Since returns the update from version have to s.
 func (s *Snapshot) Since(have uint64) Update {
-	u := Update{Version: s.Version, Whole: have < s.forgotten || have == 0, Forgotten: s.forgotten}
+	u := Update{Version: s.Version, Whole: have < s.pruned || have == 0, Pruned: s.pruned}
 	for _, d := range s.documents {
 		if u.Whole || d.Change.Version > have {
 			u.Changes = append(u.Changes, d.Change)
@@ -77,14 +78,14 @@
 // UpdateFrom returns the update that leads from s to head. It reads the index
 // from source only if the changes that the head lists do not reach back to s.
 func (s *Snapshot) UpdateFrom(ctx context.Context, head *Head, source Chunks) (Update, error) {
-	u := Update{Version: head.Version, Forgotten: s.forgotten}
+	u := Update{Version: head.Version, Pruned: s.pruned}
 	files := make(map[string]Change)
 	if s.Version+1 < head.oldest() {
 		x, err := readIndex(ctx, head, source)
 		if err != nil {
 			return Update{}, err
 		}
-		u.Whole, u.Forgotten = true, x.Forgotten
+		u.Whole, u.Pruned = true, x.Pruned
 		for _, c := range x.Files {
 			files[c.File] = c
 		}
@@ -111,13 +112,13 @@
 }
 
 // Advance returns the snapshot that u leads to, fetching what s does not hold.
-// The result is complete and checked: a caller that publishes nothing else can
-// not put half a version into force.
+// The result is complete and checked, so that a caller that publishes only such
+// snapshots can not put part of a version into force.
 func (s *Snapshot) Advance(ctx context.Context, u Update, source Chunks) (*Snapshot, error) {
 	if u.Version <= s.Version {
 		return nil, fmt.Errorf("history: version %d is not later than %d", u.Version, s.Version)
 	}
-	next := &Snapshot{Version: u.Version, forgotten: u.Forgotten}
+	next := &Snapshot{Version: u.Version, pruned: u.Pruned}
 	if u.Whole {
 		next.documents = make(map[string]*Document, len(u.Changes))
 	} else {
@@ -136,7 +137,7 @@
 		}
 		next.documents[change.File] = document
 	}
-	next.forget()
+	next.pruneTombstones()
 	return next, next.flatten()
 }
 
@@ -172,9 +173,9 @@
 	return files
 }
 
-// forget drops the oldest tombstones. What goes wrong without it: names that
-// are used once, such as a date in a file's name, would fill the index.
-func (s *Snapshot) forget() {
+// pruneTombstones drops the oldest tombstones. File names that are used only once,
+// such as names with a date, would otherwise fill the index.
+func (s *Snapshot) pruneTombstones() {
 	var removed []Change
 	for _, d := range s.documents {
 		if d.Change.Removed() {
@@ -187,13 +188,13 @@
 	slices.SortFunc(removed, func(a, b Change) int { return cmp.Compare(b.Version, a.Version) })
 	for _, c := range removed[maxTombstones:] {
 		delete(s.documents, c.File)
-		s.forgotten = max(s.forgotten, c.Version)
+		s.pruned = max(s.pruned, c.Version)
 	}
 }
 
-// index returns the table of s.
+// index returns the index of all files of s.
 func (s *Snapshot) index() *index {
-	x := &index{Forgotten: s.forgotten}
+	x := &index{Pruned: s.pruned}
 	for _, d := range s.documents {
 		x.Files = append(x.Files, d.Change)
 	}
--- a/version/history/team.go
+++ b/version/history/team.go
@@ -11,13 +11,13 @@
 // than that team's own work. Nothing was applied.
 var ErrNotPermitted = errors.New("history: not permitted")
 
-// By tells who applies a file.
+// By is the author of an apply.
 type By struct {
 	// Author is written to the record.
 	Author string
 	// Team, if set, limits the author to files that hold only this team's work.
-	// It is checked on the very state that the apply replaces, so that a file
-	// can not pass to another team between the check and the apply.
+	// It is checked on the state that the apply replaces, so that a file can not
+	// pass to another team between the check and the apply.
 	Team string
 }
 
--- a/version/spec/config.go
+++ b/version/spec/config.go
@@ -10,8 +10,8 @@
 	File string `json:"file"`
 }
 
-// Config is the whole configuration of a cell at one version: every file in
-// force, flattened. It is immutable once published; readers share it.
+// Config is the whole configuration of a cell at one version: the teams and jobs of
+// every file in force. It is immutable once published; readers share it.
 type Config struct {
 	// Version rises by one with each apply; 0 is the empty configuration.
 	Version uint64                   `json:"version"`
--- a/version/spec/diff.go
+++ b/version/spec/diff.go
@@ -8,7 +8,7 @@
 	"slices"
 )
 
-// DifferenceKind tells how a field differs.
+// DifferenceKind is the way in which a field differs.
 type DifferenceKind string
 
 // Kinds of difference.
@@ -18,8 +18,8 @@
 	Changed DifferenceKind = "changed"
 )
 
-// Difference is one field that two files have in different ways. Jobs and teams
-// are matched by name, so that moving one within the file is no difference.
+// Difference is one field that differs between two files. Jobs and teams are matched by
+// name, so that moving one within the file is no difference.
 type Difference struct {
 	// Path is the field, for example jobs[survey-desk].count; a job or team
 	// that only one file has is one difference.
@@ -71,7 +71,7 @@
 	return named
 }
 
-// generic returns the value as encoding/json sees it.
+// generic returns the value as maps, slices and scalars, by way of JSON.
 func generic(v any) any {
 	data, err := json.Marshal(v)
 	if err != nil {
--- a/version/spec/flatten.go
+++ b/version/spec/flatten.go
@@ -22,8 +22,8 @@
 	flattened   []VersionedJob
 }
 
-// jobs returns the file's jobs with their generations. They are made once: each
-// version of the cell shares those of the files that it did not change.
+// jobs returns the file's jobs with their generations. They are built once and shared by
+// all versions of the configuration that do not change the file.
 func (a *Applied) jobs() []VersionedJob {
 	a.flattenOnce.Do(func() {
 		a.flattened = make([]VersionedJob, len(a.File.Jobs))
@@ -43,8 +43,8 @@
 	return a.Version
 }
 
-// Inherit returns the Generations of next as the successor of prev (nil: none):
-// a job whose content is the same in both keeps its generation.
+// Inherit returns the Generations of next as the successor of prev, which is nil for
+// a new file: a job whose content is the same in both keeps its generation.
 func Inherit(prev *Applied, next *File) map[string]uint64 {
 	if prev == nil {
 		return nil
@@ -105,7 +105,7 @@
 	return config, nil
 }
 
-// addTeams adds the teams of one file; teamFile tells which file declared one.
+// addTeams adds the teams of one file; teamFile maps a team to the file that declares it.
 func addTeams(clashes *problemList, config *Config, teamFile map[string]string, file *File) {
 	for i := range file.Teams {
 		team := &file.Teams[i]
--- a/version/spec/flatten_test.go
+++ b/version/spec/flatten_test.go
@@ -10,8 +10,8 @@
 )
 
 // TestGenerationsMatchReplay compares Inherit and Flatten with a replay of the
-// whole history that looks for the last version in which a job's content or
-// its presence in the file changed.
+// whole history that finds the last version in which a job's content, or its
+// presence in the file, changed.
 func TestGenerationsMatchReplay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		type change struct {
--- a/version/spec/main_test.go
+++ b/version/spec/main_test.go
@@ -6,5 +6,5 @@
 	"fennelshunt.example/fennelshunt/internal/rapidtest"
 )
 
-// TestMain fixes the seed so that every run gives the same verdict.
+// TestMain fixes the seed, so that runs are reproducible.
 func TestMain(m *testing.M) { rapidtest.Main(m) }
--- a/version/spec/parse.go
+++ b/version/spec/parse.go
@@ -21,8 +21,8 @@
 
 const schemaURL = "file.schema.json"
 
-// compiledSchema compiles the embedded schema once. A fault in it is a fault of
-// the program and not of the input, and any test that parses a file shows it.
+// compiledSchema compiles the embedded schema once. It panics on an error in the schema,
+// which is a bug in the program that any test that parses a file reveals.
 var compiledSchema = sync.OnceValue(func() *jsonschema.Schema {
 	doc, err := jsonschema.UnmarshalJSON(bytes.NewReader(schemaJSON))
 	if err != nil {
@@ -38,11 +38,10 @@
 // Schema returns the JSON Schema of configuration files.
 func Schema() []byte { return bytes.Clone(schemaJSON) }
 
-// Parse checks a configuration file and returns it. name names the file in
-// errors. The error is a *ValidationError that lists all problems found: faults
-// of the JSON text first, then of the schema, then between fields; a stage is
-// reached only when the one before found nothing, since its findings would
-// only repeat the earlier ones.
+// Parse checks a configuration file and returns it. name stands for the file in
+// errors. The error is a *ValidationError that lists all problems of one stage: errors
+// in the JSON text, violations of the schema, or inconsistencies between fields. A stage
+// runs only if the one before found nothing, since it would only repeat its findings.
 func Parse(name string, data []byte) (*File, error) {
 	problems := &problemList{file: name}
 	if len(data) > MaxFileSize {
--- a/version/spec/problem.go
+++ b/version/spec/problem.go
@@ -6,13 +6,13 @@
 	"strings"
 )
 
-// Problem is one fault of a configuration file: where it is, what is wrong and
+// Problem is one error in a configuration file: where it is, what is wrong and
 // what to write instead.
 type Problem struct {
 	// File is the name under which the file was given, such as its path.
 	File string `json:"file"`
-	// Path is the faulty field, for example jobs[2].size.milli_cpu; "" is the
-	// file as a whole.
+	// Path is the field, for example jobs[2].size.milli_cpu; "" is the file as a
+	// whole.
 	Path string `json:"path"`
 	// Message says what is wrong.
 	Message string `json:"message"`
--- a/version/spec/spec.go
+++ b/version/spec/spec.go
@@ -1,7 +1,7 @@
-// Package spec defines the declarative files that operators apply: the work a
-// cell should run and the teams that may run it. The types here are plain data;
-// validation lives beside them and the versions that carry files live in
-// package history.
+// Package spec defines the declarative files that operators apply: the jobs that a
+// cell should run and the teams that may run them. It also parses, validates and
+// compares files and combines them into the configuration of one version; package
+// history stores the versions.
 package spec
 
 import (
@@ -37,7 +37,7 @@
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 }
 
-// Resources is an amount of each dimension a VM offers and a task uses.
+// Resources is an amount of each resource that a VM offers and a task uses.
 type Resources struct {
 	MilliCPU     int64 `json:"milli_cpu,omitempty" cbor:"1,keyasint,omitempty"`
 	MemoryMB     int64 `json:"memory_mb,omitempty" cbor:"2,keyasint,omitempty"`
@@ -67,7 +67,7 @@
 // IsZero reports whether no dimension is set.
 func (r Resources) IsZero() bool { return r == Resources{} }
 
-// Kind tells which policy places a job.
+// Kind is the kind of a job, which selects the policy that places it.
 type Kind string
 
 // The three kinds of work.
@@ -77,7 +77,7 @@
 	Gang    Kind = "gang"    // tasks that only make progress when all run at once
 )
 
-// Class orders work; a higher class may preempt a lower one.
+// Class is the priority class of a job; a higher class may preempt a lower one.
 type Class string
 
 // Classes from the highest to the lowest.
@@ -125,7 +125,7 @@
 	Constraints   Constraints `json:"constraints,omitzero"`
 	// Service is required for Kind Service and refused otherwise.
 	Service *ServiceSettings `json:"service,omitempty"`
-	// Parameters are handed to the worker as they are.
+	// Parameters are passed to the worker unchanged.
 	Parameters map[string]string `json:"parameters,omitempty"`
 }
 
@@ -166,8 +166,8 @@
 	Connections int `json:"connections"`
 	// RequestTimeout bounds one request end to end.
 	RequestTimeout Duration `json:"request_timeout"`
-	// MaxUnavailable is how many instances a rolling replacement may take away
-	// at once; 0 means 1.
+	// MaxUnavailable is how many instances a rolling replacement may stop at the
+	// same time; 0 means 1.
 	MaxUnavailable int `json:"max_unavailable,omitempty"`
 	// Objective is the service-level objective used by the burn report.
 	Objective Objective `json:"objective,omitzero"`
@@ -207,8 +207,8 @@
 }
 
 // TaskID names one task of one generation of a job. The generation is the
-// configuration version that last changed the job, so a changed job never
-// shares task ids with its earlier self.
+// configuration version that last changed the job, so that the task ids of a changed
+// job differ from those before the change.
 type TaskID struct {
 	Job        string `cbor:"1,keyasint"`
 	Generation uint64 `cbor:"2,keyasint"`
--- a/version/spec/text.go
+++ b/version/spec/text.go
@@ -8,9 +8,9 @@
 	"strconv"
 )
 
-// checkText adds the faults that encoding/json passes over in silence: fields
-// given twice (the last would win), content behind the first value, and deep
-// nesting. It also reports broken JSON with line and column.
+// checkText adds the errors that encoding/json silently ignores: duplicate fields (the
+// last would win), content after the first value, and deep nesting. It also reports
+// invalid JSON with line and column.
 func checkText(problems *problemList, data []byte) {
 	s := &textScanner{decoder: json.NewDecoder(bytes.NewReader(data)), problems: problems}
 	s.decoder.UseNumber()
@@ -30,7 +30,7 @@
 	errTrailing = errors.New("content behind the end of the object")
 )
 
-// textScanner looks for faults in JSON text that a decoder passes over.
+// textScanner finds errors in JSON text that a decoder ignores.
 type textScanner struct {
 	decoder  *json.Decoder
 	problems *problemList
@@ -80,7 +80,7 @@
 	}
 }
 
-// object reads the rest of an object and adds fields given twice.
+// object reads the rest of an object and adds duplicate fields.
 func (s *textScanner) object(path string, depth int) error {
 	seen := make(map[string]bool)
 	for s.decoder.More() {
@@ -122,7 +122,7 @@
 
 func joinIndex(path string, i int) string { return path + "[" + strconv.Itoa(i) + "]" }
 
-// position turns a byte offset into line and column, both from 1.
+// position converts a byte offset to line and column, both starting at 1.
 func position(data []byte, offset int64) (line, column int) {
 	offset = min(max(offset, 0), int64(len(data)))
 	before := data[:offset]
--- a/version/spec/validate.go
+++ b/version/spec/validate.go
@@ -16,7 +16,7 @@
 	maxRequestTimeout = time.Hour
 )
 
-// checkFile adds what is wrong between the fields of one file.
+// checkFile adds inconsistencies between the fields of one file.
 func checkFile(problems *problemList, file *File) {
 	teams := make(map[string]*Team, len(file.Teams))
 	for i := range file.Teams {
@@ -44,7 +44,7 @@
 	}
 }
 
-// checkJob adds what is wrong between the fields of one job.
+// checkJob adds inconsistencies between the fields of one job.
 func checkJob(problems *problemList, path string, job *Job) {
 	checkDurations(problems, path, job)
 	switch job.Kind {
@@ -62,7 +62,7 @@
 	}
 }
 
-// checkDurations adds durations out of range.
+// checkDurations adds durations that are out of range.
 func checkDurations(problems *problemList, path string, job *Job) {
 	checkRange(problems, path+".run_time", job.RunTime, 0, maxRunTime)
 	checkRange(problems, path+".deadline", job.Deadline, 0, maxDeadline)
@@ -79,7 +79,7 @@
 	}
 }
 
-// checkService adds what is wrong with a service.
+// checkService adds problems of a service.
 func checkService(problems *problemList, path string, job *Job) {
 	refuse := func(set bool, field, why string) {
 		if set {
@@ -100,7 +100,7 @@
 	checkServiceSettings(problems, path+".service", job)
 }
 
-// checkServiceSettings adds what is wrong with how callers reach a service.
+// checkServiceSettings adds problems of the settings of a service.
 func checkServiceSettings(problems *problemList, path string, job *Job) {
 	s := job.Service
 	checkRange(problems, path+".request_timeout", s.RequestTimeout, minRequestTimeout, maxRequestTimeout)
@@ -122,7 +122,7 @@
 	}
 }
 
-// checkGang adds what is wrong with a gang.
+// checkGang adds problems of a gang.
 func checkGang(problems *problemList, path string, job *Job) {
 	if job.Count < minGangCount {
 		problems.add(path+".count", `use at least 2, or kind "batch"`, "a gang of %d task is batch work", job.Count)
@@ -133,8 +133,8 @@
 	}
 }
 
-// checkQuota adds a job that can never run whole within its team's quota: one
-// task of batch work, all tasks of a gang or a service.
+// checkQuota adds a problem if a job can never run within its team's quota: one task of
+// batch work, or all tasks of a gang or a service.
 func checkQuota(problems *problemList, path string, job *Job, team *Team) {
 	need, what := job.Size, "one task"
 	if job.Kind != Batch {
--- a/version/spec/violation.go
+++ b/version/spec/violation.go
@@ -11,8 +11,8 @@
 	"golang.org/x/text/message"
 )
 
-// fixes tells for a field what to write; a field not listed gets its fix from
-// the kind of the violation.
+// fixes maps a field to the advice on what to write; a field that is not listed gets its
+// fix from the kind of the violation.
 var fixes = map[string]string{
 	"name":            "use 1 to 63 lower-case letters, digits and hyphens, beginning and ending with a letter or digit",
 	"team":            "use the name of a team: 1 to 63 lower-case letters, digits and hyphens",
@@ -38,7 +38,7 @@
 
 var english = message.NewPrinter(language.English)
 
-// addViolations adds the leaves of the validator's tree of causes.
+// addViolations adds the leaves of the validator's tree of causes as problems.
 func addViolations(problems *problemList, violation *jsonschema.ValidationError) {
 	if len(violation.Causes) > 0 {
 		for _, cause := range violation.Causes {
@@ -64,7 +64,7 @@
 	}
 }
 
-// joinPath writes a location such as jobs[2].size.
+// joinPath formats a location as a path such as jobs[2].size.
 func joinPath(location []string) string {
 	path := ""
 	for _, part := range location {
@@ -87,7 +87,7 @@
 	return ""
 }
 
-// fixFor returns what to write in place of a faulty field.
+// fixFor returns the advice on what to write in place of an invalid field.
 func fixFor(field string, violation *jsonschema.ValidationError) string {
 	if fix, ok := fixes[field]; ok {
 		return fix
--- a/version/work/account.go
+++ b/version/work/account.go
@@ -6,36 +6,36 @@
 	"fmt"
 )
 
-// KeyDigest stands for a key of a client account. Keys themselves are kept nowhere: a
-// digest in a log, a dump or a message between daemons opens nothing.
+// KeyDigest is the digest of a key of a client account. Keys themselves are not kept, so
+// that a log, a dump or a message between daemons contains nothing that authenticates.
 type KeyDigest [sha256.Size]byte
 
-// DigestKey returns the digest of a key. A plain hash is enough for keys drawn at
-// random, which can not be guessed from it.
+// DigestKey returns the digest of a key. A plain hash is sufficient for random keys, which
+// can not be guessed from it.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
-// Account is a client account: its callers hand jobs in with one of its keys.
+// Account is a client account: its callers submit jobs with one of its keys.
 type Account struct {
 	Name string `cbor:"1,keyasint"`
-	// Weight is the account's share when all is full, and how many jobs a second it
-	// is entitled to hand in.
+	// Weight is the account's relative share under full load, and the number of jobs per
+	// second that it is entitled to submit.
 	Weight float64 `cbor:"2,keyasint,omitempty"`
-	// Cap is what the account may have running over all workers; 0 in a dimension
-	// bounds nothing there.
+	// Cap bounds the resources of the account's running tasks over all workers; 0 in a
+	// dimension means no bound.
 	Cap  Resources   `cbor:"3,keyasint,omitempty"`
 	Keys []KeyDigest `cbor:"4,keyasint,omitempty"`
 }
 
-// Accounts are the client accounts of one version of the configuration. They are not
-// changed once in use.
+// Accounts holds the client accounts of one version of the configuration. It is immutable
+// once published.
 type Accounts struct {
 	list  []Account
 	keyed map[KeyDigest]int
 }
 
-// NewAccounts indexes accounts. What is ambiguous is decided for the account that is
-// listed first, and told in the error, which never holds a key: a second account of a
-// name lends its keys to the first; a key in two accounts opens the first.
+// NewAccounts indexes accounts. In case of ambiguity the account that is listed first
+// wins, and the error reports it without containing a key: the keys of a second account
+// of the same name count for the first; a key in two accounts belongs to the first.
 func NewAccounts(list []Account) (*Accounts, error) {
 	a := &Accounts{keyed: map[KeyDigest]int{}}
 	named := make(map[string]int, len(list))
@@ -68,8 +68,8 @@
 	return a, errors.Join(problems...)
 }
 
-// Keyed returns the account that a key belongs to. The key is looked up by its digest,
-// so the time that takes tells nothing of the keys there are.
+// Keyed returns the account to which a key belongs. The key is looked up by its digest,
+// so that the duration reveals nothing about existing keys.
 func (a *Accounts) Keyed(key string) (*Account, bool) {
 	if a == nil || key == "" {
 		return nil, false
@@ -81,8 +81,9 @@
 	return &a.list[at], true
 }
 
-// Owns reports whether callers of an account may ask for a job of the account owner and
-// cancel it: those of another one may not. Anybody may, if no account handed it in.
+// Owns reports whether callers of account may query and cancel a job that the account
+// owner submitted. Callers of another account may not; a job that was submitted without
+// an account is open to all.
 func Owns(owner, account string) bool { return owner == "" || owner == account }
 
 // All lists the accounts in the order of the configuration; nil for none.
--- a/version/work/account_test.go
+++ b/version/work/account_test.go
@@ -26,10 +26,10 @@
 	}
 	for _, key := range []string{"", "n", "n11", "S1", " s1"} {
 		_, ok := a.Keyed(key)
-		require.False(t, ok, "%q opens nothing", key)
+		require.False(t, ok, "%q belongs to no account", key)
 	}
 	mute := slices.IndexFunc(a.All(), func(x Account) bool { return x.Name == "mute" })
-	require.NotEqual(t, -1, mute, "an account without keys stands: its jobs go on")
+	require.NotEqual(t, -1, mute, "an account without keys is kept, so that its jobs continue")
 	require.Empty(t, a.All()[mute].Keys)
 	var none *Accounts
 	_, ok := none.Keyed("n1")
@@ -100,7 +100,8 @@
 	})
 }
 
-// BenchmarkKeyed: goal 1 µs a request and no allocation, with 1,200 accounts of two keys.
+// BenchmarkKeyed has the goal of 1 µs a request without allocation, with 1,200 accounts of
+// two keys each.
 func BenchmarkKeyed(b *testing.B) {
 	var list []Account
 	for i := range 1200 {
--- a/version/work/catalogcode.go
+++ b/version/work/catalogcode.go
@@ -6,12 +6,13 @@
 	"fennelshunt.example/fennelshunt/connection/peer"
 )
 
-// catalogRecord is a catalog on its way between daemons. It holds digests of keys only.
+// catalogRecord is the form of a catalog in messages between daemons. It holds only digests
+// of keys.
 type catalogRecord struct {
 	Version  int64         `cbor:"1,keyasint"`
 	Queues   []queueRecord `cbor:"2,keyasint"`
 	MaxBody  int64         `cbor:"3,keyasint"`
-	Keyed    bool          `cbor:"4,keyasint"` // the configuration knows accounts
+	Keyed    bool          `cbor:"4,keyasint"` // the configuration declares accounts
 	Accounts []Account     `cbor:"5,keyasint,omitempty"`
 }
 
@@ -20,7 +21,7 @@
 	Open  bool  `cbor:"2,keyasint,omitempty"`
 }
 
-// EncodeCatalog returns the form of a catalog in which daemons pass it on.
+// EncodeCatalog returns the form of a catalog in which daemons exchange it.
 func EncodeCatalog(c *Catalog) ([]byte, error) {
 	r := catalogRecord{Version: c.Version, MaxBody: c.MaxBody, Keyed: c.Accounts != nil, Accounts: c.Accounts.All()}
 	for _, q := range c.Queues {
@@ -29,7 +30,7 @@
 	return peer.Marshal(r)
 }
 
-// DecodeCatalog reads what EncodeCatalog wrote.
+// DecodeCatalog decodes the result of EncodeCatalog.
 func DecodeCatalog(data []byte) (*Catalog, error) {
 	var r catalogRecord
 	if err := peer.Unmarshal(data, &r); err != nil {
--- a/version/work/catalogcode_test.go
+++ b/version/work/catalogcode_test.go
@@ -20,7 +20,7 @@
 	for _, c := range []*Catalog{full, {Version: 1}, {Version: 2, Accounts: none}} {
 		data, err := EncodeCatalog(c)
 		require.NoError(t, err)
-		require.NotContains(t, string(data), "n-1", "keys do not travel")
+		require.NotContains(t, string(data), "n-1", "messages do not contain keys")
 		again, err := DecodeCatalog(data)
 		require.NoError(t, err)
 		require.Equal(t, c, again)
--- a/version/work/fuzz_test.go
+++ b/version/work/fuzz_test.go
@@ -6,8 +6,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodeBundle reads what another writer, or a torn write, may have left where
-// a bundle should be: an error, or records that survive another round.
+// FuzzDecodeBundle decodes what another writer, or a torn write, may have stored in place
+// of a batch of job states: the result is an error, or records that survive another
+// encoding and decoding.
 func FuzzDecodeBundle(f *testing.F) {
 	good, err := EncodeBundle([]JobProgress{
 		{Job: "00000000000000aa", Progress: Progress{State: Completed}},
--- a/version/work/source.go
+++ b/version/work/source.go
@@ -7,12 +7,12 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Source is where the operator's queues come from.
+// Source is the source of the operator's configuration.
 type Source interface {
 	// Current returns the newest catalog and the revision to watch from, or
 	// store.ErrNotFound.
 	Current(ctx context.Context) (*Catalog, store.Revision, error)
-	// Glance is a cheap Current that may be seconds old.
+	// Glance is a cheaper Current whose result may be seconds old.
 	Glance(ctx context.Context) (*Catalog, error)
 	// Watch waits up to wait for a catalog later than after; nil if none came.
 	Watch(ctx context.Context, after store.Revision, wait time.Duration) (*Catalog, store.Revision, error)
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -1,6 +1,7 @@
-// Package work holds what callers hand in: jobs of steps of tasks, and the
-// queues that the configuration opens for them. The types are the product's
-// own; an adapter decodes the platform's form into them once.
+// Package work defines the jobs that callers submit, which consist of steps of
+// tasks, and the queues and client accounts that the configuration declares. The
+// types are independent of the platform's formats; an adapter decodes those into
+// them.
 package work
 
 import (
@@ -22,27 +23,27 @@
 	GPU    int `cbor:"3,keyasint,omitempty"`
 }
 
-// Add returns r and s together.
+// Add returns r + s.
 func (r Resources) Add(s Resources) Resources {
 	return Resources{CPU: r.CPU + s.CPU, Memory: r.Memory + s.Memory, GPU: r.GPU + s.GPU}
 }
 
-// Sub returns r without s.
+// Sub returns r - s; a dimension may become negative.
 func (r Resources) Sub(s Resources) Resources {
 	return Resources{CPU: r.CPU - s.CPU, Memory: r.Memory - s.Memory, GPU: r.GPU - s.GPU}
 }
 
-// Scale returns n times r.
+// Scale returns r with each dimension multiplied by n.
 func (r Resources) Scale(n int) Resources {
 	return Resources{CPU: r.CPU * n, Memory: r.Memory * n, GPU: r.GPU * n}
 }
 
-// Fits reports whether r is available in free.
+// Fits reports whether r fits into free in every dimension.
 func (r Resources) Fits(free Resources) bool {
 	return r.CPU <= free.CPU && r.Memory <= free.Memory && r.GPU <= free.GPU
 }
 
-// Times returns how often r fits into free, at most limit times.
+// Times returns how many times r fits into free, limit at most.
 func (r Resources) Times(free Resources, limit int) int {
 	n := limit
 	for _, p := range [...][2]int{{r.CPU, free.CPU}, {r.Memory, free.Memory}, {r.GPU, free.GPU}} {
@@ -53,15 +54,15 @@
 	return n
 }
 
-// Step is a number of equal tasks of a job.
+// Step is a part of a job: Count tasks with the same requirements.
 type Step struct {
 	Count    int           `cbor:"1,keyasint"`
 	Size     Resources     `cbor:"2,keyasint"` // of each task
 	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
 	After    []int         `cbor:"4,keyasint,omitempty"` // earlier steps that must be done first
-	// Gang: the tasks work only together.
+	// Gang: the tasks make progress only while all of them run.
 	Gang bool `cbor:"5,keyasint,omitempty"`
-	// SameRack: the tasks run slower on more than one rack.
+	// SameRack: the tasks run more slowly when they are on more than one rack.
 	SameRack bool `cbor:"6,keyasint,omitempty"`
 	// Labels that the worker must have.
 	Labels []string `cbor:"7,keyasint,omitempty"`
@@ -69,23 +70,25 @@
 	DataRack string `cbor:"8,keyasint,omitempty"`
 	// MaxPerWorker bounds the step's tasks on one worker; 0 for no bound.
 	MaxPerWorker int `cbor:"9,keyasint,omitempty"`
-	// Speculative: copies of a task may run at the same time.
+	// Speculative: several copies of a task may run at the same time.
 	Speculative bool `cbor:"10,keyasint,omitempty"`
-	// Checkpoints: a task stopped early goes on from its last checkpoint.
+	// Checkpoints: a task that was stopped early continues from its last checkpoint.
 	Checkpoints bool `cbor:"11,keyasint,omitempty"`
-	// Lasting tasks run until the job is cancelled and restart however they end.
+	// Lasting: the tasks are long-running. They run until the job is cancelled and are
+	// restarted however they end.
 	Lasting bool `cbor:"12,keyasint,omitempty"`
-	// MayMiss is how many lasting tasks may be away by the system's doing.
+	// MayMiss is how many long-running tasks the system may have interrupted at a time.
 	MayMiss int `cbor:"13,keyasint,omitempty"`
-	// Fills: the processors that the tasks ask for are not counted.
+	// Fills: the tasks are best-effort. They use spare CPU, and the CPU that they request
+	// is not counted.
 	Fills bool `cbor:"14,keyasint,omitempty"`
-	// Image names what the tasks run; tasks of an image behave alike.
+	// Image names what the tasks run; tasks of the same image behave alike.
 	Image string `cbor:"15,keyasint,omitempty"`
-	// Target is the bound on the response time of lasting tasks.
+	// Target is the bound on the response time of long-running tasks.
 	Target time.Duration `cbor:"16,keyasint,omitempty"`
 }
 
-// Need returns what a task counts for on its worker.
+// Need returns the resources that a task is charged with on its worker.
 func (s *Step) Need() Resources {
 	need := s.Size
 	if s.Fills {
@@ -94,44 +97,45 @@
 	return need
 }
 
-// Advice tells what a queue's advice on workers costs and how long it holds.
+// Advice describes the advice service of a queue: how long a call takes and how
+// long its answer is valid.
 type Advice struct {
-	Base      time.Duration `cbor:"1,keyasint"` // of a call
-	PerWorker time.Duration `cbor:"2,keyasint"` // of each worker named
+	Base      time.Duration `cbor:"1,keyasint"` // of each call
+	PerWorker time.Duration `cbor:"2,keyasint"` // for each worker in the call
 	Valid     time.Duration `cbor:"3,keyasint"`
 }
 
-// Cost returns how long a call takes that names n workers.
+// Cost returns how long a call about n workers takes.
 func (a *Advice) Cost(n int) time.Duration { return a.Base + time.Duration(n)*a.PerWorker }
 
-// Queue takes jobs of one kind for the workers of one service.
+// Queue accepts jobs of one kind for the workers of one service.
 type Queue struct {
 	Name     string  `cbor:"1,keyasint"`
 	Host     string  `cbor:"2,keyasint"`
 	Prefix   string  `cbor:"3,keyasint"`
 	Service  string  `cbor:"4,keyasint"`
-	Priority int     `cbor:"5,keyasint"` // 0 comes first
-	Attempts int     `cbor:"6,keyasint"` // failures of a task that end the job
-	Slack    float64 `cbor:"7,keyasint"` // objective as a multiple of the longest chain
+	Priority int     `cbor:"5,keyasint"` // 0 is the highest
+	Attempts int     `cbor:"6,keyasint"` // number of failures of a task that fails the job
+	Slack    float64 `cbor:"7,keyasint"` // objective as a multiple of the critical path
 	// Allowance is added to the objective.
 	Allowance time.Duration `cbor:"8,keyasint"`
 	Advice    *Advice       `cbor:"9,keyasint,omitempty"`
-	// Open: callers need no key. It concerns requests, not jobs that were accepted.
+	// Open: callers need no key. It applies to requests, not to accepted jobs.
 	Open bool `cbor:"-"`
 }
 
-// Catalog is one version of the queues and of the client accounts. It is not changed
-// once in use.
+// Catalog is one version of the configuration of queues and client accounts. It is
+// immutable once published.
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
 	MaxBody  int64
-	Accounts *Accounts // nil: the configuration knows none
-	// Problems tells what of the version can not be used as it stands.
+	Accounts *Accounts // nil: the configuration declares none
+	// Problems describes the entries of the version that can not be used as declared.
 	Problems error
 }
 
-// Find returns the queue with the longest prefix of the path.
+// Find returns the queue of the host whose prefix is the longest one of the path.
 func (c *Catalog) Find(host, path string) (*Queue, bool) {
 	var best *Queue
 	for i := range c.Queues {
@@ -143,34 +147,34 @@
 	return best, best != nil
 }
 
-// Job is a job as it was accepted; it does not change afterwards.
+// Job is a job as accepted; it is immutable.
 type Job struct {
 	Queue Queue  `cbor:"1,keyasint"`
 	Spec  string `cbor:"2,keyasint"`
 	Steps []Step `cbor:"3,keyasint"`
-	// Accepted is the time of day at which a daemon took the job, in
-	// milliseconds since 1970.
+	// Accepted is the time at which a daemon accepted the job, in milliseconds
+	// since 1970.
 	Accepted int64 `cbor:"4,keyasint"`
-	// Epoch is the highest epoch of the scheduler that the accepting daemon
-	// knew. A scheduler with a lower one must not start the job, so that one
-	// with this epoch or a higher one knows that no earlier one has.
+	// Epoch is the highest epoch of the scheduler known to the accepting daemon.
+	// A scheduler with a lower one must not start the job, so that one with this
+	// epoch or a higher one can rely on no earlier one having started it.
 	Epoch uint64 `cbor:"5,keyasint"`
 	// Repeat is how often the steps run, due Interval apart from StartAt on;
 	// 0 for a job that runs once, at once.
 	Repeat   int           `cbor:"6,keyasint,omitempty"`
 	StartAt  int64         `cbor:"7,keyasint,omitempty"` // milliseconds since 1970
 	Interval time.Duration `cbor:"8,keyasint,omitempty"`
-	// Home is the address, for calls of other daemons, of the one that accepted the
-	// job and keeps its spec in memory.
+	// Home is the peer address of the accepting daemon, which has the job's spec in
+	// memory.
 	Home string `cbor:"9,keyasint,omitempty"`
-	// Account is the client account that handed the job in, "" for none.
+	// Account is the client account that submitted the job, "" for none.
 	Account string `cbor:"10,keyasint,omitempty"`
-	// Apart: the store has the spec under a key of its own, and the job without it.
+	// Apart: the store holds the spec under a key of its own, and the job without it.
 	Apart bool `cbor:"11,keyasint,omitempty"`
 }
 
-// WithoutSpec returns the job as a scheduler needs it that does not carry the spec to
-// the workers itself.
+// WithoutSpec returns the job without its spec, for a scheduler that does not send the
+// spec to the workers itself.
 func (j *Job) WithoutSpec() *Job {
 	short := *j
 	short.Spec = ""
@@ -187,7 +191,7 @@
 	Completed
 	Failed
 	Cancelled
-	// Refused marks an id whose hand-in was given up: no such job exists and
+	// Refused marks an id whose submission was abandoned: no such job exists, and
 	// none will.
 	Refused
 )
@@ -254,8 +258,8 @@
 	return t, nil
 }
 
-// MaxTasks bounds the tasks of one occurrence of a job, and those of all its
-// occurrences at a time, so that a job can not exhaust the scheduler's memory.
+// MaxTasks bounds the tasks of one occurrence of a job, and those of all occurrences
+// that exist at the same time, so that a job can not exhaust the scheduler's memory.
 const MaxTasks = 20_000
 
 // maxSpan bounds the time from a job's first occurrence to its last, and
@@ -275,13 +279,13 @@
 	return n
 }
 
-// FieldError says which field of a job can not be used, and what to do.
+// FieldError means that a field of a job is not valid; Problem also says what to do.
 type FieldError struct{ Field, Problem string }
 
 // Error implements error.
 func (e *FieldError) Error() string { return "job: field " + e.Field + ": " + e.Problem }
 
-// Check reports the first field that can not be used.
+// Check returns a *FieldError for the first field that is not valid.
 func (j *Job) Check() error {
 	if len(j.Steps) == 0 {
 		return &FieldError{"steps", "is empty; name at least one step"}
@@ -318,7 +322,8 @@
 	return nil
 }
 
-// Work returns the core-seconds that the job's tasks ask for, as declared.
+// Work returns the core-seconds of all tasks of the job, by their declared size and
+// estimate.
 func (j *Job) Work() float64 {
 	sum := 0.0
 	for i := range j.Steps {
@@ -328,8 +333,8 @@
 	return sum
 }
 
-// Chain returns the longest chain of estimated run times of steps that follow
-// each other, the advice for each included.
+// Chain returns the length of the job's critical path: the longest sum of estimated run
+// times, and of the calls for advice, over steps that depend on each other.
 func (j *Job) Chain() time.Duration {
 	ends := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
@@ -340,16 +345,16 @@
 		}
 		ends[i] += s.Estimate
 		if a := j.Queue.Advice; a != nil {
-			ends[i] += a.Cost(chainAdvised)
+			ends[i] += a.Cost(advisedWorkers)
 		}
 		longest = max(longest, ends[i])
 	}
 	return longest
 }
 
-// chainAdvised is the number of workers that the objective allows to ask
-// advice for.
-const chainAdvised = 30
+// advisedWorkers is the number of workers per step for which the objective includes the
+// time of a call for advice.
+const advisedWorkers = 30
 
 // Objective returns how long after its acceptance a job should be completed.
 func (j *Job) Objective() time.Duration {
@@ -359,7 +364,7 @@
 // EncodeJob returns the stored form of a job.
 func EncodeJob(j *Job) ([]byte, error) { return peer.Marshal(j) }
 
-// DecodeJob reads the stored form of a job.
+// DecodeJob decodes and checks the stored form of a job.
 func DecodeJob(data []byte) (*Job, error) {
 	j := &Job{}
 	if err := peer.Unmarshal(data, j); err != nil {
@@ -368,20 +373,20 @@
 	return j, j.Check()
 }
 
-// Progress is what must last of a job: its state and how its tasks ended.
+// Progress is the durable part of a job's state: its state and how its tasks ended.
 type Progress struct {
 	State State `cbor:"1,keyasint"`
 	// Before: every occurrence with a lower number is done.
 	Before int `cbor:"3,keyasint,omitempty"`
-	// Account is that of a job that has ended, whose hand-in is gone, and Held what it
-	// still ran then.
+	// Account is the account of a job that has ended and whose stored submission was
+	// deleted, and Held the resources that its tasks still used when it ended.
 	Account string    `cbor:"4,keyasint,omitempty"`
 	Held    Resources `cbor:"5,keyasint,omitempty"`
-	// Ends has one entry for each step of each occurrence with any end.
+	// Ends has one entry for each step of each occurrence with a completed or failed task.
 	Ends []StepEnds `cbor:"2,keyasint,omitempty"`
 }
 
-// StepEnds holds the ends of one step's tasks.
+// StepEnds holds the completions and failures of one step's tasks.
 type StepEnds struct {
 	Occurrence int    `cbor:"1,keyasint,omitempty"`
 	Step       int    `cbor:"2,keyasint,omitempty"`
@@ -392,26 +397,26 @@
 	Crashes []Crash `cbor:"6,keyasint,omitempty"`
 }
 
-// Crash is a worker's death while a run of a task was there, or what may be one.
+// Crash is a crash, or possible crash, of a worker while a run of a task was there.
 type Crash struct {
 	Index  int    `cbor:"1,keyasint,omitempty"`
 	Run    uint64 `cbor:"2,keyasint"`
-	Worker string `cbor:"3,keyasint"` // the life that ended
-	// Sole: no run of another job had begun there as recently.
+	Worker string `cbor:"3,keyasint"` // the incarnation that ended
+	// Sole: no run of another job had started there as recently.
 	Sole bool `cbor:"4,keyasint,omitempty"`
-	// Open: the run is about to begin or has begun, or was lost with a worker that may
-	// only be out of reach.
+	// Open: whether it was a crash is not decided yet. The run is about to start or has
+	// started, or was lost with a worker that may only be unreachable.
 	Open bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Fail holds a task's failed runs. Each is kept by its number, since the ends of
-// several runs may be reported in any order, and more than once.
+// Fail holds the numbers of a task's failed runs. Numbers rather than a count, since the
+// completions of several runs may be reported in any order, and more than once.
 type Fail struct {
 	Index int      `cbor:"1,keyasint"`
 	Runs  []uint64 `cbor:"2,keyasint"`
 }
 
-// Size estimates the stored form's size in bytes.
+// Size estimates the size of the stored form, in bytes.
 func (p *Progress) Size() int {
 	const record, end, failure, crash = 32, 8, 8, 40
 	n := record
@@ -424,28 +429,28 @@
 	return n
 }
 
-// JobProgress is the progress of one job among others.
+// JobProgress is the progress of one job in a batch of job states.
 type JobProgress struct {
 	Job      JobID    `cbor:"1,keyasint"`
 	Progress Progress `cbor:"2,keyasint"`
 }
 
-// EncodeBundle returns the stored form of the progress of many jobs.
+// EncodeBundle returns the stored form of a batch of job states.
 func EncodeBundle(all []JobProgress) ([]byte, error) { return peer.Marshal(all) }
 
-// DecodeBundle reads the stored form of the progress of many jobs.
+// DecodeBundle decodes the stored form of a batch of job states.
 func DecodeBundle(data []byte) ([]JobProgress, error) {
 	var all []JobProgress
 	if err := peer.Unmarshal(data, &all); err != nil {
-		return nil, fmt.Errorf("work: stored bundle: %w", err)
+		return nil, fmt.Errorf("work: stored batch of job states: %w", err)
 	}
 	return all, nil
 }
 
-// EncodeProgress returns the stored form.
+// EncodeProgress returns the stored form of one job's progress.
 func EncodeProgress(p *Progress) ([]byte, error) { return peer.Marshal(p) }
 
-// DecodeProgress reads the stored form.
+// DecodeProgress decodes the stored form of one job's progress.
 func DecodeProgress(data []byte) (*Progress, error) {
 	p := &Progress{}
 	if err := peer.Unmarshal(data, p); err != nil {
