--- a/process/admin/api/api.go
+++ b/process/admin/api/api.go
@@ -1,4 +1,4 @@
-// Package api holds the messages of the administration API: JSON over HTTP
+// Package api defines the messages of the administration API: JSON over HTTP
 // between a daemon and the operators' tools. docs/ADMIN.md describes the calls.
 package api
 
@@ -26,7 +26,7 @@
 const (
 	ParamBase   = "base"   // the version that the change is based on
 	ParamWait   = "wait"   // "false": do not wait for the other daemons
-	ParamName   = "name"   // how errors name the file
+	ParamName   = "name"   // name of the file in error messages
 	ParamBefore = "before" // history below this version
 	ParamLimit  = "limit"  // number of entries
 	ParamTask   = "task"   // job/generation/index
@@ -40,27 +40,27 @@
 const (
 	CodeInvalid         Code = "invalid"         // the file or a parameter is wrong, see Problems
 	CodeConflict        Code = "conflict"        // the file was changed after the base, see Conflict
-	CodeUnauthenticated Code = "unauthenticated" // no token, or one that is not known
+	CodeUnauthenticated Code = "unauthenticated" // no token, or an unknown one
 	CodeForbidden       Code = "forbidden"       // not allowed with this token
-	CodeNotFound        Code = "not_found"       // or not visible with this token
-	CodeTooLarge        Code = "too_large"       // the body is over the limit
+	CodeNotFound        Code = "not_found"       // does not exist, or is not visible with this token
+	CodeTooLarge        Code = "too_large"       // the body exceeds the limit
 	CodeBusy            Code = "busy"            // too many calls, try later
 	CodeUnavailable     Code = "unavailable"     // the store does not answer; nothing was applied
 	CodeUnknownOutcome  Code = "unknown_outcome" // the file may have been applied
-	CodeInternal        Code = "internal"        // a fault of the daemon
-	CodeMethod          Code = "wrong_method"    // the path has no such method
-	CodeUnsupported     Code = "not_served_here" // this daemon has no such part
+	CodeInternal        Code = "internal"        // an internal error of the daemon
+	CodeMethod          Code = "wrong_method"    // the path does not support the method
+	CodeUnsupported     Code = "not_served_here" // this daemon does not provide the call
 )
 
-// Error is the body of every answer that is not a success.
+// Error is the body of every response that is not a success.
 type Error struct {
 	Code    Code   `json:"code"`
 	Message string `json:"message"`
-	// Problems lists all faults of a file when Code is CodeInvalid.
+	// Problems lists all problems of a file when Code is CodeInvalid.
 	Problems []spec.Problem `json:"problems,omitempty"`
-	// Conflict tells of the change that won when Code is CodeConflict.
+	// Conflict describes the conflicting change when Code is CodeConflict.
 	Conflict *history.ConflictError `json:"conflict,omitempty"`
-	// RequestID finds the call in the daemon's log.
+	// RequestID identifies the call in the daemon's log.
 	RequestID string `json:"request_id,omitempty"`
 }
 
@@ -76,12 +76,12 @@
 // Diffed answers PathDiff.
 type Diffed struct {
 	File string `json:"file"`
-	// Base is the version to apply the file on.
+	// Base is the version to name as the base when the file is applied.
 	Base        uint64            `json:"base"`
 	Differences []spec.Difference `json:"differences"`
 }
 
-// Member tells what one daemon has in force.
+// Member is the state of one daemon and the version that it has in force.
 type Member struct {
 	ID      string `json:"id"`
 	Zone    string `json:"zone"`
@@ -107,7 +107,7 @@
 	Author  string    `json:"author"`
 	Team    string    `json:"team,omitempty"`
 	Time    time.Time `json:"time"`
-	// Content is set when one file was asked for.
+	// Content is set when a single file was requested.
 	Content *spec.File `json:"content,omitempty"`
 }
 
@@ -130,11 +130,12 @@
 // History answers PathHistory, the latest change first.
 type History struct {
 	Changes []Change `json:"changes"`
-	// Before is what to ask with for earlier changes; 0 if there are none.
+	// Before is the value of ParamBefore with which to get earlier changes; 0 if
+	// there are none.
 	Before uint64 `json:"before,omitempty"`
 }
 
-// Job tells how a job stands.
+// Job is the state of a job.
 type Job struct {
 	Name       string    `json:"name"`
 	Team       string    `json:"team"`
@@ -154,8 +155,8 @@
 
 // Status answers PathStatus.
 type Status struct {
-	// Version is in force on the daemon that answers, StoreVersion the latest
-	// that the store showed it.
+	// Version is in force on the daemon that answers, StoreVersion is the latest
+	// that it read from the store.
 	Version      uint64   `json:"version"`
 	StoreVersion uint64   `json:"store_version"`
 	StoreUp      bool     `json:"store_up"`
@@ -163,7 +164,7 @@
 	Jobs         []Job    `json:"jobs"`
 }
 
-// Explanation answers PathExplain: why a task is where it is.
+// Explanation answers PathExplain: why a task is in its state.
 type Explanation struct {
 	Task    spec.TaskID `json:"task"`
 	State   string      `json:"state"`
--- a/process/admin/backend.go
+++ b/process/admin/backend.go
@@ -22,23 +22,23 @@
 	Check(ctx context.Context, file *spec.File, base uint64, by history.By) error
 	// Await waits until the version is in force everywhere, or a limit.
 	Await(ctx context.Context, applied *versions.Applied)
-	// Latest reads the latest version from the store, InForce returns the one
-	// that this daemon acts on.
+	// Latest reads the latest version from the store; InForce returns the one in
+	// force on this daemon.
 	Latest(ctx context.Context) (*history.Snapshot, error)
 	InForce() *history.Snapshot
 	List(ctx context.Context, before uint64, limit int) ([]history.Change, error)
 }
 
-// ErrUnknownTask is returned by an Explainer that has no such task.
+// ErrUnknownTask is returned by an Explainer for a task that does not exist.
 var ErrUnknownTask = errors.New("admin: no such task")
 
-// Explainer tells why a task waits, or where it is.
+// Explainer explains why a task waits, or on which worker it is.
 type Explainer interface {
 	Explain(ctx context.Context, task spec.TaskID) (api.Explanation, error)
 }
 
-// StatusSource tells how the daemons and the jobs stand. The server leaves out
-// the jobs that the asker may not see.
+// StatusSource returns the state of the daemons and jobs. The server leaves out the
+// jobs that the caller may not see.
 type StatusSource interface {
 	Status(ctx context.Context) (api.Status, error)
 }
@@ -55,7 +55,7 @@
 
 // ReportRequest asks for a report on service-level burn.
 type ReportRequest struct {
-	// Team limits the report to the services of one team; "" is all.
+	// Team limits the report to the requests of one team; "" means all teams.
 	Team   string
 	Format ReportFormat
 }
@@ -66,7 +66,7 @@
 	Body        []byte
 }
 
-// Reporter makes reports on service-level burn.
+// Reporter generates reports on service-level burn.
 type Reporter interface {
 	Report(ctx context.Context, request ReportRequest) (Report, error)
 }
--- a/process/admin/error.go
+++ b/process/admin/error.go
@@ -34,7 +34,7 @@
 	return http.StatusInternalServerError
 }
 
-// errorOf returns the typed error to answer with.
+// errorOf converts err to the error to send to the caller.
 func errorOf(err error) *api.Error {
 	e := &api.Error{Message: err.Error()}
 	var (
@@ -70,8 +70,8 @@
 	return e
 }
 
-// unavailable reports that the store could not be reached in time; an apply
-// that failed in this way certainly did not take effect.
+// unavailable reports whether err means that the store could not be reached in time. An
+// apply that failed in this way did not take effect.
 func unavailable(err error) bool {
 	for _, known := range []error{store.ErrUnavailable, store.ErrOverBudget, store.ErrConflict, context.DeadlineExceeded, context.Canceled} {
 		if errors.Is(err, known) {
--- a/process/admin/files.go
+++ b/process/admin/files.go
@@ -23,8 +23,8 @@
 	return spec.Parse(c.http.URL.Query().Get(api.ParamName), data)
 }
 
-// number returns a whole number among the query parameters.
-func (c *call) number(param string, otherwise uint64) (uint64, error) {
+// uintParam returns a whole number from the query parameters.
+func (c *call) uintParam(param string, otherwise uint64) (uint64, error) {
 	text := c.http.URL.Query().Get(param)
 	if text == "" {
 		return otherwise, nil
@@ -36,9 +36,9 @@
 	return n, nil
 }
 
-// checked reads the file of the call and checks it against the latest
+// checkedFile reads the file of the call and checks it against the latest
 // configuration, which it returns too.
-func (s *Server) checked(c *call) (*spec.File, *history.Snapshot, error) {
+func (s *Server) checkedFile(c *call) (*spec.File, *history.Snapshot, error) {
 	file, err := c.readFile()
 	if err != nil {
 		return nil, nil, err
@@ -53,18 +53,18 @@
 	return file, latest, nil
 }
 
-// validate checks a file against the configuration as it is now.
+// validate checks a file against the current configuration.
 func (s *Server) validate(c *call) (any, error) {
-	file, _, err := s.checked(c)
+	file, _, err := s.checkedFile(c)
 	if err != nil {
 		return nil, err
 	}
 	return api.Validated{File: file.Name, Jobs: len(file.Jobs)}, nil
 }
 
-// diff tells what applying a file would change.
+// diff returns what applying a file would change.
 func (s *Server) diff(c *call) (any, error) {
-	file, latest, err := s.checked(c)
+	file, latest, err := s.checkedFile(c)
 	if err != nil {
 		return nil, err
 	}
@@ -75,7 +75,8 @@
 	return api.Diffed{File: file.Name, Base: latest.Version, Differences: spec.Diff(before, file)}, nil
 }
 
-// apply applies a file and, if wanted, waits for the daemons.
+// apply applies a file and, unless the caller declines, waits until the daemons have it
+// in force.
 func (s *Server) apply(c *call) (any, error) {
 	file, err := c.readFile()
 	if err != nil {
@@ -84,7 +85,7 @@
 	if !c.http.URL.Query().Has(api.ParamBase) {
 		return nil, invalid("parameter base is missing: the version that the change is based on; fix: take it from diff or status")
 	}
-	base, err := c.number(api.ParamBase, 0)
+	base, err := c.uintParam(api.ParamBase, 0)
 	if err != nil {
 		return nil, err
 	}
@@ -101,7 +102,7 @@
 		Members: Members(applied.Members), Lagging: Members(applied.Lagging)}, nil
 }
 
-// Members turns what is known of the daemons into API messages.
+// Members converts the versions of the members to API messages.
 func Members(members []versions.MemberVersion) []api.Member {
 	out := make([]api.Member, 0, len(members))
 	for _, m := range members {
@@ -110,8 +111,8 @@
 	return out
 }
 
-// describe returns a file without its content.
-func describe(c history.Change) api.File {
+// fileInfo returns the description of a file, without its content.
+func fileInfo(c history.Change) api.File {
 	return api.File{Name: c.File, Version: c.Version, Author: c.Author, Team: c.Team, Time: c.Applied()}
 }
 
@@ -120,22 +121,22 @@
 	snapshot := s.options.Applier.InForce()
 	answer := api.Files{Version: snapshot.Version, Files: []api.File{}}
 	for _, change := range snapshot.Files() {
-		if c.principal.sees(change.Team) {
-			answer.Files = append(answer.Files, describe(change))
+		if c.principal.canSee(change.Team) {
+			answer.Files = append(answer.Files, fileInfo(change))
 		}
 	}
 	return answer, nil
 }
 
-// file returns one file in force on this daemon. A file of another team is
-// answered as one that is not there.
+// file returns one file in force on this daemon. A file of another team is reported as
+// not found.
 func (s *Server) file(c *call) (any, error) {
 	name := c.http.PathValue("file")
 	d, ok := s.options.Applier.InForce().Document(name)
-	if !ok || d.Applied == nil || !c.principal.sees(d.Change.Team) {
+	if !ok || d.Applied == nil || !c.principal.canSee(d.Change.Team) {
 		return nil, notFound(fmt.Sprintf("no file %q is in force", name))
 	}
-	answer := describe(d.Change)
+	answer := fileInfo(d.Change)
 	answer.Content = d.Applied.File
 	return answer, nil
 }
@@ -148,11 +149,11 @@
 
 // history lists changes, the latest first.
 func (s *Server) history(c *call) (any, error) {
-	before, err := c.number(api.ParamBefore, 0)
+	before, err := c.uintParam(api.ParamBefore, 0)
 	if err != nil {
 		return nil, err
 	}
-	limit, err := c.number(api.ParamLimit, defaultPage)
+	limit, err := c.uintParam(api.ParamLimit, defaultPage)
 	if err != nil {
 		return nil, err
 	}
@@ -162,7 +163,7 @@
 	}
 	answer := api.History{Changes: []api.Change{}}
 	for _, change := range changes {
-		if c.principal.sees(change.Team) {
+		if c.principal.canSee(change.Team) {
 			answer.Changes = append(answer.Changes, api.Change{Version: change.Version, File: change.File,
 				Removed: change.Removed(), Author: change.Author, Team: change.Team, Time: change.Applied()})
 		}
--- a/process/admin/server.go
+++ b/process/admin/server.go
@@ -18,17 +18,17 @@
 
 // Limits of the server.
 const (
-	maxCalls          = 64               // calls under way at once
+	maxCalls          = 64               // concurrent calls
 	callsPerSecond    = 20               // per principal
 	callBurst         = 40               // per principal
 	maxHeaderBytes    = 16 << 10         // bytes
-	readHeaderTimeout = 5 * time.Second  // against callers that send slowly
+	readHeaderTimeout = 5 * time.Second  // against slow callers
 	readTimeout       = 30 * time.Second // of a whole request
-	writeTimeout      = 60 * time.Second // more than an apply waits
+	writeTimeout      = 60 * time.Second // longer than an apply waits
 	idleTimeout       = 2 * time.Minute
 )
 
-// Authenticator tells who holds a bearer token; *Tokens implements it.
+// Authenticator returns the holder of a bearer token; *Tokens implements it.
 type Authenticator interface {
 	Authenticate(token string) (Principal, bool)
 }
@@ -52,7 +52,7 @@
 	calls   chan struct{}
 
 	mu       sync.Mutex
-	limiters map[string]*rate.Limiter // by principal: as many as there are tokens
+	limiters map[string]*rate.Limiter // by principal, so bounded by the number of tokens
 }
 
 // New returns a Server.
@@ -102,7 +102,7 @@
 	}
 }
 
-// call is one authenticated call under way.
+// call is one call in progress.
 type call struct {
 	http      *http.Request
 	principal Principal
@@ -112,7 +112,7 @@
 
 func (c *call) ctx() context.Context { return c.http.Context() }
 
-// handler serves a call with an answer or an error.
+// handler handles a call and returns the response or an error.
 type handler func(c *call) (any, error)
 
 // handle registers a path for one method.
@@ -127,7 +127,7 @@
 	})
 }
 
-// serve authenticates, limits and answers one call.
+// serve authenticates a call, applies the rate limit and handles it.
 func (s *Server) serve(w http.ResponseWriter, r *http.Request, h handler) {
 	c := &call{http: r, id: uuid.NewString()}
 	c.log = s.options.Log.With().Str("log", "audit").Str("request", c.id).Str("path", r.URL.Path).Str("remote", r.RemoteAddr).Logger()
@@ -156,7 +156,7 @@
 	writeAnswer(w, answer)
 }
 
-// authenticate finds out who calls.
+// authenticate returns the caller by the bearer token of the request.
 func (s *Server) authenticate(r *http.Request) (Principal, bool) {
 	scheme, token, ok := strings.Cut(r.Header.Get("Authorization"), " ")
 	if !ok || !strings.EqualFold(scheme, "Bearer") {
@@ -176,11 +176,11 @@
 	return l
 }
 
-// writeAnswer writes a success.
+// writeAnswer writes a successful response.
 func writeAnswer(w http.ResponseWriter, answer any) {
 	if report, ok := answer.(Report); ok {
 		w.Header().Set("Content-Type", report.ContentType)
-		_, _ = w.Write(report.Body) // the caller is gone if it fails
+		_, _ = w.Write(report.Body) // fails only if the caller has disconnected
 		return
 	}
 	writeJSON(w, http.StatusOK, answer)
@@ -188,7 +188,8 @@
 
 func writeError(w http.ResponseWriter, e *api.Error) { writeJSON(w, statusOf(e.Code), e) }
 
-// writeJSON encodes first, so that an answer is whole or an error.
+// writeJSON encodes v before it writes the status, so that an encoding error becomes an
+// error response instead of a truncated one.
 func writeJSON(w http.ResponseWriter, status int, v any) {
 	data, err := json.Marshal(v)
 	if err != nil {
@@ -198,5 +199,5 @@
 	w.Header().Set("X-Content-Type-Options", "nosniff")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(status)
-	_, _ = w.Write(append(data, '\n')) // the caller is gone if it fails
+	_, _ = w.Write(append(data, '\n')) // fails only if the caller has disconnected
 }
--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -87,7 +87,7 @@
 	return api.Status{Jobs: []api.Job{{Name: "n", Team: "north"}, {Name: "s", Team: "south"}}}, nil
 }
 
-// call makes a call and returns the status and the answer, decoded into into.
+// call makes a call, decodes the response into into and returns the status.
 func (b *bench) call(token, method, path, body string, into any) int {
 	request, err := http.NewRequest(method, b.url+path, strings.NewReader(body))
 	require.NoError(b.t, err)
@@ -144,12 +144,12 @@
 	assert.Equal(t, []uint64{3, 2}, []uint64{past.Changes[0].Version, past.Changes[1].Version})
 	assert.Equal(t, uint64(2), past.Before)
 	assert.Contains(t, b.audit.String(), `"principal":"nina"`)
-	assert.NotContains(t, b.audit.String(), northToken, "no secret in the log")
+	assert.NotContains(t, b.audit.String(), northToken, "tokens are not logged")
 }
 
-// Symptom: a team sees, stops or displaces another team's work.
-// Sequence: a team's token is used on the other's files, jobs and tasks.
-// Cause: access is checked by file name or by call, not by what a file holds.
+// Guards against a team that sees, stops or replaces another team's work: a team's token is used
+// for the other team's files, jobs and tasks, and access must be checked by the content of a
+// file, not by its name or by the call alone.
 func TestTeamSeesAndChangesOnlyItsOwn(t *testing.T) {
 	b := newBench(t)
 	b.apply(operatorToken, teamsFile(), 0)
@@ -185,7 +185,7 @@
 	b.apply(southToken, jobFile("s", "s", "south", 1), 3)
 	b.apply(southToken, `{"name":"s"}`, 4)
 	b.call(southToken, http.MethodGet, api.PathHistory, "", &past)
-	assert.Len(t, past.Changes, 2, "its own changes, the removal too")
+	assert.Len(t, past.Changes, 2, "its own changes, including the removal")
 }
 
 func inner(job, team string) string {
@@ -229,7 +229,7 @@
 		_, err := tokens.reload()
 		require.Error(t, err, name)
 		_, ok := tokens.Authenticate(operatorToken)
-		require.True(t, ok, "a broken file takes no token away")
+		require.True(t, ok, "an invalid file revokes no token")
 	}
 	require.NoError(t, os.WriteFile(path, []byte(`{"tokens":[`+entry("nina", RoleTeam, "north", northToken)+`]}`), 0o600))
 	changed, err := tokens.reload()
--- a/process/admin/status.go
+++ b/process/admin/status.go
@@ -8,7 +8,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// status tells how the daemons and the visible jobs stand.
+// status returns the state of the daemons and of the jobs that the caller may see.
 func (s *Server) status(c *call) (any, error) {
 	if s.options.Status == nil {
 		return nil, unsupported("status")
@@ -17,12 +17,12 @@
 	if err != nil {
 		return nil, err
 	}
-	status.Jobs = slices.DeleteFunc(slices.Clone(status.Jobs), func(j api.Job) bool { return !c.principal.sees(j.Team) })
+	status.Jobs = slices.DeleteFunc(slices.Clone(status.Jobs), func(j api.Job) bool { return !c.principal.canSee(j.Team) })
 	return status, nil
 }
 
-// explain tells why a task is where it is. A task of another team is answered
-// as one that is not there.
+// explain returns why a task is in its state. A task of another team is reported as
+// not found.
 func (s *Server) explain(c *call) (any, error) {
 	if s.options.Explainer == nil {
 		return nil, unsupported("explain")
@@ -33,13 +33,13 @@
 		return nil, invalid(fmt.Sprintf("parameter %s: %v", api.ParamTask, err))
 	}
 	job := s.options.Applier.InForce().Config.Jobs[task.Job]
-	if job == nil || !c.principal.sees(job.Team) {
+	if job == nil || !c.principal.canSee(job.Team) {
 		return nil, notFound(fmt.Sprintf("no job %q is in force", task.Job))
 	}
 	return s.options.Explainer.Explain(c.ctx(), task)
 }
 
-// report makes a report on service-level burn.
+// report returns a report on service-level burn.
 func (s *Server) report(c *call) (any, error) {
 	if s.options.Reporter == nil {
 		return nil, unsupported("report")
--- a/process/admin/token.go
+++ b/process/admin/token.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// Role tells what the holder of a token may do.
+// Role determines what the holder of a token may do.
 type Role string
 
 // Roles.
@@ -26,7 +26,7 @@
 	RoleTeam     Role = "team"     // sees and changes the work of one team
 )
 
-// Principal is who a call comes from.
+// Principal is the authenticated caller.
 type Principal struct {
 	// Name is written to the audit log and the history.
 	Name string
@@ -36,14 +36,14 @@
 }
 
 // sees reports whether the work of a team is visible.
-func (p Principal) sees(team string) bool {
+func (p Principal) canSee(team string) bool {
 	return p.Role == RoleOperator || team != "" && team == p.Team
 }
 
-// tokenEntry is one line of a token file.
+// tokenEntry is one entry of a token file.
 type tokenEntry struct {
 	Name string `json:"name"`
-	// SHA256 is the hash of the token in hexadecimal. A plain hash is enough for
+	// SHA256 is the hash of the token in hexadecimal. A plain hash is sufficient for
 	// a token of 32 random bytes, which can not be guessed from its hash.
 	SHA256 string `json:"sha256"`
 	Role   Role   `json:"role"`
@@ -51,7 +51,7 @@
 }
 
 // MinTokenLength is the shortest token accepted, in bytes: shorter ones could be
-// found from their hash.
+// guessed from their hash.
 const MinTokenLength = 32
 
 // maxTokenFile is the largest token file read, in bytes.
@@ -71,7 +71,7 @@
 	principal Principal
 }
 
-// parseTokens reads a token file; all faults are returned together.
+// parseTokens parses a token file. All errors are returned, joined into one.
 func parseTokens(data []byte) (tokenTable, error) {
 	var file struct {
 		Tokens []tokenEntry `json:"tokens"`
@@ -94,7 +94,7 @@
 	return table, errors.Join(faults...)
 }
 
-// check returns the decoded hash or what is wrong with the entry.
+// check returns the decoded hash, or an error if the entry is not valid.
 func (e tokenEntry) check() (tokenHash, error) {
 	var hash tokenHash
 	decoded, err := hex.DecodeString(e.SHA256)
@@ -112,8 +112,8 @@
 	return hash, nil
 }
 
-// lookUp finds the principal of a token. It compares with every entry in
-// constant time, so that the time taken tells nothing of the entries.
+// lookUp finds the principal of a token. It compares with every entry in constant
+// time, so that the duration reveals nothing about the entries.
 func (t tokenTable) lookUp(token string) (Principal, bool) {
 	if len(token) < MinTokenLength {
 		return Principal{}, false
@@ -130,10 +130,10 @@
 	return t[found].principal, true
 }
 
-// DefaultTokenReload is how often the token file is looked at.
+// DefaultTokenReload is the interval at which the token file is checked for changes.
 const DefaultTokenReload = 5 * time.Second
 
-// Tokens knows the bearer tokens of a file and takes changes of the file over.
+// Tokens authenticates the bearer tokens of a file, which Serve reloads when it changes.
 type Tokens struct {
 	path  string
 	log   zerolog.Logger
@@ -150,9 +150,9 @@
 	return t, nil
 }
 
-// Serve looks at the file from time to time until ctx ends. A file that is
-// broken or gone changes nothing: what was read last stays valid, and the fault
-// is logged. It implements suture's service.
+// Serve reloads the file when it changes, until ctx ends. If the file is invalid or
+// missing, the tokens that were read last stay valid and the error is logged. It
+// implements suture.Service.
 func (t *Tokens) Serve(ctx context.Context) error {
 	ticker := time.NewTicker(DefaultTokenReload)
 	defer ticker.Stop()
@@ -164,14 +164,14 @@
 		}
 		changed, err := t.reload()
 		if err != nil {
-			t.log.Error().Err(err).Msg("token file not taken over")
+			t.log.Error().Err(err).Msg("reloading the token file failed; the previous tokens stay valid")
 		} else if changed {
-			t.log.Info().Int("tokens", len(*t.table.Load())).Msg("token file taken over")
+			t.log.Info().Int("tokens", len(*t.table.Load())).Msg("token file reloaded")
 		}
 	}
 }
 
-// reload reads the file; it tells whether the tokens changed.
+// reload reads the file and reports whether it has changed.
 func (t *Tokens) reload() (bool, error) {
 	data, err := readLimited(t.path)
 	if err != nil {
@@ -202,5 +202,5 @@
 	return data, err
 }
 
-// Authenticate returns who holds the token.
+// Authenticate implements Authenticator.
 func (t *Tokens) Authenticate(token string) (Principal, bool) { return t.table.Load().lookUp(token) }
--- a/process/burn/burn.go
+++ b/process/burn/burn.go
@@ -1,10 +1,10 @@
-// Package burn measures how fast each service uses up its error budget.
+// Package burn measures how fast each service consumes its error budget.
 //
 // Every daemon records the requests it served in a Recorder of bounded memory.
-// Snapshots of several daemons merge into one, from which Evaluate makes a
+// Snapshots of several daemons are merged into one, from which Evaluate makes a
 // Report: per service and team, the burn rate over several windows and an alert
-// level. A burn rate of 1 uses the error budget exactly up over the period of
-// the objective; 10 uses it up in a tenth of it.
+// level. A burn rate of 1 consumes the error budget exactly in the period of the
+// objective; 10 consumes it in a tenth of that.
 package burn
 
 import (
@@ -14,8 +14,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// DefaultTarget is the wanted share of good requests of a service whose
-// specification names none.
+// DefaultTarget is the target share of good requests of a service whose
+// specification gives none.
 const DefaultTarget = 0.999
 
 // Windows over which burn is measured, the shortest first.
@@ -38,9 +38,9 @@
 // Other is the series of requests beyond the limit on series.
 var Other = Key{Service: "(other)", Team: "(other)"}
 
-// Judge tells whether a request was good under the objective. counted is false
-// for a request that says nothing about the service, since the caller's own
-// doing ended it: any status from 400 to 499.
+// Judge reports whether a request was good under the objective. counted is false for a
+// request that failed because of the caller and so says nothing about the service: any
+// status from 400 to 499.
 func Judge(o spec.Objective, status int, latency time.Duration) (good, counted bool) {
 	switch {
 	case status >= http.StatusBadRequest && status < http.StatusInternalServerError:
--- a/process/burn/collect.go
+++ b/process/burn/collect.go
@@ -21,18 +21,18 @@
 const MethodSnapshot peer.Method = "burn.snapshot"
 
 const (
-	// collectTimeout bounds the wait for one daemon's part.
+	// collectTimeout bounds the wait for one daemon's snapshot.
 	collectTimeout = 2 * time.Second
-	// collectParallel bounds the daemons asked at once.
+	// collectParallel bounds the number of concurrent calls to daemons.
 	collectParallel = 8
 )
 
-// snapshotReply carries a snapshot as EncodeSnapshot wrote it.
+// snapshotReply carries a snapshot as encoded by EncodeSnapshot.
 type snapshotReply struct {
 	Snapshot []byte `cbor:"1,keyasint"`
 }
 
-// Reporter makes reports over all daemons of the cell. It implements
+// Reporter generates reports over all daemons of the cell. It implements
 // admin.Reporter.
 type Reporter struct {
 	recorder *Recorder
@@ -43,12 +43,12 @@
 
 var _ admin.Reporter = (*Reporter)(nil)
 
-// NewReporter returns a Reporter that asks the members of view for their part.
+// NewReporter returns a Reporter that collects the snapshots of the members of view.
 func NewReporter(r *Recorder, view fleet.View, caller peer.Caller, config spec.Source) *Reporter {
 	return &Reporter{recorder: r, fleet: view, caller: caller, config: config}
 }
 
-// Register serves this daemon's part to the others.
+// Register serves this daemon's snapshot to the others.
 func (r *Recorder) Register(reg peer.Registrar) {
 	reg.Handle(MethodSnapshot, func(context.Context, peer.Ref, []byte) (any, error) {
 		data, err := EncodeSnapshot(r.Snapshot(time.Now()))
@@ -70,7 +70,7 @@
 	return admin.Report{ContentType: form.contentType, Body: body.Bytes()}, nil
 }
 
-// form is one form of a report.
+// form is an output format of a report.
 type form struct {
 	contentType string
 	write       func(io.Writer, Report) error
@@ -87,9 +87,8 @@
 	}
 }
 
-// Evaluate collects the parts of all daemons and makes the report of one team,
-// or of all with team "". Daemons that do not answer in time are named as
-// missing.
+// Evaluate collects the snapshots of all daemons and makes the report on one team, or
+// on all with team "". Daemons that do not answer in time are listed as missing.
 func (r *Reporter) Evaluate(ctx context.Context, team string) Report {
 	snapshot, missing := r.collect(ctx)
 	if team != "" {
@@ -100,7 +99,7 @@
 	return report
 }
 
-// target returns a service's wanted share of good requests, 0 for none.
+// target returns the target share of good requests of a service, 0 for none.
 func (r *Reporter) target(service string) float64 {
 	job, ok := r.config.Current().Jobs[service]
 	if !ok || job.Service == nil {
@@ -109,7 +108,7 @@
 	return job.Service.Objective.Availability
 }
 
-// collect merges the parts of all daemons and names those that gave none.
+// collect merges the snapshots of all daemons and returns the names of those without one.
 func (r *Reporter) collect(ctx context.Context) (Snapshot, []string) {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -143,7 +142,7 @@
 func (r *Reporter) ask(ctx context.Context, to peer.Ref) (Snapshot, error) {
 	var reply snapshotReply
 	if err := r.caller.Call(ctx, to, MethodSnapshot, struct{}{}, &reply); err != nil {
-		return Snapshot{}, fmt.Errorf("ask %s for its burn: %w", to.ID, err)
+		return Snapshot{}, fmt.Errorf("get burn snapshot of %s: %w", to.ID, err)
 	}
 	return DecodeSnapshot(reply.Snapshot)
 }
--- a/process/burn/collect_test.go
+++ b/process/burn/collect_test.go
@@ -30,10 +30,8 @@
 	return fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{"survey-desk": job}}}
 }
 
-// Symptom: a report hangs, or passes for whole, while a daemon is cut off.
-// Sequence: three daemons served requests; one is cut off when the report is
-// asked for.
-// Cause: no limit on the wait, or a part left out without a word.
+// Guards against a report that hangs, or that looks complete, while one of three daemons is
+// cut off: the wait is not bounded, or a missing snapshot is not reported.
 func TestReporterNamesDaemonsThatDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.NewNetwork(1)
@@ -71,10 +69,9 @@
 	})
 }
 
-// Symptom: real services vanish into (other).
-// Sequence: a caller asks for services of invented names, and for a real one
-// with a request that is its own mistake.
-// Cause: names that callers choose are recorded.
+// Guards against configured services being counted as (other) because names that callers
+// choose are recorded: a caller requests services with invented names, and sends a request to
+// a configured service that fails by the caller's mistake.
 func TestObserverRecordsConfiguredServicesOnly(t *testing.T) {
 	r := burn.New(burn.Options{})
 	observe := r.Observer(surveyDesk(0.99))
--- a/process/burn/observe.go
+++ b/process/burn/observe.go
@@ -7,12 +7,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// ObserveFunc takes the end of one request.
+// ObserveFunc is called at the end of each request.
 type ObserveFunc = func(service, team, caller string, status int, v verdict.Verdict, latency time.Duration)
 
 // Observer returns a function that records requests, judged by the objectives
 // of the configuration in force. Requests to services that are not configured
-// are left out: callers could fill the series with names of their own.
+// are left out, since callers could otherwise fill the series with arbitrary names.
 func (r *Recorder) Observer(config spec.Source) ObserveFunc {
 	return func(service, team, _ string, status int, v verdict.Verdict, latency time.Duration) {
 		job, ok := config.Current().Jobs[service]
--- a/process/burn/plot.go
+++ b/process/burn/plot.go
@@ -16,9 +16,9 @@
 const (
 	plotWidth  = 24 * vg.Centimeter
 	plotHeight = 11 * vg.Centimeter
-	// plotRows bounds the lines of one plot; the most urgent rows are drawn.
+	// plotRows bounds the number of lines in a plot; the most urgent rows are drawn.
 	plotRows = 6
-	// plotSmooth is over how many steps each point of a line is summed.
+	// plotSmooth is the number of steps over which each point of a line is summed.
 	plotSmooth = int(Window30m / coarseStep)
 )
 
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// line returns the burn by hours before now.
+// line returns the burn rates of the row by time, in hours relative to now.
 func (r Row) line(now time.Time) plotter.XYs {
 	var out plotter.XYs
 	var sum Counts
--- a/process/burn/recorder.go
+++ b/process/burn/recorder.go
@@ -8,21 +8,22 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// DefaultMaxSeries bounds the series that a Recorder keeps.
+// DefaultMaxSeries is the default bound on the series that a Recorder keeps.
 const DefaultMaxSeries = 256
 
 const (
-	// idleAfter is when a series that saw no request is dropped for another.
+	// idleAfter is the time without a request after which a series may be dropped
+	// to make space for another.
 	idleAfter = Window6h
-	// sweepEvery is the least time between two searches for idle series.
+	// sweepEvery is the minimum time between two searches for idle series.
 	sweepEvery = time.Minute
 
 	// Latencies are kept in milliseconds to one significant digit.
 	minLatency    = 1
 	maxLatency    = int64(10 * time.Minute / time.Millisecond)
 	latencyDigits = 1
-	// latencyAge is how long one of the two latency histograms is filled:
-	// quantiles cover the last one to two of it.
+	// latencyAge is how long one of the two latency histograms is filled, so that
+	// quantiles cover the last one to two hours.
 	latencyAge = time.Hour
 )
 
@@ -30,7 +31,7 @@
 	return hdrhistogram.New(minLatency, maxLatency, latencyDigits)
 }
 
-// series holds the requests of one key.
+// series counts the requests of one key.
 type series struct {
 	mu       sync.Mutex
 	fine     ring
@@ -61,7 +62,7 @@
 	_ = s.latency[0].RecordValue(min(max(latency.Milliseconds(), 0), maxLatency)) // in range
 }
 
-// rotate makes the previous hour of the current one when an hour ended.
+// rotate makes the current hour the previous one when an hour has ended.
 func (s *series) rotate(at time.Duration) {
 	hour := int64(at / latencyAge)
 	if hour <= s.hour {
@@ -83,7 +84,8 @@
 
 // Options configure a Recorder. The zero value of a field means its default.
 type Options struct {
-	// MaxSeries bounds the memory; requests of further keys count as Other.
+	// MaxSeries bounds the number of series, and so the memory; requests of further
+	// keys count as Other.
 	MaxSeries int
 	// Start is the time from which the recorder counts; default now.
 	Start time.Time
@@ -91,9 +93,8 @@
 
 // Recorder counts the requests of one daemon. It is safe for concurrent use.
 //
-// Time runs by the monotonic clock from the start: a wall clock that jumps
-// ahead and back would otherwise empty the windows and then drop requests as
-// too old.
+// Time is measured by the monotonic clock from the start. A wall clock that jumps
+// forward and back would empty the windows and then drop requests as too old.
 type Recorder struct {
 	start time.Time
 	limit int
@@ -122,8 +123,8 @@
 	return time.Duration(r.start.UnixNano()) + now.Sub(r.start)
 }
 
-// Observe counts one request that ended at now. verdict is what is known about
-// its execution, as verdict.Verdict spells it.
+// Observe counts one request that ended at now. verdict is the text form of a
+// verdict.Verdict: what is known about the request's execution.
 func (r *Recorder) Observe(service, team string, good bool, latency time.Duration, verdict string, now time.Time) {
 	at := r.at(now)
 	r.find(Key{service, team}, at).observe(at, good, latency, verdict)
@@ -141,7 +142,7 @@
 	if s, ok := r.series[k]; ok {
 		return s
 	}
-	if !r.room(at) {
+	if !r.hasCapacity(at) {
 		r.overflow.Add(1)
 		k = Other
 	}
@@ -154,8 +155,8 @@
 	return s
 }
 
-// room tells whether one more series may be kept, beside that of Other.
-func (r *Recorder) room(at time.Duration) bool {
+// hasCapacity reports whether one more series may be kept, in addition to that of Other.
+func (r *Recorder) hasCapacity(at time.Duration) bool {
 	if len(r.series) >= r.limit && at-r.swept >= sweepEvery {
 		r.swept = at
 		r.sweep(at)
--- a/process/burn/recorder_test.go
+++ b/process/burn/recorder_test.go
@@ -17,7 +17,7 @@
 
 var start = time.Date(2026, 1, 10, 12, 0, 0, 0, time.UTC)
 
-// seen is one request of the naive version, which keeps them all.
+// seen is one request in the naive implementation, which keeps all requests.
 type seen struct {
 	key  burn.Key
 	at   time.Time
@@ -89,10 +89,9 @@
 	})
 }
 
-// Symptom: a daemon's memory grows with the names that callers send.
-// Sequence: requests arrive for more series than the limit; hours later the
-// early ones are idle and new ones arrive.
-// Cause: no bound on series, or one that never lets idle ones go.
+// Guards against memory that grows with the names that callers send: requests arrive for more
+// series than the limit, and hours later, when the early series are idle, for new ones. There
+// must be a bound on series, and idle ones must be dropped for new ones.
 func TestSeriesAreBounded(t *testing.T) {
 	r := burn.New(burn.Options{MaxSeries: 10, Start: start})
 	for i := range 50 {
@@ -110,10 +109,9 @@
 	require.Equal(t, "late", s.Series[0].Service)
 }
 
-// Symptom: requests vanish from the report, or show in a step of six hours ago.
-// Sequence: two goroutines report requests in the wrong order, one of them late
-// by more than the rings hold.
-// Cause: a late request moves the newest step back, or wraps around the ring.
+// Guards against requests that disappear from the report, or appear in a step of six hours ago:
+// two goroutines report requests out of order, one of them later than the rings cover, and the
+// late request moves the newest step back, or wraps around the ring.
 func TestLateRequestsCountInTheirStep(t *testing.T) {
 	r := burn.New(burn.Options{Start: start})
 	now := start.Add(8 * time.Hour)
--- a/process/burn/render.go
+++ b/process/burn/render.go
@@ -30,7 +30,7 @@
 			strings.Join(row.burns(), "\t"), row.Windows[at6h].Bad,
 			row.P50Millis, row.P99Millis, row.Verdicts.NotRun, row.Verdicts.MayHaveRun)
 	}
-	return table.Flush() // reports the errors of the lines above
+	return table.Flush() // returns the errors of the writes above
 }
 
 func headline(r Report) string {
@@ -41,7 +41,8 @@
 	return line
 }
 
-// printable keeps a name from moving the terminal's cursor or the columns.
+// printable replaces characters of a name that could move the terminal's cursor or
+// break the columns.
 func printable(name string) string {
 	return strings.Map(func(c rune) rune {
 		if c < ' ' || c == 0x7f {
@@ -68,7 +69,7 @@
 	return out
 }
 
-// page is what the HTML template shows.
+// page is the data of the HTML template.
 type page struct {
 	Headline string
 	Rows     []pageRow
@@ -77,7 +78,7 @@
 	SlowBurn float64
 }
 
-// pageRow is a row of the report with its figures as text.
+// pageRow is a row of the report with its numbers as text.
 type pageRow struct {
 	Row
 	TeamName string
--- a/process/burn/report.go
+++ b/process/burn/report.go
@@ -8,33 +8,33 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Level is how urgent a series' burn is.
+// Level is the urgency of a burn rate.
 type Level string
 
 // Levels, the most urgent first.
 const (
-	// Fast: the budget of 30 days is gone in about two days. Act now.
+	// Fast: the budget of 30 days is consumed in about two days. Act now.
 	Fast Level = "fast"
-	// Slow: the budget of 30 days is gone in about five days. Act today.
+	// Slow: the budget of 30 days is consumed in about five days. Act today.
 	Slow Level = "slow"
-	// Fine: neither.
+	// Fine: neither fast nor slow.
 	Fine Level = "ok"
 )
 
 func (l Level) rank() int { return slices.Index([]Level{Fast, Slow, Fine}, l) }
 
-// Thresholds of burn. A level holds when both of its windows are above: the
-// long one shows that it matters, the short one that it still goes on, so that
-// an alert ends soon after its cause.
+// Thresholds of the burn rate. A level applies when both of its windows are above the
+// threshold: the long one shows that the loss is significant, the short one that it
+// continues, so that an alert ends soon after its cause.
 const (
 	FastBurn = 14.4 // over one hour and five minutes: 2 % of 30 days' budget an hour
 	SlowBurn = 6.0  // over six hours and 30 minutes: 5 % of 30 days' budget in six hours
-	// MinBad is how many bad requests the long window needs. Without it one bad
-	// request of a quiet night is an alert.
+	// MinBad is the number of bad requests that the long window needs, so that one
+	// bad request in a period with little traffic is not an alert.
 	MinBad = 5
 )
 
-// Positions in windows.
+// Indexes of windows.
 const (
 	at5m = iota
 	at30m
@@ -42,7 +42,7 @@
 	at6h
 )
 
-// WindowBurn is the burn over one window.
+// WindowBurn is the burn rate over one window.
 type WindowBurn struct {
 	Window     string  `json:"window"`
 	Good       uint64  `json:"good"`
@@ -52,7 +52,7 @@
 	Burn float64 `json:"burn"`
 }
 
-// Row is the burn of one team at one service, or of all teams at it.
+// Row is the burn of the requests of one team, or of all teams, to one service.
 type Row struct {
 	Service string `json:"service"`
 	// Team is empty for all teams together.
@@ -73,15 +73,15 @@
 type Report struct {
 	Time    time.Time `json:"time"`
 	Daemons int       `json:"daemons"`
-	// Missing names daemons whose part could not be had.
+	// Missing names the daemons whose snapshot could not be obtained.
 	Missing []string `json:"missing,omitempty"`
-	// Rows are sorted by level, then by falling burn over one hour.
+	// Rows are sorted by level, then by descending burn over one hour.
 	Rows []Row `json:"rows"`
 }
 
-// Evaluate makes a report. target returns the wanted share of good requests of
-// a service; values outside 0 to 1 mean DefaultTarget. With totals each service
-// that several teams used gets a row for all of them.
+// Evaluate makes a report. target returns the target share of good requests of a
+// service; values outside 0 to 1 mean DefaultTarget. With totals, each service that
+// several teams used also gets a row for all of them.
 func Evaluate(s Snapshot, target func(service string) float64, totals bool) Report {
 	out := Report{Time: time.UnixMilli(s.UnixMillis).UTC(), Daemons: s.Daemons}
 	for _, part := range s.Series {
@@ -154,7 +154,7 @@
 	}
 }
 
-// shortName writes a window as 5m or 6h.
+// shortName formats a window, for example as 5m or 6h.
 func shortName(w time.Duration) string {
 	names := map[time.Duration]string{Window5m: "5m", Window30m: "30m", Window1h: "1h", Window6h: "6h"}
 	return names[w]
--- a/process/burn/report_test.go
+++ b/process/burn/report_test.go
@@ -14,10 +14,10 @@
 
 func target(string) float64 { return 0.99 }
 
-// phase is traffic of one request a second with a share of bad ones.
+// phase is a period of one request per second with a share of bad ones.
 type phase struct {
 	length time.Duration
-	badPer int // one in so many is bad; 0 for none
+	badPer int // one of badPer requests is bad; 0 for none
 }
 
 func record(r *burn.Recorder, service, team string, phases ...phase) time.Time {
@@ -31,9 +31,8 @@
 	return now
 }
 
-// Symptom: an operator is woken for nothing, late, or not at all.
-// Sequence: each case below, with an objective of 99 %.
-// Cause: one window alone, which either misses slow losses or never resolves.
+// Guards against alerts that are false, late or missing, with an objective of 99 %: a single
+// window either misses slow losses or keeps the alert long after its cause.
 func TestLevels(t *testing.T) {
 	cases := map[string]struct {
 		phases []phase
@@ -113,7 +112,7 @@
 	require.Contains(t, page.String(), "No requests recorded")
 }
 
-// FuzzDecodeSnapshot: what a peer sends makes no report fail.
+// FuzzDecodeSnapshot guards against a peer's message that makes reports fail.
 func FuzzDecodeSnapshot(f *testing.F) {
 	r := burn.New(burn.Options{Start: start})
 	now := record(r, "survey-desk", "loans", phase{time.Minute, 3})
@@ -132,7 +131,7 @@
 	})
 }
 
-// BenchmarkObserve is the cost that each request pays.
+// BenchmarkObserve measures the cost per request.
 func BenchmarkObserve(b *testing.B) {
 	b.Run("one series", func(b *testing.B) {
 		r := burn.New(burn.Options{})
@@ -160,7 +159,7 @@
 	})
 }
 
-// BenchmarkSnapshot is the cost of one daemon's part, with its size on the wire.
+// BenchmarkSnapshot measures the cost of one daemon's snapshot and its size on the wire.
 func BenchmarkSnapshot(b *testing.B) {
 	r := burn.New(burn.Options{Start: start})
 	now := record(r, "survey-desk", "loans", phase{6 * time.Hour, 50})
@@ -175,7 +174,7 @@
 	b.ReportMetric(float64(size), "wire-B/series")
 }
 
-// BenchmarkHTML is the cost of the page with its plot.
+// BenchmarkHTML measures the cost of the page with its plot.
 func BenchmarkHTML(b *testing.B) {
 	report := exampleReport()
 	for b.Loop() {
--- a/process/burn/ring.go
+++ b/process/burn/ring.go
@@ -54,7 +54,7 @@
 // index returns the step that contains the time at, given since the epoch.
 func (r *ring) index(at time.Duration) int64 { return int64(at / r.step) }
 
-// advance makes the step at index the newest and clears those skipped.
+// advance makes the step at index the newest and clears the skipped ones.
 func (r *ring) advance(index int64) {
 	skipped := index - r.last
 	if skipped <= 0 {
@@ -70,7 +70,7 @@
 	r.last = index
 }
 
-// observe counts a request; one older than the ring is dropped.
+// observe counts a request; one older than the ring's oldest step is dropped.
 func (r *ring) observe(at time.Duration, good bool) {
 	index := r.index(at)
 	r.advance(index)
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -37,14 +37,14 @@
 	v.Ran += o.Ran
 }
 
-// SeriesSnapshot is one series at one time.
+// SeriesSnapshot is the state of one series at one time.
 type SeriesSnapshot struct {
 	Key
 	// Windows holds the counts of 5m, 30m, 1h and 6h, in that order.
 	Windows [len(windows)]Counts `json:"windows" cbor:"3,keyasint"`
 	// Verdicts count since the series began.
 	Verdicts Verdicts `json:"verdicts" cbor:"4,keyasint"`
-	// Latency holds the counts of a latency histogram, trailing zeros cut.
+	// Latency holds the counts of a latency histogram, without trailing zeros.
 	Latency []int64 `json:"latency,omitempty" cbor:"5,keyasint,omitempty"`
 	// First is the index, in steps of two minutes since the epoch, of Points[0].
 	First  int64    `json:"first" cbor:"6,keyasint"`
@@ -53,9 +53,9 @@
 
 // Snapshot is what one or more daemons recorded.
 type Snapshot struct {
-	// UnixMillis is when the newest part was taken.
+	// UnixMillis is when the newest of the merged snapshots was taken.
 	UnixMillis int64 `json:"unix_ms" cbor:"1,keyasint"`
-	// Daemons is how many daemons the snapshot holds.
+	// Daemons is the number of daemons that the snapshot covers.
 	Daemons int `json:"daemons" cbor:"2,keyasint"`
 	// Series is sorted by service and team.
 	Series []SeriesSnapshot `json:"series" cbor:"3,keyasint"`
@@ -95,7 +95,7 @@
 	return out
 }
 
-// points returns the coarse counts from the first step that has any.
+// points returns the coarse counts, starting with the first step that has any.
 func (s *series) points() []Counts {
 	recent := s.coarse.recent(coarseBuckets)
 	begin := slices.IndexFunc(recent, func(b bucket) bool { return b != bucket{} })
@@ -126,7 +126,7 @@
 	return counts[:n:n]
 }
 
-// Merge returns the snapshots as one. Its result does not depend on the order.
+// Merge combines snapshots into one. The result does not depend on their order.
 func Merge(parts ...Snapshot) Snapshot {
 	var out Snapshot
 	byKey := map[Key]SeriesSnapshot{}
@@ -170,8 +170,8 @@
 	return out
 }
 
-// mergePoints adds the points of the same step and keeps the newest ones. Parts
-// of daemons whose clocks are far apart share no step; the newest win.
+// mergePoints adds the points of the same step and keeps the newest ones. Snapshots of
+// daemons whose clocks are far apart share no step; the newest points win.
 func mergePoints(a, b SeriesSnapshot) (int64, []Counts) {
 	if len(a.Points) == 0 {
 		return b.First, b.Points
@@ -192,20 +192,20 @@
 	return first, points
 }
 
-// ErrBadSnapshot means that a snapshot is none that a Recorder makes.
+// ErrBadSnapshot means that a snapshot can not have been made by a Recorder.
 var ErrBadSnapshot = errors.New("burn: invalid snapshot")
 
-// maxSeriesPerSnapshot bounds what is taken from a peer.
+// maxSeriesPerSnapshot bounds the series accepted from a peer.
 const maxSeriesPerSnapshot = 4096
 
-// maxStep bounds the step indexes taken from a peer: far beyond any clock, far
+// maxStep bounds the step indexes accepted from a peer: far beyond any clock, and far
 // below an overflow.
 const maxStep = int64(1) << 40
 
 // EncodeSnapshot returns s in CBOR.
 func EncodeSnapshot(s Snapshot) ([]byte, error) { return cbor.Marshal(s) }
 
-// DecodeSnapshot reads what EncodeSnapshot wrote, or fails with ErrBadSnapshot.
+// DecodeSnapshot decodes the result of EncodeSnapshot, or fails with ErrBadSnapshot.
 func DecodeSnapshot(data []byte) (Snapshot, error) {
 	var s Snapshot
 	if err := cbor.Unmarshal(data, &s); err != nil {
@@ -217,8 +217,8 @@
 	return s, nil
 }
 
-// Validate tells whether a Recorder, or Merge, could have made s: what comes
-// from a peer of another release must not make a report fail.
+// Validate returns an error if neither a Recorder nor Merge could have made s. It protects
+// reports from snapshots of peers of another release.
 func (s Snapshot) Validate() error {
 	if len(s.Series) > maxSeriesPerSnapshot || s.Daemons < 0 {
 		return fmt.Errorf("%w: %d series of %d daemons", ErrBadSnapshot, len(s.Series), s.Daemons)
--- a/process/cellview/cellview.go
+++ b/process/cellview/cellview.go
@@ -1,11 +1,11 @@
-// Package cellview keeps this daemon's picture of the whole cell: it follows
-// the state of every partition by long polls to its owner and hands each
-// change to the sinks.
+// Package cellview maintains this daemon's view of the whole cell: it follows
+// the state of every partition by long polls to its owner and passes each change
+// to the sinks.
 //
-// Guarantees: within one epoch of a partition the sinks see its changes in
-// order, each once; a lower epoch is never shown after a higher one; after a
-// change of the owner the sinks get a full state before any change. While a
-// partition has no reachable owner the last state stays.
+// Guarantees: within one epoch of a partition the sinks receive its changes in
+// order, each once; a lower epoch is never delivered after a higher one; after a
+// change of the owner the sinks receive a full state before any change. While a
+// partition has no reachable owner its last state is kept.
 package cellview
 
 import (
@@ -22,17 +22,17 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// Sink takes the states of partitions. Apply is called from one goroutine and
-// must not keep it waiting.
+// Sink receives the states of partitions. Apply is called from one goroutine and
+// must not block it.
 type Sink interface {
 	Apply(plan.State)
 }
 
-// Options of a View. Zero durations take the defaults.
+// Options of a View. Zero durations mean the defaults.
 type Options struct {
 	Directory ownership.Directory
 	Caller    peer.Caller
-	// Partitions lists the partitions that exist now.
+	// Partitions lists the partitions that currently exist.
 	Partitions func() []string
 	// Listed returns a channel closed when Partitions may have changed.
 	Listed func() <-chan struct{}
@@ -43,13 +43,14 @@
 }
 
 const (
-	// DefaultWait keeps idle partitions at one small call in that time.
+	// DefaultWait is the default of Options.Wait: an idle partition takes one small
+	// call per wait.
 	DefaultWait = 20 * time.Second
 	// waitMargin is how much longer than Wait an answer may take.
 	waitMargin = 3 * time.Second
 	minRetry   = 50 * time.Millisecond
 	maxRetry   = 2 * time.Second
-	// queueLength is how many states may wait for the sinks.
+	// queueLength is the number of states that may be queued for the sinks.
 	queueLength = 64
 )
 
@@ -59,7 +60,7 @@
 	applied chan plan.State
 }
 
-// New returns a View; run Serve.
+// New returns a View. It follows partitions only while Serve runs.
 func New(o Options) *View {
 	if o.Wait == 0 {
 		o.Wait = DefaultWait
@@ -87,8 +88,8 @@
 	}
 }
 
-// adjust follows new partitions. One that is no longer listed is followed as
-// long as it has an owner, which then tells that its workers are gone.
+// adjust starts to follow new partitions. One that is no longer listed is followed as
+// long as it has an owner, which reports the removal of its workers.
 func (v *View) adjust(ctx context.Context, following map[string]context.CancelFunc) {
 	names := v.o.Partitions()
 	for _, name := range names {
@@ -143,8 +144,8 @@
 
 var errNoOwner = errors.New("cellview: partition has no owner")
 
-// pollUntilMoved makes one long poll and gives it up when another daemon
-// becomes the owner: the old one may hold the poll until its wait ends.
+// pollUntilMoved makes one long poll and cancels it when another daemon becomes
+// the owner: the old one may not answer the poll until its wait ends.
 func (f *follower) pollUntilMoved(ctx context.Context, claim ownership.Claim, changed <-chan struct{}) error {
 	ctx, cancel := context.WithTimeout(ctx, f.v.o.Wait+waitMargin)
 	defer cancel()
@@ -176,11 +177,11 @@
 		return err
 	}
 	if s.Epoch < f.epoch {
-		return errNoOwner // an owner that does not know yet that it was replaced
+		return errNoOwner // a former owner that has not noticed yet that it was replaced
 	}
 	if s.Epoch != f.epoch && !s.Full {
 		f.epoch, f.seq = s.Epoch, 0
-		return nil // ask again for everything
+		return nil // the next poll requests the full state
 	}
 	changed := s.Full || s.Seq != f.seq
 	f.epoch, f.seq = s.Epoch, s.Seq
@@ -189,13 +190,13 @@
 	}
 	if !f.known.complete(&s, time.Now()) {
 		f.seq = 0
-		return nil // ask again for everything
+		return nil // the next poll requests the full state
 	}
 	select {
 	case f.v.applied <- s:
 		return nil
 	case <-ctx.Done():
-		f.seq = 0 // not handed on, so everything is asked for again
+		f.seq = 0 // not delivered, so the next poll must request the full state
 		return ctx.Err()
 	}
 }
--- a/process/cellview/merge.go
+++ b/process/cellview/merge.go
@@ -7,25 +7,24 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// tasks are the running tasks of one worker, as far as received.
+// tasks holds the running tasks of one worker, as received so far.
 type tasks map[worker.Ref]received
 
-// received is a task with the time of its arrival, which its age counts from.
+// received is a task with the time at which it was received, from which its age counts.
 type received struct {
 	task plan.RunningTask
 	at   time.Time
 }
 
-// merger completes partial states.
+// merger completes partial states of workers with the tasks received before.
 type merger struct {
 	workers map[worker.ID]tasks
 }
 
 func newMerger() *merger { return &merger{workers: make(map[worker.ID]tasks)} }
 
-// complete fills in the tasks that a partial state left out. It reports false
-// when the worker's earlier tasks are not known; then everything must be asked
-// for again.
+// complete fills in the tasks that a partial state leaves out. It returns false if
+// the worker's earlier tasks are not known; then the full state must be requested.
 func (m *merger) complete(s *plan.State, now time.Time) bool {
 	if s.Full {
 		clear(m.workers)
--- a/process/cellview/merge_test.go
+++ b/process/cellview/merge_test.go
@@ -16,8 +16,8 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// TestMergedStatesEqualWholeOnes compares deltas, some of them skipped, with
-// the naive way: the whole list each time.
+// TestMergedStatesEqualWholeOnes compares the merging of deltas, some of them skipped,
+// with the naive implementation: the whole list each time.
 func TestMergedStatesEqualWholeOnes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newMerger()
