--- a/process/burn/report.go
+++ b/process/burn/report.go
@@ -84,12 +84,12 @@
 // several teams used also gets a row for all of them.
 func Evaluate(s Snapshot, target func(service string) float64, totals bool) Report {
 	out := Report{Time: time.UnixMilli(s.UnixMillis).UTC(), Daemons: s.Daemons}
-	for _, part := range s.Series {
-		out.Rows = append(out.Rows, newRow(part, target))
+	for _, item := range s.Series {
+		out.Rows = append(out.Rows, newRow(item, target))
 	}
 	if totals {
-		for _, part := range totalsOf(s.Series) {
-			out.Rows = append(out.Rows, newRow(part, target))
+		for _, item := range totalsOf(s.Series) {
+			out.Rows = append(out.Rows, newRow(item, target))
 		}
 	}
 	slices.SortStableFunc(out.Rows, compareRows)
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -127,10 +127,10 @@
 }
 
 // Merge combines snapshots into one. The result does not depend on their order.
-func Merge(parts ...Snapshot) Snapshot {
+func Merge(snapshots ...Snapshot) Snapshot {
 	var out Snapshot
 	byKey := map[Key]SeriesSnapshot{}
-	for _, p := range parts {
+	for _, p := range snapshots {
 		out.UnixMillis = max(out.UnixMillis, p.UnixMillis)
 		out.Daemons += p.Daemons
 		for _, s := range p.Series {
@@ -223,11 +223,11 @@
 	if len(s.Series) > maxSeriesPerSnapshot || s.Daemons < 0 {
 		return fmt.Errorf("%w: %d series of %d daemons", ErrBadSnapshot, len(s.Series), s.Daemons)
 	}
-	for _, part := range s.Series {
-		if len(part.Points) > coarseBuckets || part.First < -maxStep || part.First > maxStep {
-			return fmt.Errorf("%w: %d points from %d", ErrBadSnapshot, len(part.Points), part.First)
+	for _, item := range s.Series {
+		if len(item.Points) > coarseBuckets || item.First < -maxStep || item.First > maxStep {
+			return fmt.Errorf("%w: %d points from %d", ErrBadSnapshot, len(item.Points), item.First)
 		}
-		if len(part.Latency) > latencySlots || slices.ContainsFunc(part.Latency, func(n int64) bool { return n < 0 }) {
+		if len(item.Latency) > latencySlots || slices.ContainsFunc(item.Latency, func(n int64) bool { return n < 0 }) {
 			return fmt.Errorf("%w: latency counts", ErrBadSnapshot)
 		}
 	}
@@ -248,9 +248,9 @@
 func (s Snapshot) Only(team string) Snapshot {
 	out := s
 	out.Series = nil
-	for _, part := range s.Series {
-		if part.Team == team {
-			out.Series = append(out.Series, part)
+	for _, item := range s.Series {
+		if item.Team == team {
+			out.Series = append(out.Series, item)
 		}
 	}
 	return out
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -18,8 +18,8 @@
 	catalogWait  = 1500 * time.Millisecond
 	catalogGrace = 500 * time.Millisecond
 	catalogPause = 100 * time.Millisecond
-	// checkPeriod is the interval of full reads in addition to the watch, since a watch can
-	// miss changes without an error. Other daemons are asked more often (followPeers), at a
+	// checkPeriod is the interval of reads in addition to the watch, since a watch can miss
+	// changes without an error. Other daemons are asked more often (followPeers), at a
 	// hundredth of the cost: with 20 accounts a version has 15 KB, and one read per second
 	// by every daemon took a sixteenth of a 2 Mbit/s link.
 	checkPeriod = 5 * time.Second
@@ -93,7 +93,7 @@
 		}
 		c.log.Info().Int64("version", next.Version).Str("from", from).Int64("age_before_ms", age.Milliseconds()).Int("queues", len(next.Queues)).Int("accounts", len(next.Accounts.All())).Msg("configuration in force")
 		if next.Problems != nil {
-			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("configuration contains invalid entries, which are ignored")
+			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("configuration contains entries that can not be used as declared")
 		}
 		if before == nil {
 			close(c.first)
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -21,40 +21,40 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// slowSource answers each call after the time takes, with a version or nothing.
+// slowSource answers each call after latency, with a version or nothing.
 type slowSource struct {
-	takes time.Duration
-	next  *work.Catalog
+	latency time.Duration
+	next    *work.Catalog
 }
 
 func (s *slowSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
-	return s.next, 1, sleep.For(ctx, s.takes)
+	return s.next, 1, sleep.For(ctx, s.latency)
 }
 
 func (s *slowSource) Glance(ctx context.Context) (*work.Catalog, error) {
-	return s.next, sleep.For(ctx, s.takes)
+	return s.next, sleep.For(ctx, s.latency)
 }
 
 func (s *slowSource) Watch(ctx context.Context, after store.Revision, _ time.Duration) (*work.Catalog, store.Revision, error) {
-	return s.next, after, sleep.For(ctx, s.takes)
+	return s.next, after, sleep.For(ctx, s.latency)
 }
 
 func TestAgeOfTheConfigurationIsNeverUnderstated(t *testing.T) {
 	// Guards against an answer that was long in flight making a version look more current
 	// than it is, so that a key revoked meanwhile would still be accepted.
 	synctest.Test(t, func(t *testing.T) {
-		source := &slowSource{takes: 400 * time.Millisecond, next: &work.Catalog{Version: 1}}
+		source := &slowSource{latency: 400 * time.Millisecond, next: &work.Catalog{Version: 1}}
 		c := newCatalogs(source, nil, zerolog.Nop())
 		_, err := c.read(t.Context())
 		require.NoError(t, err)
 		require.Equal(t, 400*time.Millisecond, c.age(), "a read shows the state at the time of the request")
 
-		source.next, source.takes = nil, 1900*time.Millisecond
+		source.next, source.latency = nil, 1900*time.Millisecond
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
 		require.NoError(t, err)
 		require.Equal(t, 400*time.Millisecond, c.age(), "a watch without changes was answered after its wait at the earliest")
 
-		source.takes = 200 * time.Millisecond // sooner than asked for
+		source.latency = 200 * time.Millisecond // earlier than the requested wait
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
 		require.NoError(t, err)
 		require.Zero(t, c.age())
@@ -71,7 +71,7 @@
 	})
 }
 
-func TestAccountsOfLedPartsAreShown(t *testing.T) {
+func TestAccountsOfLedShardsAreShown(t *testing.T) {
 	led, followed := &shard{}, &shard{}
 	led.rows.Store(&[]quota.Row{{Account: "north"}, {Account: "south"}})
 	n := &Node{}
@@ -94,22 +94,22 @@
 	require.Empty(t, membersAfter(members[:1], "a"))
 }
 
-// silentSource never answers calls that are sent while it is away, not even once it is back.
-type silentSource struct {
-	store *catalogStore
-	away  atomic.Bool
+// unresponsiveSource never answers calls that are sent while it is unreachable, not even after that.
+type unresponsiveSource struct {
+	store       *catalogStore
+	unreachable atomic.Bool
 }
 
-func (s *silentSource) reach(ctx context.Context) error {
-	const way = 2 * time.Millisecond
-	if s.away.Load() {
+func (s *unresponsiveSource) reach(ctx context.Context) error {
+	const latency = 2 * time.Millisecond
+	if s.unreachable.Load() {
 		<-ctx.Done()
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 	}
-	return sleep.For(ctx, way)
+	return sleep.For(ctx, latency)
 }
 
-func (s *silentSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
+func (s *unresponsiveSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -117,12 +117,12 @@
 	return &work.Catalog{Version: v}, store.Revision(v), nil
 }
 
-func (s *silentSource) Glance(ctx context.Context) (*work.Catalog, error) {
+func (s *unresponsiveSource) Glance(ctx context.Context) (*work.Catalog, error) {
 	c, _, err := s.Current(ctx)
 	return c, err
 }
 
-func (s *silentSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
+func (s *unresponsiveSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -131,7 +131,7 @@
 		if err := sleep.For(ctx, step); err != nil {
 			return nil, 0, err
 		}
-		if s.away.Load() { // the answer is lost
+		if s.unreachable.Load() { // the answer is lost
 			<-ctx.Done()
 			return nil, 0, fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 		}
@@ -154,10 +154,10 @@
 		phases = 3 // points of a watch's wait at which the outage begins
 	)
 	for phase := range phases {
-		for away := step; away <= most; away += step {
+		for outage := step; outage <= most; outage += step {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				source := &silentSource{store: &catalogStore{}}
+				source := &unresponsiveSource{store: &catalogStore{}}
 				source.store.publish()
 				storeTimeout := &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}
 				c := newCatalogs(source, storeTimeout, zerolog.Nop())
@@ -169,12 +169,12 @@
 					}
 				})
 				time.Sleep(calm + time.Duration(phase)*catalogWait/phases)
-				source.away.Store(true)
-				time.Sleep(away)
+				source.unreachable.Store(true)
+				time.Sleep(outage)
 				source.store.publish()
-				source.away.Store(false)
+				source.unreachable.Store(false)
 				time.Sleep(bound)
-				assert.Equal(t, int64(2), c.Current().Version, "after an outage of %v that began in phase %d, known for %v only", away, phase, c.age())
+				assert.Equal(t, int64(2), c.Current().Version, "after an outage of %v that began in phase %d, known for %v only", outage, phase, c.age())
 				cancel()
 				running.Wait()
 			})
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -48,40 +48,40 @@
 	return version
 }
 
-// laggingSource reaches a catalogStore with random delays, or not at all while away is set.
+// laggingSource reaches a catalogStore with random delays, or not at all while unreachable is set.
 type laggingSource struct {
 	store *catalogStore
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	away bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	unreachable bool
 }
 
-func (s *laggingSource) travel(ctx context.Context) error {
+func (s *laggingSource) delay(ctx context.Context) error {
 	s.mu.Lock()
-	d, away := time.Duration(s.rng.IntN(300))*time.Millisecond, s.away
+	d, unreachable := time.Duration(s.rng.IntN(300))*time.Millisecond, s.unreachable
 	s.mu.Unlock()
 	if err := sleep.For(ctx, d); err != nil {
 		return err
 	}
-	if away {
+	if unreachable {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
-func (s *laggingSource) setAway(away bool) {
+func (s *laggingSource) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unreachable = unreachable
 }
 
 func (s *laggingSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
-	if err := s.travel(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return nil, 0, err
 	}
 	v := s.store.newest()
-	return &work.Catalog{Version: v}, store.Revision(v), s.travel(ctx)
+	return &work.Catalog{Version: v}, store.Revision(v), s.delay(ctx)
 }
 
 func (s *laggingSource) Glance(ctx context.Context) (*work.Catalog, error) {
@@ -90,16 +90,16 @@
 }
 
 func (s *laggingSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
-	if err := s.travel(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return nil, 0, err
 	}
 	const step = 50 * time.Millisecond
 	for until := time.Now().Add(wait); ; {
 		if v := s.store.newest(); store.Revision(v) > after {
-			return &work.Catalog{Version: v}, store.Revision(v), s.travel(ctx)
+			return &work.Catalog{Version: v}, store.Revision(v), s.delay(ctx)
 		}
 		if !time.Now().Before(until) {
-			return nil, after, s.travel(ctx)
+			return nil, after, s.delay(ctx)
 		}
 		if err := sleep.For(ctx, step); err != nil {
 			return nil, after, err
@@ -138,11 +138,11 @@
 				case 0:
 					s.publish()
 				case 1:
-					sources[rng.IntN(daemons)].setAway(rng.IntN(2) == 0)
+					sources[rng.IntN(daemons)].setUnreachable(rng.IntN(2) == 0)
 				}
 				asker, asked := all[rng.IntN(daemons)], all[rng.IntN(daemons)]
-				way := time.Duration(rng.IntN(200)) * time.Millisecond
-				running.Go(func() { askOverSlowWay(t, asker, asked, way) })
+				latency := time.Duration(rng.IntN(200)) * time.Millisecond
+				running.Go(func() { pullOverSlowLink(t, asker, asked, latency) })
 				for i, c := range all {
 					age, now := c.age(), c.Current() // read together: a version may come into force at any moment
 					if now == nil {
@@ -160,8 +160,8 @@
 	})
 }
 
-// askOverSlowWay has asker pull from asked over a link that takes d in each direction.
-func askOverSlowWay(t *testing.T, asker, asked *catalogs, d time.Duration) {
+// pullOverSlowLink has asker pull from asked over a link that takes d in each direction.
+func pullOverSlowLink(t *testing.T, asker, asked *catalogs, d time.Duration) {
 	at, request := time.Now(), asker.request()
 	time.Sleep(d)
 	reply, err := asked.answer(request)
@@ -169,6 +169,6 @@
 	if err != nil {
 		return // it holds an older version or none
 	}
-	_, err = asker.learn("asked", at, reply)
+	_, err = asker.merge("asked", at, reply)
 	assert.NoError(t, err)
 }
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -136,7 +136,7 @@
 		n.log.Debug().Err(err).Str("daemon", m.Name).Msg("configuration pull from a daemon failed")
 		return
 	}
-	newer, err := n.catalogs.learn(m.Name, asked, r)
+	newer, err := n.catalogs.merge(m.Name, asked, r)
 	if err != nil {
 		n.log.Warn().Err(err).Str("daemon", m.Name).Msg("configuration of a daemon can not be decoded")
 		return
@@ -177,9 +177,9 @@
 	return reply, err
 }
 
-// learn merges another daemon's reply to a request that was sent at the time asked, and
+// merge applies another daemon's reply to a request that was sent at the time asked, and
 // reports whether it brought a newer version.
-func (c *catalogs) learn(daemon string, asked time.Time, r catalogReply) (newer bool, err error) {
+func (c *catalogs) merge(daemon string, asked time.Time, r catalogReply) (newer bool, err error) {
 	if len(r.Catalog) > 0 {
 		next, err := work.DecodeCatalog(r.Catalog)
 		if err != nil {
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -25,8 +25,8 @@
 	sharesStream = lead.Chains - 1
 
 	// reportPeriod is the interval of reports while work waits for a share; moving a share
-	// takes three of them. idleReportPeriod is the interval otherwise; these reports tell
-	// the owner which version of the shares a shard applies.
+	// takes three of them. idleReportPeriod is the interval otherwise; these reports inform
+	// the owner of the version of the shares that a shard applies.
 	reportPeriod     = 100 * time.Millisecond
 	idleReportPeriod = time.Second
 	// reportTimeout bounds one report.
--- a/process/versions/gossip.go
+++ b/process/versions/gossip.go
@@ -35,16 +35,16 @@
 			return
 		case <-timer.C:
 		}
-		for _, to := range k.pick(k.partners()) {
+		for _, to := range k.pick(k.peersPerRound()) {
 			k.exchange(ctx, to, false)
 		}
 		timer.Reset(k.jitter(k.options.GossipInterval))
 	}
 }
 
-// partners returns the number of peers per round: more while no configuration is
+// peersPerRound returns the number of peers per exchange round: more while no configuration is
 // known.
-func (k *Keeper) partners() int {
+func (k *Keeper) peersPerRound() int {
 	if k.isLoaded() {
 		return 1
 	}
