--- a/process/burn/collect.go
+++ b/process/burn/collect.go
@@ -17,7 +17,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// MethodSnapshot asks a daemon for its snapshot.
+// MethodSnapshot requests the snapshot of a daemon.
 const MethodSnapshot peer.Method = "burn.snapshot"
 
 const (
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -79,9 +79,9 @@
 	fromCheck = "stale reading"
 )
 
-// take puts next in force if it is newer than the version held; from names its source in
+// install puts next in force if it is newer than the version held; from names its source in
 // the log.
-func (c *catalogs) take(next *work.Catalog, from string) {
+func (c *catalogs) install(next *work.Catalog, from string) {
 	for {
 		before := c.now.Load()
 		if next == nil || (before != nil && next.Version <= before.Version) {
@@ -117,7 +117,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.take(next, fromRead)
+	c.install(next, fromRead)
 	c.confirm(asked)
 	return rev, nil
 }
@@ -128,7 +128,7 @@
 	if err != nil {
 		return 0, err
 	}
-	c.take(next, fromWatch)
+	c.install(next, fromWatch)
 	if next == nil {
 		asked = asked.Add(min(wait, time.Since(asked))) // a watch without changes returns after wait at the earliest
 	}
@@ -170,6 +170,6 @@
 			c.log.Debug().Err(err).Msg("configuration not read")
 			continue
 		}
-		c.take(next, fromCheck)
+		c.install(next, fromCheck)
 	}
 }
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -109,7 +109,7 @@
 
 func TestAgesHoldOverDaemonsThatLag(t *testing.T) {
 	// Guards against a daemon that takes its version for more current than it is, from
-	// whichever source, and goes on accepting a revoked key. Versions are published at
+	// whichever source, and continues to accept a revoked key. Versions are published at
 	// random while the store rejects daemons, answers take up to 0.6 s, and daemons pull
 	// from each other. Invariants: no version newer than the one held was acknowledged
 	// earlier than its age ago, and no version is replaced by an older one.
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -73,7 +73,7 @@
 // from any daemon while the store does not respond.
 //
 // If the store rejects a third of the daemons for some seconds while keys are replaced, those
-// daemons would otherwise go on accepting revoked keys and refuse callers with new ones,
+// daemons would otherwise continue to accept revoked keys and refuse callers with new ones,
 // although their neighbours have the newer version.
 func (n *Node) followPeers(ctx context.Context) error {
 	var before bool
@@ -185,7 +185,7 @@
 		if err != nil {
 			return false, err
 		}
-		c.take(next, daemon)
+		c.install(next, daemon)
 		newer = true
 	}
 	// The age counts from when the request was sent, since the reply may have been built
--- a/process/cellnode/layout.go
+++ b/process/cellnode/layout.go
@@ -14,7 +14,7 @@
 
 // Dividing a cell into shards.
 //
-// A cell is divided when it has more workers than one leader's processor can serve. The cost
+// A cell is divided when it has more workers than one leader's CPU can serve. The cost
 // of placement rounds, orders, reports and submissions grows with the number of workers, and
 // an overloaded leader's throughput collapses: with 3,000 workers it completes a fiftieth of
 // what it does with 1,000.
@@ -147,7 +147,7 @@
 	return max(1, min(shards, able))
 }
 
-// capacity returns how many workers a daemon can serve as a leader, by its processor
+// capacity returns how many workers a daemon can serve as a leader, by its CPU time
 // and, where that is known, its link; 0 if neither is known.
 func capacity(m lead.Member) float64 { return m.Carries(workersPerLeaderCore, workersPerLeaderMbit) }
 
--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -100,8 +100,8 @@
 	return string(data)
 }
 
-// took records the duration of one phase of a job.
-func (n *Node) took(what dispatch.Span, queue, account string, d time.Duration) {
+// observeSpan records the duration of one phase of a job.
+func (n *Node) observeSpan(what dispatch.Span, queue, account string, d time.Duration) {
 	n.latencies.note(string(what)+" "+queue, d)
 	if what == dispatch.SpanComplete && account != "" {
 		n.byAccount.note(account, d)
--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -79,7 +79,7 @@
 	defer s.rows.Store(nil)
 	h := dispatch.NewHost(dispatch.HostOptions{
 		Store: s.store, Patience: n.storeTimeout, Runner: orders, Directory: shardDirectory{n.o.Directory, layout, s.index}, View: n.view(),
-		Members: members, Advise: n.advise, Accounts: n.catalogs.accounts, Part: s.index, Parts: layout.Parts, Bounds: n.bounds(), Policy: n.o.Settings.Policy, Log: n.log, Count: n.count, Took: n.took,
+		Members: members, Advise: n.advise, Accounts: n.catalogs.accounts, Part: s.index, Parts: layout.Parts, Bounds: n.bounds(), Policy: n.o.Settings.Policy, Log: n.log, Count: n.count, Took: n.observeSpan,
 		ShowAccounts: func(rows []quota.Row) { s.rows.Store(&rows) },
 		Violation:    func(string) { n.metrics.Add("violations", 1) },
 	}, t)
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -95,8 +95,8 @@
 	}
 }
 
-// take handles a shard's report, and writes the next version if shares are to move.
-func (o *quotaOwner) take(r quota.Report) quota.Answer {
+// handleReport handles a shard's report, and writes the next version if shares are to move.
+func (o *quotaOwner) handleReport(r quota.Report) quota.Answer {
 	o.mu.Lock()
 	defer o.mu.Unlock()
 	answer := o.balancer.Take(r)
@@ -131,7 +131,7 @@
 // serveQuota handles a shard's report if this daemon owns the shares.
 func (n *Node) serveQuota(_ context.Context, r quota.Report) (any, error) {
 	if o := n.quotaOwner.Load(); o != nil {
-		return o.take(r), nil
+		return o.handleReport(r), nil
 	}
 	return nil, errNotOwner
 }
@@ -174,7 +174,7 @@
 // reportToOwner sends a report to the leader of shard 0.
 func (n *Node) reportToOwner(ctx context.Context, r quota.Report) (answer quota.Answer, err error) {
 	if o := n.quotaOwner.Load(); o != nil {
-		return o.take(r), nil
+		return o.handleReport(r), nil
 	}
 	leader, known := n.view().Leader()
 	if !known || leader.Member.Name == n.self.Name {
--- a/process/daemon/http.go
+++ b/process/daemon/http.go
@@ -64,11 +64,12 @@
 //
 // When only this incarnation has ended, because the other daemons evicted it, the requests
 // at endpoints finish beside the next incarnation. Otherwise a daemon that was starved of
-// processor time for a few seconds would abort every request in flight, and non-idempotent
+// CPU time for a few seconds would abort every request in flight, and non-idempotent
 // ones would end as "may have run". Their slots count as in use at the pool for
 // slots.AttemptLimit, by when every attempt has ended, so finishing them exceeds no limit.
 //
-// When the process ends unplanned, connections are closed at once.
+// When the process ends unplanned, connections are closed at once, since nothing is left to
+// which the outcome of their requests could be reported.
 func (h *httpService) end(conns *graceful.Conns, stopAccepting func()) {
 	switch {
 	case h.inc.ended.Load() != nil:
--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -30,7 +30,7 @@
 	confirmDivisor = 2
 	// leaveTimeout bounds the last messages of a planned stop.
 	leaveTimeout = 5 * time.Second
-	// drainGrace is how long the daemon goes on serving after its readiness check
+	// drainGrace is how long the daemon continues to serve after its readiness check
 	// has begun to fail, so that the load balancer notices it.
 	drainGrace = 2 * time.Second
 )
--- a/process/settings/cell.go
+++ b/process/settings/cell.go
@@ -43,7 +43,7 @@
 	Advice string `json:"advice"`
 	// MemoryMB is the memory that the process may use, in MB; 0 for no bound.
 	MemoryMB int `json:"memory_mb"`
-	// CPUShare times Cores is the processor time that the process may use, in
+	// CPUShare times Cores is the CPU time that the process may use, in
 	// cores. Daemons with more of it are preferred as leaders.
 	CPUShare float64 `json:"cpu_share"`
 	Cores    float64 `json:"cores"`
@@ -74,7 +74,7 @@
 	EntitledWindowS float64 `json:"entitled_window_s"`
 	EntitledSlack   float64 `json:"entitled_slack"`
 	// StrictKeys makes a daemon refuse keys once it could not confirm for KeysMS that they
-	// are in force. Otherwise it goes on with those of its last version.
+	// are in force. Otherwise it continues with those of its last version.
 	StrictKeys bool   `json:"strict_keys"`
 	KeysMS     Millis `json:"keys_ms"`
 	// ConfigMS is the time within which a version of the configuration is to be in force
--- a/process/versions/loop.go
+++ b/process/versions/loop.go
@@ -56,7 +56,7 @@
 		case head := <-l.keeper.heads:
 			l.onHead(head)
 		case s := <-l.keeper.offers:
-			l.take(s)
+			l.install(s)
 		case <-l.keeper.wake:
 			l.onPeerUpdate()
 		case <-l.retry.C:
@@ -144,7 +144,7 @@
 	l.fetching = false
 	if err == nil {
 		pause.Reset()
-		l.take(l.next)
+		l.install(l.next)
 		return
 	}
 	l.keeper.metrics.failures.Add(1)
@@ -153,8 +153,8 @@
 	l.retry.Reset(pause.NextBackOff())
 }
 
-// take puts a snapshot into force unless a later one already is.
-func (l *loop) take(s *history.Snapshot) {
+// install puts a snapshot into force unless a later one already is.
+func (l *loop) install(s *history.Snapshot) {
 	if s.Version > l.keeper.current.Load().Version {
 		l.keeper.publish(s)
 		l.announce()
--- a/process/versions/message.go
+++ b/process/versions/message.go
@@ -32,7 +32,7 @@
 	Version uint64   `cbor:"2,keyasint,omitempty"`
 }
 
-// Pull asks for what changed since version Have.
+// Pull requests what changed since version Have.
 type Pull struct {
 	Have uint64 `cbor:"1,keyasint"`
 }
@@ -50,7 +50,7 @@
 	Data []byte       `cbor:"2,keyasint"`
 }
 
-// ChunkRequest asks for chunks.
+// ChunkRequest requests chunks.
 type ChunkRequest struct {
 	Hashes []history.Hash `cbor:"1,keyasint"`
 }
--- a/version/history/apply.go
+++ b/version/history/apply.go
@@ -25,7 +25,7 @@
 }
 
 const (
-	// readBackTime is how long Apply goes on resolving a lost answer by reading
+	// readBackTime is how long Apply continues to resolve a lost answer by reading
 	// back, after the caller's context has ended: short, since the caller waits
 	// for the answer. firstReadBack and lastReadBack bound the pause between
 	// attempts; the last one is far below readBackTime, so that a store that
--- a/version/spec/spec.go
+++ b/version/spec/spec.go
@@ -30,7 +30,7 @@
 	Name string `json:"name"`
 	// Weight is the team's fair share relative to others; 0 means 1.
 	Weight int `json:"weight,omitempty"`
-	// Quota bounds what the team's running tasks may hold together; a zero
+	// Quota bounds the resources that the team's running tasks use together; a zero
 	// dimension is unlimited.
 	Quota Resources `json:"quota,omitzero"`
 	// RequestsPerSecond bounds the team's callers; 0 means no limit.
