--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -192,7 +192,7 @@
 	return fmt.Sprintf(`{"name":%q,"team":%q,"kind":"batch","count":1,"size":{"milli_cpu":1,"memory_mb":1}}`, job, team)
 }
 
-func TestBadCallsAreToldWhy(t *testing.T) {
+func TestInvalidCallsGetReasons(t *testing.T) {
 	b := newBench(t)
 	b.apply(operatorToken, teamsFile(), 0)
 	b.fails(api.CodeUnauthenticated, "", http.MethodGet, api.PathFiles, "")
--- a/process/burn/report_test.go
+++ b/process/burn/report_test.go
@@ -45,7 +45,7 @@
 		"over for an hour":          {[]phase{{time.Hour, 4}, {time.Hour, 0}}, burn.Fine},
 		"a tenth bad for hours":     {[]phase{{6 * time.Hour, 10}}, burn.Slow},
 		"a short spike":             {[]phase{{6 * time.Hour, 0}, {2 * time.Minute, 2}}, burn.Fine},
-		"few bad in a quiet night":  {[]phase{{4 * time.Second, 1}}, burn.Fine},
+		"few bad at low traffic":    {[]phase{{4 * time.Second, 1}}, burn.Fine},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/process/cellview/merge.go
+++ b/process/cellview/merge.go
@@ -42,26 +42,26 @@
 		delete(m.workers, w.ID)
 		return true
 	}
-	held := m.workers[w.ID]
+	running := m.workers[w.ID]
 	switch {
 	case !w.Partial:
-		held = make(tasks, len(w.Tasks))
-		m.workers[w.ID] = held
-	case held == nil:
+		running = make(tasks, len(w.Tasks))
+		m.workers[w.ID] = running
+	case running == nil:
 		return false
 	}
 	for _, ref := range w.Ended {
-		delete(held, ref)
+		delete(running, ref)
 	}
 	for _, t := range w.Tasks {
-		held[t.Ref] = received{t, now}
+		running[t.Ref] = received{t, now}
 	}
 	if !w.Partial {
 		return true
 	}
 	w.Partial, w.Ended = false, nil
-	w.Tasks = make([]plan.RunningTask, 0, len(held))
-	for _, r := range held {
+	w.Tasks = make([]plan.RunningTask, 0, len(running))
+	for _, r := range running {
 		t := r.task
 		if t.StartedMillis > 0 {
 			t.StartedMillis += now.Sub(r.at).Milliseconds()
--- a/process/cellview/merge_test.go
+++ b/process/cellview/merge_test.go
@@ -57,7 +57,7 @@
 	})
 }
 
-func TestAgeOfTasksGoesOn(t *testing.T) {
+func TestTaskAgeContinues(t *testing.T) {
 	m := newMerger()
 	task := plan.RunningTask{Ref: worker.Ref{Attempt: 1}, StartedMillis: 500}
 	now := time.Unix(1000, 0)
@@ -66,8 +66,8 @@
 	later := plan.State{Workers: []plan.WorkerState{{ID: "w", Partial: true}}}
 	require.True(t, m.complete(&later, now.Add(2*time.Second)))
 	require.EqualValues(t, 2500, later.Workers[0].Tasks[0].StartedMillis)
-	gone := plan.State{Workers: []plan.WorkerState{{ID: "w", Gone: true}}}
-	require.True(t, m.complete(&gone, now))
+	removed := plan.State{Workers: []plan.WorkerState{{ID: "w", Gone: true}}}
+	require.True(t, m.complete(&removed, now))
 	require.False(t, m.complete(&plan.State{Workers: []plan.WorkerState{{ID: "w", Partial: true}}}, now))
 }
 
--- a/process/versions/cell_test.go
+++ b/process/versions/cell_test.go
@@ -162,7 +162,7 @@
 
 // Guards against a daemon that is started while the store is down and serves no job at all,
 // because its new incarnation gets the configuration from the store alone.
-func TestFreshDaemonInAnOutageLearnsFromPeers(t *testing.T) {
+func TestDaemonStartedDuringStoreOutageGetsConfigurationFromPeers(t *testing.T) {
 	inBubble(t, 8, func(c *cell) {
 		for i := range 20 {
 			_, err := c.daemons[0].applier.Apply(context.Background(), fileOf(fmt.Sprintf("f%d", i), i+1), uint64(i), history.By{Author: "x"})
--- a/version/history/readback_test.go
+++ b/version/history/readback_test.go
@@ -121,7 +121,7 @@
 // Guards against an apply that is refused with "the store is at version 1, but version 2 is in
 // force" although the store was not reset: the head is read, version 2 is applied elsewhere and
 // received from a peer before the answer arrives, and the answer is compared with it.
-func TestLateAnswerIsNoSetBackStore(t *testing.T) {
+func TestLateAnswerIsNotTakenForAResetStore(t *testing.T) {
 	m := kv.New()
 	other := newHistory(m)
 	mustApply(t, other, fileOf("a", 1), 0)
--- a/version/work/account_test.go
+++ b/version/work/account_test.go
@@ -16,7 +16,7 @@
 	return all
 }
 
-func TestKeysOpenTheirAccount(t *testing.T) {
+func TestKeyed(t *testing.T) {
 	a, err := NewAccounts([]Account{{Name: "north", Weight: 5, Keys: digests("n1", "n2", "n1")}, {Name: "south", Keys: digests("s1")}, {Name: "mute"}})
 	require.NoError(t, err)
 	for key, name := range map[string]string{"n1": "north", "n2": "north", "s1": "south"} {
@@ -37,13 +37,13 @@
 	require.Empty(t, none.All())
 }
 
-func TestAmbiguousAccountsAreDecidedAndTold(t *testing.T) {
+func TestAmbiguousAccounts(t *testing.T) {
 	for name, c := range map[string]struct {
-		list    []Account
-		problem string
-		opens   map[string]string // key to account
+		list         []Account
+		problem      string
+		wantAccounts map[string]string // key to account
 	}{
-		"a key in two accounts opens the first": {
+		"a key in two accounts belongs to the first": {
 			[]Account{{Name: "a", Keys: digests("k", "a1")}, {Name: "b", Keys: digests("k", "b1")}},
 			`"b" has a key of "a"`, map[string]string{"k": "a", "a1": "a", "b1": "b"}},
 		"a name listed twice is one account": {
@@ -57,7 +57,7 @@
 		t.Run(name, func(t *testing.T) {
 			a, err := NewAccounts(c.list)
 			require.ErrorContains(t, err, c.problem)
-			for key, want := range c.opens {
+			for key, want := range c.wantAccounts {
 				found, ok := a.Keyed(key)
 				require.Equal(t, want != "", ok, key)
 				if ok {
--- a/version/work/catalogcode_test.go
+++ b/version/work/catalogcode_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCatalogPassesBetweenDaemonsWhole(t *testing.T) {
+func TestCatalogRoundTrip(t *testing.T) {
 	accounts, err := NewAccounts([]Account{
 		{Name: "north", Weight: 2.5, Cap: Resources{CPU: 4000, Memory: 9000, GPU: 1}, Keys: []KeyDigest{DigestKey("n-1"), DigestKey("n-2")}},
 		{Name: "south"}})
@@ -27,7 +27,7 @@
 	}
 }
 
-func TestAmbiguousKeysOpenTheSameAccountAtEveryDaemon(t *testing.T) {
+func TestAmbiguousKeysBelongToTheSameAccountOnEveryDaemon(t *testing.T) {
 	accounts, err := NewAccounts([]Account{{Name: "north", Keys: []KeyDigest{DigestKey("k")}}, {Name: "south", Keys: []KeyDigest{DigestKey("k")}}})
 	require.Error(t, err)
 	data, err := EncodeCatalog(&Catalog{Version: 3, Accounts: accounts})
