--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -21,40 +21,40 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// slowSource answers each call after a while, with a version or nothing.
+// slowSource answers each call after latency, with a version or nothing.
 type slowSource struct {
-	takes time.Duration
-	next  *work.Catalog
+	latency time.Duration
+	next    *work.Catalog
 }
 
 func (s *slowSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
-	return s.next, 1, sleep.For(ctx, s.takes)
+	return s.next, 1, sleep.For(ctx, s.latency)
 }
 
 func (s *slowSource) Glance(ctx context.Context) (*work.Catalog, error) {
-	return s.next, sleep.For(ctx, s.takes)
+	return s.next, sleep.For(ctx, s.latency)
 }
 
 func (s *slowSource) Watch(ctx context.Context, after store.Revision, _ time.Duration) (*work.Catalog, store.Revision, error) {
-	return s.next, after, sleep.For(ctx, s.takes)
+	return s.next, after, sleep.For(ctx, s.latency)
 }
 
 func TestAgeOfTheConfigurationIsNeverUnderstated(t *testing.T) {
-	// Failure looked for: an answer that was long on its way makes a version look fresher
-	//   than it is, and a key that was taken away meanwhile goes on working.
+	// Guards against an answer that was long in flight making a version look more current
+	// than it is, so that a key revoked meanwhile would still be accepted.
 	synctest.Test(t, func(t *testing.T) {
-		source := &slowSource{takes: 400 * time.Millisecond, next: &work.Catalog{Version: 1}}
+		source := &slowSource{latency: 400 * time.Millisecond, next: &work.Catalog{Version: 1}}
 		c := newCatalogs(source, nil, zerolog.Nop())
 		_, err := c.read(t.Context())
 		require.NoError(t, err)
-		require.Equal(t, 400*time.Millisecond, c.age(), "a reading tells what was when it was asked for")
+		require.Equal(t, 400*time.Millisecond, c.age(), "a read shows the state at the time of the request")
 
-		source.next, source.takes = nil, 1900*time.Millisecond
+		source.next, source.latency = nil, 1900*time.Millisecond
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
 		require.NoError(t, err)
 		require.Equal(t, 400*time.Millisecond, c.age(), "a watch without changes was answered after its wait at the earliest")
 
-		source.takes = 200 * time.Millisecond // sooner than asked for
+		source.latency = 200 * time.Millisecond // earlier than the requested wait
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
 		require.NoError(t, err)
 		require.Zero(t, c.age())
@@ -65,17 +65,17 @@
 		require.Equal(t, 200*time.Millisecond, c.age(), "a change may have been the first of several")
 
 		c.confirm(time.Now().Add(-time.Hour))
-		require.Equal(t, 200*time.Millisecond, c.age(), "an older word takes nothing back")
-		time.Sleep(5 * time.Second) // as long as the process stood still
+		require.Equal(t, 200*time.Millisecond, c.age(), "an older confirmation changes nothing")
+		time.Sleep(5 * time.Second) // as long as the process was suspended
 		require.Equal(t, 5200*time.Millisecond, c.age())
 	})
 }
 
-func TestAccountsOfLedPartsAreShown(t *testing.T) {
-	led, followed := &part{}, &part{}
+func TestAccountsOfLedShardsAreShown(t *testing.T) {
+	led, followed := &shard{}, &shard{}
 	led.rows.Store(&[]quota.Row{{Account: "north"}, {Account: "south"}})
 	n := &Node{}
-	n.built.Store(&[]*part{followed, led})
+	n.built.Store(&[]*shard{followed, led})
 	require.Equal(t, []quota.Row{{Account: "north"}, {Account: "south"}}, n.accountRows())
 	led.rows.Store(nil)
 	require.Empty(t, n.accountRows(), "another daemon leads")
@@ -87,30 +87,29 @@
 		members = append(members, lead.Member{Name: name})
 	}
 	var names []string
-	for _, m := range othersAfter(members, "c") {
+	for _, m := range membersAfter(members, "c") {
 		names = append(names, m.Name)
 	}
 	require.Equal(t, []string{"d", "a", "b"}, names)
-	require.Empty(t, othersAfter(members[:1], "a"))
+	require.Empty(t, membersAfter(members[:1], "a"))
 }
 
-// silentSource leaves calls that are sent while it is away without an answer for good, also
-// once it is back.
-type silentSource struct {
-	store *catalogStore
-	away  atomic.Bool
+// unresponsiveSource never answers calls that are sent while it is unreachable, not even after that.
+type unresponsiveSource struct {
+	store       *catalogStore
+	unreachable atomic.Bool
 }
 
-func (s *silentSource) reach(ctx context.Context) error {
-	const way = 2 * time.Millisecond
-	if s.away.Load() {
+func (s *unresponsiveSource) reach(ctx context.Context) error {
+	const latency = 2 * time.Millisecond
+	if s.unreachable.Load() {
 		<-ctx.Done()
 		return fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 	}
-	return sleep.For(ctx, way)
+	return sleep.For(ctx, latency)
 }
 
-func (s *silentSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
+func (s *unresponsiveSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -118,12 +117,12 @@
 	return &work.Catalog{Version: v}, store.Revision(v), nil
 }
 
-func (s *silentSource) Glance(ctx context.Context) (*work.Catalog, error) {
+func (s *unresponsiveSource) Glance(ctx context.Context) (*work.Catalog, error) {
 	c, _, err := s.Current(ctx)
 	return c, err
 }
 
-func (s *silentSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
+func (s *unresponsiveSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
 	if err := s.reach(ctx); err != nil {
 		return nil, 0, err
 	}
@@ -132,7 +131,7 @@
 		if err := sleep.For(ctx, step); err != nil {
 			return nil, 0, err
 		}
-		if s.away.Load() { // what it would have been answered is lost
+		if s.unreachable.Load() { // the answer is lost
 			<-ctx.Done()
 			return nil, 0, fmt.Errorf("%w: %w", store.ErrUnavailable, ctx.Err())
 		}
@@ -143,8 +142,8 @@
 	return nil, after, nil
 }
 
-// Guards against a reading that was lost in an outage of the store and is waited for after
-// it: the version of before goes on being served.
+// Guards against waiting, after an outage of the store, for a read whose answer was lost in
+// it: the old version stays in force meanwhile.
 func TestConfigurationIsInForceSoonAfterASilentOutage(t *testing.T) {
 	const (
 		bound  = 2 * time.Second // in which a version is to be in force
@@ -152,30 +151,30 @@
 		calm   = 5 * time.Second
 		step   = 200 * time.Millisecond
 		most   = 20 * time.Second
-		phases = 3 // of the outage's begin in the time that a watch waits
+		phases = 3 // points of a watch's wait at which the outage begins
 	)
 	for phase := range phases {
-		for away := step; away <= most; away += step {
+		for outage := step; outage <= most; outage += step {
 			synctest.Test(t, func(t *testing.T) {
 				ctx, cancel := context.WithCancel(t.Context())
-				source := &silentSource{store: &catalogStore{}}
+				source := &unresponsiveSource{store: &catalogStore{}}
 				source.store.publish()
-				patience := &store.Patience{Min: minPatience, Max: maxPatience}
-				c := newCatalogs(source, patience, zerolog.Nop())
+				storeTimeout := &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}
+				c := newCatalogs(source, storeTimeout, zerolog.Nop())
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Serve(ctx) }) // ends with ctx
 				running.Go(func() {                     // as a daemon's lease is renewed
 					for sleep.For(ctx, lease) == nil {
-						_ = patience.Call(ctx, source.reach) // its outcome is the patience's
+						_ = storeTimeout.Call(ctx, source.reach) // the outcome only feeds the adaptive timeout
 					}
 				})
 				time.Sleep(calm + time.Duration(phase)*catalogWait/phases)
-				source.away.Store(true)
-				time.Sleep(away)
+				source.unreachable.Store(true)
+				time.Sleep(outage)
 				source.store.publish()
-				source.away.Store(false)
+				source.unreachable.Store(false)
 				time.Sleep(bound)
-				assert.Equal(t, int64(2), c.Current().Version, "after an outage of %v that began in phase %d, known for %v only", away, phase, c.age())
+				assert.Equal(t, int64(2), c.Current().Version, "after an outage of %v that began in phase %d, known for %v only", outage, phase, c.age())
 				cancel()
 				running.Wait()
 			})
@@ -183,8 +182,8 @@
 	}
 }
 
-// Guards against a daemon that is sure of a version for longer than the next one may take to
-// be in force.
+// Guards against a daemon that counts a version as confirmed for longer than the next one may
+// take to be in force.
 func TestDoubtBeginsWithinTheBoundOnAVersion(t *testing.T) {
 	for _, bound := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 9 * time.Second} {
 		n := &Node{o: Options{Settings: &settings.JobCell{Bounds: settings.JobCellBounds{ConfigMS: settings.Millis(bound.Milliseconds())}}}}
@@ -192,8 +191,8 @@
 		n.catalogs.follow(n.o.Settings.Bounds)
 		n.catalogs.confirm(time.Now())
 		require.False(t, n.standing().Doubtful, bound)
-		n.catalogs.started = n.catalogs.started.Add(-min(bound, doubtAfter)) // as if that long ago
+		n.catalogs.started = n.catalogs.started.Add(-min(bound, unconfirmedAfter)) // as if that long ago
 		require.True(t, n.standing().Doubtful, bound)
-		require.Less(t, n.catalogs.wait, bound, "a watch that hears nothing is answered before that")
+		require.Less(t, n.catalogs.wait, bound, "a watch without changes returns before that")
 	}
 }
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -48,40 +48,40 @@
 	return version
 }
 
-// laggingSource reaches a catalogStore over a way that takes its time, or not at all.
+// laggingSource reaches a catalogStore with random delays, or not at all while unreachable is set.
 type laggingSource struct {
 	store *catalogStore
 
-	mu   sync.Mutex
-	rng  *rand.Rand
-	away bool
+	mu          sync.Mutex
+	rng         *rand.Rand
+	unreachable bool
 }
 
-func (s *laggingSource) travel(ctx context.Context) error {
+func (s *laggingSource) delay(ctx context.Context) error {
 	s.mu.Lock()
-	d, away := time.Duration(s.rng.IntN(300))*time.Millisecond, s.away
+	d, unreachable := time.Duration(s.rng.IntN(300))*time.Millisecond, s.unreachable
 	s.mu.Unlock()
 	if err := sleep.For(ctx, d); err != nil {
 		return err
 	}
-	if away {
+	if unreachable {
 		return store.ErrUnavailable
 	}
 	return nil
 }
 
-func (s *laggingSource) setAway(away bool) {
+func (s *laggingSource) setUnreachable(unreachable bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.away = away
+	s.unreachable = unreachable
 }
 
 func (s *laggingSource) Current(ctx context.Context) (*work.Catalog, store.Revision, error) {
-	if err := s.travel(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return nil, 0, err
 	}
 	v := s.store.newest()
-	return &work.Catalog{Version: v}, store.Revision(v), s.travel(ctx)
+	return &work.Catalog{Version: v}, store.Revision(v), s.delay(ctx)
 }
 
 func (s *laggingSource) Glance(ctx context.Context) (*work.Catalog, error) {
@@ -90,16 +90,16 @@
 }
 
 func (s *laggingSource) Watch(ctx context.Context, after store.Revision, wait time.Duration) (*work.Catalog, store.Revision, error) {
-	if err := s.travel(ctx); err != nil {
+	if err := s.delay(ctx); err != nil {
 		return nil, 0, err
 	}
 	const step = 50 * time.Millisecond
 	for until := time.Now().Add(wait); ; {
 		if v := s.store.newest(); store.Revision(v) > after {
-			return &work.Catalog{Version: v}, store.Revision(v), s.travel(ctx)
+			return &work.Catalog{Version: v}, store.Revision(v), s.delay(ctx)
 		}
 		if !time.Now().Before(until) {
-			return nil, after, s.travel(ctx)
+			return nil, after, s.delay(ctx)
 		}
 		if err := sleep.For(ctx, step); err != nil {
 			return nil, after, err
@@ -108,12 +108,11 @@
 }
 
 func TestAgesHoldOverDaemonsThatLag(t *testing.T) {
-	// Failure looked for: a daemon takes its version for fresher than it is, by whatever
-	//   way it has heard, and goes on with a key that was taken away.
-	// Sequence, drawn: versions are published while the store turns daemons away, answers
-	//   take up to 0.6 s, and daemons ask each other.
-	// Held at all times: no version was acknowledged before now less the age that is newer
-	//   than the one held; and no version is replaced by an older one.
+	// Guards against a daemon that takes its version for more current than it is, from
+	// whichever source, and continues to accept a revoked key. Versions are published at
+	// random while the store rejects daemons, answers take up to 0.6 s, and daemons pull
+	// from each other. Invariants: no version newer than the one held was acknowledged
+	// earlier than its age ago, and no version is replaced by an older one.
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		daemons := rapid.IntRange(2, 5).Draw(r, "daemons")
@@ -139,13 +138,13 @@
 				case 0:
 					s.publish()
 				case 1:
-					sources[rng.IntN(daemons)].setAway(rng.IntN(2) == 0)
+					sources[rng.IntN(daemons)].setUnreachable(rng.IntN(2) == 0)
 				}
 				asker, asked := all[rng.IntN(daemons)], all[rng.IntN(daemons)]
-				way := time.Duration(rng.IntN(200)) * time.Millisecond
-				running.Go(func() { askOverSlowWay(t, asker, asked, way) })
+				latency := time.Duration(rng.IntN(200)) * time.Millisecond
+				running.Go(func() { pullOverSlowLink(t, asker, asked, latency) })
 				for i, c := range all {
-					age, now := c.age(), c.Current() // one look: a version may come into force at any moment
+					age, now := c.age(), c.Current() // read together: a version may come into force at any moment
 					if now == nil {
 						require.Zero(t, held[i])
 						continue
@@ -161,15 +160,15 @@
 	})
 }
 
-// askOverSlowWay is a question whose two ways take d each.
-func askOverSlowWay(t *testing.T, asker, asked *catalogs, d time.Duration) {
-	at, question := time.Now(), asker.question()
+// pullOverSlowLink has asker pull from asked over a link that takes d in each direction.
+func pullOverSlowLink(t *testing.T, asker, asked *catalogs, d time.Duration) {
+	at, request := time.Now(), asker.request()
 	time.Sleep(d)
-	reply, err := asked.answer(question)
+	reply, err := asked.answer(request)
 	time.Sleep(d)
 	if err != nil {
-		return // it knows less
+		return // it holds an older version or none
 	}
-	_, err = asker.learn("asked", at, reply)
+	_, err = asker.merge("asked", at, reply)
 	assert.NoError(t, err)
 }
--- a/process/cellview/merge.go
+++ b/process/cellview/merge.go
@@ -7,25 +7,24 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// tasks are the running tasks of one worker, as far as received.
+// tasks holds the running tasks of one worker, as received so far.
 type tasks map[worker.Ref]received
 
-// received is a task with the time of its arrival, which its age counts from.
+// received is a task with the time at which it was received, from which its age counts.
 type received struct {
 	task plan.RunningTask
 	at   time.Time
 }
 
-// merger completes partial states.
+// merger completes partial states of workers with the tasks received before.
 type merger struct {
 	workers map[worker.ID]tasks
 }
 
 func newMerger() *merger { return &merger{workers: make(map[worker.ID]tasks)} }
 
-// complete fills in the tasks that a partial state left out. It reports false
-// when the worker's earlier tasks are not known; then everything must be asked
-// for again.
+// complete fills in the tasks that a partial state leaves out. It returns false if
+// the worker's earlier tasks are not known; then the full state must be requested.
 func (m *merger) complete(s *plan.State, now time.Time) bool {
 	if s.Full {
 		clear(m.workers)
@@ -43,26 +42,26 @@
 		delete(m.workers, w.ID)
 		return true
 	}
-	held := m.workers[w.ID]
+	running := m.workers[w.ID]
 	switch {
 	case !w.Partial:
-		held = make(tasks, len(w.Tasks))
-		m.workers[w.ID] = held
-	case held == nil:
+		running = make(tasks, len(w.Tasks))
+		m.workers[w.ID] = running
+	case running == nil:
 		return false
 	}
 	for _, ref := range w.Ended {
-		delete(held, ref)
+		delete(running, ref)
 	}
 	for _, t := range w.Tasks {
-		held[t.Ref] = received{t, now}
+		running[t.Ref] = received{t, now}
 	}
 	if !w.Partial {
 		return true
 	}
 	w.Partial, w.Ended = false, nil
-	w.Tasks = make([]plan.RunningTask, 0, len(held))
-	for _, r := range held {
+	w.Tasks = make([]plan.RunningTask, 0, len(running))
+	for _, r := range running {
 		t := r.task
 		if t.StartedMillis > 0 {
 			t.StartedMillis += now.Sub(r.at).Milliseconds()
--- a/version/work/catalogcode_test.go
+++ b/version/work/catalogcode_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestCatalogPassesBetweenDaemonsWhole(t *testing.T) {
+func TestCatalogRoundTrip(t *testing.T) {
 	accounts, err := NewAccounts([]Account{
 		{Name: "north", Weight: 2.5, Cap: Resources{CPU: 4000, Memory: 9000, GPU: 1}, Keys: []KeyDigest{DigestKey("n-1"), DigestKey("n-2")}},
 		{Name: "south"}})
@@ -20,14 +20,14 @@
 	for _, c := range []*Catalog{full, {Version: 1}, {Version: 2, Accounts: none}} {
 		data, err := EncodeCatalog(c)
 		require.NoError(t, err)
-		require.NotContains(t, string(data), "n-1", "keys do not travel")
+		require.NotContains(t, string(data), "n-1", "messages do not contain keys")
 		again, err := DecodeCatalog(data)
 		require.NoError(t, err)
 		require.Equal(t, c, again)
 	}
 }
 
-func TestAmbiguousKeysOpenTheSameAccountAtEveryDaemon(t *testing.T) {
+func TestAmbiguousKeysBelongToTheSameAccountOnEveryDaemon(t *testing.T) {
 	accounts, err := NewAccounts([]Account{{Name: "north", Keys: []KeyDigest{DigestKey("k")}}, {Name: "south", Keys: []KeyDigest{DigestKey("k")}}})
 	require.Error(t, err)
 	data, err := EncodeCatalog(&Catalog{Version: 3, Accounts: accounts})
