--- a/cmd/fennelbench/deployment_test.go
+++ b/cmd/fennelbench/deployment_test.go
@@ -22,25 +22,25 @@
 
 const token = "operator-token-for-measurements-only"
 
-// settled is how long after the last daemon's start, in seconds, ownership has
-// moved to its place: more than the hold-down before a planned move.
-const settled = 240
+// settleSeconds is how long after the start of the last daemon ownership is assumed
+// to be balanced. It is longer than the hold-down before a planned move.
+const settleSeconds = 240
 
 const daemonBinary = "fennelshuntd"
 
-// setting reads a number from the environment.
-func setting(t *testing.T, name string, otherwise float64) float64 {
+// setting returns a number from the environment, or the default.
+func setting(t *testing.T, name string, def float64) float64 {
 	text := os.Getenv(name)
 	if text == "" {
-		return otherwise
+		return def
 	}
 	v, err := strconv.ParseFloat(text, 64)
 	require.NoError(t, err, name)
 	return v
 }
 
-// TestMeasureDeployment prints what daemons in processes of their own spend on
-// control, idle and under load.
+// TestMeasureDeployment prints the control cost of daemons in separate processes,
+// idle and under load.
 //
 //	FENNEL_MEASURE=1 FENNEL_DAEMONS=4 FENNEL_WORKERS=192 go test -v -run TestMeasureDeployment -timeout 20m ./cmd/fennelbench
 //
@@ -64,8 +64,8 @@
 	for _, addr := range d.callers {
 		require.Eventually(t, func() bool { return ready(addr) }, 3*time.Minute, 50*time.Millisecond)
 	}
-	// Not for a verdict: the figures are of the steady state.
-	time.Sleep(time.Duration(setting(t, "FENNEL_SETTLE", settled) * float64(time.Second)))
+	// No check depends on this pause: it lets the figures be those of the steady state.
+	time.Sleep(time.Duration(setting(t, "FENNEL_SETTLE", settleSeconds) * float64(time.Second)))
 	report, err := bench.Drive(t.Context(), bench.DriveOptions{
 		Callers: d.callers, Admins: d.admins, Token: token, Control: d.control, Progress: os.Stderr, Repetitions: 1,
 		Idle: time.Duration(setting(t, "FENNEL_IDLE", 30) * float64(time.Second)),
@@ -79,7 +79,7 @@
 	require.Len(t, report.Repetitions[0].Load.Daemons, len(d.admins))
 }
 
-// deployment is the processes of one cell.
+// deployment is the set of processes of one cell.
 type deployment struct {
 	t                   *testing.T
 	dir                 string
@@ -99,7 +99,7 @@
 	cmd.Stderr = log
 	require.NoError(d.t, cmd.Start())
 	d.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // the measurement is over
+		_ = cmd.Process.Kill() // the measurement has ended
 		_ = cmd.Wait()
 	})
 	return bufio.NewReader(out)
@@ -118,8 +118,8 @@
 	}
 }
 
-// freePort finds a free TCP port; another process may take it before it is
-// used, which fails the start.
+// freePort returns the address of a free TCP port. If another process takes the port
+// before the daemon listens on it, the daemon's start fails.
 func (d *deployment) freePort() string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(d.t, err)
--- a/cmd/fenneljobd/main.go
+++ b/cmd/fenneljobd/main.go
@@ -1,5 +1,5 @@
-// Command fenneljobd is the daemon of a cell that takes jobs from callers on
-// the users' platform.
+// Command fenneljobd is the daemon of a cell that accepts jobs from callers and
+// runs them on the workers of the users' platform.
 package main
 
 import (
--- a/cmd/fennelshuntd/main.go
+++ b/cmd/fennelshuntd/main.go
@@ -49,8 +49,8 @@
 	return serve(o)
 }
 
-// serve runs the daemon until a signal asks for a planned stop; a second
-// signal ends it at once.
+// serve runs the daemon until SIGINT or SIGTERM starts a planned stop; a second
+// signal ends the daemon at once.
 func serve(o daemon.Options) error {
 	liblog.Redirect(o.Log)
 	d, err := daemon.New(o)
@@ -68,7 +68,7 @@
 			cancel()
 		}()
 		if err := d.Stop(ctx); err != nil {
-			o.Log.Warn().Err(err).Msg("planned stop was cut short")
+			o.Log.Warn().Err(err).Msg("planned stop did not complete")
 			cancel()
 		}
 	}()
--- a/cmd/fennelshuntd/process_test.go
+++ b/cmd/fennelshuntd/process_test.go
@@ -41,8 +41,8 @@
   ]
 }`
 
-// bench is the processes of one cell.
-type bench struct {
+// deployment is the set of processes of one cell.
+type deployment struct {
 	t       *testing.T
 	dir     string
 	control string
@@ -56,8 +56,8 @@
 	require.NoError(t, err, string(out))
 }
 
-// start starts a process whose standard error goes to a file.
-func (b *bench) start(name string, args ...string) (*exec.Cmd, io.Reader) {
+// start starts a process with its standard error in a file, and returns its standard output.
+func (b *deployment) start(name string, args ...string) (*exec.Cmd, io.Reader) {
 	cmd := exec.Command(filepath.Join(b.dir, name), args...)
 	out, err := cmd.StdoutPipe()
 	require.NoError(b.t, err)
@@ -66,7 +66,7 @@
 	cmd.Stderr = log
 	require.NoError(b.t, cmd.Start())
 	b.t.Cleanup(func() {
-		_ = cmd.Process.Kill() // ended already in most tests
+		_ = cmd.Process.Kill() // it may have ended already
 		_ = cmd.Wait()
 		if b.t.Failed() {
 			data, _ := os.ReadFile(log.Name())
@@ -81,7 +81,7 @@
 	return data[max(0, len(data)-most):]
 }
 
-func (b *bench) startStandin() {
+func (b *deployment) startStandin() {
 	_, out := b.start("fennelstandin", "-store", "127.0.0.1:0", "-vm-list", "127.0.0.1:0", "-control", "127.0.0.1:0", "-work", "5ms", "-lag", "100ms")
 	r := bufio.NewReader(out)
 	for _, v := range []struct {
@@ -92,17 +92,17 @@
 		require.NoError(b.t, err)
 		*v.into = strings.TrimSpace(strings.TrimPrefix(line, v.prefix))
 	}
-	go func() { _, _ = io.Copy(io.Discard, r) }() // so that the process never blocks
+	go func() { _, _ = io.Copy(io.Discard, r) }() // a full pipe would block the process
 }
 
-// entry is one daemon's process.
+// entry is the process of one daemon.
 type entry struct {
 	cmd           *exec.Cmd
 	caller, admin string
 }
 
-// freePort finds a free TCP port; another process may take it before it is
-// used, which fails the test's start and not its assertions.
+// freePort returns the address of a free TCP port. If another process takes the port
+// before the daemon listens on it, the test fails at the start, not in its assertions.
 func freePort(t *testing.T) string {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -110,7 +110,7 @@
 	return l.Addr().String()
 }
 
-func (b *bench) startDaemon(name string) *entry {
+func (b *deployment) startDaemon(name string) *entry {
 	e := &entry{caller: freePort(b.t), admin: freePort(b.t)}
 	settings := fmt.Sprintf(`{"name": %q, "zone": "gulberg-hall",
 		"listen": {"caller": %q, "forward": "127.0.0.1:0", "peer": "127.0.0.1:0", "admin": %q},
@@ -138,7 +138,7 @@
 	return res.StatusCode == http.StatusOK
 }
 
-func (b *bench) ctl(e *entry, args ...string) string {
+func (b *deployment) ctl(e *entry, args ...string) string {
 	cmd := exec.Command(filepath.Join(b.dir, "fennelctl"), append([]string{"-addr", "http://" + e.admin}, args...)...)
 	cmd.Env = append(os.Environ(), "FENNELCTL_TOKEN="+token)
 	out, err := cmd.CombinedOutput()
@@ -146,7 +146,7 @@
 	return string(out)
 }
 
-func (b *bench) report() platform.FullReport {
+func (b *deployment) report() platform.FullReport {
 	res, err := http.Get(b.control + "/report")
 	require.NoError(b.t, err)
 	defer res.Body.Close()
@@ -155,7 +155,7 @@
 	return r
 }
 
-// balancer gives each connection to the next daemon that is ready.
+// balancer returns a client that distributes connections over the ready daemons in turn.
 func balancer(entries []*entry) *http.Client {
 	var next atomic.Uint64
 	var d net.Dialer
@@ -170,8 +170,8 @@
 	return &http.Client{Timeout: 10 * time.Second, Transport: &http.Transport{DialContext: dial, MaxIdleConnsPerHost: 64}}
 }
 
-func newBench(t *testing.T) *bench {
-	b := &bench{t: t, dir: t.TempDir()}
+func newDeployment(t *testing.T) *deployment {
+	b := &deployment{t: t, dir: t.TempDir()}
 	build(t, b.dir)
 	require.NoError(t, keyset.Write(b.dir))
 	tokens := fmt.Sprintf(`{"tokens": [{"name": "operator", "role": "operator", "sha256": %q}]}`, admin.HashToken(token))
@@ -181,17 +181,16 @@
 	return b
 }
 
-// Symptom: a doubled certificate, a cut answer or a task in two places after a
-// bad night on the entry VMs.
-// Sequence: under load one daemon is frozen for longer than its store lease and
-// resumes, one is killed, and one stops as planned, each as a process of its own.
-// Cause: a daemon that acts on what it owned before the pause, or whose
-// successors count it as gone before it is.
+// Guards against a request that runs twice (a doubled certificate), a cut response or a
+// task in two places. Under load one daemon process is suspended for longer than its
+// store lease and resumes, one is killed, and one stops as planned. The faults
+// looked for are a daemon that acts on what it owned before the suspension, and
+// successors that take over before its ownership has ended.
 func TestSeparateProcessesSurviveFreezeKillAndStop(t *testing.T) {
 	if testing.Short() {
-		t.Skip("starts processes; the full run covers it")
+		t.Skip("starts processes; run without -short")
 	}
-	b := newBench(t)
+	b := newDeployment(t)
 	var entries []*entry
 	for _, name := range []string{"entry-1", "entry-2", "entry-3", "entry-4"} {
 		entries = append(entries, b.startDaemon(name))
--- a/command/accounts/accounts.go
+++ b/command/accounts/accounts.go
@@ -1,5 +1,5 @@
-// Package accounts shows how the client accounts of a cell stand, from the counters of
-// its daemons.
+// Package accounts shows what the client accounts of a cell use of their caps, from the
+// counters of its daemons.
 package accounts
 
 import (
@@ -19,12 +19,12 @@
 	"fennelshunt.example/fennelshunt/process/quota"
 )
 
-// timeout bounds the answer of one daemon, which makes it from memory.
+// timeout bounds the call to one daemon, which responds from memory.
 const timeout = 2 * time.Second
 
-var errNoLeader = errors.New("accounts: no daemon that answered leads; fix: name the metrics addresses of all daemons, or ask again after a takeover")
+var errNoLeader = errors.New("accounts: none of the daemons that responded is a leader; fix: give the metrics addresses of all daemons, or retry after a takeover")
 
-// Command returns the command 'accounts ADDRESS...'.
+// Command returns the command 'accounts ADDRESS...' of fennelctl.
 func Command(out, errOut io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "accounts",
@@ -32,21 +32,22 @@
 		ShortHelp:  "show what client accounts use of their caps; addresses are the daemons' metrics ports, such as 10.0.0.7:7003",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) == 0 {
-				return errors.New("accounts: name the metrics address of one daemon or more")
+				return errors.New("accounts: give the metrics address of one daemon or more")
 			}
 			return Show(ctx, out, errOut, args)
 		},
 	}
 }
 
-// Show prints the accounts, added up over the daemons at the addresses. Only leaders know
-// them. A daemon that does not answer is told on errOut, and its part is missing.
+// Show prints the accounts, summed over the daemons at the addresses. Only shard leaders
+// report accounts. A daemon that does not respond is listed on errOut, and the sums lack
+// the shards that it leads.
 func Show(ctx context.Context, out, errOut io.Writer, addresses []string) error {
 	sums := map[string]quota.Row{}
 	for _, address := range addresses {
 		rows, err := read(ctx, address)
 		if err != nil {
-			fmt.Fprintf(errOut, "accounts: %s does not answer, what it leads is missing: %v\n", address, err)
+			fmt.Fprintf(errOut, "accounts: %s does not respond, the shards that it leads are missing: %v\n", address, err)
 			continue
 		}
 		for _, row := range rows {
@@ -78,10 +79,10 @@
 	return rows, err
 }
 
-// write prints a table; processors in cores, memory in MB.
+// write prints a table: CPU in cores, memory in MB.
 func write(out io.Writer, rows []quota.Row) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
-	fmt.Fprintln(w, "ACCOUNT\tWEIGHT\tCORES\tOF\tMEMORY\tOF\tUNSEEN CORES\tWAITS FOR CORES\tBEYOND")
+	fmt.Fprintln(w, "ACCOUNT\tWEIGHT\tCORES\tOF\tMEMORY\tOF\tUNCONFIRMED CORES\tWAITING CORES\tOVER ENTITLEMENT")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%g\t%.1f\t%s\t%d\t%s\t%.1f\t%.1f\t%d\n", r.Account, r.Weight, cores(r.Held.MilliCPU), bound(r.Cap.MilliCPU, cores(r.Cap.MilliCPU)),
 			r.Held.MemoryMB, bound(r.Cap.MemoryMB, float64(r.Cap.MemoryMB)), cores(r.Unseen.MilliCPU), cores(r.Waits.MilliCPU), r.Beyond)
@@ -91,7 +92,7 @@
 
 func cores(milli int64) float64 { return float64(milli) / 1000 }
 
-// bound shows a cap, of which 0 bounds nothing.
+// bound formats a cap; 0 means no cap.
 func bound(limit int64, shown float64) string {
 	if limit == 0 {
 		return "-"
--- a/command/accounts/accounts_test.go
+++ b/command/accounts/accounts_test.go
@@ -17,7 +17,7 @@
 	return strings.TrimPrefix(s.URL, "http://")
 }
 
-func TestAccountsAreAddedUpOverTheLeadersOfParts(t *testing.T) {
+func TestAccountsAreSummedOverShardLeaders(t *testing.T) {
 	first := daemonWith(t, `{"starts":5,"accounts":[{"account":"south","weight":1,"cap":{"milli_cpu":0,"memory_mb":0},"held":{"milli_cpu":500,"memory_mb":7}},
 {"account":"north","weight":2.5,"cap":{"milli_cpu":8000,"memory_mb":900},"held":{"milli_cpu":1500,"memory_mb":100},"waits":{"milli_cpu":2000,"memory_mb":0},"beyond":3}]}`)
 	second := daemonWith(t, `{"accounts":[{"account":"north","weight":2.5,"cap":{"milli_cpu":8000,"memory_mb":900},"held":{"milli_cpu":2500,"memory_mb":50},"beyond":1}]}`)
@@ -31,7 +31,7 @@
 	require.Equal(t, []string{"south", "1", "0.5", "-", "7", "-", "0.0", "0.0", "0"}, strings.Fields(lines[2]))
 }
 
-func TestDaemonThatDoesNotAnswerIsNamed(t *testing.T) {
+func TestDaemonThatFailsIsReported(t *testing.T) {
 	good := daemonWith(t, `{"accounts":[{"account":"north"}]}`)
 	broken := daemonWith(t, `not JSON`)
 	var out, errOut bytes.Buffer
--- a/command/bench/command.go
+++ b/command/bench/command.go
@@ -1,7 +1,8 @@
-// Package bench is the load tool: it drives an embedded cell with a user's
-// requests and a skewed mix of tasks, both at given times and not when earlier
-// ones have ended, and writes waiting times, packing and store calls. It also
-// compares two results and says what changed beyond noise.
+// Package bench implements fennelbench, the load generator. It drives an embedded
+// cell or a running deployment with an open-loop load (arrivals do not wait for
+// earlier requests or tasks to end) of a user's requests and a skewed mix of tasks,
+// and reports waiting times, packing and store calls. It also compares two results
+// and reports the changes beyond noise, and compares policies in simulation.
 package bench
 
 import (
@@ -30,19 +31,19 @@
 	fs := flag.NewFlagSet("fennelbench run", flag.ContinueOnError)
 	o := Options{Progress: errOut}
 	s := &o.Setting
-	fs.StringVar(&s.User, "user", "authority", "workers and service of which user: authority or guild")
+	fs.StringVar(&s.User, "user", "authority", "`user` whose workers and service are used: authority or guild")
 	fs.IntVar(&s.Daemons, "daemons", 6, "number of daemons")
 	fs.Float64Var(&s.Seconds, "seconds", 20, "duration of each repetition")
 	fs.Float64Var(&s.Rate, "rate", 400, "requests per second")
-	fs.Float64Var(&s.TaskLoad, "task-load", 0.6, "work that arrives, as a share of the workers, each task by its largest dimension; 0 for none")
+	fs.Float64Var(&s.TaskLoad, "task-load", 0.6, "arriving work as a share of the workers' capacity, each task by its largest dimension; 0 for none")
 	fs.Uint64Var(&s.Seed, "seed", 1, "seed of the load")
-	fs.IntVar(&o.Repetitions, "repetitions", 3, "repetitions, whose span is the noise")
-	file := fs.String("out", "", "JSON file for the result")
-	png := fs.String("plot", "", "PNG file for a plot of the waiting times")
+	fs.IntVar(&o.Repetitions, "repetitions", 3, "number of repetitions; the range of their results is the noise")
+	file := fs.String("out", "", "JSON `file` for the result")
+	png := fs.String("plot", "", "PNG `file` for a plot of the waiting times")
 	verbose := fs.Bool("verbose", false, "print the daemons' logs")
 	return &ffcli.Command{
 		Name: "run", ShortUsage: "fennelbench run [flags]", FlagSet: fs, Options: []ff.Option{ff.WithEnvVarPrefix("FENNELBENCH")},
-		ShortHelp: "Run the load on an embedded cell.",
+		ShortHelp: "Run a load on an embedded cell.",
 		Exec: func(ctx context.Context, _ []string) error {
 			if s.Seconds <= 0 || s.Rate <= 0 || s.Daemons < 1 || o.Repetitions < 1 {
 				return fmt.Errorf("flags -seconds, -rate, -daemons and -repetitions must be above 0")
@@ -60,13 +61,13 @@
 	}
 }
 
-// finish prints the result and writes the files asked for.
+// finish prints the result and writes the requested files.
 func finish(r *Result, out io.Writer, file, png string) error {
-	same, err := Compare(r, r)
+	spans, err := Compare(r, r)
 	if err != nil {
 		return err
 	}
-	for _, c := range same {
+	for _, c := range spans {
 		fmt.Fprintf(out, "%-28s %12.4g (%.4g..%.4g)\n", c.Name, r.median(c.Name), c.Before[0], c.Before[1])
 	}
 	if file != "" {
@@ -83,10 +84,10 @@
 func compareCommand(out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name: "compare", ShortUsage: "fennelbench compare BEFORE AFTER", FlagSet: flag.NewFlagSet("fennelbench compare", flag.ContinueOnError),
-		ShortHelp: "Compare two result files and say what changed beyond noise.",
+		ShortHelp: "Compare two result files and report the changes beyond noise.",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) != 2 {
-				return fmt.Errorf("name two result files: fennelbench compare BEFORE AFTER")
+				return fmt.Errorf("give two result files: fennelbench compare BEFORE AFTER")
 			}
 			before, err := Read(args[0])
 			if err != nil {
--- a/command/bench/compare.go
+++ b/command/bench/compare.go
@@ -8,13 +8,13 @@
 	"text/tabwriter"
 )
 
-// ErrUnlike means that two results come from different settings.
-var ErrUnlike = errors.New("bench: the results come from different settings")
+// ErrDifferentSettings means that two results come from different settings.
+var ErrDifferentSettings = errors.New("bench: the results come from different settings")
 
 // Verdict of a comparison of one metric.
 type Verdict string
 
-// Verdicts. The noise of a metric is the span of its repetitions: only spans
+// Verdicts. The noise of a metric is the range over its repetitions: only ranges
 // that do not overlap count as a change.
 const (
 	Same   Verdict = "within noise"
@@ -25,26 +25,26 @@
 // Change is the comparison of one metric.
 type Change struct {
 	Name          string
-	Before, After [2]float64 // least and greatest
+	Before, After [2]float64 // smallest and largest value of the repetitions
 	Verdict       Verdict
-	Ratio         float64 // after ÷ before by the middle of the spans
+	Ratio         float64 // after ÷ before, of the midpoints of the ranges
 	TooFew        bool
 }
 
-// leastRepetitions is how many repetitions a span needs to say anything.
-const leastRepetitions = 3
+// minRepetitions is the least number of repetitions for a verdict.
+const minRepetitions = 3
 
-// Compare compares two results metric by metric, in order of name.
+// Compare compares two results metric by metric, sorted by name.
 func Compare(before, after *Result) ([]Change, error) {
 	if before.Setting != after.Setting {
-		return nil, fmt.Errorf("%w: %+v and %+v", ErrUnlike, before.Setting, after.Setting)
+		return nil, fmt.Errorf("%w: %+v and %+v", ErrDifferentSettings, before.Setting, after.Setting)
 	}
 	var names []string
 	for name := range before.Repetitions[0] {
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	few := len(before.Repetitions) < leastRepetitions || len(after.Repetitions) < leastRepetitions
+	few := len(before.Repetitions) < minRepetitions || len(after.Repetitions) < minRepetitions
 	var out []Change
 	for _, name := range names {
 		b0, b1, ok := before.span(name)
@@ -79,7 +79,7 @@
 	for _, c := range changes {
 		verdict := string(c.Verdict)
 		if c.TooFew {
-			verdict = fmt.Sprintf("fewer than %d repetitions", leastRepetitions)
+			verdict = fmt.Sprintf("fewer than %d repetitions", minRepetitions)
 		}
 		fmt.Fprintf(t, "%s\t%.4g..%.4g\t%.4g..%.4g\t%.3f\t%s\n", c.Name, c.Before[0], c.Before[1], c.After[0], c.After[1], c.Ratio, verdict)
 	}
--- a/command/bench/compare_test.go
+++ b/command/bench/compare_test.go
@@ -18,10 +18,9 @@
 	return r
 }
 
-// Symptom: a change is praised for what was chance.
-// Sequence: two runs of the same program are compared by one value each.
-// Cause: noise taken for an effect.
-func TestCompareNeedsSpansThatDoNotOverlap(t *testing.T) {
+// Guards against reporting noise as a change: one value of each run is no basis for a
+// verdict, and neither are ranges that overlap.
+func TestCompareNeedsDisjointRanges(t *testing.T) {
 	for _, c := range []struct {
 		name          string
 		before, after *Result
@@ -40,10 +39,10 @@
 	other := results(1, 2, 3)
 	other.Setting.Daemons = 8
 	_, err := Compare(results(1, 2, 3), other)
-	require.ErrorIs(t, err, ErrUnlike)
+	require.ErrorIs(t, err, ErrDifferentSettings)
 }
 
-func TestResultSurvivesItsFile(t *testing.T) {
+func TestResultRoundTrip(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.json")
 	r := results(1, 2, 3)
 	require.NoError(t, r.Write(path))
@@ -52,10 +51,9 @@
 	require.Equal(t, r, read)
 }
 
-// Symptom: the plot panics where a waiting time is 0.
-// Sequence: a run without gangs is plotted on a logarithmic axis.
-// Cause: a logarithmic axis that begins at 0.
-func TestPlotTakesZeros(t *testing.T) {
+// Guards against a panic in the plot of a waiting time of 0, as in a run without gangs:
+// 0 has no place on a logarithmic axis.
+func TestPlotAcceptsZeros(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.png")
 	require.NoError(t, results(0, 0, 10).Plot(path))
 	data, err := os.ReadFile(path)
--- a/command/bench/drive.go
+++ b/command/bench/drive.go
@@ -26,7 +26,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// adminTimeout bounds one call to a daemon's administration address.
+// adminTimeout bounds one call to a daemon's administration API.
 const adminTimeout = 15 * time.Second
 
 // DriveOptions describe a running deployment and the load on it.
@@ -34,12 +34,12 @@
 	// Callers and Admins are the daemons' addresses, in the same order.
 	Callers, Admins []string
 	Token, CAFile   string
-	// Control is the base URL of the platform's stand-in; empty means that
-	// task starts and store calls are not reported.
+	// Control is the control URL of the platform's stand-in. If it is empty, task
+	// starts and store calls are not reported.
 	Control string
-	// Idle is how long the deployment is measured before each load.
+	// Idle is the length of the idle phase before each load phase.
 	Idle time.Duration
-	// Repetitions of both, whose span is the noise.
+	// Repetitions of both phases; the range of their results is the noise.
 	Repetitions int
 	Setting     Setting
 	Progress    io.Writer
@@ -51,21 +51,21 @@
 	s := &o.Setting
 	callerAddrs := fs.String("callers", "", "caller addresses of the daemons, host:port, separated by commas")
 	admins := fs.String("admins", "", "their administration addresses, URLs, in the same order")
-	fs.StringVar(&o.Token, "token", "", "administration token; better in FENNELBENCH_TOKEN")
-	fs.StringVar(&o.CAFile, "ca", "", "certificates to trust, PEM")
+	fs.StringVar(&o.Token, "token", "", "administration token; prefer FENNELBENCH_TOKEN")
+	fs.StringVar(&o.CAFile, "ca", "", "PEM `file` with the CA certificates to trust")
 	fs.StringVar(&o.Control, "control", "", "control URL of the platform's stand-in")
-	fs.DurationVar(&o.Idle, "idle", 30*time.Second, "measurement before each load")
-	fs.StringVar(&s.User, "user", "authority", "whose workers and service: authority or guild")
+	fs.DurationVar(&o.Idle, "idle", 30*time.Second, "length of the idle measurement before each load")
+	fs.StringVar(&s.User, "user", "authority", "`user` whose workers and service are used: authority or guild")
 	fs.Float64Var(&s.Seconds, "seconds", 60, "duration of the load")
 	fs.Float64Var(&s.Rate, "rate", 100, "requests per second, 0 for none")
-	fs.Float64Var(&s.TaskLoad, "task-load", 0.3, "work that arrives, as a share of the workers; 0 for none")
+	fs.Float64Var(&s.TaskLoad, "task-load", 0.3, "arriving work as a share of the workers' capacity; 0 for none")
 	fs.Uint64Var(&s.Seed, "seed", 1, "seed of the load")
-	fs.IntVar(&o.Repetitions, "repetitions", 3, "repetitions of both, whose span is the noise")
-	file := fs.String("out", "", "JSON file for the result")
+	fs.IntVar(&o.Repetitions, "repetitions", 3, "number of repetitions of both; the range of their results is the noise")
+	file := fs.String("out", "", "JSON `file` for the result")
 	return &ffcli.Command{
 		Name: "drive", ShortUsage: "fennelbench drive -callers A,B -admins URL,URL [flags]", FlagSet: fs,
 		Options:   []ff.Option{ff.WithEnvVarPrefix("FENNELBENCH")},
-		ShortHelp: "Drive a running deployment; report each daemon's control cost, idle and under load.",
+		ShortHelp: "Load a running deployment; report each daemon's control cost, idle and under load.",
 		Exec: func(ctx context.Context, _ []string) error {
 			o.Callers, o.Admins = splitList(*callerAddrs), splitList(*admins)
 			s.Daemons = len(o.Admins)
@@ -95,12 +95,12 @@
 	shape   platform.Shape
 	service string
 	admins  []*ctl.Client
-	// waveMaker goes on over the repetitions: a file applied twice is no load.
+	// waveMaker is shared by the repetitions: a file applied a second time adds no load.
 	waveMaker *waveMaker
 }
 
-// Drive measures a deployment idle and then under load. The service's file and
-// the waves of tasks are applied to it and stay.
+// Drive measures a deployment idle and then under load. The files of the service
+// and of the waves of tasks are not removed afterwards.
 func Drive(ctx context.Context, o DriveOptions) (*DriveReport, error) {
 	d, err := newDriver(o)
 	if err != nil {
@@ -147,15 +147,16 @@
 	return r, nil
 }
 
-// quiet is the pause before an idle phase, in which the tasks of the load
-// before it end.
-const quiet = 15 * time.Second
+// cooldown is the pause before an idle phase, in which the tasks of the preceding
+// load phase end.
+const cooldown = 15 * time.Second
 
-// repeat measures the deployment idle and under the load of a seed of its own.
+// repeat measures the deployment idle and under load; each repetition has its own
+// seed.
 func (d *driver) repeat(ctx context.Context, n int) (Repetition, error) {
 	var r Repetition
 	if n > 0 {
-		if err := wait(ctx, quiet); err != nil {
+		if err := wait(ctx, cooldown); err != nil {
 			return r, err
 		}
 	}
@@ -178,7 +179,7 @@
 	}
 }
 
-// load sends requests and waves of tasks until run ends.
+// load sends requests and applies waves of tasks until run ends.
 func (d *driver) load(run, ctx context.Context, n int, r *Repetition) error {
 	var g errgroup.Group
 	g.Go(func() error { return d.waves(run, ctx) })
@@ -191,7 +192,7 @@
 		r.Requests = result.Check(nil)
 		r.P50, r.P99 = result.Latency.ValueAtQuantile(50), result.Latency.ValueAtQuantile(99)
 	}
-	<-run.Done() // also when there is no load of either kind
+	<-run.Done() // for the case without requests and tasks
 	return g.Wait()
 }
 
@@ -218,7 +219,7 @@
 	if err := d.apply(ctx, d.admins[0], baseFile(d.service, size)); err != nil {
 		return err
 	}
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	for {
 		var s api.Status
@@ -231,12 +232,12 @@
 			}
 		}
 		if err := wait(ctx, time.Second); err != nil {
-			return fmt.Errorf("service %s does not run: %w", d.service, err)
+			return fmt.Errorf("service %s is not running: %w", d.service, err)
 		}
 	}
 }
 
-// apply applies a file on the version that it is based on now.
+// apply applies a file with the latest version as its base.
 func (d *driver) apply(ctx context.Context, client *ctl.Client, f *spec.File) error {
 	data, err := json.Marshal(f)
 	if err != nil {
--- a/command/bench/drive_test.go
+++ b/command/bench/drive_test.go
@@ -27,17 +27,16 @@
 	require.Equal(t, "-", c.over())
 }
 
-// Symptom: a daemon looks cheap, or its cost is negative.
-// Sequence: it is restarted while the tool measures.
-// Cause: counters of two processes compared as those of one.
-func TestDriveRefusesADaemonThatWasStartedAnew(t *testing.T) {
+// Guards against a cost that is too low or negative: a daemon restarts during the
+// measurement, and the counters of two processes are subtracted.
+func TestDriveRefusesADaemonThatRestarted(t *testing.T) {
 	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		if calls.Add(1) == 1 {
-			_, _ = w.Write([]byte(`{"process": {"cpu_seconds": 9}}`)) // a lost answer fails the test
+			_, _ = w.Write([]byte(`{"process": {"cpu_seconds": 9}}`)) // a lost response fails the test
 			return
 		}
-		_, _ = w.Write([]byte(`{"process": {"cpu_seconds": 1}}`)) // as above
+		_, _ = w.Write([]byte(`{"process": {"cpu_seconds": 1}}`)) // a lost response fails the test
 	}))
 	defer s.Close()
 	d, err := newDriver(DriveOptions{
@@ -46,12 +45,12 @@
 	})
 	require.NoError(t, err)
 	_, err = d.repeat(t.Context(), 0)
-	require.ErrorContains(t, err, "started anew")
+	require.ErrorContains(t, err, "restarted")
 }
 
 func TestDriveNeedsProcessCounters(t *testing.T) {
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
-		_, _ = w.Write([]byte(`{}`)) // a lost answer fails the test
+		_, _ = w.Write([]byte(`{}`)) // a lost response fails the test
 	}))
 	defer s.Close()
 	d, err := newDriver(DriveOptions{
@@ -65,7 +64,7 @@
 	require.ErrorContains(t, err, "same daemons")
 }
 
-func TestDriveResultHoldsTheGreatestOfEachRepetition(t *testing.T) {
+func TestDriveResultHasTheMaximumOfEachRepetition(t *testing.T) {
 	phase := func(cores ...float64) Phase {
 		p := Phase{Seconds: 1}
 		for _, c := range cores {
@@ -77,7 +76,7 @@
 	result := r.Result(&Setting{User: "guild"})
 	require.Len(t, result.Repetitions, 2)
 	require.InDelta(t, 0.02, result.Repetitions[1][idleCore], 1e-9)
-	least, greatest, ok := result.span(loadCore)
+	smallest, largest, ok := result.span(loadCore)
 	require.True(t, ok)
-	require.InDeltaSlice(t, []float64{0.3, 0.4}, []float64{least, greatest}, 1e-9)
+	require.InDeltaSlice(t, []float64{0.3, 0.4}, []float64{smallest, largest}, 1e-9)
 }
--- a/command/bench/drivephase.go
+++ b/command/bench/drivephase.go
@@ -20,15 +20,15 @@
 // varsPath is where a daemon serves its metrics.
 const varsPath = "/debug/vars"
 
-// vars is what the tool reads of a daemon's metrics.
+// vars are the metrics of a daemon that the tool reads.
 type vars struct {
 	Process *capacity.Usage `json:"process"`
 	Owned   map[string]int  `json:"owned"`
 }
 
-var errNoUsage = errors.New("the daemon's metrics hold no process counters; is it of this release?")
+var errNoUsage = errors.New("the daemon's metrics have no process counters; is it an older release?")
 
-// reading is all counters at one time.
+// reading is a snapshot of all counters.
 type reading struct {
 	at       time.Time
 	daemons  []vars
@@ -75,7 +75,7 @@
 	return &report, nil
 }
 
-// phase runs work for the length and returns what was spent meanwhile.
+// phase runs work for the given length and returns the cost over that time.
 func (d *driver) phase(ctx context.Context, name string, length time.Duration, work func(context.Context) error) (Phase, error) {
 	before, err := d.read(ctx)
 	if err != nil {
@@ -103,7 +103,7 @@
 	for i := range after.daemons {
 		rate, ok := capacity.RateBetween(*before.daemons[i].Process, *after.daemons[i].Process, took)
 		if !ok {
-			return p, fmt.Errorf("daemon %s was started anew during the measurement", d.o.Admins[i])
+			return p, fmt.Errorf("daemon %s restarted during the measurement", d.o.Admins[i])
 		}
 		p.Daemons = append(p.Daemons, Cost{Address: d.o.Admins[i], Owned: after.daemons[i].Owned, Rate: rate})
 	}
@@ -121,7 +121,7 @@
 	showSeconds(ctx, bar)
 }
 
-// balancer returns a transport that gives each connection to the next daemon.
+// balancer returns a transport that distributes connections over the daemons in turn.
 func (d *driver) balancer() *http.Transport {
 	var next atomic.Uint64
 	var dialer net.Dialer
--- a/command/bench/drivereport.go
+++ b/command/bench/drivereport.go
@@ -11,22 +11,22 @@
 	"fennelshunt.example/fennelshunt/standin/callers"
 )
 
-// The letter's limits of what a node spends on control.
+// Limits of what a daemon may spend on control, as the users set them.
 const (
 	limitCore  = 0.036
 	limitRSS   = 128 << 20
-	limitBytes = 13_000 // per second, both ways together
+	limitBytes = 13_000 // per second, sent and received together
 )
 
-// Cost is what one daemon spent in a phase.
+// Cost is the resource use of one daemon in a phase.
 type Cost struct {
 	Address string         `json:"address"`
 	Owned   map[string]int `json:"owned"`
 	capacity.Rate
 }
 
-// bytes returns the control bytes a second both ways. What is received from
-// peers is taken as equal to what is sent to them, which holds over a fleet.
+// bytes returns the control bytes per second, sent and received. Bytes received from
+// peers are assumed to equal those sent to them, which holds over the whole fleet.
 func (c Cost) bytes() float64 {
 	sum := c.Sent[capacity.Peers]
 	for _, k := range capacity.Kinds() {
@@ -35,7 +35,7 @@
 	return sum
 }
 
-// Phase is a measurement of all daemons over the same time.
+// Phase is a measurement of all daemons over the same period.
 type Phase struct {
 	Seconds float64 `json:"seconds"`
 	Daemons []Cost  `json:"daemons"`
@@ -43,24 +43,24 @@
 	Starts, StoreReads, StoreWrites float64
 }
 
-// Repetition is a measurement idle, with the service but without requests and
-// new tasks, and under load. The processor time and memory under load contain
-// the callers' requests.
+// Repetition is an idle measurement, with the service running but without requests
+// and new tasks, and one under load. CPU time and memory under load include
+// the handling of callers' requests.
 type Repetition struct {
 	Idle, Load Phase
 	Requests   callers.Summary
-	// P50 and P99 of whole answers, in microseconds.
+	// P50 and P99 are the latencies of complete responses, in microseconds.
 	P50, P99 int64
 }
 
 // DriveReport is the result of Drive.
 type DriveReport struct{ Repetitions []Repetition }
 
-// Print writes a table for people.
+// Print writes human-readable tables.
 func (r *DriveReport) Print(w io.Writer) {
 	for _, n := range r.Repetitions {
 		n.Idle.print(w, "idle")
-		n.Load.print(w, "under load (with the callers' requests)")
+		n.Load.print(w, "under load (including the callers' requests)")
 		fmt.Fprintf(w, "requests: %d, whole %d, not run %d, may have run %d; p50 %d us, p99 %d us\n",
 			n.Requests.Requests, n.Requests.Whole, n.Requests.NotRun, n.Requests.MayHaveRun, n.P50, n.P99)
 	}
@@ -93,7 +93,7 @@
 	return strings.Join(parts, " ")
 }
 
-// over names the limits that the daemon is over.
+// over names the exceeded limits, "-" for none.
 func (c Cost) over() string {
 	var names []string
 	if c.Core > limitCore {
@@ -111,14 +111,14 @@
 	return strings.Join(names, ",")
 }
 
-// Names of the metrics of a driven deployment: the greatest of any daemon.
+// Names of the metrics of a driven deployment: the maximum over the daemons.
 const (
 	idleCore, idleRSS, idleBytes = "idle_core_share_max", "idle_rss_bytes_max", "idle_control_bytes_per_s_max"
 	loadCore, loadRSS, loadBytes = "load_core_share_max", "load_rss_bytes_max", "load_control_bytes_per_s_max"
 	startsPerS                   = "task_starts_per_s"
 )
 
-// Result makes a result that can be stored and compared.
+// Result converts the report to a result that can be stored and compared.
 func (r *DriveReport) Result(s *Setting) *Result {
 	result := &Result{Setting: *s}
 	for _, n := range r.Repetitions {
@@ -127,14 +127,14 @@
 			RequestWhole: float64(n.Requests.Whole) / float64(max(1, n.Requests.Requests)),
 			startsPerS:   n.Load.Starts, StoreWrites: n.Load.StoreWrites, StoreCallsPer: n.Load.StoreReads + n.Load.StoreWrites,
 		}
-		n.Idle.greatest(m, idleCore, idleRSS, idleBytes)
-		n.Load.greatest(m, loadCore, loadRSS, loadBytes)
+		n.Idle.maximum(m, idleCore, idleRSS, idleBytes)
+		n.Load.maximum(m, loadCore, loadRSS, loadBytes)
 		result.Repetitions = append(result.Repetitions, m)
 	}
 	return result
 }
 
-func (p Phase) greatest(m Metrics, core, rss, bytes string) {
+func (p Phase) maximum(m Metrics, core, rss, bytes string) {
 	for _, c := range p.Daemons {
 		m[core], m[rss], m[bytes] = max(m[core], c.Core), max(m[rss], float64(c.RSSBytes)), max(m[bytes], c.bytes())
 	}
--- a/command/bench/experiment.go
+++ b/command/bench/experiment.go
@@ -24,24 +24,25 @@
 	"fennelshunt.example/fennelshunt/standin/cellsim"
 )
 
-// ExperimentOptions of one comparison of policies on the model of a cell.
+// ExperimentOptions describe a comparison of policies on the model of a cell.
 type ExperimentOptions struct {
 	Workers int
 	Load    float64
 	Seconds float64
 	Seeds   int
-	// Accounts that hand the jobs in, each with a weight and a cap; 0: none.
+	// Accounts is the number of client accounts that submit the jobs, each with a
+	// weight and a cap; 0 means jobs without an account.
 	Accounts int
-	// Survey plays the load of gangs that are rare and long, with dear advice.
+	// Survey selects cellsim.SurveyClasses: rarer and longer gangs with expensive advice.
 	Survey   bool
 	Patterns []string
 	Policies []string
-	// Plots is a folder for plots, "" for none.
+	// Plots is the folder for plots; empty means none.
 	Plots    string
 	Progress io.Writer
 }
 
-// outcome is what one policy made of one pattern, one result for each seed.
+// outcome holds the results of one policy under one pattern, one for each seed.
 type outcome struct {
 	pattern, policy string
 	results         []*cellsim.Result
@@ -51,14 +52,14 @@
 	fs := flag.NewFlagSet("fennelbench experiment", flag.ContinueOnError)
 	o := ExperimentOptions{Progress: errOut}
 	fs.IntVar(&o.Workers, "workers", 350, "number of workers")
-	fs.Float64Var(&o.Load, "load", 0.9, "work that arrives, as a share of the processors")
+	fs.Float64Var(&o.Load, "load", 0.9, "arriving work as a share of the workers' cores")
 	fs.Float64Var(&o.Seconds, "seconds", 30, "length of the load, in virtual time")
 	fs.IntVar(&o.Seeds, "seeds", 3, "seeds of each pattern")
-	fs.IntVar(&o.Accounts, "accounts", 0, "client accounts that hand the jobs in, each with a weight and a cap; 0: none")
-	fs.BoolVar(&o.Survey, "survey", false, "rarer and longer gangs with dear advice, in place of the usual load")
+	fs.IntVar(&o.Accounts, "accounts", 0, "number of client accounts that submit the jobs, each with a weight and a cap; 0 for none")
+	fs.BoolVar(&o.Survey, "survey", false, "rarer and longer gangs with expensive advice, in place of the default load")
 	patterns := fs.String("patterns", "calm,burst-wide,slow-store,all", "load patterns, separated by commas")
 	policies := fs.String("policies", "now,without-all,first-come", "policies, separated by commas")
-	fs.StringVar(&o.Plots, "plots", "", "folder for PNG files: waiting by kind, processors at work and writes that wait, over time")
+	fs.StringVar(&o.Plots, "plots", "", "folder for PNG files: waiting jobs by kind, busy cores and pending writes, over time")
 	return &ffcli.Command{
 		Name: "experiment", ShortUsage: "fennelbench experiment [flags]", FlagSet: fs, Options: []ff.Option{ff.WithEnvVarPrefix("FENNELBENCH")},
 		ShortHelp: "Compare policies side by side on a model of a cell in virtual time.",
@@ -90,7 +91,7 @@
 	if o.Plots == "" {
 		return nil
 	}
-	// Made before the runs, which take a minute, rather than missed after them.
+	// Created before the runs, which take a minute, so that an error shows at once.
 	if err := os.MkdirAll(o.Plots, 0o755); err != nil {
 		return fmt.Errorf("flag -plots: %w", err)
 	}
@@ -101,7 +102,7 @@
 	return time.Duration(o.Seconds * float64(time.Second))
 }
 
-// load returns the kinds of jobs and who hands them in.
+// load returns the classes of jobs and the accounts that submit them.
 func (o *ExperimentOptions) load() (classes []cellsim.Class, accounts []cellsim.Account) {
 	classes = cellsim.Classes(o.Workers, o.Load)
 	if o.Survey {
@@ -125,13 +126,13 @@
 	return cellsim.Pattern{}, fmt.Errorf("flag -patterns: no pattern is called %q; use some of %s", name, strings.Join(names, ", "))
 }
 
-// Experiment plays each pattern with each policy and each seed, and prints a table
-// of the means over the seeds.
+// Experiment simulates each pattern with each policy and each seed, and prints a
+// table of the means over the seeds.
 func Experiment(ctx context.Context, o ExperimentOptions, out io.Writer) error {
 	if err := o.check(); err != nil {
 		return err
 	}
-	outcomes, broken := o.play(ctx)
+	outcomes, violations := o.simulate(ctx)
 	if err := ctx.Err(); err != nil {
 		return err
 	}
@@ -143,14 +144,14 @@
 			return err
 		}
 	}
-	if len(broken) > 0 {
-		return fmt.Errorf("%d invariants were broken, the first: %s", len(broken), broken[0])
+	if len(violations) > 0 {
+		return fmt.Errorf("%d invariants violated, the first: %s", len(violations), violations[0])
 	}
 	return nil
 }
 
-// play runs everything on half of the processors.
-func (o *ExperimentOptions) play(ctx context.Context) (outcomes []*outcome, broken []string) {
+// simulate runs all simulations, in parallel on half of the processors.
+func (o *ExperimentOptions) simulate(ctx context.Context) (outcomes []*outcome, violations []string) {
 	var mu sync.Mutex
 	var wg sync.WaitGroup
 	slots := make(chan struct{}, max(1, runtime.NumCPU()/2))
@@ -158,7 +159,7 @@
 	for _, pattern := range o.Patterns {
 		p, err := o.pattern(pattern)
 		if err != nil {
-			continue // checked before
+			continue // check has reported it
 		}
 		for _, policy := range o.Policies {
 			x := &outcome{pattern: pattern, policy: policy, results: make([]*cellsim.Result, o.Seeds)}
@@ -176,22 +177,22 @@
 						Violation: func(what string) {
 							mu.Lock()
 							defer mu.Unlock()
-							broken = append(broken, what)
+							violations = append(violations, what)
 						}})
-					_ = bar.Add(1) // a bar that can not be drawn ends nothing
+					_ = bar.Add(1) // only a display
 				})
 			}
 		}
 	}
 	wg.Wait()
-	return outcomes, broken
+	return outcomes, violations
 }
 
-// over returns the mean and the standard deviation of a figure over the seeds.
-func (x *outcome) over(figure func(r *cellsim.Result) float64) (average, deviation float64) {
+// over returns the mean and the standard deviation of a value over the seeds.
+func (x *outcome) over(value func(r *cellsim.Result) float64) (average, deviation float64) {
 	var values []float64
 	for _, r := range x.results {
-		values = append(values, figure(r))
+		values = append(values, value(r))
 	}
 	average = mean(values)
 	for _, v := range values {
@@ -205,8 +206,8 @@
 	fmt.Fprintln(w, "pattern\tpolicy\tcredit\tsd\tworst windows\tworst accounts\twide\tlargest wide\tmany\tquick\tbusy\twide start p50\tp90\twasted core-s\twrites\tadvice calls")
 	for _, x := range outcomes {
 		credit, sd := x.over(func(r *cellsim.Result) float64 { return r.Credit })
-		of := func(figure func(r *cellsim.Result) float64) float64 {
-			v, _ := x.over(figure)
+		of := func(value func(r *cellsim.Result) float64) float64 {
+			v, _ := x.over(value)
 			return v
 		}
 		class := func(i int) float64 { return of(func(r *cellsim.Result) float64 { return r.Classes[i].Credit }) }
@@ -223,16 +224,16 @@
 	return w.Flush()
 }
 
-// plot writes three plots for each pattern, one line a policy, of the first seed.
+// plot writes four plots for each pattern, with a line for each policy, of the first seed.
 func (o *ExperimentOptions) plot(outcomes []*outcome) error {
 	kinds := []struct {
 		name, label string
 		value       func(s cellsim.Sample) float64
 	}{
-		{"waiting-wide", "wide jobs that have not begun", func(s cellsim.Sample) float64 { return float64(s.Waiting[cellsim.Wide]) }},
-		{"waiting-quick", "quick jobs that have not begun", func(s cellsim.Sample) float64 { return float64(s.Waiting[cellsim.Quick]) }},
-		{"busy", "share of the processors at work", func(s cellsim.Sample) float64 { return s.Busy }},
-		{"unwritten", "jobs whose progress waits for a write", func(s cellsim.Sample) float64 { return float64(s.Unwritten) }},
+		{"waiting-wide", "wide jobs that have not started", func(s cellsim.Sample) float64 { return float64(s.Waiting[cellsim.Wide]) }},
+		{"waiting-quick", "quick jobs that have not started", func(s cellsim.Sample) float64 { return float64(s.Waiting[cellsim.Quick]) }},
+		{"busy", "share of the cores that are busy", func(s cellsim.Sample) float64 { return s.Busy }},
+		{"unwritten", "jobs whose progress has not been written", func(s cellsim.Sample) float64 { return float64(s.Unwritten) }},
 	}
 	for _, pattern := range o.Patterns {
 		for _, k := range kinds {
--- a/command/bench/experiment_test.go
+++ b/command/bench/experiment_test.go
@@ -11,9 +11,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestFolderOfPlotsIsMadeBeforeTheRuns(t *testing.T) {
-	// Symptom: after a minute of runs the command fails, and nothing is drawn.
-	// Cause: the folder for the plots did not exist, which only the first plot showed.
+func TestPlotFolderIsCreatedBeforeTheRuns(t *testing.T) {
+	// Guards against a command that fails after a minute of runs, without a plot, since
+	// the folder for the plots does not exist.
 	o := &ExperimentOptions{Workers: 1, Load: 0.5, Seconds: 1, Seeds: 1, Plots: filepath.Join(t.TempDir(), "a", "b")}
 	require.NoError(t, o.check())
 	info, err := os.Stat(o.Plots)
@@ -25,7 +25,7 @@
 	require.ErrorContains(t, o.check(), "flag -plots")
 }
 
-func TestExperimentTellsWhatTheWorstAccountsGot(t *testing.T) {
+func TestExperimentReportsTheWorstAccounts(t *testing.T) {
 	var out bytes.Buffer
 	o := ExperimentOptions{Workers: 24, Load: 0.5, Seconds: 6, Seeds: 1, Accounts: 4, Survey: true,
 		Patterns: []string{"hot-account"}, Policies: []string{"due", "risk"}, Progress: io.Discard}
--- a/command/bench/plot.go
+++ b/command/bench/plot.go
@@ -26,23 +26,23 @@
 	plotWidth  = 20 * vg.Centimeter
 	plotHeight = 10 * vg.Centimeter
 	barWidth   = 24
-	// least is where the axis begins, in ms; a bar of less has no height.
-	least = 0.1
+	// axisStart is the start of the axis, in ms; smaller values have bars of no height.
+	axisStart = 0.1
 	// decadesShown covers waits of up to a day.
 	decadesShown = 9
 )
 
-// decades labels the axis. The values are logarithms on a linear axis, since
-// the library's logarithmic one can not draw a bar from its foot.
+// decades labels the axis. The values are logarithms on a linear axis, since the
+// library's bar charts start at 0, which its logarithmic axis cannot show.
 func decades() plot.ConstantTicks {
 	var ticks plot.ConstantTicks
 	for i := range decadesShown {
-		ticks = append(ticks, plot.Tick{Value: float64(i), Label: strconv.FormatFloat(least*math.Pow10(i), 'f', -1, 64)})
+		ticks = append(ticks, plot.Tick{Value: float64(i), Label: strconv.FormatFloat(axisStart*math.Pow10(i), 'f', -1, 64)})
 	}
 	return ticks
 }
 
-// Plot writes a bar for the median of each waiting time to a PNG file.
+// Plot writes a bar chart of the median waiting times to a PNG file.
 func (r *Result) Plot(path string) error {
 	p := plot.New()
 	p.Title.Text = fmt.Sprintf("Waiting times, %s, %d daemons, %.0f requests/s, task load %.2f",
@@ -52,7 +52,7 @@
 	var values plotter.Values
 	var labels []string
 	for _, m := range plotted {
-		values = append(values, math.Log10(max(least, r.median(m.name)*m.scale)/least))
+		values = append(values, math.Log10(max(axisStart, r.median(m.name)*m.scale)/axisStart))
 		labels = append(labels, m.label)
 	}
 	bars, err := plotter.NewBarChart(values, vg.Points(barWidth))
@@ -77,13 +77,13 @@
 	return values[len(values)/2]
 }
 
-// curve is one line of a plot over time in seconds.
+// curve is one line of a plot; the x values are times in seconds.
 type curve struct {
 	name   string
 	points [][2]float64
 }
 
-// plotCurves writes lines over time to a PNG file.
+// plotCurves writes a plot of lines over time to a PNG file.
 func plotCurves(path, title, label string, curves []curve) error {
 	p := plot.New()
 	p.Title.Text, p.X.Label.Text, p.Y.Label.Text = title, "s", label
--- a/command/bench/result.go
+++ b/command/bench/result.go
@@ -6,15 +6,15 @@
 	"os"
 )
 
-// Result is what one invocation measured, repetition by repetition.
+// Result holds the measurements of one invocation, by repetition.
 type Result struct {
-	// Setting describes the run, so that unlike runs are not compared.
+	// Setting describes the run; results of different settings are not compared.
 	Setting Setting `json:"setting"`
 	// Repetitions hold the metrics of each repetition.
 	Repetitions []Metrics `json:"repetitions"`
 }
 
-// Setting of a run.
+// Setting holds the parameters of a run.
 type Setting struct {
 	User     string  `json:"user"`
 	Daemons  int     `json:"daemons"`
@@ -27,7 +27,7 @@
 // Metrics maps a metric's name to its value. Names end with their unit.
 type Metrics map[string]float64
 
-// Names of metrics. Waiting counts from the apply to the task's start.
+// Names of metrics. Waiting times count from the apply to the task's start.
 const (
 	RequestP50    = "request_p50_us"
 	RequestP99    = "request_p99_us"
@@ -72,26 +72,26 @@
 		return nil, fmt.Errorf("bench: %s: %w", path, err)
 	}
 	if len(r.Repetitions) == 0 {
-		return nil, fmt.Errorf("bench: %s: holds no repetition; make it with 'fennelbench run'", path)
+		return nil, fmt.Errorf("bench: %s: no repetitions; create the file with 'fennelbench run'", path)
 	}
 	return r, nil
 }
 
-// span returns the least and the greatest value of a metric; ok is false when
+// span returns the smallest and the largest value of a metric; ok is false when
 // no repetition has it.
-func (r *Result) span(name string) (least, greatest float64, ok bool) {
+func (r *Result) span(name string) (smallest, largest float64, ok bool) {
 	for _, m := range r.Repetitions {
 		v, has := m[name]
 		if !has {
 			continue
 		}
-		if !ok || v < least {
-			least = v
+		if !ok || v < smallest {
+			smallest = v
 		}
-		if !ok || v > greatest {
-			greatest = v
+		if !ok || v > largest {
+			largest = v
 		}
 		ok = true
 	}
-	return least, greatest, ok
+	return smallest, largest, ok
 }
--- a/command/bench/run.go
+++ b/command/bench/run.go
@@ -18,7 +18,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Options of a run.
+// Options of Run.
 type Options struct {
 	Setting     Setting
 	Repetitions int
@@ -29,19 +29,19 @@
 const (
 	// instances is the number of the service's instances.
 	instances = 48
-	// instanceShare is the part of a VM that a service instance takes.
+	// instanceShare: a service instance takes one eighth of a VM.
 	instanceShare = 8
 )
 
-// warmUp is how long requests are sent before the measurement, with a seed of
-// their own.
+// warmUp is how long requests are sent before the measurement; they are drawn with
+// a seed of their own, warmUpSeed above that of the load.
 const (
 	warmUp     = 3 * time.Second
 	warmUpSeed = 1_000_000
 )
 
-// settleTimeout bounds the start of the service and the end of the tasks.
-const settleTimeout = 2 * time.Minute
+// startTimeout bounds the start of the service.
+const startTimeout = 2 * time.Minute
 
 // Run runs the repetitions, each on a fresh embedded cell.
 func Run(ctx context.Context, o Options) (*Result, error) {
@@ -67,7 +67,7 @@
 	}
 }
 
-// bench is one repetition.
+// bench is the state of one repetition.
 type bench struct {
 	o       Options
 	c       *cell.Cell
@@ -75,7 +75,7 @@
 	service string
 	jobs    map[string]jobMeta
 	mu      sync.Mutex
-	packing []float64 // samples of the binding dimension
+	packing []float64 // samples of the used share of the binding dimension
 }
 
 func repetition(ctx context.Context, o Options, n int) (m Metrics, err error) {
@@ -103,7 +103,7 @@
 }
 
 func (b *bench) startService(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, settleTimeout)
+	ctx, cancel := context.WithTimeout(ctx, startTimeout)
 	defer cancel()
 	if _, err := b.c.Apply(ctx, baseFile(b.service, instanceSize(b.shape))); err != nil {
 		return err
@@ -111,13 +111,13 @@
 	if err := b.c.WaitPlaced(ctx, instances, 0); err != nil {
 		return err
 	}
-	// Requests before the measurement open connections and spread the slots;
-	// the start of a service is measured by the demonstration.
+	// The warm-up opens connections and spreads the slots over the daemons. The start
+	// of a service is measured by the demonstration instead.
 	callers.Run(ctx, b.requests(b.o.Setting.Seed+warmUpSeed, int(b.o.Setting.Rate*warmUp.Seconds())))
 	return nil
 }
 
-// requests returns the request load.
+// requests returns the options of the request load.
 func (b *bench) requests(seed uint64, count int) callers.Options {
 	return callers.Options{
 		Client: &http.Client{Transport: b.c.Balancer().Transport(), Timeout: 30 * time.Second}, Service: b.service,
@@ -125,7 +125,7 @@
 	}
 }
 
-// measure sends requests and waves of tasks for the set time.
+// measure applies the load of requests and tasks for the duration of the setting.
 func (b *bench) measure(ctx context.Context, n int) (Metrics, error) {
 	duration := time.Duration(b.o.Setting.Seconds * float64(time.Second))
 	runCtx, stop := context.WithTimeout(ctx, duration)
@@ -154,7 +154,7 @@
 	return m, nil
 }
 
-// waves applies a file of tasks at each interval until run ends.
+// waves applies a file of tasks every waveEvery until run ends.
 func (b *bench) waves(run, ctx context.Context) error {
 	if b.o.Setting.TaskLoad <= 0 {
 		return nil
@@ -181,7 +181,7 @@
 	}
 }
 
-// sample notes how much of the binding dimension is held.
+// sample records the used share of the binding dimension ten times a second.
 func (b *bench) sample(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
@@ -212,7 +212,7 @@
 	showSeconds(ctx, bar)
 }
 
-// showSeconds moves the bar by one each second until ctx ends.
+// showSeconds advances the bar once a second until ctx ends.
 func showSeconds(ctx context.Context, bar *progressbar.ProgressBar) {
 	tick := time.NewTicker(time.Second)
 	defer tick.Stop()
@@ -242,11 +242,11 @@
 	m[TaskStarts] = float64(full.Tasks.Starts)
 }
 
-// waits gathers waiting times in milliseconds; a task that never started
+// taskMetrics collects waiting times in milliseconds; a task that has not started
 // counts with the time that it has waited so far.
 func (b *bench) taskMetrics(m Metrics) {
 	urgent, batch, gang := newWaits(), newWaits(), newWaits()
-	left, now := 0, time.Now()
+	notStarted, now := 0, time.Now()
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, meta := range b.jobs {
@@ -262,11 +262,11 @@
 			_ = h.RecordValue(at.Sub(meta.applied).Milliseconds()) // within the range of a run
 		}
 		for range meta.count - len(starts) {
-			left++
+			notStarted++
 			_ = h.RecordValue(now.Sub(meta.applied).Milliseconds()) // within the range of a run
 		}
 	}
-	m[TasksLeft] = float64(left)
+	m[TasksLeft] = float64(notStarted)
 	m[UrgentP50], m[UrgentP99] = float64(urgent.ValueAtQuantile(50)), float64(urgent.ValueAtQuantile(99))
 	m[BatchP50], m[BatchP99] = float64(batch.ValueAtQuantile(50)), float64(batch.ValueAtQuantile(99))
 	m[GangP50] = float64(gang.ValueAtQuantile(50))
--- a/command/bench/workload.go
+++ b/command/bench/workload.go
@@ -11,21 +11,21 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Shares and sizes of the task load. Sizes are skewed in two dimensions: many
-// small tasks, some that want mostly processors, some mostly memory.
+// Parameters of the task load. Sizes are skewed in two dimensions: most tasks are
+// small, some of the others need mostly CPU, some mostly memory.
 const (
 	urgentShare  = 0.05
 	gangShare    = 0.05
 	heavyTail    = 1.3 // exponent of the Pareto-like size and run time
 	largestShare = 0.5 // of a VM, for one task
 	meanRunTime  = time.Second
-	// waveEvery is the time between two applied files.
+	// waveEvery is the interval at which files of tasks are applied.
 	waveEvery = time.Second
-	// declaredOff is how far declared run times are off, either way.
+	// declaredOff is the greatest factor between declared and actual run times, either way.
 	declaredOff = 3.0
 )
 
-// jobMeta tells what a job is for, to sort its waiting times.
+// jobMeta describes a job for the assignment of its waiting times to metrics.
 type jobMeta struct {
 	class   spec.Class
 	kind    spec.Kind
@@ -33,8 +33,8 @@
 	applied time.Time
 }
 
-// waveMaker makes files of jobs, each about load × VMs × time of work, where a
-// task counts with its largest dimension.
+// waveMaker generates files of jobs, each with about load × VMs × interval of work,
+// where a task counts with its largest dimension.
 type waveMaker struct {
 	rng   *rand.Rand
 	shape platform.Shape
@@ -46,14 +46,14 @@
 	return &waveMaker{rng: rand.New(rand.NewPCG(s.Seed, 2)), shape: shape, load: s.TaskLoad}
 }
 
-// next returns the file of the next wave. The service stays in its own file.
+// next returns the file of the next wave. The service has a file of its own.
 func (w *waveMaker) next() *spec.File {
 	w.n++
 	f := &spec.File{Name: fmt.Sprintf("wave-%d", w.n)}
-	budget := w.load * float64(w.shape.Workers) * waveEvery.Seconds() // in VM-seconds
+	budget := w.load * float64(w.shape.Workers) * waveEvery.Seconds() // VM-seconds
 	for i := 0; budget > 0; i++ {
 		j := w.job(i)
-		actual, _ := time.ParseDuration(j.Parameters[agent.ParamActualRunTime]) // made here
+		actual, _ := time.ParseDuration(j.Parameters[agent.ParamActualRunTime]) // job has formatted it
 		budget -= float64(j.Count) * w.shareOf(j.Size) * actual.Seconds()
 		f.Jobs = append(f.Jobs, j)
 	}
--- a/command/ctl/change.go
+++ b/command/ctl/change.go
@@ -21,11 +21,11 @@
 
 var (
 	errInvalid = errors.New("invalid file")
-	// errMayHaveApplied tells that a change got no answer.
+	// errMayHaveApplied means that the response to a change was lost.
 	errMayHaveApplied = errors.New("the file may have been applied; fix: apply the same file on the same base again, it takes effect once")
 )
 
-// read returns a file by path; "-" is the standard input.
+// read returns the content of a file; the path "-" means standard input.
 func (a *app) read(path string) ([]byte, error) {
 	if path != "-" {
 		return os.ReadFile(path)
@@ -37,7 +37,7 @@
 	return data, nil
 }
 
-// parse reads and checks a file without the daemon.
+// parse reads a file and checks it locally.
 func (a *app) parse(path string) ([]byte, *spec.File, error) {
 	data, err := a.read(path)
 	if err != nil {
@@ -50,7 +50,7 @@
 	return data, file, nil
 }
 
-// base is the parameter for the version that a change is based on.
+// base formats a version for the base parameter.
 func base(version uint64) string { return strconv.FormatUint(version, 10) }
 
 func needFiles(args []string) error {
@@ -62,11 +62,11 @@
 
 func (a *app) validateCommand() *ffcli.Command {
 	flags := a.flags("fennelctl validate")
-	offline := flags.Bool("offline", false, "check the files alone, without a daemon")
+	offline := flags.Bool("offline", false, "check the files by themselves, without a daemon")
 	schema := flags.Bool("schema", false, "print the JSON Schema of configuration files")
 	return &ffcli.Command{
 		Name: "validate", ShortUsage: "fennelctl validate [-offline] FILE...", FlagSet: flags,
-		ShortHelp: "Check files: alone, and against what is in force.",
+		ShortHelp: "Check files by themselves and against the configuration in force.",
 		Exec: func(ctx context.Context, args []string) error {
 			if *schema {
 				_, err := a.out.Write(spec.Schema())
@@ -80,15 +80,15 @@
 	}
 }
 
-// validate checks all files before it returns.
+// validate checks all files and returns the errors of all of them.
 func (a *app) validate(ctx context.Context, paths []string, offline bool) error {
-	var faults []error
+	var errs []error
 	for _, path := range paths {
 		if err := a.validateOne(ctx, path, offline); err != nil {
-			faults = append(faults, err)
+			errs = append(errs, err)
 		}
 	}
-	return errors.Join(faults...)
+	return errors.Join(errs...)
 }
 
 func (a *app) validateOne(ctx context.Context, path string, offline bool) error {
@@ -157,8 +157,8 @@
 		Name: "apply", ShortUsage: "fennelctl apply [-base VERSION] FILE...", FlagSet: flags,
 		ShortHelp: "Apply files, each as a whole, and report which daemons have them in force.",
 		LongHelp: "A file replaces the file of the same name: its jobs that are no longer listed are\n" +
-			"cancelled. If somebody else changed the file after the base version, nothing is\n" +
-			"applied. Exit codes: 3 the file is wrong, 4 conflict, 5 some daemon lags, 6 unknown.",
+			"cancelled. If the file was changed by another author after the base version, nothing is\n" +
+			"applied. Exit codes: 3 invalid file, 4 conflict, 5 some daemon lags, 6 outcome unknown.",
 		Exec: func(ctx context.Context, args []string) error {
 			if err := needFiles(args); err != nil {
 				return err
@@ -168,16 +168,16 @@
 	}
 }
 
-// applyAll checks every file before it applies the first.
+// applyAll parses all files before it applies the first.
 func (a *app) applyAll(ctx context.Context, paths []string, base string, wait bool) error {
 	files := make([][]byte, len(paths))
-	var faults []error
+	var errs []error
 	for i, path := range paths {
 		data, _, err := a.parse(path)
 		files[i] = data
-		faults = append(faults, err)
+		errs = append(errs, err)
 	}
-	if err := errors.Join(faults...); err != nil {
+	if err := errors.Join(errs...); err != nil {
 		return err
 	}
 	client, err := a.client()
@@ -220,7 +220,7 @@
 
 func printApplied(w io.Writer, answer api.Applied) {
 	if answer.Unchanged {
-		fmt.Fprintf(w, "file %s is in force as it is since version %d\n", answer.File, answer.Version)
+		fmt.Fprintf(w, "file %s is unchanged, in force since version %d\n", answer.File, answer.Version)
 	} else {
 		fmt.Fprintf(w, "file %s applied as version %d\n", answer.File, answer.Version)
 	}
@@ -233,12 +233,12 @@
 	team := flags.String("team", "", "`team` of the holder; without it the token is an operator's")
 	return &ffcli.Command{
 		Name: "token", ShortUsage: "fennelctl token -name NAME [-team TEAM]", FlagSet: flags,
-		ShortHelp: "Make a token and the entry for the daemons' token file.",
+		ShortHelp: "Create a token and its entry for the daemons' token file.",
 		Exec: func(context.Context, []string) error {
 			if *name == "" {
 				return usageError("no -name given")
 			}
-			return a.makeToken(*name, *team)
+			return a.createToken(*name, *team)
 		},
 	}
 }
@@ -246,7 +246,7 @@
 // tokenBytes is the number of random bytes in a token.
 const tokenBytes = 32
 
-func (a *app) makeToken(name, team string) error {
+func (a *app) createToken(name, team string) error {
 	secret := make([]byte, tokenBytes)
 	if _, err := rand.Read(secret); err != nil {
 		return fmt.Errorf("token: %w", err)
@@ -262,7 +262,7 @@
 
 var _ flag.Value = (*formatValue)(nil)
 
-// formatValue is a flag for the format of a report.
+// formatValue is the flag value for the format of a report.
 type formatValue string
 
 // String implements flag.Value.
--- a/command/ctl/client.go
+++ b/command/ctl/client.go
@@ -18,8 +18,8 @@
 	"fennelshunt.example/fennelshunt/process/admin/api"
 )
 
-// maxAnswer is the largest answer read, in bytes.
-const maxAnswer = 64 << 20
+// maxBody bounds a response, in bytes.
+const maxBody = 64 << 20
 
 // Client calls the administration API of a daemon.
 type Client struct {
@@ -28,11 +28,11 @@
 	http  *http.Client
 }
 
-// ErrNoAnswer means that the call got no answer. A change may have been applied.
-var ErrNoAnswer = errors.New("no answer from the daemon")
+// ErrNoAnswer means that no complete response arrived. A change may have been applied.
+var ErrNoAnswer = errors.New("no response from the daemon")
 
-// NewClient returns a client of the daemon at address, which is host:port for
-// HTTPS or a URL. caFile, if set, holds the certificates to trust in PEM.
+// NewClient returns a client of the daemon at address, which is host:port (for
+// HTTPS) or a URL. caFile, if set, is a PEM file with the CA certificates to trust.
 func NewClient(address, token, caFile string, timeout time.Duration) (*Client, error) {
 	if !strings.Contains(address, "://") {
 		address = "https://" + address
@@ -47,7 +47,7 @@
 			return nil, err
 		}
 	}
-	// A redirect could carry the token elsewhere.
+	// A redirect could send the token to another host.
 	refuse := func(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 	return &Client{base: base, token: token, http: &http.Client{Transport: transport, Timeout: timeout, CheckRedirect: refuse}}, nil
 }
@@ -55,25 +55,27 @@
 func trust(caFile string) (*tls.Config, error) {
 	pem, err := os.ReadFile(caFile)
 	if err != nil {
-		return nil, fmt.Errorf("certificates: %w", err)
+		return nil, fmt.Errorf("CA certificates: %w", err)
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(pem) {
-		return nil, fmt.Errorf("certificates: no certificate in %s", caFile)
+		return nil, fmt.Errorf("CA certificates: no certificate in %s", caFile)
 	}
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-// Get calls a path that reads and decodes the answer.
+// Get sends a GET request and decodes the response.
 func (c *Client) Get(ctx context.Context, path string, query url.Values, answer any) error {
 	return c.call(ctx, http.MethodGet, path, query, nil, answer)
 }
 
-// Post calls a path with a body and decodes the answer.
+// Post sends a POST request with a body and decodes the response.
 func (c *Client) Post(ctx context.Context, path string, query url.Values, body []byte, answer any) error {
 	return c.call(ctx, http.MethodPost, path, query, body, answer)
 }
 
+// call sends a request and decodes the response into answer, or stores the raw
+// body if answer is a *[]byte.
 func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
 	data, err := c.do(ctx, method, path, query, body)
 	if err != nil {
@@ -84,16 +86,17 @@
 		return nil
 	}
 	if err := json.Unmarshal(data, answer); err != nil {
-		return fmt.Errorf("answer of the daemon: %w", err)
+		return fmt.Errorf("cannot decode the daemon's response: %w", err)
 	}
 	return nil
 }
 
-// do makes the call. The error is an *api.Error if the daemon sent one.
+// do sends a request. The error is an *api.Error if the daemon sent one.
 func (c *Client) do(ctx context.Context, method, path string, query url.Values, body []byte) ([]byte, error) {
 	target := c.base.JoinPath(path)
 	target.RawQuery = query.Encode()
-	// The reader type hides the body from the transport's silent replay.
+	// NopCloser hides the reader's type, so that net/http sets no GetBody and its
+	// transport cannot resend the request on its own.
 	request, err := http.NewRequestWithContext(ctx, method, target.String(), io.NopCloser(bytes.NewReader(body)))
 	if err != nil {
 		return nil, fmt.Errorf("call: %w", err)
@@ -109,7 +112,7 @@
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
 	defer response.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(response.Body, maxAnswer))
+	data, err := io.ReadAll(io.LimitReader(response.Body, maxBody))
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrNoAnswer, err)
 	}
@@ -122,7 +125,7 @@
 func decodeError(status string, data []byte) error {
 	e := new(api.Error)
 	if err := json.Unmarshal(data, e); err != nil || e.Code == "" {
-		return fmt.Errorf("the daemon answered %s, not as the administration API does", status)
+		return fmt.Errorf("unexpected response %s: not an error of the administration API", status)
 	}
 	return e
 }
--- a/command/ctl/ctl.go
+++ b/command/ctl/ctl.go
@@ -1,5 +1,5 @@
-// Package ctl is the operators' command line: thin commands over the
-// administration API of any daemon.
+// Package ctl implements the operators' command line, fennelctl: thin commands
+// over the administration API, which any daemon serves.
 package ctl
 
 import (
@@ -23,16 +23,16 @@
 	ExitOK       = 0
 	ExitFailure  = 1
 	ExitUsage    = 2 // wrong flags or arguments
-	ExitInvalid  = 3 // the file is wrong
-	ExitConflict = 4 // somebody else changed the file first
+	ExitInvalid  = 3 // invalid file
+	ExitConflict = 4 // the file was changed after the base version
 	ExitLagging  = 5 // applied, but not in force on every daemon in time
 	ExitUnknown  = 6 // the file may have been applied
 )
 
-// DefaultTimeout bounds one call; it is more than an apply waits.
+// DefaultTimeout bounds one call. It is longer than an apply waits for the daemons.
 const DefaultTimeout = 30 * time.Second
 
-// settings are the flags that all commands share.
+// settings are the flags common to all commands.
 type settings struct {
 	address   string
 	token     string
@@ -42,18 +42,18 @@
 	json      bool
 }
 
-// app is one run of the command line.
+// app is one invocation of the command line.
 type app struct {
 	out, err io.Writer
 	in       io.Reader
 	settings settings
 }
 
-// errLagging means that a version is not in force everywhere in time.
+// errLagging means that a version was not in force on every daemon in time.
 var errLagging = errors.New("not in force on every daemon yet")
 
-// Run runs the command line and returns the exit code. extra are commands that
-// the main package adds.
+// Run runs the command line and returns the exit code. extra are further
+// subcommands, added by the main package.
 func Run(ctx context.Context, args []string, in io.Reader, out, errOut io.Writer, extra ...*ffcli.Command) int {
 	a := &app{out: out, err: errOut, in: in}
 	root := a.root(extra)
@@ -67,7 +67,7 @@
 	return exitCode(err)
 }
 
-// exitCode returns the code that tells scripts what happened.
+// exitCode maps an error to the exit code that scripts check.
 func exitCode(err error) int {
 	var e *api.Error
 	switch {
@@ -94,7 +94,7 @@
 	}
 }
 
-// printError writes an error, with one line per problem of a file.
+// printError prints an error; the problems of a file go on a line each.
 func (a *app) printError(err error) {
 	var e *api.Error
 	if errors.As(err, &e) && len(e.Problems) > 0 {
@@ -106,7 +106,7 @@
 	fmt.Fprintln(a.err, "fennelctl:", err)
 }
 
-// usageError is a wrong use of the command line.
+// usageError reports invalid flags or arguments.
 type usageError string
 
 // Error implements error.
@@ -119,14 +119,14 @@
 	flags.StringVar(&s.address, "addr", "127.0.0.1:7440", "administration `address` of any daemon: host:port for HTTPS, or a URL")
 	flags.StringVar(&s.tokenFile, "token-file", "", "`file` with the bearer token")
 	flags.StringVar(&s.token, "token", "", "bearer `token`; prefer -token-file or FENNELCTL_TOKEN")
-	flags.StringVar(&s.ca, "ca", "", "PEM `file` with the certificates to trust")
+	flags.StringVar(&s.ca, "ca", "", "PEM `file` with the CA certificates to trust")
 	flags.DurationVar(&s.timeout, "timeout", DefaultTimeout, "time limit of one call")
-	flags.BoolVar(&s.json, "json", false, "print answers as JSON")
+	flags.BoolVar(&s.json, "json", false, "print results as JSON")
 	_ = flags.String("config", "", "JSON `file` with these settings")
 	return &ffcli.Command{
 		Name:       "fennelctl",
 		ShortUsage: "fennelctl [flags] <command> [flags] [arguments]",
-		ShortHelp:  "Apply configuration files to a cell and see how its work stands.",
+		ShortHelp:  "Apply configuration files to a cell and show the state of its jobs.",
 		FlagSet:    flags,
 		Options:    []ff.Option{ff.WithEnvVarPrefix("FENNELCTL"), ff.WithConfigFileFlag("config"), ff.WithConfigFileParser(ff.JSONParser)},
 		Subcommands: append([]*ffcli.Command{
@@ -143,7 +143,7 @@
 	return flags
 }
 
-// client returns a client by the settings.
+// client returns a client for the daemon named by the settings.
 func (a *app) client() (*Client, error) {
 	token := a.settings.token
 	if a.settings.tokenFile != "" {
--- a/command/ctl/ctl_test.go
+++ b/command/ctl/ctl_test.go
@@ -26,8 +26,8 @@
 
 const token = "a-token-of-32-characters-or-more-1234"
 
-// oneDaemon is an Applier over a store, whose only daemon has the given version
-// in force.
+// oneDaemon is an Applier over a store, with a single daemon that has the applied
+// version in force unless it lags.
 type oneDaemon struct {
 	*history.History
 	lags bool
@@ -96,7 +96,7 @@
 	assert.Contains(t, s.out.String(), "applied as version 1")
 	assert.Contains(t, s.out.String(), "in force")
 	require.Equal(t, ExitOK, s.run("apply", "-base", "0", example))
-	assert.Contains(t, s.out.String(), "in force as it is since version 1")
+	assert.Contains(t, s.out.String(), "unchanged, in force since version 1")
 	require.Equal(t, ExitOK, s.run("files", "survey-desk"))
 	fewer := strings.Replace(s.out.String(), `"count": 400`, `"count": 300`, 1)
 	require.Equal(t, ExitOK, s.run("diff", s.write(fewer)))
@@ -119,19 +119,19 @@
 	assert.Contains(t, s.err.String(), "jobs[0].name")
 	assert.Equal(t, ExitInvalid, s.run("validate", "-offline", bad))
 	assert.Equal(t, ExitInvalid, s.run("apply", s.write(`{"name":"x","jobs":[{"name":"j","team":"none","kind":"batch","count":1,"size":{"milli_cpu":1,"memory_mb":1}}]}`)),
-		"found by the daemon")
+		"rejected by the daemon")
 	assert.Contains(t, s.err.String(), `no file declares team "none"`)
 	assert.Equal(t, ExitUsage, s.run("apply"))
 	assert.Equal(t, ExitUsage, s.run("explain"))
 	assert.Equal(t, ExitFailure, s.run("apply", "no-such-file.json"))
-	assert.Equal(t, ExitFailure, s.run("report"), "not served")
+	assert.Equal(t, ExitFailure, s.run("report"), "the report is not served")
 	s.args = []string{"-addr", "http://127.0.0.1:1"}
 	assert.Equal(t, ExitUsage, s.run("status"), "no token")
 }
 
-// Symptom: an operator takes a lost answer for a failure and gives up.
-// Sequence: the daemon dies while it answers an apply.
-// Cause: the tool does not tell "no answer" from "refused".
+// TestLostAnswerOfAnApplyIsUnknown guards against reporting a lost response as a
+// refusal, after which the operator would give up: the daemon crashes while it
+// responds to an apply.
 func TestLostAnswerOfAnApplyIsUnknown(t *testing.T) {
 	server := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer server.Close()
--- a/command/ctl/look.go
+++ b/command/ctl/look.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/process/admin/api"
 )
 
-// print writes an answer as JSON if that was asked for, else as text.
+// print writes a result as JSON with -json, else as text.
 func (a *app) print(answer any, text func(io.Writer)) error {
 	if a.settings.json {
 		return writeJSON(a.out, answer)
@@ -31,7 +31,7 @@
 	return encoder.Encode(v)
 }
 
-// get calls a path that reads.
+// get sends a GET request to the daemon named by the settings.
 func (a *app) get(ctx context.Context, path string, query url.Values, answer any) error {
 	client, err := a.client()
 	if err != nil {
@@ -55,14 +55,14 @@
 			return a.print(answer, func(w io.Writer) {
 				fmt.Fprintln(w, "FILE\tVERSION\tTEAM\tAUTHOR\tTIME")
 				for _, f := range answer.Files {
-					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", f.Name, f.Version, f.Team, f.Author, stamp(f.Time))
+					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", f.Name, f.Version, f.Team, f.Author, formatTime(f.Time))
 				}
 			})
 		},
 	}
 }
 
-// file prints a file in the form in which it can be applied again.
+// file prints a file such that it can be applied again.
 func (a *app) file(ctx context.Context, name string) error {
 	var answer api.File
 	if err := a.get(ctx, api.PathFiles+"/"+url.PathEscape(name), nil, &answer); err != nil {
@@ -71,15 +71,15 @@
 	return writeJSON(a.out, answer.Content)
 }
 
-func stamp(t time.Time) string { return t.UTC().Format(time.RFC3339) }
+func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
 
 func (a *app) historyCommand() *ffcli.Command {
 	flags := a.flags("fennelctl history")
-	limit := flags.Int("n", 20, "`number` of versions to look at")
-	before := flags.Uint64("before", 0, "look at versions below this one")
+	limit := flags.Int("n", 20, "`number` of versions to list")
+	before := flags.Uint64("before", 0, "list versions below this one")
 	return &ffcli.Command{
 		Name: "history", ShortUsage: "fennelctl history [-n NUMBER] [-before VERSION]", FlagSet: flags,
-		ShortHelp: "List what was applied, the latest first.",
+		ShortHelp: "List the applied and removed files, the latest first.",
 		Exec: func(ctx context.Context, _ []string) error {
 			query := url.Values{api.ParamLimit: {strconv.Itoa(*limit)}, api.ParamBefore: {base(*before)}}
 			var answer api.History
@@ -98,7 +98,7 @@
 		if c.Removed {
 			change = "removed"
 		}
-		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Version, c.File, change, c.Author, stamp(c.Time))
+		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Version, c.File, change, c.Author, formatTime(c.Time))
 	}
 	if answer.Before > 0 {
 		fmt.Fprintf(w, "earlier: fennelctl history -before %d\n", answer.Before)
@@ -108,7 +108,7 @@
 func (a *app) statusCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "status", ShortUsage: "fennelctl status", FlagSet: a.flags("fennelctl status"),
-		ShortHelp: "Show the daemons, what they have in force, and the jobs.",
+		ShortHelp: "Show the daemons with the version that each has in force, and the jobs.",
 		Exec: func(ctx context.Context, _ []string) error {
 			var answer api.Status
 			if err := a.get(ctx, api.PathStatus, nil, &answer); err != nil {
@@ -136,7 +136,7 @@
 	}
 }
 
-// printMembers lists the daemons with what each has in force.
+// printMembers lists the daemons with the version that each has in force.
 func printMembers(w io.Writer, members []api.Member, version uint64) {
 	if len(members) == 0 {
 		return
@@ -146,7 +146,7 @@
 		note := "in force"
 		switch {
 		case !m.Heard:
-			note = "NOT HEARD OF"
+			note = "NO REPORT"
 		case m.Version < version:
 			note = "LAGS"
 		}
@@ -157,10 +157,10 @@
 func (a *app) explainCommand() *ffcli.Command {
 	return &ffcli.Command{
 		Name: "explain", ShortUsage: "fennelctl explain JOB/GENERATION/INDEX", FlagSet: a.flags("fennelctl explain"),
-		ShortHelp: "Tell why a task waits, or where it is.",
+		ShortHelp: "Explain why a task waits, or show where it runs.",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) != 1 {
-				return usageError("want one task, written job/generation/index")
+				return usageError("give one task as job/generation/index")
 			}
 			var answer api.Explanation
 			if err := a.get(ctx, api.PathExplain, url.Values{api.ParamTask: args}, &answer); err != nil {
@@ -182,7 +182,7 @@
 	flags.Var(&format, "format", "`format`: text, json or html")
 	return &ffcli.Command{
 		Name: "report", ShortUsage: "fennelctl report [-format FORMAT]", FlagSet: flags,
-		ShortHelp: "Report the service-level burn per service and team.",
+		ShortHelp: "Report the error budget burn per service and team.",
 		Exec: func(ctx context.Context, _ []string) error {
 			var body []byte
 			if err := a.get(ctx, api.PathReport, url.Values{api.ParamFormat: {string(format)}}, &body); err != nil {
--- a/command/demo/demo.go
+++ b/command/demo/demo.go
@@ -1,7 +1,7 @@
-// Package demo is the command that runs the main job on embedded stand-ins: it
-// starts a cell of each user in one process, applies the user's file, sends
-// callers' requests while daemons and workers come and go, and prints what was
-// placed, the waiting times and the verdicts.
+// Package demo implements 'fennelctl demo'. For each user it starts a cell on
+// embedded stand-ins in one process, applies the user's configuration file, sends
+// callers' requests while one daemon stops and another is killed, and prints
+// placements, latencies and violations of the guarantees.
 package demo
 
 import (
@@ -25,20 +25,20 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// ErrFailed means that the demonstration saw a broken promise.
+// ErrFailed means that a guarantee was violated.
 var ErrFailed = errors.New("demo: failed")
 
-// Options of the demonstration.
+// Options configure the demonstration.
 type Options struct {
 	Daemons  int
 	Requests int
 	Rate     float64 // requests per second
-	Examples string  // folder of the users' files
+	Examples string  // folder of the users' configuration files
 	Timeout  time.Duration
 	Log      zerolog.Logger
 }
 
-// user is one of the two users of the brief.
+// user describes one of the two users whose cells are shown.
 type user struct {
 	title, file, service string
 	shape                platform.Shape
@@ -59,11 +59,11 @@
 	fs.IntVar(&o.Requests, "requests", 2000, "callers' requests per cell")
 	fs.Float64Var(&o.Rate, "rate", 400, "requests per second")
 	fs.StringVar(&o.Examples, "examples", "examples", "folder of the example files")
-	fs.DurationVar(&o.Timeout, "timeout", 2*time.Minute, "limit for each cell")
+	fs.DurationVar(&o.Timeout, "timeout", 2*time.Minute, "time limit for each cell")
 	verbose := fs.Bool("verbose", false, "print the daemons' logs to the standard error")
 	return &ffcli.Command{
 		Name: "demo", ShortUsage: "fennelctl demo [flags]", FlagSet: fs,
-		ShortHelp: "Run both users' cells on embedded stand-ins and check every promise.",
+		ShortHelp: "Run both users' cells on embedded stand-ins and check every guarantee.",
 		Exec: func(ctx context.Context, _ []string) error {
 			o.Log = zerolog.Nop()
 			if *verbose {
@@ -110,12 +110,12 @@
 	return r.run(ctx)
 }
 
-// loadFile reads a user's file and shortens the real run times, so that the
-// demonstration takes seconds; the declared ones stay.
+// loadFile reads a user's file and makes the actual run times a hundredth of the
+// declared ones, so that the demonstration takes seconds.
 func loadFile(path string) (*spec.File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
-		return nil, fmt.Errorf("demo: %w; run it in the repository's folder or set -examples", err)
+		return nil, fmt.Errorf("demo: %w; run it in the root folder of the repository or set -examples", err)
 	}
 	file, err := spec.Parse(path, data)
 	if err != nil {
@@ -156,7 +156,7 @@
 		return err
 	}
 	fmt.Fprintf(r.out, "  %d instances run after %s\n", instances, time.Since(applied).Round(time.Millisecond))
-	result := r.callWhileDaemonsGo(ctx)
+	result := r.callDuringDaemonLoss(ctx)
 	if err := r.c.WaitPlaced(ctx, instances, tasks); err != nil {
 		return err
 	}
@@ -175,9 +175,9 @@
 	return instances, tasks
 }
 
-// callWhileDaemonsGo sends the requests while one daemon stops as planned and
+// callDuringDaemonLoss sends the requests while one daemon stops as planned and
 // another is killed.
-func (r *runner) callWhileDaemonsGo(ctx context.Context) *callers.Result {
+func (r *runner) callDuringDaemonLoss(ctx context.Context) *callers.Result {
 	expect := time.Duration(float64(r.o.Requests) / r.o.Rate * float64(time.Second))
 	done := make(chan struct{})
 	go func() {
--- a/command/jobd/jobd.go
+++ b/command/jobd/jobd.go
@@ -1,4 +1,4 @@
-// Package jobd is the command of the daemon that takes jobs from callers.
+// Package jobd is the main program of fenneljobd, the daemon that accepts jobs from callers.
 package jobd
 
 import (
@@ -25,19 +25,20 @@
 	"fennelshunt.example/fennelshunt/process/settings"
 )
 
-// logBuffer is how many lines may wait for a slow reader of the log; further
-// ones are dropped and counted.
+// logBuffer is how many log lines are buffered for a slow reader of standard
+// output; further lines are dropped and counted.
 const logBuffer = 8192
 
-// logTime is the form of times in the log: with milliseconds, so that the lines
-// of several daemons can be put in order.
+// logTime is the timestamp format of log lines. It has milliseconds, so that
+// the lines of several daemons can be merged in order.
 const logTime = "2006-01-02T15:04:05.000Z07:00"
 
-// memoryShare is the share of the machine's memory at which the collector
-// works harder rather than let the process be killed.
+// memoryShare is the share of the machine's memory set as the runtime's soft
+// memory limit: near it the garbage collector runs more often, before the kernel
+// kills the process for lack of memory.
 const memoryShare = 0.6
 
-// Run reads the flags and serves.
+// Run parses the flags, loads the settings and runs the daemon until it is stopped.
 func Run(args []string) error {
 	f, err := startflags.Parse("fenneljobd", "FENNELJOBD", args)
 	if err != nil {
@@ -61,7 +62,7 @@
 func serve(s *settings.JobCell, level zerolog.Level, path string) error {
 	var dropped atomic.Int64
 	out := newLogWriter(os.Stdout, &dropped)
-	defer func() { _ = out.Close() }() // nothing is left to log it to
+	defer func() { _ = out.Close() }() // the log itself is being closed
 	zerolog.TimeFieldFormat = logTime
 	log := zerolog.New(out).Level(level).With().Timestamp().Str("daemon", s.Name).Logger()
 	liblog.Redirect(log)
@@ -81,8 +82,8 @@
 	return nil
 }
 
-// newLogWriter returns a writer that never blocks: lines that the reader does
-// not take in time are dropped and counted.
+// newLogWriter returns a writer that never blocks. Lines are dropped and
+// counted while the buffer is full.
 func newLogWriter(to io.Writer, dropped *atomic.Int64) diode.Writer {
 	return diode.NewWriter(to, logBuffer, 0, func(n int) { dropped.Add(int64(n)) })
 }
@@ -101,7 +102,7 @@
 	}
 }
 
-// observe writes a line for each request that changes something or failed.
+// observe logs each request that is not a successful read.
 func observe(log zerolog.Logger, answered func(string, int, time.Duration)) func(platform.Observed) {
 	return func(o platform.Observed) {
 		answered(o.Method, o.Status, o.Took)
@@ -113,7 +114,8 @@
 	}
 }
 
-// watchSignals stops the daemon on SIGTERM, and checks the settings on SIGHUP.
+// watchSignals begins a planned stop on the first SIGINT or SIGTERM, ends the
+// daemon at once on the second, and reloads the settings on SIGHUP.
 func watchSignals(ctx context.Context, cancel context.CancelFunc, node *cellnode.Node, log zerolog.Logger, path string) {
 	signals := make(chan os.Signal, 8)
 	signal.Notify(signals, os.Interrupt, syscall.SIGTERM, syscall.SIGHUP)
@@ -139,19 +141,19 @@
 	}
 }
 
-// reload reads the settings again. What a running daemon can take over is the
-// level of its log; addresses and bounds are those of the process's start.
+// reload reads the settings file again. Only the log level takes effect in a
+// running daemon; addresses and limits need a restart.
 func reload(log zerolog.Logger, path string) {
 	s, err := settings.LoadJobCell(path)
 	if err != nil {
-		log.Error().Err(err).Msg("settings can not be read, the earlier ones stay in use")
+		log.Error().Err(err).Msg("settings file cannot be loaded; keeping the current settings")
 		return
 	}
 	level, err := zerolog.ParseLevel(s.LogLevel)
 	if err != nil {
-		log.Error().Err(err).Msg("settings can not be used, the earlier ones stay in use")
+		log.Error().Err(err).Msg("log_level is invalid; keeping the current settings")
 		return
 	}
 	zerolog.SetGlobalLevel(level)
-	log.Info().Str("log_level", s.LogLevel).Msg("settings read again")
+	log.Info().Str("log_level", s.LogLevel).Msg("settings reloaded")
 }
--- a/command/jobd/jobd_test.go
+++ b/command/jobd/jobd_test.go
@@ -11,20 +11,19 @@
 	"github.com/stretchr/testify/require"
 )
 
-// stuck is a reader of the log that has stopped reading.
-type stuck struct{ release chan struct{} }
+// blockedWriter blocks each write until release is closed.
+type blockedWriter struct{ release chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	return len(p), nil
 }
 
 func TestALogThatNobodyReadsBlocksNothing(t *testing.T) {
-	// Symptom looked for: the daemon stands still when whoever collects its log
-	//   stops reading standard output.
-	// Sequence: a write of a log line blocks; far more lines than the buffer
-	//   holds follow.
-	s := stuck{make(chan struct{})}
+	// Guards against a daemon that blocks because the log collector stopped
+	// reading its standard output: the first write blocks, and four times as many
+	// lines as the buffer holds are logged.
+	s := blockedWriter{make(chan struct{})}
 	var dropped atomic.Int64
 	out := newLogWriter(s, &dropped)
 	log := zerolog.New(out)
@@ -42,7 +41,7 @@
 	}
 	close(s.release)
 	require.NoError(t, out.Close())
-	require.Positive(t, dropped.Load(), "what was lost is counted")
+	require.Positive(t, dropped.Load(), "dropped lines are counted")
 }
 
 func TestSettingsAreChecked(t *testing.T) {
--- a/command/keyset/keyset.go
+++ b/command/keyset/keyset.go
@@ -1,5 +1,5 @@
-// Package keyset is the command that makes a set of key files for a trial: an
-// authority and one identity that all daemons share.
+// Package keyset implements 'fennelctl keys', which creates key files for trial
+// deployments: a certificate authority and one identity that all daemons share.
 package keyset
 
 import (
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/connection/keys"
 )
 
-// Names of the files made.
+// Names of the files written.
 const (
 	FileCA   = "ca.pem"
 	FileCert = "peer.pem"
@@ -33,10 +33,10 @@
 	dir := fs.String("dir", "", "folder to write "+FileCA+", "+FileCert+" and "+FileKey+" into; existing files are kept")
 	return &ffcli.Command{
 		Name: "keys", ShortUsage: "fennelctl keys -dir FOLDER [address ...]", FlagSet: fs,
-		ShortHelp: "Make key files for a trial; the authority's own key is not kept.",
+		ShortHelp: "Create key files for a trial deployment; the authority's private key is not stored.",
 		Exec: func(_ context.Context, names []string) error {
 			if *dir == "" {
-				return fmt.Errorf("flag -dir: name a folder")
+				return fmt.Errorf("flag -dir: the folder is required")
 			}
 			if err := Write(*dir, names...); err != nil {
 				return err
@@ -47,9 +47,9 @@
 	}
 }
 
-// Write makes the files in dir. The identity is valid between daemons and, for
-// the names and addresses given beside loopback, towards callers. It never
-// replaces a file.
+// Write creates the files in dir. The identity is valid between daemons and,
+// towards callers, for loopback and the given names and addresses. Existing
+// files are never replaced: Write fails instead.
 func Write(dir string, names ...string) error {
 	authority, err := keys.NewAuthority()
 	if err != nil {
@@ -77,7 +77,7 @@
 		return fmt.Errorf("keys: %w", err)
 	}
 	if _, err := f.Write(data); err != nil {
-		_ = f.Close() // the write's error says more
+		_ = f.Close() // the write error is reported
 		return fmt.Errorf("keys: %w", err)
 	}
 	return f.Close()
--- a/command/metricsget/metricsget.go
+++ b/command/metricsget/metricsget.go
@@ -1,5 +1,4 @@
-// Package metricsget asks daemons at their metrics addresses, for the commands that show
-// what a daemon tells there.
+// Package metricsget reads JSON documents from the metrics addresses of daemons.
 package metricsget
 
 import (
@@ -12,14 +11,14 @@
 	"time"
 )
 
-// maxAnswer is more than the longest answer: the counters of a daemon with as many
-// accounts as are shown.
-const maxAnswer = 8 << 20
+// maxBody bounds a response, in bytes. The longest one, the counters of a daemon with
+// the greatest number of accounts that it lists, is shorter.
+const maxBody = 8 << 20
 
-// StatusError is an answer other than 200.
+// StatusError is a response with a status other than 200.
 type StatusError struct {
 	Code int
-	Text string // its body, shortened
+	Text string // start of the body
 }
 
 // Error implements error.
@@ -27,11 +26,11 @@
 	return fmt.Sprintf("status %d %s: %q", e.Code, http.StatusText(e.Code), e.Text)
 }
 
-// maxText bounds what is kept of the body of a StatusError.
+// maxText bounds the body kept in a StatusError, in bytes.
 const maxText = 200
 
-// JSON decodes a daemon's answer within a time. path begins with a slash, or is "" for the
-// counters; the error may be a *StatusError.
+// JSON gets a path of a daemon within the timeout and decodes the response. path begins
+// with a slash, or is "" for the counters; the error may be a *StatusError.
 func JSON(ctx context.Context, address, path string, timeout time.Duration, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
@@ -46,8 +45,8 @@
 	if err != nil {
 		return err
 	}
-	defer func() { _ = resp.Body.Close() }() // read whole, or reported below
-	body, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
+	defer func() { _ = resp.Body.Close() }() // the body has been read by then
+	body, err := io.ReadAll(io.LimitReader(resp.Body, maxBody))
 	if err != nil {
 		return err
 	}
--- a/command/startflags/startflags.go
+++ b/command/startflags/startflags.go
@@ -1,4 +1,4 @@
-// Package startflags holds the flags that the daemons share.
+// Package startflags parses the command-line flags common to the daemons.
 package startflags
 
 import (
@@ -11,18 +11,18 @@
 	"github.com/rs/zerolog"
 )
 
-// Flags of a daemon.
+// Flags are the command-line flags of a daemon.
 type Flags struct {
 	// Settings is the path of the settings file.
 	Settings string
-	// Check asks to check the files and exit.
+	// Check makes the daemon check its files and exit.
 	Check bool
-	// LogLevel overrides the settings' when it is not empty.
+	// LogLevel, if not empty, overrides the log level of the settings.
 	LogLevel string
 }
 
-// Parse reads the flags of the daemon with the name, also from variables that
-// begin with env.
+// Parse parses the flags of the named daemon. Flags that are not given are taken from
+// environment variables with the prefix env.
 func Parse(name, env string, args []string) (Flags, error) {
 	var f Flags
 	fs := flag.NewFlagSet(name, flag.ContinueOnError)
@@ -33,12 +33,12 @@
 		return f, err
 	}
 	if f.Settings == "" {
-		return f, errors.New("flag -settings: name the settings file")
+		return f, errors.New("flag -settings: the settings file is required")
 	}
 	return f, nil
 }
 
-// Level returns the level to log at, given the settings'.
+// Level returns the log level: the flag's, or that of the settings.
 func (f Flags) Level(setting string) (zerolog.Level, error) {
 	level, err := zerolog.ParseLevel(cmp.Or(f.LogLevel, setting))
 	if err != nil {
--- a/command/trace/trace.go
+++ b/command/trace/trace.go
@@ -1,5 +1,5 @@
-// Package trace shows what the collected logs of a cell's daemons say of one
-// job, as a timeline.
+// Package trace builds the timeline of one job from the collected logs of a
+// cell's daemons.
 package trace
 
 import (
@@ -19,10 +19,10 @@
 	"github.com/peterbourgon/ff/v3/ffcli"
 )
 
-// maxLine bounds a line of a log, in bytes.
+// maxLine is the longest accepted log line, in bytes.
 const maxLine = 1 << 20
 
-// line is what a daemon logs. Fields that a line lacks stay empty.
+// line is a log line of a daemon. Absent fields are left at their zero values.
 type line struct {
 	Time    time.Time `json:"time"`
 	Daemon  string    `json:"daemon"`
@@ -42,9 +42,10 @@
 	Queue   string    `json:"queue"`
 }
 
-// about reports whether the line concerns a job: it names the job, or it tells
-// of a change of leadership or of the store, which concern every job.
-func (l *line) about(id string) bool {
+// relevant reports whether the line belongs in the timeline of a job: it names
+// the job, or it records an event of the cell (a change of leadership, a store
+// outage, the start or stop of a daemon), which affects every job.
+func (l *line) relevant(id string) bool {
 	switch l.Message {
 	case "leading", "no longer leading", "state loaded", "store lost", "daemon starts", "planned stop begins":
 		return true
@@ -52,10 +53,10 @@
 	return l.Job == id || strings.HasPrefix(l.Task, id+".")
 }
 
-// concerns reports whether the line is of the job itself.
+// concerns reports whether the line names the job or one of its tasks.
 func (l *line) concerns(id string) bool { return l.Job == id || strings.HasPrefix(l.Task, id+".") }
 
-// text is the line's part behind time and daemon.
+// text formats the message and the fields that follow the time and the daemon.
 func (l *line) text() string {
 	var b strings.Builder
 	b.WriteString(l.Message)
@@ -77,8 +78,9 @@
 	return b.String()
 }
 
-// read takes the lines of one log. A line may have something before its JSON
-// object, such as the collector's own time; a line without one is passed over.
+// read returns the relevant lines of one log. Text before the JSON object of a
+// line, such as the collector's timestamp, is ignored; lines without a JSON
+// object are skipped.
 func read(r io.Reader, id string) ([]line, error) {
 	var found []line
 	scanner := bufio.NewScanner(r)
@@ -90,7 +92,7 @@
 			continue
 		}
 		var l line
-		if json.Unmarshal(text[start:], &l) != nil || !l.about(id) {
+		if json.Unmarshal(text[start:], &l) != nil || !l.relevant(id) {
 			continue
 		}
 		found = append(found, l)
@@ -98,13 +100,15 @@
 	return found, scanner.Err()
 }
 
-// ErrNothing means that no line concerns the job.
-var ErrNothing = errors.New("no line of these logs names the job; were all daemons' logs given?")
+// ErrNoLines means that no line names the job.
+var ErrNoLines = errors.New("no line in these logs names the job; were the logs of all daemons given?")
 
-// lead is how long before the job's first line lines of the cell are shown.
-const lead = 2 * time.Second
+// margin is how long before the job's first line and after its last one events
+// of the cell are shown.
+const margin = 2 * time.Second
 
-// Write writes the timeline of a job from several logs.
+// Write merges several logs by time and writes the timeline of a job, with
+// times relative to the job's first line.
 func Write(out io.Writer, id string, logs ...io.Reader) error {
 	var all []line
 	for _, log := range logs {
@@ -117,7 +121,7 @@
 	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.Time.UnixNano(), b.Time.UnixNano()) })
 	first := slices.IndexFunc(all, func(l line) bool { return l.concerns(id) })
 	if first < 0 {
-		return ErrNothing
+		return ErrNoLines
 	}
 	began := all[first].Time
 	last := began
@@ -127,7 +131,7 @@
 		}
 	}
 	for _, l := range all {
-		if l.Time.Before(began.Add(-lead)) || l.Time.After(last.Add(lead)) {
+		if l.Time.Before(began.Add(-margin)) || l.Time.After(last.Add(margin)) {
 			continue
 		}
 		if _, err := fmt.Fprintf(out, "%+9.3f s  %-28s %s\n", l.Time.Sub(began).Seconds(), l.Daemon, l.text()); err != nil {
@@ -137,15 +141,15 @@
 	return nil
 }
 
-// Command returns the command 'trace ID FILES...'.
+// Command returns the command 'trace ID FILE...' of fennelctl.
 func Command(out io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "trace",
 		ShortUsage: "fennelctl trace ID FILE...",
-		ShortHelp:  "show what the daemons' collected logs say of one job, as a timeline",
+		ShortHelp:  "show the timeline of one job from the daemons' collected logs",
 		Exec: func(_ context.Context, args []string) error {
 			if len(args) < 2 {
-				return errors.New("trace: name the job's id and the files of logs")
+				return errors.New("trace: give the job's id and one or more log files")
 			}
 			readers := make([]io.Reader, 0, len(args)-1)
 			for _, path := range args[1:] {
@@ -153,7 +157,7 @@
 				if err != nil {
 					return fmt.Errorf("trace: %w", err)
 				}
-				defer func() { _ = f.Close() }() // only read
+				defer func() { _ = f.Close() }() // opened for reading only
 				readers = append(readers, f)
 			}
 			return Write(out, args[0], readers...)
--- a/command/trace/trace_test.go
+++ b/command/trace/trace_test.go
@@ -26,5 +26,5 @@
 	require.Contains(t, lines[1], "leading (epoch 2)")
 	require.Contains(t, lines[2], "+0.490 s")
 	require.Contains(t, lines[2], "stop  00000000000000aa.0.0.1 run 3 on w (epoch 2): no answer to the start [after 400 ms]")
-	require.ErrorIs(t, Write(&out, "00000000000000cc", strings.NewReader(logA)), ErrNothing)
+	require.ErrorIs(t, Write(&out, "00000000000000cc", strings.NewReader(logA)), ErrNoLines)
 }
--- a/command/why/why.go
+++ b/command/why/why.go
@@ -1,4 +1,4 @@
-// Package why shows what holds a job of a cell up, as its leader tells.
+// Package why shows what delays a job of a cell, as explained by the job's leader.
 package why
 
 import (
@@ -20,29 +20,29 @@
 	"fennelshunt.example/fennelshunt/request/submit"
 )
 
-// timeout bounds the answer of one daemon, which asks the leader.
+// timeout bounds the call to one daemon, which includes its call to the leader.
 const timeout = 3 * time.Second
 
-// errNotFound is the answer of a daemon whose leader does not know the job.
-var errNotFound = errors.New("the leader knows no such job: it was never accepted, or ended long ago")
+// errNotFound means that the leader has no record of the job.
+var errNotFound = errors.New("the leader has no such job: it was never accepted, or ended long ago")
 
-// Command returns the command 'why JOB ADDRESS...'.
+// Command returns the command 'why JOB ADDRESS...' of fennelctl.
 func Command(out, errOut io.Writer) *ffcli.Command {
 	return &ffcli.Command{
 		Name:       "why",
 		ShortUsage: "fennelctl why JOB ADDRESS...",
-		ShortHelp:  "show what holds a job up; addresses are daemons' metrics ports, such as 10.0.0.7:7003, of which one that answers is enough",
+		ShortHelp:  "show what delays a job; addresses are daemons' metrics ports, such as 10.0.0.7:7003, and one that responds is enough",
 		Exec: func(ctx context.Context, args []string) error {
 			if len(args) < 2 {
-				return errors.New("why: name a job's id and the metrics address of one daemon or more")
+				return errors.New("why: give a job's id and the metrics address of one daemon or more")
 			}
 			return Show(ctx, out, errOut, args[0], args[1:])
 		},
 	}
 }
 
-// Show asks the daemons in turn and prints the first explanation. A daemon that can not
-// tell is named on errOut.
+// Show queries the daemons in turn and prints the first explanation. Daemons that fail
+// are listed on errOut.
 func Show(ctx context.Context, out, errOut io.Writer, job string, addresses []string) error {
 	var last error
 	for _, address := range addresses {
@@ -52,7 +52,7 @@
 		}
 		last = err
 		if !errors.Is(err, errNotFound) {
-			fmt.Fprintf(errOut, "why: %s can not tell: %v\n", address, err)
+			fmt.Fprintf(errOut, "why: %s has no explanation: %v\n", address, err)
 		}
 	}
 	return fmt.Errorf("why: %s: %w", job, last)
@@ -60,26 +60,26 @@
 
 func read(ctx context.Context, address, job string) (x dispatch.Explanation, err error) {
 	err = metricsget.JSON(ctx, address, submit.PathExplain+"?"+url.Values{"job": {job}}.Encode(), timeout, &x)
-	var refused *metricsget.StatusError
-	if errors.As(err, &refused) && refused.Code == http.StatusNotFound {
+	var status *metricsget.StatusError
+	if errors.As(err, &status) && status.Code == http.StatusNotFound {
 		err = errNotFound
 	}
 	return x, err
 }
 
-// write prints an explanation; processors in cores, memory in MB, times in seconds.
+// write prints an explanation: CPU in cores, memory in MB, times in seconds.
 func write(out io.Writer, x dispatch.Explanation) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "JOB\t%s\nSTATE\t%s\n", x.Job, x.State)
 	if x.Account != "" {
 		fmt.Fprintf(w, "ACCOUNT\t%s holds %.1f of %s cores, %d of %s MB here%s\n", x.Account, float64(x.Held.MilliCPU)/1000, bound(x.Cap.MilliCPU/1000),
-			x.Held.MemoryMB, bound(x.Cap.MemoryMB), map[bool]string{true: "; handed in beyond its entitlement"}[x.Beyond])
+			x.Held.MemoryMB, bound(x.Cap.MemoryMB), map[bool]string{true: "; submitted over its entitlement"}[x.Beyond])
 	}
 	for _, cause := range slices.Sorted(maps.Keys(x.Waited)) {
 		fmt.Fprintf(w, "WAITED FOR\t%s %.1f s\n", cause, seconds(x.Waited[cause]))
 	}
 	if len(x.Steps) > 0 {
-		fmt.Fprintln(w, "\nOCCURRENCE\tSTEP\tTASKS\tDONE\tRUNNING\tHELD UP BY\tOPEN FOR")
+		fmt.Fprintln(w, "\nOCCURRENCE\tSTEP\tTASKS\tDONE\tRUNNING\tBLOCKED BY\tOPEN FOR")
 	}
 	for _, s := range x.Steps {
 		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%s\t%.1f s\n", s.Occurrence, s.Step, s.Tasks, s.Done, s.Running, orDash(s.Bound), seconds(s.OpenMS))
@@ -88,7 +88,7 @@
 		for _, t := range s.Suspects {
 			fmt.Fprintf(w, "SUSPECT\t%s.%d.%d.%d\n", x.Job, s.Occurrence, s.Step, t.Index)
 			for _, c := range t.Crashes {
-				fmt.Fprintf(w, "\trun %d on %s%s%s\n", c.Run, c.Worker, note(c.Sole, ", no other job began there"), note(c.Open, ", under way or out of reach"))
+				fmt.Fprintf(w, "\trun %d on %s%s%s\n", c.Run, c.Worker, note(c.Sole, ", no run of another job had started there"), note(c.Open, ", still in flight or worker unreachable"))
 			}
 		}
 	}
@@ -111,7 +111,7 @@
 	return s
 }
 
-// bound shows a cap, of which 0 bounds nothing.
+// bound formats a cap; 0 means no cap.
 func bound(limit int64) string {
 	if limit == 0 {
 		return "any number of"
--- a/internal/liblog/liblog.go
+++ b/internal/liblog/liblog.go
@@ -1,5 +1,5 @@
-// Package liblog takes in what libraries print by the standard library's log, so that
-// a daemon's output holds structured lines only.
+// Package liblog redirects what libraries print with the standard library's log package
+// to a structured log, so that a daemon's output has structured lines only.
 package liblog
 
 import (
@@ -9,16 +9,15 @@
 	"github.com/rs/zerolog"
 )
 
-// maxLibraryLine bounds what is kept of a library's line, in bytes.
+// maxLibraryLine is the length at which a library's line is truncated, in bytes.
 const maxLibraryLine = 4 << 10
 
-// lines passes lines of the standard library's log on without what they
-// quote.
+// lines forwards lines of the standard library's log without quoted data.
 //
-// What goes wrong without it: net/http's Transport prints the start of an
-// answer that nobody asked for, and its Server the values of headers that it
-// refuses; both are caller data, which then stands in the daemon's logs.
-// net/http quotes such data, so a line ends before its first quotation mark.
+// net/http's Transport prints the start of an unsolicited response, and its Server
+// the values of headers that it rejects. Both are callers' data, which must not appear
+// in a daemon's log. net/http quotes such data, so each line is cut before its first
+// quotation mark.
 type lines struct{ log zerolog.Logger }
 
 // Write implements io.Writer; package log calls it once per line.
@@ -29,13 +28,14 @@
 	return len(p), nil
 }
 
-// Redirect sends what libraries print by package log to l, at level
-// warn and without caller data. It changes the whole process, so that only a
-// program's main function calls it: net/http's Transport has no log of its own.
+// Redirect sends what libraries print with package log to l, at level warn and
+// without callers' data. net/http's Transport has no logger setting, so Redirect
+// changes package log for the whole process; only programs should call it, at their
+// start.
 func Redirect(l zerolog.Logger) {
 	log.SetFlags(0)
 	log.SetOutput(lines{l})
 }
 
-// ForServer returns the log of an http.Server.
+// ForServer returns a logger for the ErrorLog of an http.Server; it cuts lines as Redirect does.
 func ForServer(l zerolog.Logger) *log.Logger { return log.New(lines{l}, "", 0) }
--- a/internal/liblog/liblog_test.go
+++ b/internal/liblog/liblog_test.go
@@ -32,11 +32,10 @@
 	return b.buf.String()
 }
 
-func TestAnswersOfCallersStayOutOfTheLog(t *testing.T) {
-	// Symptom: a title overlay of a buyer stood in a daemon's log.
-	// Sequence: an instance answers a request twice in one piece.
-	// Cause: net/http's Transport prints the start of the second answer by the
-	//   standard library's log.
+func TestResponsesOfInstancesAreNotLogged(t *testing.T) {
+	// Guards against callers' data in a daemon's log (a buyer's title overlay was
+	// found there): an instance sends two responses to one request at once, and
+	// net/http's Transport prints the start of the second one with package log.
 	flags, prefix, output := log.Flags(), log.Prefix(), log.Writer()
 	defer func() { log.SetFlags(flags); log.SetPrefix(prefix); log.SetOutput(output) }()
 	var logged lockedBuffer
--- a/internal/loopback/loopback.go
+++ b/internal/loopback/loopback.go
@@ -1,10 +1,9 @@
-// Package loopback gives each process a loopback address of its own.
+// Package loopback assigns each process a loopback address of its own.
 //
-// What goes wrong without it: several processes listen on free ports of
-// 127.0.0.1. One closes a listener, another is given its port, and clients of
-// the first go on sending to what they take for their own server. A stand-in
-// that counts its requests then reports a request that no part of the system
-// under test has sent, as "over its slots" or "ran twice".
+// Processes that listen on free ports of 127.0.0.1 can be given a port that another
+// process has just closed, while clients of the closed listener still send to it. A
+// stand-in that counts its requests then reports one that the system under test has
+// not sent, as "over its slots" or "ran twice".
 package loopback
 
 import (
@@ -13,18 +12,18 @@
 	"os"
 )
 
-// base is the first octets of the processes' own addresses: 127.64.0.0/10, so
-// that none is 127.0.0.1.
+// base is the second octet of the first address: addresses are taken from
+// 127.64.0.0/10, which does not contain 127.0.0.1.
 const base = 64
 
-// Address returns the loopback address of the process with that id. Process
-// ids below 2^22, the kernel's largest limit, have different addresses.
+// Address returns the loopback address of a process. It is unique for process ids
+// below 2^22, the largest limit that the Linux kernel allows.
 func Address(pid int) string {
 	return net.IPv4(127, byte(base|pid>>16&(base-1)), byte(pid>>8), byte(pid)).String()
 }
 
-// Listen listens on a free TCP port of this process's address. Where only
-// 127.0.0.1 can be bound, it listens there.
+// Listen listens on a free TCP port of this process's address, or of 127.0.0.1 on
+// systems that cannot bind other loopback addresses.
 func Listen() (net.Listener, error) {
 	if ln, err := net.Listen("tcp", net.JoinHostPort(Address(os.Getpid()), "0")); err == nil {
 		return ln, nil
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -1,5 +1,5 @@
-// Package rapidtest runs the tests of a package that uses
-// pgregory.net/rapid so that they give the same verdict on each run.
+// Package rapidtest makes the property tests of a package that uses
+// pgregory.net/rapid deterministic.
 package rapidtest
 
 import (
@@ -9,20 +9,20 @@
 	"testing"
 )
 
-// seed of every property test, unless -rapid.seed is given.
+// seed is the seed of all property tests, unless -rapid.seed is given.
 const seed = "1"
 
-// Main is the body of a TestMain: it fixes the seed of the property tests,
-// keeps them from writing files of failed cases, runs all tests and exits.
-// Flags that are given on the command line come first.
+// Main is the body of a TestMain: it fixes the seed of the property tests, disables
+// the files in which rapid stores failing cases, runs all tests and exits. Flags given
+// on the command line take precedence.
 //
-// Without it a fault that few cases show fails one run in many, on a commit
-// that has nothing to do with it.
+// With random seeds, a fault that few cases show would fail one run in many, at a
+// commit that has nothing to do with it.
 func Main(m *testing.M) {
 	run(m, map[string]string{})
 }
 
-// MainChecks does what Main does, with a number of cases for each property.
+// MainChecks is Main with the given number of cases for each property.
 func MainChecks(m *testing.M, checks int) {
 	run(m, map[string]string{"rapid.checks": strconv.Itoa(checks)})
 }
--- a/internal/sleep/backoff.go
+++ b/internal/sleep/backoff.go
@@ -6,9 +6,8 @@
 	"github.com/cenkalti/backoff/v5"
 )
 
-// NewBackoff returns the pauses between the attempts of a retry. Each is drawn
-// around an interval that begins with first, grows by half each time up to
-// last, and begins anew after Reset.
+// NewBackoff returns an exponential backoff with jitter. The interval starts at
+// first, grows by half with each attempt up to last, and returns to first after Reset.
 func NewBackoff(first, last time.Duration) *backoff.ExponentialBackOff {
 	b := backoff.NewExponentialBackOff()
 	b.InitialInterval = first
--- a/internal/sleep/sleep.go
+++ b/internal/sleep/sleep.go
@@ -1,5 +1,5 @@
-// Package sleep waits for time to pass or a context to end, and tells how long
-// to wait between the attempts of a retry.
+// Package sleep provides a sleep that a context can interrupt, and the backoff between
+// the attempts of a retry.
 package sleep
 
 import (
@@ -7,9 +7,8 @@
 	"time"
 )
 
-// For waits for d, or until ctx ends, in which case it returns the error of
-// ctx. A d of 0 or less does not wait, but a ctx that has ended is told also
-// then.
+// For sleeps for d, or until ctx ends, in which case it returns the error of ctx. If d
+// is 0 or less, For does not sleep, but still returns the error of a ctx that has ended.
 func For(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
--- a/internal/tcpsocket/socket_linux.go
+++ b/internal/tcpsocket/socket_linux.go
@@ -1,4 +1,4 @@
-// Package tcpsocket asks the kernel about TCP connections.
+// Package tcpsocket reads the state of TCP connections from the kernel.
 package tcpsocket
 
 import (
@@ -8,10 +8,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// Socket is a TCP connection as the kernel sees it. The zero value knows nothing.
+// Socket gives access to the kernel's state of a TCP connection. The zero value reports no data.
 type Socket struct{ raw syscall.RawConn }
 
-// Of returns the socket of c, one that knows nothing where c is no TCP connection.
+// Of returns the socket of c, or the zero value if c is not a TCP connection.
 func Of(c net.Conn) Socket {
 	if t, ok := c.(*net.TCPConn); ok {
 		if raw, err := t.SyscallConn(); err == nil {
@@ -21,7 +21,7 @@
 	return Socket{}
 }
 
-// Readable reports whether bytes wait to be read.
+// Readable reports whether the receive buffer has bytes to read.
 func (s Socket) Readable() bool {
 	if s.raw == nil {
 		return false
@@ -31,8 +31,8 @@
 	return err == nil && waiting > 0
 }
 
-// Unacknowledged returns how many written bytes the other side has not
-// acknowledged yet; 0 when it is not known.
+// Unacknowledged returns the number of written bytes that the peer has not
+// acknowledged, or 0 if it is unknown.
 func (s Socket) Unacknowledged() int64 {
 	if s.raw == nil {
 		return 0
--- a/internal/tcpsocket/socket_other.go
+++ b/internal/tcpsocket/socket_other.go
@@ -1,19 +1,18 @@
 //go:build !linux
 
-// Package tcpsocket asks the kernel about TCP connections.
+// Package tcpsocket reads the state of TCP connections from the kernel.
 package tcpsocket
 
 import "net"
 
-// Socket is a TCP connection as the kernel sees it; here it knows nothing.
+// Socket is the socket of a TCP connection. On this system it reports no data.
 type Socket struct{}
 
 // Of returns the socket of c.
 func Of(net.Conn) Socket { return Socket{} }
 
-// Readable reports whether bytes wait to be read.
+// Readable reports false.
 func (Socket) Readable() bool { return false }
 
-// Unacknowledged returns how many written bytes the other side has not
-// acknowledged yet; 0 when it is not known.
+// Unacknowledged returns 0.
 func (Socket) Unacknowledged() int64 { return 0 }
