--- a/standin/cell/balancer.go
+++ b/standin/cell/balancer.go
@@ -18,12 +18,12 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// ErrNoEntry means that no daemon takes requests.
+// ErrNoEntry means that no daemon accepted a connection.
 var ErrNoEntry = errors.New("cell: no daemon is ready")
 
-// Balancer stands in for the platform's: it asks each daemon at intervals whether it is
-// ready, and gives each new connection to the next one that was. A daemon that does not
-// answer in time is taken for what it last said; where none is ready, all are tried.
+// Balancer is a stand-in for the platform's load balancer. It checks the readiness of each
+// daemon at intervals and distributes new connections over the ready ones in turn. A daemon
+// whose check times out keeps its last state; if no daemon is ready, all are tried.
 type Balancer struct {
 	c    *Cell
 	next atomic.Uint64
@@ -35,7 +35,7 @@
 // Balancer returns a balancer over the cell's daemons.
 func (c *Cell) Balancer() *Balancer { return &Balancer{c: c, ready: map[*Entry]bool{}} }
 
-// dial connects to the next ready daemon.
+// dial connects to the first daemon in order that accepts the connection.
 func (b *Balancer) dial(ctx context.Context, network, _ string) (net.Conn, error) {
 	var d net.Dialer
 	for _, e := range b.order(b.c.Entries()) {
@@ -46,8 +46,8 @@
 	return nil, ErrNoEntry
 }
 
-// order returns the daemons that a connection tries, each once: from the next one on, the
-// ready ones first.
+// order returns the daemons in the order in which a connection tries them, each once:
+// round robin, the ready ones first.
 func (b *Balancer) order(entries []*Entry) []*Entry {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -62,8 +62,7 @@
 	return append(ready, others...)
 }
 
-// turns returns the order in which a connection tries n daemons: each once, from the next
-// one on.
+// turns returns the round-robin order of n daemons for one connection: each index once.
 func (b *Balancer) turns(n int) []int {
 	first := int(b.next.Add(1) % uint64(max(n, 1)))
 	all := make([]int, n)
@@ -76,17 +75,17 @@
 const (
 	// checkInterval is the time between two readiness checks of a daemon.
 	checkInterval = 200 * time.Millisecond
-	// checkTimeout bounds one.
+	// checkTimeout bounds one readiness check.
 	checkTimeout = time.Second
-	// callerConns is how many idle connections the callers keep together: each of them has
-	// its own, which it uses again.
+	// callerConns is the number of idle connections kept for all callers together, since
+	// each caller reuses a connection of its own.
 	callerConns = 4096
 )
 
-// checkClient asks for readiness; a balancer keeps such connections apart.
+// checkClient sends readiness checks, on connections separate from those of callers.
 var checkClient = &http.Client{Timeout: checkTimeout}
 
-// check asks a daemon whether it is ready; answered is false when it did not say in time.
+// check reports whether a daemon is ready; answered is false if the check timed out.
 func check(ctx context.Context, addr string) (ready, answered bool) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+"/readyz", nil)
 	if err != nil {
@@ -97,23 +96,23 @@
 		var slow net.Error
 		return false, !errors.As(err, &slow) || !slow.Timeout()
 	}
-	_, _ = io.Copy(io.Discard, res.Body) // so that the connection is kept
+	_, _ = io.Copy(io.Discard, res.Body) // drained so that the connection is reused
 	_ = res.Body.Close()
 	return res.StatusCode == http.StatusOK, true
 }
 
 // Transport returns a transport whose connections go through the balancer. The
-// host of a request's URL is not used. When a daemon's readiness fails the idle
-// connections are closed, as a balancer does: a request on a connection that
-// its daemon closes in the same moment gets no answer, and nobody could tell
-// whether it ran.
+// host of a request's URL is not used. When a daemon stops being ready, the idle
+// connections are closed, as a real balancer does: a request sent while the daemon
+// closes its connection would get no response, and it would be unknown whether the
+// request ran.
 func (b *Balancer) Transport() *http.Transport {
 	t := &http.Transport{DialContext: b.dial, MaxIdleConnsPerHost: callerConns, IdleConnTimeout: 10 * time.Second}
 	go b.watch(b.c.ctx, t)
 	return t
 }
 
-// watch checks each daemon at intervals, one beside the other.
+// watch runs the readiness checks of all daemons in parallel.
 func (b *Balancer) watch(ctx context.Context, t *http.Transport) {
 	watched := map[*Entry]bool{}
 	tick := time.NewTicker(checkInterval)
@@ -122,7 +121,7 @@
 		for _, e := range b.c.Entries() {
 			if !watched[e] {
 				watched[e] = true
-				go b.follow(ctx, e, t)
+				go b.checkLoop(ctx, e, t)
 			}
 		}
 		select {
@@ -132,11 +131,11 @@
 	}
 }
 
-// follow checks one daemon until it has left the cell.
-func (b *Balancer) follow(ctx context.Context, e *Entry, t *http.Transport) {
+// checkLoop checks one daemon at intervals until it has left the cell.
+func (b *Balancer) checkLoop(ctx context.Context, e *Entry, t *http.Transport) {
 	for ctx.Err() == nil && slices.Contains(b.c.Entries(), e) {
 		if ready, answered := check(ctx, e.CallerAddr()); answered {
-			b.note(e, ready, t)
+			b.setReady(e, ready, t)
 		}
 		_ = sleep.For(ctx, checkInterval) // the loop ends with ctx
 	}
@@ -145,9 +144,9 @@
 	delete(b.ready, e)
 }
 
-// note takes what a daemon has said, and closes the idle connections when it has just
-// become unready.
-func (b *Balancer) note(e *Entry, ready bool, t *http.Transport) {
+// setReady records the result of a check, and closes the idle connections if the daemon has
+// just become unready.
+func (b *Balancer) setReady(e *Entry, ready bool, t *http.Transport) {
 	b.mu.Lock()
 	before := b.ready[e]
 	b.ready[e] = ready
@@ -157,8 +156,8 @@
 	}
 }
 
-// Apply applies a configuration file through the store, as an operator's tool
-// without a daemon would.
+// Apply applies a configuration file by writing to the store directly, without a
+// daemon.
 func (c *Cell) Apply(ctx context.Context, file *spec.File) (uint64, error) {
 	client := store.NewClient(store.NewHTTP(c.Platform.StoreURL, nil), store.Options{})
 	h := history.New(client.Role(store.RoleVersions))
@@ -173,8 +172,8 @@
 	return res.Version, nil
 }
 
-// WaitPlaced waits until the platform runs at least instances service
-// instances and has completed at least done tasks.
+// WaitPlaced waits until the platform has launched at least the given number of
+// service instances and at least done tasks have succeeded.
 func (c *Cell) WaitPlaced(ctx context.Context, instances, done int) error {
 	tick := time.NewTicker(20 * time.Millisecond)
 	defer tick.Stop()
--- a/standin/cell/balancer_test.go
+++ b/standin/cell/balancer_test.go
@@ -8,8 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a balancer that says that no daemon is ready: connections that were opened at
-// the same time advanced each other's turns, and one met the daemon that stops each time.
+// Guards against a false report that no daemon is ready: connections opened at the same time
+// advanced each other's position in the order, and one of them met the stopping daemon at each
+// try.
 func TestEachConnectionTriesEveryDaemon(t *testing.T) {
 	b := &Balancer{}
 	var all sync.WaitGroup
--- a/standin/cell/cell.go
+++ b/standin/cell/cell.go
@@ -1,6 +1,6 @@
-// Package cell runs a whole cell in one process on loopback: the platform's
-// stand-ins and several daemons, with a stand-in of the platform's balancer.
-// The demonstration, the load tool and the tests of the whole system use it.
+// Package cell runs a whole cell in one process on loopback: the stand-ins of the
+// platform, several daemons, and a stand-in of the platform's load balancer. The
+// demonstration, the load generator and the end-to-end tests use it.
 package cell
 
 import (
@@ -19,22 +19,22 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// readyTimeout bounds a daemon's start.
+// readyTimeout is how long Start waits for all daemons to be ready.
 const readyTimeout = 30 * time.Second
 
 // Options of a Cell.
 type Options struct {
 	Platform platform.Options
-	// Daemons is the number of daemons started at first.
+	// Daemons is the number of daemons that Start starts.
 	Daemons int
 	Log     zerolog.Logger
-	// MemberLease is the daemons' lease in the store; 0 means the default.
+	// MemberLease is the TTL of the daemons' membership lease in the store; 0 means the default.
 	MemberLease time.Duration
-	// Adjust, when set, changes each daemon's settings before it starts.
+	// Adjust, if not nil, changes the settings of each daemon before it starts.
 	Adjust func(*settings.Settings)
 }
 
-// Entry is a daemon on its entry VM.
+// Entry is a running daemon on an entry VM.
 type Entry struct {
 	*daemon.Daemon
 	cancel context.CancelFunc
@@ -77,7 +77,7 @@
 	return c, c.waitReady()
 }
 
-// Add starts one more daemon with a name of its own.
+// Add starts one more daemon under a new name.
 func (c *Cell) Add() (*Entry, error) {
 	c.mu.Lock()
 	c.next++
@@ -86,7 +86,7 @@
 	return c.AddNamed(fmt.Sprintf("entry-%d", n))
 }
 
-// AddNamed starts a daemon under a name, which may be that of an earlier one.
+// AddNamed starts a daemon under the given name, which may be that of an earlier daemon.
 func (c *Cell) AddNamed(name string) (*Entry, error) {
 	zones := c.o.Platform.Shape.Zones
 	c.mu.Lock()
@@ -127,7 +127,7 @@
 	c.violations = append(c.violations, err)
 }
 
-// Violations returns the invariants that broke inside the daemons.
+// Violations returns the violations of invariants that the daemons reported.
 func (c *Cell) Violations() []error {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -140,7 +140,7 @@
 		select {
 		case <-e.Ready():
 		case err := <-e.done:
-			return fmt.Errorf("cell: %s ended: %w", e.Name(), err)
+			return fmt.Errorf("cell: %s exited: %w", e.Name(), err)
 		case <-timeout:
 			return fmt.Errorf("cell: %s is not ready after %s", e.Name(), readyTimeout)
 		}
@@ -155,7 +155,7 @@
 	return append([]*Entry{}, c.entries...)
 }
 
-func (c *Cell) forget(e *Entry) {
+func (c *Cell) remove(e *Entry) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	for i, x := range c.entries {
@@ -166,9 +166,9 @@
 	}
 }
 
-// Kill ends a daemon at once, as a crash does.
+// Kill ends a daemon at once, as a crash would.
 func (c *Cell) Kill(e *Entry) error {
-	c.forget(e)
+	c.remove(e)
 	e.cancel()
 	err := <-e.done
 	if errors.Is(err, context.Canceled) {
@@ -177,17 +177,17 @@
 	return err
 }
 
-// StopDaemon ends a daemon as planned.
+// StopDaemon performs a planned stop of a daemon.
 func (c *Cell) StopDaemon(ctx context.Context, e *Entry) error {
 	err := e.Stop(ctx)
-	c.forget(e)
+	c.remove(e)
 	if err != nil {
 		e.cancel()
 	}
 	return errors.Join(err, <-e.done)
 }
 
-// Close ends every daemon and the platform.
+// Close ends all daemons and the platform.
 func (c *Cell) Close() error {
 	c.stop()
 	var errs []error
--- a/standin/cell/cell_test.go
+++ b/standin/cell/cell_test.go
@@ -39,7 +39,7 @@
 	}
 }
 
-// TestWholePath runs the path from an applied file to a caller's answer.
+// TestWholePath covers the path from an applied file to the response to a caller.
 func TestWholePath(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
--- a/standin/cell/chaos_test.go
+++ b/standin/cell/chaos_test.go
@@ -19,7 +19,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// chaos drives random faults against a cell until its context ends.
+// chaos injects random faults into a cell.
 type chaos struct {
 	t       *testing.T
 	c       *Cell
@@ -29,13 +29,13 @@
 	applied int
 }
 
-// Worker is short for the platform's.
+// Worker abbreviates platform.Worker.
 type Worker = platform.Worker
 
 // tasksOnce is the job whose tasks must never start twice.
 const tasksOnce = "certificates"
 
-// chaosFile returns the file of round n; batch work changes with each.
+// chaosFile returns the configuration file of round n; the batch jobs differ between rounds.
 func chaosFile(n int) *spec.File {
 	f := smallFile()
 	f.Jobs = append(f.Jobs,
@@ -48,8 +48,8 @@
 	return f
 }
 
-// step makes one random fault.
-func (x *chaos) step(ctx context.Context) {
+// inject injects one random fault.
+func (x *chaos) inject(ctx context.Context) {
 	switch x.rng.IntN(8) {
 	case 0:
 		x.replace(ctx, x.c.Kill)
@@ -87,7 +87,7 @@
 	}
 }
 
-// replace ends a daemon in the given way and starts another under its name.
+// replace ends a daemon with the given function and starts another one under its name.
 func (x *chaos) replace(ctx context.Context, end func(*Entry) error) {
 	entries := x.c.Entries()
 	if len(entries) < x.daemons {
@@ -95,7 +95,7 @@
 	}
 	e := entries[x.rng.IntN(len(entries))]
 	if err := end(e); err != nil {
-		x.t.Logf("end of %s: %v", e.Name(), err) // a stop during an outage may be cut short
+		x.t.Logf("end of %s: %v", e.Name(), err) // a stop during a store outage may fail
 	}
 	if ctx.Err() == nil {
 		_, err := x.c.AddNamed(e.Name())
@@ -107,8 +107,8 @@
 	return x.c.Platform.Workers[x.rng.IntN(len(x.c.Platform.Workers))]
 }
 
-// killWorker ends a VM; the list of VMs learns of it later. A third of the
-// workers always stays.
+// killWorker ends a VM and removes it from the list of VMs a second later.
+// About a third of the workers is always left running.
 func (x *chaos) killWorker() {
 	w := x.worker()
 	if x.killed[w] || len(x.killed) > 2*len(x.c.Platform.Workers)/3 {
@@ -119,7 +119,7 @@
 	time.AfterFunc(time.Second, func() { x.c.Platform.VMs.Remove(w.VM.Name) })
 }
 
-// apply races two files of the same name.
+// apply applies two versions of the same file at once.
 func (x *chaos) apply(ctx context.Context) {
 	x.applied++
 	for range 2 {
@@ -128,13 +128,13 @@
 			defer cancel()
 			_, err := x.c.Apply(applyCtx, chaosFile(n))
 			if err != nil && ctx.Err() == nil {
-				x.t.Logf("apply: %v", err) // a lost race or an outage, as intended
+				x.t.Logf("apply: %v", err) // a conflict or a store outage, as intended
 			}
 		}(x.applied)
 	}
 }
 
-// heal ends every fault that can be ended.
+// heal ends all faults but the loss of VMs.
 func (x *chaos) heal() {
 	x.c.Platform.Store.SetFaults(kv.Faults{})
 	for _, w := range x.c.Platform.Workers {
@@ -145,69 +145,68 @@
 	}
 }
 
-// chaosSeconds is how long the faults go on; FENNEL_LONG=1 makes it minutes.
-func chaosSeconds() time.Duration {
+// chaosDuration is how long faults are injected: 15 s, or 5 min with FENNEL_LONG=1.
+func chaosDuration() time.Duration {
 	if os.Getenv("FENNEL_LONG") == "1" {
 		return 5 * time.Minute
 	}
 	return 15 * time.Second
 }
 
-// Symptom: any promise of the brief broken after a bad night.
-// Sequence: daemons killed, stopped and replaced, the store down or losing
-// answers, VMs lost, workers losing calls, endpoints resetting and truncating,
-// and applies racing, in random order and together, under load.
-// Cause: unknown until seen; each one found keeps a test of its own.
+// TestRandomFaultsTogether checks all guarantees to callers under load and random,
+// overlapping faults: daemons killed, stopped and replaced, the store down or losing
+// responses, VMs lost, workers losing calls, endpoints resetting and truncating
+// connections, and concurrent applies. Each fault found here gets a test of its own.
 func TestRandomFaultsTogether(t *testing.T) {
 	if testing.Short() {
-		t.Skip("the full run covers it")
+		t.Skip("takes minutes; run without -short")
 	}
 	seed := uint64(1)
 	if s, err := strconv.ParseUint(os.Getenv("FENNEL_SEED"), 10, 64); err == nil {
 		seed = s
 	}
-	ctx, cancel := context.WithTimeout(t.Context(), chaosSeconds()+2*time.Minute+settleLimit)
+	ctx, cancel := context.WithTimeout(t.Context(), chaosDuration()+2*time.Minute+recoveryTimeout)
 	defer cancel()
 	c := startCell(t, ctx, 4)
 	_, err := c.Apply(ctx, chaosFile(0))
 	require.NoError(t, err)
 	x := &chaos{t: t, c: c, rng: rand.New(rand.NewPCG(seed, seed)), daemons: 4, killed: map[*Worker]bool{}}
 
-	faultCtx, stopFaults := context.WithTimeout(ctx, chaosSeconds())
+	faultCtx, stopFaults := context.WithTimeout(ctx, chaosDuration())
 	defer stopFaults()
 	faultsDone := make(chan struct{})
 	go func() {
 		defer close(faultsDone)
 		for faultCtx.Err() == nil {
-			x.step(faultCtx)
+			x.inject(faultCtx)
 			x.sleep(faultCtx, time.Duration(200+x.rng.IntN(600))*time.Millisecond)
 		}
 	}()
 	result := runUntil(faultCtx, ctx, callersOf(c, 100, 1_000_000))
 	<-faultsDone
 	x.heal()
-	requireSettled(t, ctx, c, x.applied)
+	requireRecovered(t, ctx, c, x.applied)
 
 	s := result.Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v; %d VMs lost, %d applies; p99 %d us", s, len(x.killed), x.applied, result.Latency.ValueAtQuantile(99))
-	requirePromises(t, c, s)
+	requireGuarantees(t, c, s)
 	for _, id := range c.Platform.Recorder.StartedMoreThanOnce() {
 		require.False(t, strings.HasPrefix(id.String(), tasksOnce+"/"), "non-idempotent task %s started more than once", id)
 	}
 }
 
-// settleLimit is generous: the tasks of a lost VM start elsewhere 76 s after its
-// last heartbeat, and a takeover may come on top.
-const settleLimit = 4 * time.Minute
+// recoveryTimeout bounds the recovery after the faults: the tasks of a lost VM start
+// elsewhere 76 s after its last heartbeat, and a takeover may delay them further.
+const recoveryTimeout = 4 * time.Minute
 
-// requireSettled waits until the last file is in force, its batch work is done
-// and every instance runs.
-func requireSettled(t *testing.T, ctx context.Context, c *Cell, last int) {
+// requireRecovered applies another file and waits until its batch tasks have succeeded
+// and all service instances run.
+func requireRecovered(t *testing.T, ctx context.Context, c *Cell, last int) {
 	t.Helper()
 	_, err := c.Apply(ctx, chaosFile(last+1))
 	require.NoError(t, err)
 	want := fmt.Sprintf("overlays-%d", last+1)
 	require.Eventually(t, func() bool {
 		return c.Platform.Recorder.Succeeded(want) == 30 && c.Platform.Recorder.RunningOf("survey-desk") == 6
-	}, settleLimit, 100*time.Millisecond, "the cell does not settle after the faults")
+	}, recoveryTimeout, 100*time.Millisecond, "the cell does not recover after the faults")
 }
--- a/standin/cell/outage_test.go
+++ b/standin/cell/outage_test.go
@@ -14,12 +14,11 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Symptom: an outage of the store stops the cell: requests are refused, tasks
-// stay unplaced, results are lost.
-// Sequence: a batch job is in force, the store goes down for longer than the
-// daemons' leases, a VM is lost meanwhile, the store comes back.
-// Cause: a daemon that asks the store before it serves, starts or keeps
-// anything, or that takes a lapsed lease for lost authority.
+// TestStoreOutageStopsNothing guards against daemons that depend on the store: requests
+// are refused, tasks stay unplaced or results are lost while the store is down for
+// longer than the daemons' leases. This comes about where a daemon calls the store
+// before it serves a request or starts a task, or takes an expired lease for a loss
+// of ownership.
 func TestStoreOutageStopsNothing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -29,13 +28,13 @@
 		Size: spec.Resources{MilliCPU: 16_000, MemoryMB: 16 << 10}, RunTime: spec.Duration(500 * time.Millisecond)})
 	_, err := c.Apply(ctx, f)
 	require.NoError(t, err)
-	// The first 64 tasks of a job start before its progress is written; the
-	// outage begins when that write has been made.
+	// The first 64 tasks of a job start before its progress is written; the outage
+	// begins after that write.
 	require.Eventually(t, func() bool { return c.Platform.Recorder.Succeeded("surveys") > 80 }, time.Minute, 10*time.Millisecond)
 	c.Platform.Store.SetFaults(kv.Faults{Down: true})
 	began := c.Platform.Recorder.Succeeded("surveys")
 
-	const rate, seconds = 100, 16 // longer than the member lease
+	const rate, seconds = 100, 16 // the load lasts longer than the member lease
 	o := callersOf(c, rate, rate*seconds)
 	o.Keyed = 0 // a non-idempotent request with a key needs a durable intent
 	result := callers.Run(ctx, o)
@@ -45,15 +44,15 @@
 
 	s := result.Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v; tasks done before %d, during %d", s, began, during)
-	requirePromises(t, c, s)
+	requireGuarantees(t, c, s)
 	require.Equal(t, s.Requests, s.Whole)
 	require.Greater(t, during, began, "tasks start during the outage")
 }
 
-// Symptom: an endpoint that is going away still gets requests, which it cuts.
-// Sequence: under load the platform marks a VM as leaving.
-// Cause: the sign reaches only the daemon that owns the VM's rack, or the
-// instance is stopped before its requests have ended.
+// TestLeavingEndpointGetsNothingNew guards against requests that a leaving endpoint
+// receives and cuts after the platform, under load, has marked its VM as leaving: the
+// leaving notice reaches only the daemon that owns the VM's rack, or the instance is
+// stopped before its requests have ended.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -74,12 +73,12 @@
 			seen, last = n, time.Now()
 		}
 		return time.Since(last) > 3*time.Second && c.Platform.Recorder.RunningOf("survey-desk") >= 6
-	}, time.Minute, 20*time.Millisecond, "it still gets requests, or is not replaced")
+	}, time.Minute, 20*time.Millisecond, "the endpoint still gets requests, or is not replaced")
 	stopLoad()
 	s := (<-done).Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v; last new request %s after the mark", s, last.Sub(marked).Round(time.Millisecond))
-	requirePromises(t, c, s)
-	require.Equal(t, s.Requests, s.Whole, "nothing is cut")
+	requireGuarantees(t, c, s)
+	require.Equal(t, s.Requests, s.Whole, "no request is cut")
 }
 
 // someInstance returns a worker with a service instance and the instance.
--- a/standin/cell/stop_test.go
+++ b/standin/cell/stop_test.go
@@ -14,9 +14,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Symptom: a planned stop cuts a request that its service allows.
-// Sequence: a request takes longer than the drain setting; its daemon stops.
-// Cause: the stop is bounded by the setting alone.
+// TestPlannedStopOutlastsDrainSetting guards against a planned stop that is bounded by the
+// drain setting alone, and cuts a request that is within its service's timeout but
+// takes longer than the setting.
 func TestPlannedStopOutlastsDrainSetting(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
 	defer cancel()
--- a/standin/cell/upgrade_test.go
+++ b/standin/cell/upgrade_test.go
@@ -12,11 +12,11 @@
 	"fennelshunt.example/fennelshunt/standin/platform"
 )
 
-// testLease is the daemons' lease in tests: longer than the default, because a
-// test machine may starve a process for seconds, which is not what they test.
+// testLease is the member lease in tests. It is longer than the default, since a loaded
+// test machine may stall a process for seconds, which is not what they test.
 const testLease = 12 * time.Second
 
-// startCell starts a cell with the small file in force and its tasks done.
+// startCell starts a cell, applies smallFile and waits until its tasks are done.
 func startCell(t *testing.T, ctx context.Context, daemons int) *Cell {
 	t.Helper()
 	c, err := Start(ctx, Options{
@@ -31,7 +31,7 @@
 	return c
 }
 
-// callersOf returns options for requests through the balancer.
+// callersOf returns the options of a load through the balancer.
 func callersOf(c *Cell, rate float64, count int) callers.Options {
 	return callers.Options{
 		Client: &http.Client{Transport: c.Balancer().Transport(), Timeout: 30 * time.Second}, Service: "survey-desk",
@@ -39,8 +39,8 @@
 	}
 }
 
-// requirePromises checks what must always hold.
-func requirePromises(t *testing.T, c *Cell, s callers.Summary) {
+// requireGuarantees checks the guarantees that hold under all faults.
+func requireGuarantees(t *testing.T, c *Cell, s callers.Summary) {
 	t.Helper()
 	full := c.Platform.FullReport()
 	require.True(t, s.OK(), "%+v", s)
@@ -49,11 +49,10 @@
 	require.Empty(t, c.Violations())
 }
 
-// Symptom: callers see cut connections during the nightly upgrade.
-// Sequence: under load each daemon in turn stops as planned and starts again
-// under its name.
-// Cause: a daemon that closes its listener before the balancer has seen its
-// readiness fail, or that hands slots or keys over while requests use them.
+// TestRollingUpgradeCutsNothing guards against cut connections during a rolling upgrade:
+// under load each daemon in turn stops as planned and restarts under its name. They
+// come about if a daemon closes its listener before the balancer has seen its
+// readiness fail, or hands over slots or keys that requests still use.
 func TestRollingUpgradeCutsNothing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -81,11 +80,11 @@
 	require.NoError(t, <-done)
 	s := result.Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v, p99 %d us, max %d us", s, result.Latency.ValueAtQuantile(99), result.Latency.Max())
-	requirePromises(t, c, s)
+	requireGuarantees(t, c, s)
 	require.Equal(t, s.Requests, s.Whole, "a planned stop cuts nothing: %+v", s)
 }
 
-// runUntil sends requests until stop ends; those sent finish under ctx.
+// runUntil sends requests until stop ends; requests in flight then run on under ctx.
 func runUntil(stop, ctx context.Context, o callers.Options) *callers.Result {
 	o.Until = stop.Done()
 	return callers.Run(ctx, o)
--- a/standin/cellsim/accounts.go
+++ b/standin/cellsim/accounts.go
@@ -11,41 +11,41 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Account is a client account of the model.
+// Account is a client account of the simulation.
 type Account struct {
 	Name string
-	// Share of all hand-ins.
+	// Share is the account's share of all submissions.
 	Share float64
-	// Weight and Cap are what the scheduler is told.
+	// Weight and Cap are its configuration in the scheduler.
 	Weight float64
 	Cap    work.Resources
 }
 
 const (
-	// capFactor times what an account has running in the mean is its cap.
+	// capFactor is an account's cap relative to its mean running resources.
 	capFactor = 1.9
-	// weightFactor times what it hands in in the mean is its weight, in jobs a second.
+	// weightFactor is an account's weight relative to its mean submissions, in jobs per second.
 	weightFactor = 1.3
-	// accountRatio is an account's size against the next larger one's.
+	// accountRatio is the size of an account relative to the next larger one.
 	accountRatio = 0.82
 )
 
-// Accounts returns n accounts of unlike size for a load, each with the cap and weight that
-// fit what it hands in.
+// Accounts returns n accounts of different sizes for a load, each with a cap and weight
+// in proportion to its submissions.
 func Accounts(n int, classes []Class) []Account {
 	var rate float64
 	var running work.Resources
 	for i := range classes {
 		c := &classes[i]
 		rate += c.PerSecond
-		tasks := c.PerSecond * c.Steps * c.Width.Mean * c.Work.Mean / 1000 // at a time
+		tasks := c.PerSecond * c.Steps * c.Width.Mean * c.Work.Mean / 1000 // running at the same time
 		running.CPU += int(tasks * c.CPU.Mean)
 		running.Memory += int(tasks * c.Memory.Mean)
 	}
 	all := make([]Account, n)
 	sum, share := 0.0, 1.0
 	for i := range all {
-		all[i].Share = share + 0.15 // of the largest: no account is too small for a gang
+		all[i].Share = share + 0.15 // a minimum relative to the largest, so that no account is too small for a gang
 		sum += all[i].Share
 		share *= accountRatio
 	}
@@ -59,15 +59,15 @@
 	return all
 }
 
-// gangShare is the most of an account's cap that a gang of its takes.
+// gangShare is the largest share of an account's cap that one of its gangs takes.
 const gangShare = 0.6
 
-// holds returns how many tasks of a size a gang of the account may have.
-func (a *Account) holds(size work.Resources) int {
+// maxGang returns the greatest number of tasks of a size in a gang of the account.
+func (a *Account) maxGang(size work.Resources) int {
 	return int(gangShare * float64(size.Times(a.Cap, math.MaxInt32)))
 }
 
-// drawAccount draws who hands a job in; nil without accounts.
+// drawAccount draws the account that submits a job; nil without accounts.
 func drawAccount(o *Options, rng *rand.Rand) *Account {
 	if len(o.Accounts) == 0 {
 		return nil
@@ -81,21 +81,22 @@
 	return &o.Accounts[len(o.Accounts)-1]
 }
 
-// HotAccount multiplies what one account hands in for a while.
+// HotAccount multiplies the submissions of one account, an index of Options.Accounts, by
+// Factor.
 type HotAccount struct {
 	Account int
 	Span    Span
-	Times   float64
+	Factor  float64
 }
 
-// drawHot draws what hot accounts hand in beyond their usual.
+// drawHot draws the extra submissions of hot accounts.
 func drawHot(o *Options, t time.Duration, rng *rand.Rand, add func(c int, by *Account)) {
 	for _, h := range o.Pattern.Hot {
 		if !h.Span.has(t) || h.Account >= len(o.Accounts) {
 			continue
 		}
 		for c := range o.Classes {
-			extra := o.Classes[c].PerSecond * o.Accounts[h.Account].Share * (h.Times - 1)
+			extra := o.Classes[c].PerSecond * o.Accounts[h.Account].Share * (h.Factor - 1)
 			for range poisson(rng, extra*loadStep.Seconds()) {
 				add(c, &o.Accounts[h.Account])
 			}
@@ -103,7 +104,7 @@
 	}
 }
 
-// accounts tells an engine the accounts, nil for none.
+// accounts returns the accounts' configuration for the engine, nil without accounts.
 func (o *Options) accounts() *work.Accounts {
 	if len(o.Accounts) == 0 {
 		return nil
@@ -114,14 +115,14 @@
 	}
 	accounts, err := work.NewAccounts(list)
 	if err != nil {
-		panic(fmt.Sprintf("cellsim: accounts of the model's own: %v", err))
+		panic(fmt.Sprintf("cellsim: invalid generated accounts: %v", err))
 	}
 	return accounts
 }
 
-// worstAccounts returns what the tenth of the accounts earned that earned least of what it
-// was owed; 1 without accounts. Work beyond an account's entitlement is not owed, which the
-// model takes as: what a hot account hands in beyond its usual.
+// worstAccounts returns the mean credit of the tenth of the accounts with the lowest credit.
+// Jobs over an account's entitlement do not count; the model takes the extra jobs of hot
+// accounts for these. Jobs without an account count as those of one account.
 func (s *sim) worstAccounts() float64 {
 	owed, earned := map[string]float64{}, map[string]float64{}
 	for _, j := range s.all {
@@ -144,33 +145,33 @@
 	return sum
 }
 
-// SurveyClasses returns the load of a customer whose work has shifted: gangs are rarer and
-// longer, their advice dear, and quick jobs quicker.
+// SurveyClasses returns a variant of the load of Classes: gangs are rarer and longer, with
+// more expensive advice, and quick jobs are shorter.
 func SurveyClasses(workers int, load float64) []Class {
 	classes := Classes(workers, load)
 	wide, many, quick := &classes[Wide], &classes[Many], &classes[Quick]
 	wide.Queue.Advice = ticketed(559*time.Millisecond, 8060*time.Microsecond)
-	wide.PerSecond, wide.Worth, wide.Work.Mean, wide.Work.Max, wide.Good, wide.Poison = 3.58, 13.1, 5000, 12000, 0.3, 0.03
+	wide.PerSecond, wide.Worth, wide.Work.Mean, wide.Work.Max, wide.Allowed, wide.Poison = 3.58, 13.1, 5000, 12000, 0.3, 0.03
 	many.Queue.Advice = ticketed(104*time.Millisecond, 1430*time.Microsecond)
 	many.PerSecond, many.Worth, many.Work.Mean, many.Work.Max = 16.1, 3.17, 2200, 5400
-	many.Memory = Spread{10000, 0.55, 30000}
+	many.Memory = LogNormal{10000, 0.55, 30000}
 	quick.Queue.Advice = ticketed(9360*time.Microsecond, 130*time.Microsecond)
 	quick.Queue.Allowance, quick.Queue.Attempts = 300*time.Millisecond, 4
 	quick.PerSecond, quick.Worth, quick.Work.Mean, quick.Work.Max, quick.Poison = 103, 0.398, 640, 1600, 0.03
-	quick.Memory = Spread{18000, 0.55, 55000}
-	asked := 0.0
+	quick.Memory = LogNormal{18000, 0.55, 55000}
+	demand := 0.0
 	for i := range classes {
 		c := &classes[i]
 		c.PerSecond *= float64(workers) / refWorkers
-		asked += c.PerSecond * c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
+		demand += c.PerSecond * c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
 	}
 	for i := range classes {
-		classes[i].PerSecond *= load * float64(workers*workerCores) / asked
+		classes[i].PerSecond *= load * float64(workers*workerCores) / demand
 	}
 	return classes
 }
 
-// ticketed is advice whose tickets hold for two seconds.
+// ticketed returns advice whose tickets are valid for two seconds.
 func ticketed(base, perWorker time.Duration) *work.Advice {
 	return &work.Advice{Base: base, PerWorker: perWorker, Valid: 2 * time.Second}
 }
--- a/standin/cellsim/doc.go
+++ b/standin/cellsim/doc.go
@@ -1,13 +1,13 @@
-// Package cellsim plays a cell in virtual time around the real scheduler: an
-// Engine of process/dispatch with workers, an advice service, a store and callers
-// that are models. One goroutine plays events in the order of their times, so a
-// minute of a cell of hundreds of workers takes some seconds, and a run repeats
-// exactly by its seed.
+// Package cellsim is a discrete-event simulation of a cell. The scheduler is the
+// real one, an Engine of process/dispatch; workers, the advice service, the store
+// and callers are models. One goroutine executes events in the order of their
+// virtual times, so a minute of a cell of hundreds of workers takes some seconds,
+// and a run is reproducible from its seed.
 //
-// What is a model and what is not: every decision is the product's own. Workers
-// run tasks for the time drawn for them, end gangs together, stop on order with a
-// checkpoint, and list ends until they are acknowledged; the advice service
-// serves the calls of one daemon in turn; the store takes its time, or is away;
-// callers hand a job in, try again when it is refused, and leave after a while.
-// Processor time, connections and lost answers are not played.
+// All scheduling decisions are those of the Engine. Model workers run each task for
+// the time drawn for it, end the tasks of a gang together, stop tasks on order with
+// a checkpoint, and list completions until they are acknowledged. The advice
+// service handles one call of each daemon at a time. The store has a latency and may
+// be slow or down. Callers submit a job, retry when it is refused, and give up
+// after a while. CPU time, connections and lost responses are not simulated.
 package cellsim
--- a/standin/cellsim/load.go
+++ b/standin/cellsim/load.go
@@ -9,137 +9,138 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Spread is a size that is drawn anew for each job: log-normal around its mean.
-type Spread struct {
+// LogNormal is the distribution of a size that is drawn for each job, cut at Max.
+type LogNormal struct {
 	Mean  float64
 	Sigma float64 // of the logarithm
 	Max   float64
 }
 
-func (s Spread) draw(rng *rand.Rand) float64 {
+func (s LogNormal) draw(rng *rand.Rand) float64 {
 	v := s.Mean * math.Exp(rng.NormFloat64()*s.Sigma-s.Sigma*s.Sigma/2)
 	return min(v, s.Max)
 }
 
-// Class is a kind of job.
+// Class describes one class of jobs and its arrival rate.
 type Class struct {
 	Queue     work.Queue
 	PerSecond float64
-	// Worth of a job of mean size that is completed within its objective; a late
-	// one earns lateShare of it.
+	// Worth is the credit for a job of mean size that is completed within its
+	// objective; a late job earns lateShare of it.
 	Worth float64
-	// Steps is the mean number of steps, which follow each other.
+	// Steps is the mean number of steps; they run one after the other.
 	Steps  float64
-	Width  Spread // tasks of a step
-	CPU    Spread // thousandths of a core, of a task
-	Memory Spread // MB, of a task
-	Work   Spread // milliseconds, of a task
-	Gang   float64
-	// Good is the share of workers that the advice allows for a step.
-	Good float64
-	// Fails is the share of runs that fail by their own fault.
-	Fails float64
-	Saves float64 // share of steps that keep checkpoints
+	Width  LogNormal // tasks per step
+	CPU    LogNormal // thousandths of a core, per task
+	Memory LogNormal // MB, per task
+	Work   LogNormal // milliseconds, per task
+	Gang   float64   // share of steps that are gangs
+	// Allowed is the share of workers that the advice allows for a step.
+	Allowed float64
+	// FailureRate is the share of runs that fail through the task's own fault.
+	FailureRate float64
+	Checkpoints float64 // share of steps that write checkpoints
 	// Poison is the share of jobs of which every run fails.
 	Poison float64
-	// Estimate is the sigma of the estimate's error.
-	Estimate float64
+	// EstimateError is the sigma of the log-normal error of run time estimates.
+	EstimateError float64
 }
 
 const (
 	lateShare   = 0.2
-	worthFixed  = 0.3 // of a job's worth, whatever its size
+	worthFixed  = 0.3 // part of a job's worth that does not depend on its size
 	worthMax    = 4
-	advisedFree = 30 // workers of advice that an objective allows a step
-	// lateFactor objectives after its hand-in a job earns nothing.
+	advisedFree = 30 // workers per step whose advice cost the objective includes
+	// lateFactor times its objective after its submission a job earns nothing.
 	lateFactor = 3
 )
 
-// Pattern is a load and the faults beside it. Times count from the start.
+// Pattern describes variations of the load and faults. Times count from the start of the load.
 type Pattern struct {
 	Name string
-	// Bursts multiply the rate of a class for a while.
+	// Bursts raise the arrival rates of classes for a while.
 	Bursts []Burst
-	// Hot accounts hand in more than their usual.
+	// Hot accounts submit more than their usual load for a while.
 	Hot []HotAccount
-	// SlowStore answers in SlowAnswer; Outage answers nothing.
+	// During SlowStore the store responds after SlowAnswer; during Outage not at all.
 	SlowStore, Outage Span
 	SlowAnswer        time.Duration
-	// LeaderLost is when the leader is lost, 0 for never; another one leads after
-	// Takeover.
+	// LeaderLost is when the leader fails, 0 for never; a successor starts Takeover
+	// later.
 	LeaderLost, Takeover time.Duration
-	// Crashed, Failing and Slow are shares of the workers that are lost for good,
-	// fail what they start, or take six times as long, while Troubled.
+	// Crashed, Failing and Slow are the shares of the workers that crash for good at
+	// the start of WorkerFaults, or while it lasts fail all tasks that they start, or
+	// run tasks six times as long.
 	Crashed, Failing, Slow float64
-	Troubled               Span
+	WorkerFaults           Span
 }
 
-// Span is a time from one moment to another; the zero value is none.
+// Span is the interval from From to before Until; the zero value is empty.
 type Span struct{ From, Until time.Duration }
 
 func (s Span) has(t time.Duration) bool { return t >= s.From && t < s.Until }
 
-// Burst multiplies the rate of the class with that place in Options.Classes.
+// Burst multiplies the arrival rate of a class, an index of Options.Classes, by Factor.
 type Burst struct {
-	Class int
-	Span  Span
-	Times float64
+	Class  int
+	Span   Span
+	Factor float64
 }
 
-// Job is one job as the caller knows it.
+// job is one job as its caller sees it.
 type job struct {
 	id    work.JobID
 	class int
 	spec  *work.Job
-	takes [][]time.Duration // by step and task, on a worker of usual speed
+	takes [][]time.Duration // run times by step and task, on a worker of slowdown 1
 	worth float64
 	due   time.Duration // objective
 	size  int           // tasks of the widest step
-	hot   bool          // handed in by an account beyond its usual
-	// poisoned: every run fails, and the job is done once it is shown as failed.
+	hot   bool          // extra job of a hot account
+	// poisoned: every run fails, and the job earns its worth when it is shown as failed.
 	poisoned bool
 
-	sent     time.Duration // first hand-in
-	accepted time.Duration // 0: not yet
+	sent     time.Duration // first submission
+	accepted time.Duration // 0 if not accepted
 	begun    time.Duration
 	shown    time.Duration
 	ended    work.State
 }
 
-// Classes returns three kinds of jobs for a number of workers of 32 cores: wide
+// Classes returns three classes of jobs for a number of workers of 32 cores: wide
 // gangs of large tasks, steps of many small tasks, and quick jobs of two or three
-// tasks. Load is the share of the processors that they ask for, without failures.
+// tasks. Load is the share of the cores that they need, not counting failures.
 func Classes(workers int, load float64) []Class {
 	scale := float64(workers) / refWorkers
-	grow := math.Sqrt(scale) // wider and more jobs alike
+	growth := math.Sqrt(scale) // widths and job rates grow equally
 	classes := []Class{
 		{Queue: queue("wide", 1, 2.2, time.Second, 4, advice(442*time.Millisecond, 6370*time.Microsecond)), PerSecond: 5.96, Worth: 7.12, Steps: 1.2,
-			Width: Spread{20 * grow, 0.7, 120 * grow}, CPU: Spread{9000, 0.38, 15000}, Memory: Spread{18000, 0.47, 37000}, Work: Spread{4000, 0.47, 10000},
-			Gang: 1, Good: 0.25, Fails: 0.002, Saves: 0.5, Estimate: 0.3},
+			Width: LogNormal{20 * growth, 0.7, 120 * growth}, CPU: LogNormal{9000, 0.38, 15000}, Memory: LogNormal{18000, 0.47, 37000}, Work: LogNormal{4000, 0.47, 10000},
+			Gang: 1, Allowed: 0.25, FailureRate: 0.002, Checkpoints: 0.5, EstimateError: 0.3},
 		{Queue: queue("many", 2, 4, 3*time.Second, 4, advice(130*time.Millisecond, 1820*time.Microsecond)), PerSecond: 9.86, Worth: 2.69, Steps: 1.5,
-			Width: Spread{25 * grow, 0.7, 150 * grow}, CPU: Spread{3500, 0.43, 10000}, Memory: Spread{7100, 0.55, 21000}, Work: Spread{2700, 0.47, 6800},
-			Good: 0.45, Fails: 0.05, Saves: 0.8, Estimate: 0.6},
+			Width: LogNormal{25 * growth, 0.7, 150 * growth}, CPU: LogNormal{3500, 0.43, 10000}, Memory: LogNormal{7100, 0.55, 21000}, Work: LogNormal{2700, 0.47, 6800},
+			Allowed: 0.45, FailureRate: 0.05, Checkpoints: 0.8, EstimateError: 0.6},
 		{Queue: queue("quick", 0, 1.5, 250*time.Millisecond, 3, advice(24*time.Millisecond, 340*time.Microsecond)), PerSecond: 88.3, Worth: 0.421, Steps: 1,
-			Width: Spread{3, 0.6, 12}, CPU: Spread{5000, 0.43, 15000}, Memory: Spread{10000, 0.55, 31000}, Work: Spread{1000, 0.47, 2500},
-			Gang: 0.3, Good: 0.7, Fails: 0.02, Estimate: 0.3},
+			Width: LogNormal{3, 0.6, 12}, CPU: LogNormal{5000, 0.43, 15000}, Memory: LogNormal{10000, 0.55, 31000}, Work: LogNormal{1000, 0.47, 2500},
+			Gang: 0.3, Allowed: 0.7, FailureRate: 0.02, EstimateError: 0.3},
 	}
-	asked := 0.0 // cores
+	demand := 0.0 // cores
 	for i := range classes {
 		c := &classes[i]
 		if c.Queue.Name == "quick" {
 			c.PerSecond *= scale
 		} else {
-			c.PerSecond *= scale / grow
+			c.PerSecond *= scale / growth
 		}
-		asked += c.PerSecond * c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
+		demand += c.PerSecond * c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
 	}
 	for i := range classes {
-		classes[i].PerSecond *= load * float64(workers*workerCores) / asked
+		classes[i].PerSecond *= load * float64(workers*workerCores) / demand
 	}
 	return classes
 }
 
-// refWorkers is the number of workers for which the widths above hold.
+// refWorkers is the number of workers to which the parameters of Classes refer.
 const (
 	refWorkers  = 350
 	workerCores = 32
@@ -153,7 +154,7 @@
 	return &work.Advice{Base: base, PerWorker: perWorker, Valid: 1500 * time.Millisecond}
 }
 
-// drawJobs draws all jobs of a run, in the order of their hand-ins.
+// drawJobs draws all jobs of a run, in steps of loadStep.
 func drawJobs(o *Options, rng *rand.Rand) []*job {
 	var all []*job
 	for t := time.Duration(0); t < o.Length; t += loadStep {
@@ -167,7 +168,7 @@
 			rate := o.Classes[c].PerSecond
 			for _, b := range o.Pattern.Bursts {
 				if b.Class == c && b.Span.has(t) {
-					rate *= b.Times
+					rate *= b.Factor
 				}
 			}
 			for range poisson(rng, rate*loadStep.Seconds()) {
@@ -182,7 +183,7 @@
 	return all
 }
 
-// loadStep is the length of time for which arrivals are drawn together.
+// loadStep is the length of the intervals for which arrivals are drawn.
 const loadStep = 50 * time.Millisecond
 
 func poisson(rng *rand.Rand, mean float64) int {
@@ -194,7 +195,7 @@
 	return n
 }
 
-// drawJob draws a job of an account, nil for none.
+// drawJob draws a job of the account by, or one without an account if by is nil.
 func drawJob(c *Class, by *Account, rng *rand.Rand) *job {
 	j := &job{spec: &work.Job{Queue: c.Queue, Spec: "x"}}
 	if by != nil {
@@ -202,36 +203,36 @@
 	}
 	j.poisoned = c.Poison > 0 && rng.Float64() < c.Poison
 	steps := 1 + poisson(rng, c.Steps-1)
-	asked, chain := 0.0, time.Duration(0)
+	demand, path := 0.0, time.Duration(0)
 	for i := range steps {
 		s := work.Step{Count: max(1, int(c.Width.draw(rng)+0.5)),
 			Size: work.Resources{CPU: int(c.CPU.draw(rng)), Memory: int(c.Memory.draw(rng))},
-			Gang: rng.Float64() < c.Gang, Checkpoints: rng.Float64() < c.Saves}
+			Gang: rng.Float64() < c.Gang, Checkpoints: rng.Float64() < c.Checkpoints}
 		if i > 0 {
 			s.After = []int{i - 1}
 		}
 		if by != nil && s.Gang {
-			s.Count = max(1, min(s.Count, by.holds(s.Size)))
+			s.Count = max(1, min(s.Count, by.maxGang(s.Size)))
 		}
-		usual := time.Duration(c.Work.draw(rng)) * time.Millisecond
-		s.Estimate = time.Duration(float64(usual) * math.Exp(rng.NormFloat64()*c.Estimate))
+		runTime := time.Duration(c.Work.draw(rng)) * time.Millisecond
+		s.Estimate = time.Duration(float64(runTime) * math.Exp(rng.NormFloat64()*c.EstimateError))
 		takes := make([]time.Duration, s.Count)
 		longest := time.Duration(0)
 		for k := range takes {
-			takes[k] = time.Duration(float64(usual) * (1 + 0.3*(rng.Float64()-0.5)))
+			takes[k] = time.Duration(float64(runTime) * (1 + 0.3*(rng.Float64()-0.5)))
 			longest = max(longest, takes[k])
 		}
-		asked += float64(s.Count) * float64(s.Size.CPU) / 1000 * usual.Seconds()
-		chain += longest + c.Queue.Advice.Cost(advisedFree)
+		demand += float64(s.Count) * float64(s.Size.CPU) / 1000 * runTime.Seconds()
+		path += longest + c.Queue.Advice.Cost(advisedFree)
 		j.size = max(j.size, s.Count)
 		j.takes = append(j.takes, takes)
 		j.spec.Steps = append(j.spec.Steps, s)
 	}
 	mean := c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
-	j.worth = c.Worth * min(worthMax, worthFixed+(1-worthFixed)*asked/mean)
+	j.worth = c.Worth * min(worthMax, worthFixed+(1-worthFixed)*demand/mean)
 	if j.poisoned {
-		chain *= time.Duration(c.Queue.Attempts) // each run fails, and is in time
+		path *= time.Duration(c.Queue.Attempts) // the objective allows for all failed attempts
 	}
-	j.due = time.Duration(float64(chain)*c.Queue.Slack) + c.Queue.Allowance
+	j.due = time.Duration(float64(path)*c.Queue.Slack) + c.Queue.Allowance
 	return j
 }
--- a/standin/cellsim/patterns.go
+++ b/standin/cellsim/patterns.go
@@ -7,23 +7,23 @@
 	"fennelshunt.example/fennelshunt/process/fair"
 )
 
-// Places of the kinds that Classes returns.
+// Indices of the classes that Classes returns.
 const (
 	Wide = iota
 	Many
 	Quick
 )
 
-// Patterns returns load patterns for a load of that length, each with one thing
-// that goes wrong, and one with all of them.
+// Patterns returns the patterns for a load of the given length: one without faults,
+// several with one kind of burst or fault each, and one with all faults.
 func Patterns(length time.Duration) []Pattern {
 	at := func(share float64, d time.Duration) Span {
 		from := time.Duration(share * float64(length))
 		return Span{from, from + d}
 	}
-	wide := []Burst{{Class: Wide, Span: at(0.4, 4*time.Second), Times: 1.7}}
-	quick := []Burst{{Class: Quick, Span: at(0.2, 4*time.Second), Times: 2}}
-	slow, away := at(0.25, 5*time.Second), at(0.55, 4*time.Second)
+	wide := []Burst{{Class: Wide, Span: at(0.4, 4*time.Second), Factor: 1.7}}
+	quick := []Burst{{Class: Quick, Span: at(0.2, 4*time.Second), Factor: 2}}
+	slow, outage := at(0.25, 5*time.Second), at(0.55, 4*time.Second)
 	lost := time.Duration(0.4 * float64(length))
 	const takeover = 600 * time.Millisecond
 	return []Pattern{
@@ -31,23 +31,23 @@
 		{Name: "burst-wide", Bursts: wide},
 		{Name: "burst-quick", Bursts: quick},
 		{Name: "slow-store", Bursts: quick, SlowStore: slow, SlowAnswer: slowAnswer},
-		{Name: "outage", Outage: away},
+		{Name: "outage", Outage: outage},
 		{Name: "leader-lost", LeaderLost: lost, Takeover: takeover},
-		{Name: "workers", Crashed: 0.08, Failing: 0.06, Slow: 0.1, Troubled: at(0.3, 6*time.Second)},
-		{Name: "hot-account", Bursts: quick, Hot: []HotAccount{{Account: 2, Span: at(0.1, 8*time.Second), Times: 5}, {Account: 5, Span: at(0.35, 8*time.Second), Times: 4}}},
-		{Name: "all", Bursts: append(wide, quick...), SlowStore: slow, SlowAnswer: slowAnswer, Outage: away, LeaderLost: lost,
-			Takeover: takeover, Crashed: 0.08, Failing: 0.06, Slow: 0.1, Troubled: at(0.3, 6*time.Second)},
+		{Name: "workers", Crashed: 0.08, Failing: 0.06, Slow: 0.1, WorkerFaults: at(0.3, 6*time.Second)},
+		{Name: "hot-account", Bursts: quick, Hot: []HotAccount{{Account: 2, Span: at(0.1, 8*time.Second), Factor: 5}, {Account: 5, Span: at(0.35, 8*time.Second), Factor: 4}}},
+		{Name: "all", Bursts: append(wide, quick...), SlowStore: slow, SlowAnswer: slowAnswer, Outage: outage, LeaderLost: lost,
+			Takeover: takeover, Crashed: 0.08, Failing: 0.06, Slow: 0.1, WorkerFaults: at(0.3, 6*time.Second)},
 	}
 }
 
-// slowAnswer of a store that is seventy times slower than usual.
+// slowAnswer is the response time of a slow store, about seventy times the normal one.
 const slowAnswer = 300 * time.Millisecond
 
-// Policies returns the policies that are compared: the product's own, each of its
-// mechanisms switched off, all of them, and first come, first served.
+// Policies returns the policies to compare: the default one, variants with one of its
+// mechanisms switched off, one without all of them, and first come, first served.
 func Policies() map[string]dispatch.Policy {
-	landed := dispatch.Policy{WriteChains: 1, NoBundles: true, NoHolds: true, NoPacking: true, NoParallelAdvice: true}
-	first := landed
+	baseline := dispatch.Policy{WriteChains: 1, NoBundles: true, NoHolds: true, NoPacking: true, NoParallelAdvice: true}
+	first := baseline
 	first.FirstCome = true
 	return map[string]dispatch.Policy{
 		"now":         {},
@@ -57,9 +57,9 @@
 		"no-holds":    {NoHolds: true},
 		"no-packing":  {NoPacking: true},
 		"no-parallel": {NoParallelAdvice: true},
-		"without-all": landed,
+		"without-all": baseline,
 		"first-come":  first,
-		// The ways in which accounts share a cell that is full.
+		// Ordering policies and quota variants for accounts that share a full cell.
 		"due":            {Shares: fair.Due},
 		"dominant":       {Shares: fair.Dominant},
 		"risk":           {Shares: fair.Risk},
--- a/standin/cellsim/result.go
+++ b/standin/cellsim/result.go
@@ -9,53 +9,52 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// windowLength is that of the windows of which the worst count.
+// windowLength is the length of the windows of WorstWindows.
 const windowLength = 2 * time.Second
 
-// Result is what became of a run's jobs.
+// Result holds the results of a run.
 type Result struct {
-	// Credit is earned against owed worth, of all jobs and in the two worst
-	// windows by hand-in.
+	// Credit is the earned share of the worth of all jobs, WorstWindows that of the two
+	// worst windows by submission time.
 	Credit, WorstWindows float64
-	// WorstAccounts is that of the tenth of the accounts that earned least of what they
-	// were owed.
+	// WorstAccounts is the credit of the tenth of the accounts with the lowest credit.
 	WorstAccounts float64
 	Classes       []ClassResult
-	// Busy is the share of the processors that worked while load came in, Spent and
-	// Wasted the core-seconds of all work and of work thrown away.
+	// Busy is the mean share of the cores in use during the load, Spent and Wasted the
+	// core-seconds of all work and of discarded work.
 	Busy          float64
 	Spent, Wasted float64
 	Stats         dispatch.Stats
-	// Samples show the run over time.
+	// Samples is the time series of the run.
 	Samples []Sample
 
 	busySum   float64
 	busyCount int
 }
 
-// Sample is what a run looked like at a time: the share of the processors that
-// worked, and the jobs that had not begun, by class.
+// Sample is the state of a run at a time: the share of the cores in use, and the
+// number of jobs that had not started, by class.
 type Sample struct {
 	At      time.Duration
 	Busy    float64
 	Waiting []int
-	// Unwritten is the number of jobs whose progress waits for a write.
+	// Unwritten is the number of jobs whose progress has not been written to the store.
 	Unwritten int
 }
 
-// ClassResult is what became of one kind of jobs.
+// ClassResult holds the results of one class of jobs.
 type ClassResult struct {
 	Name                        string
 	Jobs, InTime, Late, Refused int
 	Credit                      float64
-	// Largest is the credit of the largest tenth.
+	// Largest is the credit of the tenth of the jobs with the greatest worth.
 	Largest float64
-	// Start holds the waits from the first hand-in to the first start, Done the
-	// times until the end was shown; both sorted, unfinished jobs left out.
+	// Start has the times from the first submission to the first start, Done those until
+	// the final state was shown; both sorted, without the jobs that did not get there.
 	Start, Done []time.Duration
 }
 
-// Quantile returns a quantile of sorted times, 0 for none.
+// Quantile returns a quantile of sorted times, 0 if there are none.
 func Quantile(times []time.Duration, q float64) time.Duration {
 	if len(times) == 0 {
 		return 0
@@ -63,18 +62,18 @@
 	return times[min(int(q*float64(len(times))), len(times)-1)]
 }
 
-// sampleEvery is the time between samples.
+// sampleEvery is the sampling interval.
 const sampleEvery = 250 * time.Millisecond
 
-// account notes how busy the workers are and how much waits.
-func (s *sim) account() {
+// sample records the use of the workers and, every sampleEvery, a Sample.
+func (s *sim) sample() {
 	t := s.loadTime()
 	if t < 0 || t > s.o.Length {
 		return
 	}
 	used, all := 0, 0
 	for _, w := range s.order {
-		if !w.gone {
+		if !w.crashed {
 			used += w.used.CPU
 			all += w.seen.Capacity.CPU
 		}
@@ -97,7 +96,7 @@
 	}
 }
 
-// earned is what a job has earned.
+// earned returns the credit that a job has earned.
 func (j *job) earned() float64 {
 	took := j.shown - settle - j.sent
 	switch {
--- a/standin/cellsim/sim.go
+++ b/standin/cellsim/sim.go
@@ -16,7 +16,7 @@
 
 const service = "s"
 
-// What accounts may hand in beside their weight a second.
+// Entitlement of accounts beyond their weight per second.
 const (
 	entitledWindow = 5 * time.Second
 	entitledSlack  = 20
@@ -25,40 +25,41 @@
 // Times of the model.
 const (
 	tick = 25 * time.Millisecond
-	// hop is the way to a worker, a daemon or the store.
+	// hop is the one-way latency to a worker, a daemon or the store.
 	hop = 500 * time.Microsecond
-	// answer of a store that is well.
-	storeAnswer = 4 * time.Millisecond
-	lease       = 6 * time.Second
-	gangWait    = 4 * time.Second
-	stopTakes   = 900 * time.Millisecond // at the most
-	restore     = 250 * time.Millisecond // with a checkpoint
-	slowFactor  = 6
-	// drain is how long a run goes on after its load.
+	// storeLatency is the response time of the store in normal operation.
+	storeLatency = 4 * time.Millisecond
+	lease        = 6 * time.Second
+	gangWait     = 4 * time.Second
+	maxStop      = 900 * time.Millisecond // longest time until an ordered stop takes effect
+	restore      = 250 * time.Millisecond // extra run time of a start from a checkpoint
+	slowFactor   = 6
+	// drain is how long a run continues after the end of its load.
 	drain = 25 * time.Second
 )
 
-// tries are when a caller hands a job in that was refused, after the first time.
-var tries = []time.Duration{1050 * time.Millisecond, 1800 * time.Millisecond, 2350 * time.Millisecond, 2850 * time.Millisecond}
+// retries are the times at which a caller submits a refused job again, counted from the
+// first submission.
+var retries = []time.Duration{1050 * time.Millisecond, 1800 * time.Millisecond, 2350 * time.Millisecond, 2850 * time.Millisecond}
 
-// Options of a run.
+// Options of a simulation run.
 type Options struct {
 	Seed    uint64
 	Workers int
-	// Daemons through which advice is asked.
+	// Daemons is the number of daemons that call the advice service.
 	Daemons int
 	Classes []Class
-	// Accounts that hand the jobs in; none if there are none.
+	// Accounts submit the jobs; without accounts, jobs have none.
 	Accounts []Account
 	Pattern  Pattern
 	Policy   dispatch.Policy
-	// Length of the load.
+	// Length is how long jobs are submitted.
 	Length time.Duration
-	// Violation is told each broken invariant of the engine.
+	// Violation is called for each violated invariant of the engine.
 	Violation func(what string)
 }
 
-// sim is one run.
+// sim is the state of one run.
 type sim struct {
 	o      *Options
 	rng    *rand.Rand
@@ -66,12 +67,12 @@
 	events eventHeap
 	seq    uint64
 
-	epoch   uint64
-	engine  *dispatch.Engine // nil: nobody leads
-	life    int              // raised with each engine; calls of an earlier one are lost
-	workers map[runner.WorkerID]*worker
-	order   []*worker
-	gangs   map[gangKey]*gangRun
+	epoch       uint64
+	engine      *dispatch.Engine // nil while there is no leader
+	incarnation int              // of the engine; responses to calls of an earlier one are dropped
+	workers     map[runner.WorkerID]*worker
+	order       []*worker
+	gangs       map[gangKey]*gangRun
 
 	entries map[string]store.Entry
 	rev     store.Revision
@@ -82,7 +83,7 @@
 	stats   dispatch.Stats
 }
 
-// event is something that happens at a time.
+// event is a function to be executed at a virtual time.
 type event struct {
 	at  time.Duration
 	seq uint64
@@ -109,7 +110,7 @@
 	return e
 }
 
-// Run plays a cell and returns what became of its jobs.
+// Run simulates a cell and returns the results of its jobs.
 func Run(o Options) *Result {
 	s := &sim{o: &o, rng: rand.New(rand.NewPCG(o.Seed, 7)), workers: map[runner.WorkerID]*worker{}, gangs: map[gangKey]*gangRun{},
 		entries: map[string]store.Entry{}, jobs: map[work.JobID]*job{}}
@@ -118,20 +119,20 @@
 	s.lead()
 	for _, j := range s.all {
 		s.jobs[j.id] = j
-		s.at(settle+j.sent, func() { s.handIn(j, 0) })
+		s.at(settle+j.sent, func() { s.submit(j, 0) })
 	}
 	if o.Pattern.LeaderLost > 0 {
 		s.at(settle+o.Pattern.LeaderLost, s.loseLeader)
 	}
 	s.at(0, s.tick)
-	s.play(settle + o.Length + drain)
+	s.runEvents(settle + o.Length + drain)
 	return s.report()
 }
 
-// settle is how long the cell stands before its load begins.
+// settle is how long the cell runs before its load begins.
 const settle = time.Second
 
-// pattern time: from the start of the load.
+// loadTime is the time since the start of the load, to which a Pattern's times refer.
 func (s *sim) loadTime() time.Duration { return s.now - settle }
 
 func (s *sim) at(t time.Duration, do func()) {
@@ -141,9 +142,9 @@
 
 func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// play plays events until a time; the engine is flushed after those that happen
-// together, as its host does.
-func (s *sim) play(until time.Duration) {
+// runEvents executes the events up to a time. The engine is flushed after each group of
+// events within a hop, as its host does.
+func (s *sim) runEvents(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		s.now = s.events[0].at
 		for len(s.events) > 0 && s.events[0].at <= s.now+hop {
@@ -156,16 +157,16 @@
 func (s *sim) tick() {
 	if s.engine != nil {
 		s.engine.Tick(s.now)
-		s.look()
+		s.observe()
 	}
-	s.account()
+	s.sample()
 	s.after(tick, s.tick)
 }
 
-// lead starts an engine of the next epoch.
+// lead starts an engine for the next epoch.
 func (s *sim) lead() {
 	s.epoch++
-	s.life++
+	s.incarnation++
 	s.engine = dispatch.NewEngine(dispatch.Options{Epoch: s.epoch, Policy: s.o.Policy,
 		Bounds: dispatch.Bounds{Lease: lease, MaxLease: lease, Gang: gangWait, Keep: time.Hour,
 			Entitled: fair.Entitlement{Window: entitledWindow, Slack: entitledSlack}},
@@ -181,7 +182,7 @@
 	}
 	s.engine.SetAccounts(s.now, s.o.accounts())
 	for _, w := range s.order {
-		if !w.gone {
+		if !w.crashed {
 			s.engine.WorkerSeen(s.now, w.seen)
 		}
 	}
@@ -192,12 +193,12 @@
 	s.engine.Members(s.now, names)
 }
 
-// loseLeader ends the engine, whose calls that are on their way are answered to
-// nobody, and starts another after a while.
+// loseLeader drops the engine and the responses to its calls in flight, and starts
+// another one after the takeover time.
 func (s *sim) loseLeader() {
 	s.addStats()
 	s.engine = nil
-	s.life++
+	s.incarnation++
 	s.after(s.o.Pattern.Takeover, s.lead)
 }
 
@@ -219,8 +220,8 @@
 	s.stats.Violations += st.Violations
 }
 
-// under lists the store's entries with a prefix. The order does not matter to the
-// engine but by revision.
+// under returns the store's entries with a prefix, sorted by key. The engine uses
+// their revisions only, but a fixed order keeps runs reproducible.
 func (s *sim) under(prefix string) []store.Entry {
 	var found []store.Entry
 	for key, e := range s.entries {
@@ -232,35 +233,35 @@
 	return found
 }
 
-// storeTakes returns how long a call takes that is made now, until an outage is
-// over if there is one.
-func (s *sim) storeTakes() time.Duration {
+// storeDelay returns the response time of a store call made now. A call during an
+// outage is answered after the outage.
+func (s *sim) storeDelay() time.Duration {
 	p := &s.o.Pattern
 	t := s.loadTime()
 	switch {
 	case p.Outage.has(t):
-		return p.Outage.Until - t + storeAnswer
+		return p.Outage.Until - t + storeLatency
 	case p.SlowStore.has(t):
 		return p.SlowAnswer
 	}
-	return storeAnswer
+	return storeLatency
 }
 
-// handIn tries to hand a job in.
-func (s *sim) handIn(j *job, try int) {
+// submit submits a job, or schedules a retry during an outage of the store.
+func (s *sim) submit(j *job, attempt int) {
 	if s.o.Pattern.Outage.has(s.loadTime()) {
-		if try < len(tries) {
-			s.at(settle+j.sent+tries[try], func() { s.handIn(j, try+1) })
+		if attempt < len(retries) {
+			s.at(settle+j.sent+retries[attempt], func() { s.submit(j, attempt+1) })
 		}
 		return
 	}
 	j.spec.Accepted = j.sent.Milliseconds()
-	s.after(s.storeTakes(), func() {
+	s.after(s.storeDelay(), func() {
 		j.accepted = s.now
 		j.spec.Epoch = s.epoch
 		value, err := work.EncodeJob(j.spec)
 		if err != nil {
-			panic(fmt.Sprintf("cellsim: a drawn job does not encode: %v", err))
+			panic(fmt.Sprintf("cellsim: cannot encode a generated job: %v", err))
 		}
 		s.rev++
 		e := store.Entry{Key: dispatch.KeyIn(j.id), Value: value, Revision: s.rev}
@@ -278,8 +279,8 @@
 	}
 }
 
-// look notes what callers are shown.
-func (s *sim) look() {
+// observe records changes of the job states that callers see.
+func (s *sim) observe() {
 	kept := s.open[:0]
 	for _, j := range s.open {
 		state, known := s.engine.State(j.id)
@@ -298,15 +299,15 @@
 	s.open = kept
 }
 
-// flush carries the engine's effects out.
+// flush executes the engine's effects.
 func (s *sim) flush() {
 	if s.engine == nil {
 		return
 	}
-	life := s.life
-	back := func(d time.Duration, do func()) {
+	incarnation := s.incarnation
+	reply := func(d time.Duration, do func()) {
 		s.after(d, func() {
-			if s.life == life && s.engine != nil {
+			if s.incarnation == incarnation && s.engine != nil {
 				do()
 			}
 		})
@@ -314,23 +315,23 @@
 	for _, effect := range s.engine.Flush(s.now) {
 		switch x := effect.(type) {
 		case dispatch.SendStart:
-			s.sendStart(x, back)
+			s.sendStart(x, reply)
 		case dispatch.SendStop:
-			s.sendStop(x, back)
+			s.sendStop(x, reply)
 		case dispatch.SendRenew:
-			s.sendRenew(x, back)
+			s.sendRenew(x, reply)
 		case dispatch.SendCommit:
-			s.commit(x, back)
+			s.commit(x, reply)
 		case dispatch.AskAdvice:
-			s.askAdvice(x, back)
+			s.askAdvice(x, reply)
 		}
 	}
 }
 
-// commit applies a write when it is answered. A write of a leader that is lost
-// before may take effect or not; here it does not.
-func (s *sim) commit(x dispatch.SendCommit, back func(time.Duration, func())) {
-	back(s.storeTakes(), func() {
+// commit applies a write at the time of its response. A write in flight when its
+// leader is lost could take effect or not in a real store; here it never does.
+func (s *sim) commit(x dispatch.SendCommit, reply func(time.Duration, func())) {
+	reply(s.storeDelay(), func() {
 		s.rev++
 		for _, w := range x.Writes {
 			s.entries[w.Key] = store.Entry{Key: w.Key, Value: w.Value, Revision: s.rev}
@@ -342,17 +343,18 @@
 	})
 }
 
-// askAdvice answers for one daemon; the engine asks it once at a time.
-func (s *sim) askAdvice(x dispatch.AskAdvice, back func(time.Duration, func())) {
+// askAdvice models the advice service as called by one daemon; the engine has one call
+// in flight for each daemon.
+func (s *sim) askAdvice(x dispatch.AskAdvice, reply func(time.Duration, func())) {
 	j := s.jobs[x.Step.Job]
 	c := &s.o.Classes[j.class]
-	back(2*hop+c.Queue.Advice.Cost(len(x.Workers)), func() {
-		var good []runner.Ticket
+	reply(2*hop+c.Queue.Advice.Cost(len(x.Workers)), func() {
+		var tickets []runner.Ticket
 		for _, w := range x.Workers {
-			if chance(x.Step, w) < c.Good {
-				good = append(good, runner.Ticket{Worker: w, Ticket: "t"})
+			if chance(x.Step, w) < c.Allowed {
+				tickets = append(tickets, runner.Ticket{Worker: w, Ticket: "t"})
 			}
 		}
-		s.engine.Advised(s.now, x.Member, x.Step, good, nil)
+		s.engine.Advised(s.now, x.Member, x.Step, tickets, nil)
 	})
 }
--- a/standin/cellsim/sim_test.go
+++ b/standin/cellsim/sim_test.go
@@ -18,7 +18,7 @@
 		Violation: func(what string) { t.Errorf("invariant: %s", what) }}
 }
 
-func TestRunRepeatsBySeed(t *testing.T) {
+func TestRunIsReproducibleFromItsSeed(t *testing.T) {
 	a, b := Run(options(t, 24, 0.7, 5*time.Second)), Run(options(t, 24, 0.7, 5*time.Second))
 	require.Equal(t, a.Credit, b.Credit)
 	require.Equal(t, a.Stats, b.Stats)
@@ -35,8 +35,7 @@
 	}
 }
 
-// credits returns the mean credit of all jobs, of the wide kind and of the quick
-// kind over seeds.
+// credits returns the mean credit over seeds, of all jobs, of wide and of quick ones.
 func credits(t *testing.T, pattern string, policy dispatch.Policy, seeds uint64) (all, wide, quick float64) {
 	const length = 25 * time.Second
 	var mu sync.Mutex
@@ -64,12 +63,11 @@
 }
 
 func TestWideGangsAreServedUnderFullLoad(t *testing.T) {
-	// Symptom: an eighth of the worth of wide gangs is lost on a calm day, beside a
-	//   quarter of the processors idle.
-	// Sequence: nine tenths of all processors are asked for; each gang may use a
-	//   quarter of the workers.
-	// Causes: others took the room while tickets were asked for; one call after the
-	//   other for advice; small tasks where most room was.
+	// Guards against starvation of wide gangs: at a load of nine tenths of the cores, with
+	// advice that allows each gang a quarter of the workers, an eighth of the worth of
+	// wide gangs was lost while a quarter of the cores was idle. Other tasks took the
+	// capacity during the calls for tickets, advice was called for sequentially, and
+	// small tasks were placed where most capacity was free.
 	if testing.Short() {
 		t.Skip("some seconds of processor time for each policy")
 	}
@@ -86,9 +84,9 @@
 }
 
 func TestQuickJobsAreServedWhileTheStoreIsSlow(t *testing.T) {
-	// Symptom: quick jobs are late while the store answers in 300 ms, and long after.
-	// Sequence: a burst of quick jobs just then.
-	// Cause: one write at a time, with two keys for each job that ends.
+	// Guards against quick jobs that are late during a burst while the store responds
+	// after 300 ms, and long afterwards: the leader had one write in flight at a time, with
+	// two keys for each completed job.
 	if testing.Short() {
 		t.Skip("some seconds of processor time for each policy")
 	}
@@ -98,9 +96,9 @@
 	require.Greater(t, quick, before+0.05)
 }
 
-// TestNoDeploymentIsWorseOff plays cells of other sizes, loads and costs of advice:
-// the policy must not be worse than first come, first served, on any of them, in
-// the mean of some seeds.
+// TestNoDeploymentIsWorseOff simulates cells of other sizes, loads and costs of advice. On
+// none of them may the default policy be worse than first come, first served, in the
+// mean over some seeds.
 func TestNoDeploymentIsWorseOff(t *testing.T) {
 	const length, margin, deployments, seeds = 12 * time.Second, 0.02, 8, 4
 	if testing.Short() {
@@ -137,13 +135,13 @@
 		a := *c.Queue.Advice
 		a.Base = time.Duration(float64(a.Base) * (0.1 + rng.Float64()))
 		c.Queue.Advice = &a
-		c.Good = 0.2 + 0.7*rng.Float64()
+		c.Allowed = 0.2 + 0.7*rng.Float64()
 		c.Gang *= rng.Float64()
 	}
 	return o
 }
 
-func TestTroublesEndWithNothingRunning(t *testing.T) {
+func TestFaultsKeepResultsConsistent(t *testing.T) {
 	for _, p := range Patterns(10 * time.Second) {
 		o := options(t, 32, 0.8, 10*time.Second)
 		o.Pattern = p
@@ -155,24 +153,24 @@
 	}
 }
 
-func TestAccountsOfTheModelKeepTheirCaps(t *testing.T) {
-	// Each account's cap lets its widest gang run, and one that hands in five times its
-	// usual costs the others next to nothing.
+func TestModelAccountsFitTheirCaps(t *testing.T) {
+	// Each account's cap lets its widest gang run, and an account that submits five times
+	// its usual load costs the others next to nothing.
 	classes := SurveyClasses(48, 0.7)
 	accounts := Accounts(6, classes)
 	for _, a := range accounts {
-		require.NotZero(t, a.holds(work.Resources{CPU: int(classes[Wide].CPU.Mean), Memory: int(classes[Wide].Memory.Mean)}), a.Name)
+		require.NotZero(t, a.maxGang(work.Resources{CPU: int(classes[Wide].CPU.Mean), Memory: int(classes[Wide].Memory.Mean)}), a.Name)
 	}
 	const length = 20 * time.Second
-	play := func(hot []HotAccount) *Result {
+	simulate := func(hot []HotAccount) *Result {
 		o := options(t, 48, 0.7, length)
 		o.Classes, o.Accounts, o.Pattern.Hot = classes, accounts, hot
 		return Run(o)
 	}
-	calm := play(nil)
+	calm := simulate(nil)
 	require.Greater(t, calm.WorstAccounts, 0.5)
 	require.LessOrEqual(t, calm.WorstAccounts, calm.Credit+1e-9)
-	busy := play([]HotAccount{{Account: 2, Span: Span{From: 2 * time.Second, Until: 10 * time.Second}, Times: 5}})
+	busy := simulate([]HotAccount{{Account: 2, Span: Span{From: 2 * time.Second, Until: 10 * time.Second}, Factor: 5}})
 	t.Logf("calm: all %.3f worst %.3f; hot: all %.3f worst %.3f", calm.Credit, calm.WorstAccounts, busy.Credit, busy.WorstAccounts)
 	require.Greater(t, busy.Credit, calm.Credit-0.1)
 }
--- a/standin/cellsim/worker.go
+++ b/standin/cellsim/worker.go
@@ -17,16 +17,16 @@
 
 // worker is a model of a worker.
 type worker struct {
-	seen runner.Worker
-	pace float64 // how long work takes here against the usual
-	gone bool    // lost for good
+	seen     runner.Worker
+	slowdown float64 // run time of a task here against its drawn run time
+	crashed  bool    // for good
 
 	used    work.Resources
 	runs    map[work.TaskID]*run
-	ends    []runner.End // not acknowledged
+	ends    []runner.End // completions that are not acknowledged
 	number  int64
-	waiting func() // answers the renewal that waits, nil for none
-	troubled,
+	waiting func() // responds to the pending renewal, nil for none
+	slow,
 	failing bool
 }
 
@@ -37,10 +37,10 @@
 	number uint64
 	job    *job
 	spec   *work.Step
-	takes  time.Duration // of the whole task, on this worker
-	saved  float64       // share done before
-	began  time.Duration // -1: it waits for its gang
-	over   bool
+	takes  time.Duration // run time of the whole task on this worker
+	saved  float64       // share of the task done in earlier runs
+	began  time.Duration // -1 while it waits for its gang
+	ended  bool
 }
 
 type gangKey struct {
@@ -57,21 +57,21 @@
 func (s *sim) addWorkers() {
 	for i := range s.o.Workers {
 		id := runner.WorkerID(fmt.Sprintf("w-%04d", i))
-		w := &worker{pace: 0.9 + 0.2*s.rng.Float64(), runs: map[work.TaskID]*run{}, seen: runner.Worker{
+		w := &worker{slowdown: 0.9 + 0.2*s.rng.Float64(), runs: map[work.TaskID]*run{}, seen: runner.Worker{
 			Ref: runner.Ref{ID: id, Address: string(id)}, Service: service, Labels: []string{"a", fmt.Sprint("r", i/12)},
 			Capacity: work.Resources{CPU: workerCores * 1000, Memory: 128 << 10}}}
 		s.workers[id] = w
 		s.order = append(s.order, w)
 	}
 	p := &s.o.Pattern
-	if p.Troubled.Until > 0 {
-		s.at(settle+p.Troubled.From, s.trouble)
-		s.at(settle+p.Troubled.Until, s.untrouble)
+	if p.WorkerFaults.Until > 0 {
+		s.at(settle+p.WorkerFaults.From, s.injectFaults)
+		s.at(settle+p.WorkerFaults.Until, s.clearFaults)
 	}
 }
 
-// trouble makes shares of the workers crash, fail or slow down.
-func (s *sim) trouble() {
+// injectFaults makes the Pattern's shares of the workers crash, fail tasks or slow down.
+func (s *sim) injectFaults() {
 	order := slices.Clone(s.order)
 	s.rng.Shuffle(len(order), func(i, j int) { order[i], order[j] = order[j], order[i] })
 	p := &s.o.Pattern
@@ -84,21 +84,21 @@
 		case i < crashed+failing:
 			w.failing = true
 		default:
-			w.troubled = true
+			w.slow = true
 		}
 	}
 }
 
-func (s *sim) untrouble() {
+func (s *sim) clearFaults() {
 	for _, w := range s.order {
-		w.failing, w.troubled = false, false
+		w.failing, w.slow = false, false
 	}
 }
 
 func (s *sim) crash(w *worker) {
-	w.gone = true
+	w.crashed = true
 	for _, r := range sorted(w.runs) {
-		s.lost(r)
+		s.loseRun(r)
 	}
 	w.waiting = nil
 	s.after(4500*time.Millisecond, func() {
@@ -108,7 +108,7 @@
 	})
 }
 
-// sorted lists runs in a fixed order, so that a seed repeats.
+// sorted returns runs in a fixed order, so that a run is reproducible from its seed.
 func sorted(runs map[work.TaskID]*run) []*run {
 	all := make([]*run, 0, len(runs))
 	for _, r := range runs {
@@ -124,27 +124,27 @@
 	slices.SortFunc(all, func(a, b store.Entry) int { return cmp.Compare(a.Key, b.Key) })
 }
 
-// chance is a fixed number from 0 to 1 for a step and a worker.
+// chance returns a number from 0 to 1 that is fixed for a step and a worker.
 func chance(step work.TaskID, w runner.WorkerID) float64 {
 	step.Index = 0
 	return float64(xxhash.Sum64String(step.String()+string(w))>>11) / (1 << 53)
 }
 
-// silent is how long a call to a worker that is lost goes without an answer.
-const silent = 500 * time.Millisecond
+// callTimeout is how long a call to a crashed worker takes to fail.
+const callTimeout = 500 * time.Millisecond
 
-func (s *sim) sendStart(x dispatch.SendStart, back func(time.Duration, func())) {
+func (s *sim) sendStart(x dispatch.SendStart, reply func(time.Duration, func())) {
 	w := s.workers[x.To.ID]
-	if w.gone {
-		back(silent, func() { s.engine.Started(s.now, x.To.ID, x.Start.Task, x.Start.Run, runner.ErrUnknown) })
+	if w.crashed {
+		reply(callTimeout, func() { s.engine.Started(s.now, x.To.ID, x.Start.Task, x.Start.Run, runner.ErrUnknown) })
 		return
 	}
 	s.after(hop, func() {
-		if !w.gone {
+		if !w.crashed {
 			s.start(w, &x.Start)
 		}
 	})
-	back(2*hop, func() { s.engine.Started(s.now, x.To.ID, x.Start.Task, x.Start.Run, nil) })
+	reply(2*hop, func() { s.engine.Started(s.now, x.To.ID, x.Start.Task, x.Start.Run, nil) })
 }
 
 func (s *sim) start(w *worker, x *runner.Start) {
@@ -154,13 +154,13 @@
 	j := s.jobs[x.Task.Job]
 	spec := &j.spec.Steps[x.Task.Step]
 	r := &run{w: w, task: x.Task, number: x.Run, job: j, spec: spec, began: -1}
-	pace := w.pace
-	if w.troubled {
-		pace *= slowFactor
+	slowdown := w.slowdown
+	if w.slow {
+		slowdown *= slowFactor
 	}
-	r.takes = time.Duration(float64(j.takes[x.Task.Step][x.Task.Index]) * pace)
+	r.takes = time.Duration(float64(j.takes[x.Task.Step][x.Task.Index]) * slowdown)
 	if x.Checkpoint != "" {
-		r.saved, _ = strconv.ParseFloat(x.Checkpoint, 64) // one that is not ours counts for nothing
+		r.saved, _ = strconv.ParseFloat(x.Checkpoint, 64) // an invalid checkpoint counts as 0
 	}
 	w.runs[x.Task] = r
 	w.used = w.used.Add(spec.Need())
@@ -173,7 +173,7 @@
 	if g == nil {
 		g = &gangRun{}
 		s.gangs[key] = g
-		s.after(gangWait, func() { s.breakAlone(key) })
+		s.after(gangWait, func() { s.expireGang(key) })
 	}
 	g.members = append(g.members, r)
 	if len(g.members) < spec.Count {
@@ -195,7 +195,7 @@
 	return gangKey{task, r.number}
 }
 
-// left is how long a run goes on from its start.
+// left is the remaining run time at the start of a run.
 func (r *run) left() time.Duration {
 	d := time.Duration(float64(r.takes) * (1 - r.saved))
 	if r.saved > 0 {
@@ -204,23 +204,23 @@
 	return d
 }
 
-// begin sets when a run ends, and how.
+// begin draws the time and the result of a run's completion.
 func (s *sim) begin(r *run, d time.Duration) {
 	r.began = s.now
-	fails := r.w.failing || r.job.poisoned || s.rng.Float64() < s.o.Classes[r.job.class].Fails
+	fails := r.w.failing || r.job.poisoned || s.rng.Float64() < s.o.Classes[r.job.class].FailureRate
 	how := runner.Done
 	if fails {
 		how = runner.Failed
 		d = time.Duration(float64(d) * s.rng.Float64())
 	}
 	s.after(d, func() {
-		if !r.over {
+		if !r.ended {
 			s.end(r, how)
 		}
 	})
 }
 
-// end ends a run; a gang ends together.
+// end ends a run, and with it the other members of its gang.
 func (s *sim) end(r *run, how runner.How) {
 	s.endOne(r, how)
 	if !r.spec.Gang {
@@ -237,20 +237,21 @@
 		others = runner.Done
 	}
 	for _, m := range g.members {
-		if !m.over {
+		if !m.ended {
 			s.endOne(m, others)
 		}
 	}
 }
 
-func (s *sim) breakAlone(key gangKey) {
+// expireGang ends the started members of a gang that is not complete after gangWait.
+func (s *sim) expireGang(key gangKey) {
 	g := s.gangs[key]
 	if g == nil || g.began {
 		return
 	}
 	delete(s.gangs, key)
 	for _, m := range g.members {
-		if !m.over {
+		if !m.ended {
 			s.endOne(m, runner.Alone)
 		}
 	}
@@ -258,7 +259,7 @@
 
 func (s *sim) endOne(r *run, how runner.How) {
 	w := r.w
-	s.free(r, how == runner.Done || r.spec.Checkpoints)
+	s.release(r, how == runner.Done || r.spec.Checkpoints)
 	w.number++
 	e := runner.End{Number: w.number, Task: r.task, Run: r.number, How: how}
 	if r.spec.Checkpoints && how != runner.Done {
@@ -272,9 +273,9 @@
 	}
 }
 
-// free ends what a run holds; kept tells that its work counts.
-func (s *sim) free(r *run, kept bool) {
-	r.over = true
+// release frees the resources of a run; kept tells whether its work is not wasted.
+func (s *sim) release(r *run, kept bool) {
+	r.ended = true
 	r.w.used = r.w.used.Sub(r.spec.Need())
 	delete(r.w.runs, r.task)
 	cores := float64(r.spec.Size.CPU) / 1000
@@ -288,9 +289,9 @@
 	}
 }
 
-// lost ends a run with its worker, and the rest of its gang.
-func (s *sim) lost(r *run) {
-	s.free(r, false)
+// loseRun ends a run on a crashed worker, and the other members of its gang.
+func (s *sim) loseRun(r *run) {
+	s.release(r, false)
 	if !r.spec.Gang {
 		return
 	}
@@ -298,14 +299,14 @@
 	if g := s.gangs[key]; g != nil {
 		delete(s.gangs, key)
 		for _, m := range g.members {
-			if !m.over && !m.w.gone {
+			if !m.ended && !m.w.crashed {
 				s.endOne(m, runner.Broken)
 			}
 		}
 	}
 }
 
-// progress is the share of a run's task that is done.
+// progress returns the share of a run's task that is done.
 func (r *run) progress(now time.Duration) float64 {
 	if r.began < 0 || r.takes <= 0 {
 		return r.saved
@@ -313,26 +314,26 @@
 	return min(r.saved+float64(now-r.began)/float64(r.takes), 1)
 }
 
-func (s *sim) sendStop(x dispatch.SendStop, back func(time.Duration, func())) {
+func (s *sim) sendStop(x dispatch.SendStop, reply func(time.Duration, func())) {
 	w := s.workers[x.To.ID]
-	if w.gone {
-		back(silent, func() { s.engine.StopAnswered(s.now, x.To.ID, x.Task, x.Run, runner.ErrUnknown) })
+	if w.crashed {
+		reply(callTimeout, func() { s.engine.StopAnswered(s.now, x.To.ID, x.Task, x.Run, runner.ErrUnknown) })
 		return
 	}
 	if r := w.runs[x.Task]; r != nil && r.number == x.Run {
-		s.after(hop+time.Duration(s.rng.Int64N(int64(stopTakes))), func() {
-			if !r.over {
+		s.after(hop+time.Duration(s.rng.Int64N(int64(maxStop))), func() {
+			if !r.ended {
 				s.end(r, runner.Stopped)
 			}
 		})
 	}
-	back(2*hop, func() { s.engine.StopAnswered(s.now, x.To.ID, x.Task, x.Run, nil) })
+	reply(2*hop, func() { s.engine.StopAnswered(s.now, x.To.ID, x.Task, x.Run, nil) })
 }
 
-func (s *sim) sendRenew(x dispatch.SendRenew, back func(time.Duration, func())) {
+func (s *sim) sendRenew(x dispatch.SendRenew, reply func(time.Duration, func())) {
 	w := s.workers[x.To.ID]
-	if w.gone {
-		back(silent, func() { s.engine.Renewed(s.now, x.To.ID, runner.Report{}, runner.ErrUnknown) })
+	if w.crashed {
+		reply(callTimeout, func() { s.engine.Renewed(s.now, x.To.ID, runner.Report{}, runner.ErrUnknown) })
 		return
 	}
 	w.ends = slices.DeleteFunc(w.ends, func(e runner.End) bool { return e.Number <= x.Renewal.Acknowledge })
@@ -343,7 +344,7 @@
 		}
 		answered = true
 		report := w.report(s.now)
-		back(hop, func() { s.engine.Renewed(s.now, x.To.ID, report, nil) })
+		reply(hop, func() { s.engine.Renewed(s.now, x.To.ID, report, nil) })
 	}
 	if x.Renewal.Wait == 0 || len(w.ends) > 0 {
 		s.after(hop, answer)
