--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -10,46 +10,47 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// reach takes a call to a worker; nil when no answer will come, which the
-// context's end shows. late runs the call's effect without an answer.
-func (f *Fleet) reach(ctx context.Context, to runner.Ref, late func(w *worker)) (_ *worker, answer bool, err error) {
+// reach delivers a call to a worker. answer is false if the response is to be lost. For a
+// call that gets no response at all, reach waits for the end of ctx and returns an error;
+// a late call then takes effect through effect, which is nil for calls that cannot be late.
+func (f *Fleet) reach(ctx context.Context, to runner.Ref, effect func(w *worker)) (_ *worker, answer bool, err error) {
 	select {
 	case <-ctx.Done():
 		return nil, false, fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
 	case <-time.After(f.o.Delay):
 	}
 	f.mu.Lock()
-	w := f.living(to.ID)
-	silent := w == nil || w.cut || w.dead
-	isLate := !silent && late != nil && f.rng.Float64() < f.faults.Late
-	lost := !silent && f.rng.Float64() < f.faults.LoseAnswers
+	w := f.current(to.ID)
+	unreachable := w == nil || w.disconnected || w.crashed
+	isLate := !unreachable && effect != nil && f.rng.Float64() < f.faults.Late
+	lost := !unreachable && f.rng.Float64() < f.faults.LoseAnswers
 	if isLate {
 		delay := 2*time.Second + time.Duration(f.rng.Int64N(int64(10*time.Second)))
 		time.AfterFunc(delay, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
-			if !w.dead { // what it had received is gone with its life
-				late(w)
+			if !w.crashed { // a crash loses the calls that it has received
+				effect(w)
 			}
 		})
 	}
-	gone, refused := w != nil && w.replaced, w != nil && w.dead && f.o.Restart > 0
+	replaced, refused := w != nil && w.replaced, w != nil && w.crashed && f.o.Restart > 0
 	f.mu.Unlock()
 	switch {
-	case gone:
+	case replaced:
 		return nil, false, runner.ErrGone
 	case refused:
 		return nil, false, runner.ErrNoConnection
 	}
-	if silent || isLate {
+	if unreachable || isLate {
 		<-ctx.Done()
 		return nil, false, fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
 	}
 	return w, !lost, nil
 }
 
-// living returns the life that calls to a worker reach: the last one under its name.
-func (f *Fleet) living(id runner.WorkerID) *worker {
+// current returns the incarnation that calls to a worker reach: with SameName the latest.
+func (f *Fleet) current(id runner.WorkerID) *worker {
 	w := f.workers[id]
 	for f.o.SameName && w != nil && w.next != nil {
 		w = w.next
@@ -57,18 +58,19 @@
 	return w
 }
 
+// noAnswer waits for the end of ctx, as a caller does whose response is lost.
 func noAnswer(ctx context.Context) error {
 	<-ctx.Done()
 	return fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
 }
 
-// clock is a worker's own steady clock.
+// clock returns the time of the worker's own monotonic clock.
 func (w *worker) clock() time.Duration { return time.Since(w.started) }
 
 // Start implements runner.Runner.
 func (f *Fleet) Start(ctx context.Context, to runner.Ref, s runner.Start) (time.Duration, error) {
 	f.mu.Lock()
-	if w := f.living(to.ID); w != nil && !w.dead {
+	if w := f.current(to.ID); w != nil && !w.crashed {
 		w.ordered[s.Task] = true
 	}
 	f.mu.Unlock()
@@ -87,7 +89,7 @@
 }
 
 func (f *Fleet) start(w *worker, s runner.Start) error {
-	if w.dead {
+	if w.crashed {
 		return runner.ErrUnknown
 	}
 	if s.Epoch < w.epoch {
@@ -113,23 +115,23 @@
 	f.starts++
 	j := f.jobs[s.Task.Job]
 	if j == nil {
-		f.breaks("%s started, which nobody handed in", s.Task)
+		f.violate("%s started, but its job was never submitted", s.Task)
 		return
 	}
-	f.begun[s.Task.Job] = true
+	f.started[s.Task.Job] = true
 	f.checkStart(w, s, j)
 	step := &j.Steps[s.Task.Step]
 	b := f.o.Work(s.Task, s.Run, w.ID)
-	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, still: b.Still, lasting: step.Lasting}
+	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, stuck: b.Still, longRunning: step.Lasting}
 	r.timer = time.AfterFunc(time.Hour, func() {})
 	w.running[s.Task] = r
 	w.used = w.used.Add(r.need)
-	if !w.used.Fits(w.room()) {
-		f.breaks("%s on %s goes over its capacity: %+v", s.Task, w.ID, w.used)
+	if !w.used.Fits(w.maxCapacity()) {
+		f.violate("%s on %s exceeds the worker's capacity: %+v", s.Task, w.ID, w.used)
 	}
 	h := f.history(s.Task)
-	h.live++
-	h.overtaken = slices.Clone(h.doneRuns)
+	h.running++
+	h.superseded = slices.Clone(h.doneRuns)
 	f.checkQuota(s.Task, j)
 	if b.Crashes > 0 {
 		time.AfterFunc(b.Crashes, func() {
@@ -139,56 +141,57 @@
 		})
 	}
 	if !step.Gang {
-		f.toWork(w, r)
+		f.startWork(w, r)
 		return
 	}
 	f.joinGang(w, r, step)
 }
 
-// maxEarly is how long before its time a task may start: clocks of machines
-// that are kept in step differ by less.
+// maxEarly is how long before its scheduled time a task may start: synchronized clocks
+// of machines differ by less.
 const maxEarly = 250 * time.Millisecond
 
-// checkStart holds a start against what the workers have seen.
+// checkStart checks a start against the history of the task.
 func (f *Fleet) checkStart(w *worker, s runner.Start, j *work.Job) {
 	h := f.history(s.Task)
 	switch {
-	case h.live > 0:
-		f.breaks("%s run %d on %s runs twice", s.Task, s.Run, w.ID)
-	case h.noted && !j.Steps[s.Task.Step].Lasting:
-		f.breaks("%s run %d on %s starts after its end was noted", s.Task, s.Run, w.ID)
-	case f.o.Attempts > 0 && h.fails >= f.o.Attempts && !j.Steps[s.Task.Step].Gang && !j.Steps[s.Task.Step].Lasting:
-		f.breaks("%s run %d starts after %d failures", s.Task, s.Run, h.fails)
+	case h.running > 0:
+		f.violate("%s run %d on %s runs twice", s.Task, s.Run, w.ID)
+	case h.acked && !j.Steps[s.Task.Step].Lasting:
+		f.violate("%s run %d on %s starts after its completion was acknowledged", s.Task, s.Run, w.ID)
+	case f.o.Attempts > 0 && h.failures >= f.o.Attempts && !j.Steps[s.Task.Step].Gang && !j.Steps[s.Task.Step].Lasting:
+		f.violate("%s run %d starts after %d failures", s.Task, s.Run, h.failures)
 	case s.Task.Occurrence >= max(1, j.Repeat):
-		f.breaks("%s starts, and the job has %d occurrences", s.Task, max(1, j.Repeat))
+		f.violate("%s starts, but the job has %d occurrences", s.Task, max(1, j.Repeat))
 	}
 	if h.crashes >= maxCrashes {
 		if h.startsSince++; h.startsSince > startsAfterCrashes {
-			f.breaks("%s run %d is start %d after %d workers had crashed under it", s.Task, s.Run, h.startsSince, maxCrashes)
+			f.violate("%s run %d is start %d after %d workers were crashed by the task", s.Task, s.Run, h.startsSince, maxCrashes)
 		}
 	}
 	if at, ok := f.cancelled[s.Task.Job]; ok && time.Since(at) > 3*time.Second+12*time.Second {
-		f.breaks("%s run %d starts %v after its cancellation", s.Task, s.Run, time.Since(at))
+		f.violate("%s run %d starts %v after its cancellation", s.Task, s.Run, time.Since(at))
 	}
 	if j.Repeat > 0 {
 		due := time.UnixMilli(j.StartAt).Add(time.Duration(s.Task.Occurrence) * j.Interval)
 		if early := time.Until(due); early > maxEarly {
-			f.breaks("%s run %d starts %v before its time", s.Task, s.Run, early)
+			f.violate("%s run %d starts %v before its scheduled time", s.Task, s.Run, early)
 		}
 	}
 	for _, a := range j.Steps[s.Task.Step].After {
 		for i := range j.Steps[a].Count {
 			if !f.history(work.TaskID{Job: s.Task.Job, Occurrence: s.Task.Occurrence, Step: a, Index: i}).done {
-				f.breaks("%s starts before step %d is done", s.Task, a)
+				f.violate("%s starts before step %d is done", s.Task, a)
 				return
 			}
 		}
 	}
 }
 
-func (f *Fleet) toWork(w *worker, r *run) {
+// startWork begins the work of a run and sets the timer for its completion.
+func (f *Fleet) startWork(w *worker, r *run) {
 	r.began = time.Now()
-	if r.still {
+	if r.stuck {
 		return
 	}
 	how := runner.Done
@@ -206,11 +209,11 @@
 	})
 }
 
-// joinGang starts a gang's work once all of its members are there.
+// joinGang begins the work of a gang once all its members have started.
 func (f *Fleet) joinGang(w *worker, r *run, step *work.Step) {
 	members := f.members(r)
 	if len(members) < step.Count {
-		r.alone = time.AfterFunc(f.o.Gang, func() {
+		r.gangTimer = time.AfterFunc(f.o.Gang, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if r.began.IsZero() {
@@ -220,7 +223,7 @@
 		return
 	}
 	for _, m := range members {
-		f.toWork(m.w, m.r)
+		f.startWork(m.w, m.r)
 	}
 }
 
@@ -229,7 +232,7 @@
 	r *run
 }
 
-// members finds the live members of a run's gang.
+// members returns the running members of a run's gang.
 func (f *Fleet) members(r *run) []member {
 	var all []member
 	for _, id := range f.order {
@@ -252,26 +255,26 @@
 	}
 }
 
-// end ends a run that is there.
+// end ends a run, if it is still running, and lists its completion.
 func (f *Fleet) end(w *worker, r *run, how runner.How) {
-	if w.dead || w.running[r.task] != r {
+	if w.crashed || w.running[r.task] != r {
 		return
 	}
 	r.timer.Stop()
-	if r.alone != nil {
-		r.alone.Stop()
+	if r.gangTimer != nil {
+		r.gangTimer.Stop()
 	}
 	delete(w.running, r.task)
 	w.used = w.used.Sub(r.need)
 	h := f.history(r.task)
-	h.live--
+	h.running--
 	switch how {
 	case runner.Done:
 		h.done = true
 		h.doneRuns = append(h.doneRuns, r.number)
-		f.representGang(r)
+		f.markGangDone(r)
 	case runner.Failed:
-		h.fails++
+		h.failures++
 	}
 	w.highest[r.task] = max(w.highest[r.task], r.number)
 	w.number++
@@ -281,9 +284,9 @@
 	w.wake = make(chan struct{})
 }
 
-// representGang counts a gang as done by one member's end, which represents
-// all, also one that was being stopped at the time.
-func (f *Fleet) representGang(r *run) {
+// markGangDone records a whole gang as done after one member has ended done. That
+// stands for all members, including any that were being stopped at the time.
+func (f *Fleet) markGangDone(r *run) {
 	step := &f.jobs[r.task.Job].Steps[r.task.Step]
 	if !step.Gang {
 		return
@@ -293,23 +296,23 @@
 	}
 }
 
-// extend renews the lease; it never shortens.
+// extend renews the lease; it never shortens it.
 func (f *Fleet) extend(w *worker, until time.Duration) {
 	until = min(until, w.clock()+f.o.Lease)
 	if until <= w.until {
 		return
 	}
 	w.until = until
-	if w.lapse != nil {
-		w.lapse.Stop()
+	if w.expiry != nil {
+		w.expiry.Stop()
 	}
-	w.lapse = time.AfterFunc(until-w.clock(), func() {
+	w.expiry = time.AfterFunc(until-w.clock(), func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		if w.clock() < w.until {
 			return
 		}
-		w.lapsedAt = time.Now()
+		w.expiredAt = time.Now()
 		for _, r := range w.running {
 			f.end(w, r, runner.Lapsed)
 			if f.jobs[r.task.Job].Steps[r.task.Step].Gang {
@@ -335,7 +338,7 @@
 }
 
 func (f *Fleet) stop(w *worker, task work.TaskID, number, epoch uint64) error {
-	if w.dead {
+	if w.crashed {
 		return runner.ErrUnknown
 	}
 	if epoch < w.epoch {
@@ -347,7 +350,7 @@
 	if r == nil || r.number != number || r.stopping {
 		return nil
 	}
-	f.checkAway(r)
+	f.checkDisruption(r)
 	r.stopping = true
 	r.timer.Stop()
 	r.timer = time.AfterFunc(f.o.Stop, func() {
@@ -361,15 +364,15 @@
 	return nil
 }
 
-// checkAway counts the stop of a task that serves while too many others of its
-// step do not.
-func (f *Fleet) checkAway(r *run) {
-	if _, cancelled := f.cancelled[r.task.Job]; cancelled || !r.atWork() {
+// checkDisruption counts the stop of a serving task if too many others of its step do
+// not serve.
+func (f *Fleet) checkDisruption(r *run) {
+	if _, cancelled := f.cancelled[r.task.Job]; cancelled || !r.serving() {
 		return
 	}
 	step := &f.jobs[r.task.Job].Steps[r.task.Step]
-	if away := step.Count - f.atWork(r.task.Job, r.task.Step); away >= step.MayMiss {
-		f.awayEnds++
+	if missing := step.Count - f.serving(r.task.Job, r.task.Step); missing >= step.MayMiss {
+		f.excessStops++
 	}
 }
 
@@ -398,15 +401,15 @@
 		return runner.Report{}, noAnswer(ctx)
 	}
 	f.mu.Lock()
-	silent := w.cut
+	unreachable := w.disconnected
 	f.mu.Unlock()
-	if silent {
+	if unreachable {
 		return runner.Report{}, noAnswer(ctx)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	switch {
-	case w.dead:
+	case w.crashed:
 		return runner.Report{}, runner.ErrUnknown
 	case w.ID != to.ID:
 		return runner.Report{}, &runner.OtherLife{ID: w.ID, Report: w.report()}
@@ -421,15 +424,15 @@
 	w.epoch = x.Epoch
 	f.extend(w, x.Until)
 	for len(w.ends) > 0 && w.ends[0].Number <= x.Acknowledge {
-		f.note(w, &w.ends[0])
+		f.acknowledge(w, &w.ends[0])
 		w.ends = w.ends[1:]
 	}
 	f.renews++
 	return nil
 }
 
-// note takes an end's acknowledgement.
-func (f *Fleet) note(w *worker, e *runner.End) {
+// acknowledge records the acknowledgement of a completion.
+func (f *Fleet) acknowledge(w *worker, e *runner.End) {
 	at := w.endedAt[e.Number]
 	delete(w.endedAt, e.Number)
 	delete(w.ordered, e.Task)
@@ -437,9 +440,9 @@
 		return
 	}
 	h := f.history(e.Task)
-	h.noted = true
-	if slices.Contains(h.overtaken, e.Run) && at.After(w.lapsedAt) && !f.jobs[e.Task.Job].Steps[e.Task.Step].Lasting {
-		f.breaks("%s run %d on %s: its end is noted after the task was started again", e.Task, e.Run, w.ID)
+	h.acked = true
+	if slices.Contains(h.superseded, e.Run) && at.After(w.expiredAt) && !f.jobs[e.Task.Job].Steps[e.Task.Step].Lasting {
+		f.violate("%s run %d on %s: its completion is acknowledged after the task was started again", e.Task, e.Run, w.ID)
 	}
 }
 
--- a/standin/epochworker/fleet.go
+++ b/standin/epochworker/fleet.go
@@ -1,10 +1,10 @@
-// Package epochworker is a stand-in of workers that compare epochs: in memory,
-// with leases on their own clocks, runs that take the time a test gives them,
-// late orders, lost answers, cuts and crashes. It checks the promises made on
-// runs as the workers see them.
+// Package epochworker is an in-memory stand-in for workers that compare epochs. It
+// has leases on the workers' own clocks, runs whose behaviour a test sets, late
+// orders, lost responses, disconnected workers and crashes. It checks the guarantees
+// about runs from the workers' point of view and records violations.
 //
-// Time is read with the time package, so that a fleet made inside a
-// testing/synctest bubble lives in the bubble's virtual time.
+// Time is read with the time package, so that a fleet created in a
+// testing/synctest bubble uses the bubble's virtual time.
 package epochworker
 
 import (
@@ -20,52 +20,52 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Behaviour of a run, drawn by the test.
+// Behaviour of a run, chosen by the test.
 type Behaviour struct {
-	Takes time.Duration // a task that lasts is at work until then
+	Takes time.Duration // run time; a long-running task serves until then
 	Fails bool
-	// Still runs make no progress and never end.
+	// Still makes the run stuck: it makes no progress and never ends.
 	Still bool
-	// Crashes: the worker dies that long after the run has begun; 0 for never.
+	// Crashes is how long after the start of the run its worker crashes; 0 means never.
 	Crashes time.Duration
 }
 
-// Faults are the misbehaviours in force. Probabilities are 0 to 1.
+// Faults are the injected faults, as probabilities from 0 to 1.
 type Faults struct {
-	LoseAnswers float64 // the call takes effect and is not answered
-	Late        float64 // the call is not answered and takes effect 2 to 12 s later
+	LoseAnswers float64 // the call takes effect, but its response is lost
+	Late        float64 // the call gets no response and takes effect 2 to 12 s later
 }
 
 // Options of a Fleet.
 type Options struct {
 	Seed  uint64
-	Lease time.Duration // the longest
-	Gang  time.Duration
+	Lease time.Duration // the longest that workers accept
+	Gang  time.Duration // how long a task waits for the rest of its gang
 	Stop  time.Duration // how long a stop takes
-	// Delay of each call.
+	// Delay is the latency of each call.
 	Delay time.Duration
-	// Work tells how a run goes.
+	// Work returns the behaviour of a run.
 	Work func(task work.TaskID, run uint64, on runner.WorkerID) Behaviour
-	// Attempts a task may fail.
+	// Attempts is how many failures a task may have; a start after them is a violation.
 	Attempts int
-	// Restart is how long after a crash another life of the worker answers at its
-	// address, under a new name; 0 for never. Nobody listens there until then.
+	// Restart is how long after a crash a new incarnation of the worker responds at its
+	// address, under a new name; 0 means never. Connections are refused until then.
 	Restart time.Duration
-	// SameName: that life has the worker's name and a later birth, and carries out
-	// orders and renewals that were meant for an earlier one.
+	// SameName makes the new incarnation keep the worker's name, with a later start time,
+	// and carry out orders and renewals that were meant for an earlier incarnation.
 	SameName bool
-	// EntryLag is how long after its begin that life's entry is there.
+	// EntryLag is how long after its start a new incarnation is listed in the directory.
 	EntryLag time.Duration
 }
 
-// A task that crashes its workers may be started startsAfterCrashes times more once
-// maxCrashes workers have crashed under it.
+// Once a task has crashed maxCrashes workers, it may be started startsAfterCrashes more
+// times.
 const (
 	maxCrashes         = 3
 	startsAfterCrashes = 2
 )
 
-// Fleet is a set of workers and what they have seen.
+// Fleet is a set of workers with the history of their tasks.
 type Fleet struct {
 	o Options
 
@@ -76,91 +76,93 @@
 	order   []runner.WorkerID
 	jobs    map[work.JobID]*work.Job
 	seen    map[work.TaskID]*history
-	begun   map[work.JobID]bool // a task of the job has started
-	// cancelled is when a job's cancellation was acknowledged.
-	cancelled map[work.JobID]time.Time
-	rev       store.Revision
-	log       []runner.Change
-	changed   chan struct{}
-	broken    []string
-	starts    int
-	renews    int
-	epoch     time.Time
-	caps      map[string][]bound // by account
-	// awayEnds counts lasting tasks at work that an order ended while as many
-	// others of their step as may be were away.
-	awayEnds int
-	crashes  int // caused by runs
-	lives    int // that followed a crash
-}
-
-// history is what all workers have seen of a task.
+	started map[work.JobID]bool // jobs of which a task has started
+	// cancelled has the times at which cancellations were acknowledged.
+	cancelled  map[work.JobID]time.Time
+	rev        store.Revision
+	log        []runner.Change
+	changed    chan struct{}
+	violations []string
+	starts     int
+	renews     int
+	epoch      time.Time
+	caps       map[string][]timedLimit // by account
+	// excessStops counts the orders that stopped a serving long-running task while as
+	// many other tasks of its step as may be missing did not serve.
+	excessStops int
+	crashes     int // caused by runs
+	restarts    int // incarnations that followed a crash
+}
+
+// history is what has happened to a task, over all workers.
 type history struct {
-	live  int
-	done  bool
-	noted bool // a done end was acknowledged, or a job shown as completed
-	// doneRuns have ended done; after those of overtaken it was started again.
-	doneRuns, overtaken []uint64
-	fails               int
-	// deaths of workers that had an order to start it of which no end was acknowledged,
-	// whatever caused them.
-	deaths int
-	// crashes of workers that it caused, and starts since the maxCrashes-th.
+	running int
+	done    bool
+	acked   bool // the completion of a done run was acknowledged
+	// doneRuns are the runs that ended done; superseded are those of them after which
+	// the task was started again.
+	doneRuns, superseded []uint64
+	failures             int
+	// suspectCrashes counts the crashes, of any cause, of workers that had an order to
+	// start the task and no acknowledged completion of it.
+	suspectCrashes int
+	// crashes counts the crashes that the task caused, startsSince its starts since the
+	// maxCrashes-th of them.
 	crashes, startsSince int
 }
 
 type worker struct {
 	runner.Worker
-	cut  bool
-	dead bool
-	// replaced: another life answers at its address.
-	replaced bool
-	next     *worker
-	unlisted bool // its entry is not there yet
-	epoch    uint64
-	started  time.Time
-	until    time.Duration // of the lease, on its clock
-	running  map[work.TaskID]*run
-	highest  map[work.TaskID]uint64 // stopped or ended
-	ordered  map[work.TaskID]bool   // to start, and no end acknowledged
-	ends     []runner.End
-	endedAt  map[int64]time.Time // of the ends that are listed, by number
-	lapsedAt time.Time           // when its lease last ran out
-	number   int64
-	wake     chan struct{}
-	rooms    []bound // capacities that it had before, while they count yet
-	lapse    *time.Timer
-	used     work.Resources
+	disconnected bool
+	crashed      bool
+	// replaced: the next incarnation responds at its address.
+	replaced   bool
+	next       *worker
+	unlisted   bool // not in the directory yet
+	epoch      uint64
+	started    time.Time
+	until      time.Duration // end of the lease, on its clock
+	running    map[work.TaskID]*run
+	highest    map[work.TaskID]uint64 // highest run that was stopped or ended
+	ordered    map[work.TaskID]bool   // to start, without an acknowledged completion
+	ends       []runner.End           // completions that are not acknowledged
+	endedAt    map[int64]time.Time    // times of these completions, by number
+	expiredAt  time.Time              // when its lease last expired
+	number     int64                  // of the last completion
+	wake       chan struct{}
+	capacities []timedLimit // earlier capacities that still count
+	expiry     *time.Timer
+	used       work.Resources
 }
 
 type run struct {
-	task     work.TaskID
-	number   uint64
-	need     work.Resources
-	began    time.Time // at work since
-	takes    time.Duration
-	fails    bool
-	still    bool
-	stopping bool
-	lasting  bool
-	timer    *time.Timer
-	alone    *time.Timer
-}
-
-// startup is how long a lasting task runs before it is at work.
+	task        work.TaskID
+	number      uint64
+	need        work.Resources
+	began       time.Time // start of its work; zero while it waits for its gang
+	takes       time.Duration
+	fails       bool
+	stuck       bool
+	stopping    bool
+	longRunning bool
+	timer       *time.Timer
+	gangTimer   *time.Timer
+}
+
+// startup is how long a long-running task takes from its start until it serves.
 const startup = 500 * time.Millisecond
 
-// atWork reports whether a lasting task serves.
-func (r *run) atWork() bool {
-	return r.lasting && !r.stopping && !r.began.IsZero() && time.Since(r.began) >= startup
+// serving reports whether a long-running task serves.
+func (r *run) serving() bool {
+	return r.longRunning && !r.stopping && !r.began.IsZero() && time.Since(r.began) >= startup
 }
 
-// percent is how far a run has come.
+// percent returns the reported progress of a run.
 func (r *run) percent() float64 {
 	switch {
-	case r.began.IsZero() || r.still:
+	case r.began.IsZero() || r.stuck:
 		return 0
-	case r.lasting:
+	case r.longRunning:
 		return min(100, 100*float64(time.Since(r.began))/float64(startup))
 	}
 	return min(99, 100*float64(time.Since(r.began))/float64(r.takes))
@@ -169,25 +171,25 @@
 // New returns a fleet without workers.
 func New(o Options) *Fleet {
 	return &Fleet{o: o, rng: rand.New(rand.NewPCG(o.Seed, 11)), workers: map[runner.WorkerID]*worker{}, jobs: map[work.JobID]*work.Job{},
-		seen: map[work.TaskID]*history{}, begun: map[work.JobID]bool{}, cancelled: map[work.JobID]time.Time{}, rev: 1, changed: make(chan struct{}), epoch: time.Now()}
+		seen: map[work.TaskID]*history{}, started: map[work.JobID]bool{}, cancelled: map[work.JobID]time.Time{}, rev: 1, changed: make(chan struct{}), epoch: time.Now()}
 }
 
-// Know tells the fleet a job, whose gangs and sizes it has to know.
+// Know registers a job, of whose steps the fleet needs the sizes and gangs.
 func (f *Fleet) Know(id work.JobID, j *work.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[id] = j
 }
 
-// Cancelled tells that a job's cancellation was acknowledged.
+// Cancelled records that the cancellation of a job was acknowledged.
 func (f *Fleet) Cancelled(id work.JobID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.cancelled[id] = time.Now()
 }
 
-// NotDone returns the tasks of a job, over all its occurrences, that have not
-// ended as done.
+// NotDone returns the tasks of a job, over all its occurrences, without a run that ended
+// done.
 func (f *Fleet) NotDone(id work.JobID) []work.TaskID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -205,25 +207,25 @@
 	return all
 }
 
-// Add registers a worker.
+// Add starts a worker and lists it in the directory.
 func (f *Fleet) Add(w runner.Worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.list(f.begins(w))
+	f.publish(f.newWorker(w))
 }
 
-// begins begins a life that has no entry yet.
-func (f *Fleet) begins(w runner.Worker) *worker {
-	life := &worker{Worker: w, started: time.Now().Add(-time.Duration(f.rng.IntN(1000)) * time.Second), unlisted: true,
+// newWorker starts an incarnation that is not listed in the directory yet.
+func (f *Fleet) newWorker(w runner.Worker) *worker {
+	started := &worker{Worker: w, started: time.Now().Add(-time.Duration(f.rng.IntN(1000)) * time.Second), unlisted: true,
 		running: map[work.TaskID]*run{}, highest: map[work.TaskID]uint64{}, ordered: map[work.TaskID]bool{}, endedAt: map[int64]time.Time{}, wake: make(chan struct{})}
-	f.workers[w.ID] = life
+	f.workers[w.ID] = started
 	f.order = append(f.order, w.ID)
-	return life
+	return started
 }
 
-// list writes a life's entry.
-func (f *Fleet) list(w *worker) {
-	if w.dead {
+// publish lists an incarnation in the directory.
+func (f *Fleet) publish(w *worker) {
+	if w.crashed {
 		return
 	}
 	w.unlisted = false
@@ -237,57 +239,57 @@
 	f.changed = make(chan struct{})
 }
 
-// IDs returns the workers that live.
+// IDs returns the workers that have not crashed.
 func (f *Fleet) IDs() []runner.WorkerID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var all []runner.WorkerID
 	for _, id := range f.order {
-		if !f.workers[id].dead {
+		if !f.workers[id].crashed {
 			all = append(all, id)
 		}
 	}
 	return all
 }
 
-// Crash ends a worker's life.
+// Crash crashes a worker.
 func (f *Fleet) Crash(id runner.WorkerID) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.crash(f.workers[id])
 }
 
-// Crashes returns how many workers crashed by what ran on them.
+// Crashes returns how many workers were crashed by runs.
 func (f *Fleet) Crashes() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.crashes
 }
 
-// CrashesUnder returns how many workers a task has crashed.
+// CrashesUnder returns how many workers were crashed by runs of a task.
 func (f *Fleet) CrashesUnder(t work.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.history(t).crashes
 }
 
-// MostDeaths returns how often a worker died under one task of a job, at the most, as far as
-// anybody else can know: also if it had not begun there, or had ended without that being
-// acknowledged.
+// MostDeaths returns the greatest number of worker crashes of which a single task of a job
+// can be suspected. That includes crashes of workers at which the task had been ordered but
+// had not started, or had ended without an acknowledgement.
 func (f *Fleet) MostDeaths(id work.JobID) (most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for t, h := range f.seen {
 		if t.Job == id {
-			most = max(most, h.deaths)
+			most = max(most, h.suspectCrashes)
 		}
 	}
 	return most
 }
 
-// crashBy ends a worker's life by the fault of a run.
+// crashBy crashes a worker because of a run.
 func (f *Fleet) crashBy(w *worker, r *run) {
-	if w.dead || w.running[r.task] != r {
+	if w.crashed || w.running[r.task] != r {
 		return
 	}
 	f.crashes++
@@ -296,22 +298,22 @@
 }
 
 func (f *Fleet) crash(w *worker) {
-	if w.dead {
+	if w.crashed {
 		return
 	}
 	id := w.ID
-	w.dead = true
+	w.crashed = true
 	lost := w.running
 	w.running = nil
 	for _, r := range lost {
-		f.history(r.task).live--
+		f.history(r.task).running--
 		r.timer.Stop()
 		if j := f.jobs[r.task.Job]; j.Steps[r.task.Step].Gang {
 			f.endGang(r, runner.Lapsed)
 		}
 	}
 	for t := range w.ordered {
-		f.history(t).deaths++
+		f.history(t).suspectCrashes++
 	}
 	time.AfterFunc(4500*time.Millisecond, func() {
 		f.mu.Lock()
@@ -319,121 +321,121 @@
 		f.record(runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: id}}, Gone: true})
 	})
 	if f.o.Restart > 0 {
-		close(w.wake) // its connections end with it
+		close(w.wake) // its connections are closed
 		time.AfterFunc(f.o.Restart, func() { f.restart(w) })
 	}
 }
 
-// restart begins another life at a dead worker's address.
+// restart starts a new incarnation at the address of a crashed worker.
 func (f *Fleet) restart(w *worker) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w.replaced = true
-	f.lives++
+	f.restarts++
 	next := w.Worker
-	next.ID = runner.WorkerID(fmt.Sprintf("life-%d", f.lives))
+	next.ID = runner.WorkerID(fmt.Sprintf("life-%d", f.restarts))
 	if f.o.SameName {
 		name, born := w.ID.Life()
 		next.ID = runner.LifeID(name, born+1)
 	}
-	w.next = f.begins(next)
+	w.next = f.newWorker(next)
 	if f.o.SameName {
-		w.next.started = time.Now() // its counts start anew
+		w.next.started = time.Now() // its completion numbers start again
 	}
 	if f.o.EntryLag == 0 {
-		f.list(w.next)
+		f.publish(w.next)
 		return
 	}
 	time.AfterFunc(f.o.EntryLag, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.list(w.next)
+		f.publish(w.next)
 	})
 }
 
-// Resize changes a worker's capacity while it runs. What it had before counts for lag
-// longer.
+// Resize changes the capacity of a running worker. Its earlier capacity still counts for
+// lag.
 func (f *Fleet) Resize(id runner.WorkerID, capacity work.Resources, lag time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	w := f.workers[id]
-	if w.dead {
+	if w.crashed {
 		return
 	}
-	w.rooms = append(w.rooms, bound{cap: w.Capacity, until: time.Now().Add(lag)})
+	w.capacities = append(w.capacities, timedLimit{cap: w.Capacity, until: time.Now().Add(lag)})
 	w.Capacity = capacity
 	f.record(runner.Change{Worker: w.Worker})
 }
 
-// room is the most of each resource that counts as the worker's now.
-func (w *worker) room() work.Resources {
-	w.rooms = slices.DeleteFunc(w.rooms, func(b bound) bool { return time.Now().After(b.until) })
+// maxCapacity returns, for each resource, the greatest of the capacities that count.
+func (w *worker) maxCapacity() work.Resources {
+	w.capacities = slices.DeleteFunc(w.capacities, func(b timedLimit) bool { return time.Now().After(b.until) })
 	most := w.Capacity
-	for _, b := range w.rooms {
+	for _, b := range w.capacities {
 		most = work.Resources{CPU: max(most.CPU, b.cap.CPU), Memory: max(most.Memory, b.cap.Memory), GPU: max(most.GPU, b.cap.GPU)}
 	}
 	return most
 }
 
-// Cut cuts a worker off, or heals the cut.
-func (f *Fleet) Cut(id runner.WorkerID, cut bool) {
+// Cut disconnects a worker, or reconnects it.
+func (f *Fleet) Cut(id runner.WorkerID, disconnected bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.workers[id].cut = cut
+	f.workers[id].disconnected = disconnected
 }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (f *Fleet) SetFaults(x Faults) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.faults = x
 }
 
-// Broken returns the promises that were broken.
+// Broken returns the violations of guarantees.
 func (f *Fleet) Broken() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return slices.Clone(f.broken)
+	return slices.Clone(f.violations)
 }
 
-// Counts returns the runs started and the renewals answered.
+// Counts returns the number of started runs and of accepted renewals.
 func (f *Fleet) Counts() (starts, renews int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.starts, f.renews
 }
 
-// Begun reports whether a task of a job has ever started.
+// Begun reports whether any task of a job has started.
 func (f *Fleet) Begun(id work.JobID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.begun[id]
+	return f.started[id]
 }
 
-// AwayEnds returns how often an order ended a lasting task at work, beyond what
-// its step may miss.
+// AwayEnds returns how often an order stopped a serving long-running task although as many
+// other tasks of its step as may be missing did not serve.
 func (f *Fleet) AwayEnds() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.awayEnds
+	return f.excessStops
 }
 
-// AtWork returns how many tasks of a job are at work.
+// AtWork returns how many long-running tasks of a job serve.
 func (f *Fleet) AtWork(id work.JobID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
 	for s := range f.jobs[id].Steps {
-		n += f.atWork(id, s)
+		n += f.serving(id, s)
 	}
 	return n
 }
 
-func (f *Fleet) atWork(id work.JobID, step int) int {
+func (f *Fleet) serving(id work.JobID, step int) int {
 	n := 0
 	for _, w := range f.workers {
 		for _, r := range w.running {
-			if r.task.Job == id && r.task.Step == step && r.atWork() {
+			if r.task.Job == id && r.task.Step == step && r.serving() {
 				n++
 			}
 		}
@@ -441,7 +443,7 @@
 	return n
 }
 
-// Running returns how many runs there are.
+// Running returns the number of runs.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -452,8 +454,8 @@
 	return n
 }
 
-func (f *Fleet) breaks(format string, args ...any) {
-	f.broken = append(f.broken, fmt.Sprintf("%v: ", time.Since(f.epoch))+fmt.Sprintf(format, args...))
+func (f *Fleet) violate(format string, args ...any) {
+	f.violations = append(f.violations, fmt.Sprintf("%v: ", time.Since(f.epoch))+fmt.Sprintf(format, args...))
 }
 
 func (f *Fleet) history(t work.TaskID) *history {
@@ -471,7 +473,7 @@
 	defer f.mu.Unlock()
 	var all []runner.Worker
 	for _, id := range f.order {
-		if w := f.workers[id]; !w.dead && !w.unlisted {
+		if w := f.workers[id]; !w.crashed && !w.unlisted {
 			all = append(all, w.Worker)
 		}
 	}
@@ -485,10 +487,10 @@
 	for {
 		f.mu.Lock()
 		rev, changed := f.rev, f.changed
-		news := slices.Clone(f.log[min(int(after)-1, len(f.log)):])
+		changes := slices.Clone(f.log[min(int(after)-1, len(f.log)):])
 		f.mu.Unlock()
-		if len(news) > 0 {
-			return news, rev, nil
+		if len(changes) > 0 {
+			return changes, rev, nil
 		}
 		select {
 		case <-ctx.Done():
--- a/standin/epochworker/fleet_test.go
+++ b/standin/epochworker/fleet_test.go
@@ -32,12 +32,12 @@
 	return err
 }
 
-// Each promise that the stand-in watches is broken on purpose, so that a run
-// without a broken promise means something.
-func TestBrokenPromisesAreNoticed(t *testing.T) {
+// TestViolationsAreRecorded violates each guarantee that the stand-in checks on purpose, so
+// that a run without violations is evidence.
+func TestViolationsAreRecorded(t *testing.T) {
 	small := work.Step{Count: 2, Size: work.Resources{CPU: 600}}
 	after := work.Step{Count: 1, After: []int{0}}
-	for name, breaks := range map[string]func(t *testing.T, f *Fleet){
+	for name, violate := range map[string]func(t *testing.T, f *Fleet){
 		"twice": func(t *testing.T, f *Fleet) {
 			require.NoError(t, order(t, f, "a", work.TaskID{Job: id}, 1))
 			require.NoError(t, order(t, f, "b", work.TaskID{Job: id}, 2))
@@ -49,7 +49,7 @@
 		"order": func(t *testing.T, f *Fleet) {
 			require.NoError(t, order(t, f, "a", work.TaskID{Job: id, Step: 1}, 1))
 		},
-		"after its end was noted": func(t *testing.T, f *Fleet) {
+		"after its completion was acknowledged": func(t *testing.T, f *Fleet) {
 			require.NoError(t, order(t, f, "a", work.TaskID{Job: id}, 1))
 			time.Sleep(2 * time.Second)
 			_, err := f.Renew(t.Context(), runner.Ref{ID: "a"}, runner.Renewal{Epoch: 1, Acknowledge: 1})
@@ -68,7 +68,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				f := twoWorkers(small, after)
-				breaks(t, f)
+				violate(t, f)
 				require.NotEmpty(t, f.Broken())
 				time.Sleep(time.Minute)
 			})
--- a/standin/epochworker/quota.go
+++ b/standin/epochworker/quota.go
@@ -6,19 +6,19 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// bound is a cap of an account, and when it stops counting; zero: it is in force.
-type bound struct {
+// timedLimit is a cap or capacity that counts until a time; the zero time means that it is in force.
+type timedLimit struct {
 	cap   work.Resources
 	until time.Time
 }
 
-// SetCap bounds what an account may have running from now on. A cap before it may be in
-// force for lag longer, and the highest counts: those who start tasks learn of it late.
+// SetCap sets the cap of an account. Earlier caps still count for lag, since the leader may
+// apply the new cap late; the highest of the caps that count is checked.
 func (f *Fleet) SetCap(account string, limit work.Resources, lag time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if f.caps == nil {
-		f.caps = map[string][]bound{}
+		f.caps = map[string][]timedLimit{}
 	}
 	all := f.caps[account]
 	for i := range all {
@@ -26,10 +26,10 @@
 			all[i].until = time.Now().Add(lag)
 		}
 	}
-	f.caps[account] = append(all, bound{cap: limit})
+	f.caps[account] = append(all, timedLimit{cap: limit})
 }
 
-// checkQuota holds a start against the caps of its job's account.
+// checkQuota checks the usage of the job's account after a start against its caps.
 func (f *Fleet) checkQuota(task work.TaskID, j *work.Job) {
 	var most work.Resources
 	for _, b := range f.caps[j.Account] {
@@ -41,11 +41,11 @@
 		return
 	}
 	if held := f.heldBy(j.Account); !held.Fits(most) {
-		f.breaks("%s takes account %s to %+v, over its cap %+v", task, j.Account, held, most)
+		f.violate("%s takes account %s to %+v, over its cap %+v", task, j.Account, held, most)
 	}
 }
 
-// heldBy adds up what runs for an account.
+// heldBy returns the resources of the running tasks of an account.
 func (f *Fleet) heldBy(account string) (sum work.Resources) {
 	for _, w := range f.workers {
 		for _, r := range w.running {
@@ -57,7 +57,7 @@
 	return sum
 }
 
-// HeldBy returns what runs for an account.
+// HeldBy returns the resources of the running tasks of an account.
 func (f *Fleet) HeldBy(account string) work.Resources {
 	f.mu.Lock()
 	defer f.mu.Unlock()
