--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -10,50 +10,50 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Faults are the misbehaviours that a test injects. Probabilities are 0 to 1.
+// Faults are the injected faults. Probabilities are from 0 to 1.
 type Faults struct {
-	// Down refuses every call at once with ErrUnavailable; waiting watches end.
+	// Down makes every call fail at once with ErrUnavailable and ends waiting watches.
 	Down bool
-	// Hang makes every call wait until its context ends, without effect.
+	// Hang makes every call wait for the end of its context, without effect.
 	Hang bool
-	// FreezeLeases keeps leases from lapsing while the service is Down.
+	// FreezeLeases keeps leases from expiring while the service is Down.
 	FreezeLeases bool
-	// LoseAnswers is the probability that a call takes effect and its answer is
+	// LoseAnswers is the probability that a call takes effect but its response is
 	// lost: ErrUnknownOutcome for writes, ErrUnavailable for reads.
 	LoseAnswers float64
 	// LoseRequests is the probability that a call is lost before it takes
-	// effect; the caller sees the same error as for a lost answer.
+	// effect; the caller gets the same error as for a lost response.
 	LoseRequests float64
-	// Refuse is the probability that a call is refused with ErrUnavailable.
+	// Refuse is the probability that a call is rejected with ErrUnavailable.
 	Refuse float64
 	// Delay is how long a call waits before it takes effect. A write whose
-	// context ends during the wait still takes effect when the wait is over.
+	// context ends during the wait still takes effect after it.
 	Delay time.Duration
-	// DelayChance is the probability that a call is delayed; 0 means all are.
+	// DelayChance is the probability that a call is delayed; 0 means that all are.
 	DelayChance float64
-	// CallsPerSecond limits all calls together; more are refused with
-	// ErrOverBudget. 0 is no limit.
+	// CallsPerSecond limits the rate of all calls together; excess calls are rejected
+	// with ErrOverBudget. 0 means no limit.
 	CallsPerSecond float64
 }
 
-// Counts are the calls received since the engine was made, by kind. A waiting
-// watch is one call.
+// Counts are the calls received since the engine was created, by kind. A watch
+// counts once, however long it waits.
 type Counts struct {
 	Get, List, Put, Delete, Watch, Grant, Renew, Revoke int
-	// Refused counts calls that CallsPerSecond refused.
+	// Refused counts the calls over CallsPerSecond.
 	Refused int
 }
 
-// Reads returns the number of calls that read.
+// Reads returns the number of read calls.
 func (c Counts) Reads() int { return c.Get + c.List + c.Watch }
 
-// Writes returns the number of calls that write.
+// Writes returns the number of write calls.
 func (c Counts) Writes() int { return c.Put + c.Delete + c.Grant + c.Renew + c.Revoke }
 
 // Total returns the number of all calls.
 func (c Counts) Total() int { return c.Reads() + c.Writes() }
 
-// callKind tells the methods of store.Store apart, for faults and counts.
+// callKind is the kind of a call, by the methods of store.Store, for faults and counts.
 type callKind int
 
 const (
@@ -74,17 +74,17 @@
 	*counters[kind]++
 }
 
-// gate is the rate limit of the service.
-type gate struct{ limiter *rate.Limiter }
+// rateLimit is the rate limit of the service.
+type rateLimit struct{ limiter *rate.Limiter }
 
-// SetFaults replaces the faults in force.
+// SetFaults replaces the injected faults.
 func (m *Memory) SetFaults(f Faults) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.gate = nil
+	m.limit = nil
 	if f.CallsPerSecond > 0 {
 		burst := max(1, int(f.CallsPerSecond))
-		m.gate = &gate{rate.NewLimiter(rate.Limit(f.CallsPerSecond), burst)}
+		m.limit = &rateLimit{rate.NewLimiter(rate.Limit(f.CallsPerSecond), burst)}
 	}
 	m.faults = f
 	close(m.released)
@@ -98,8 +98,8 @@
 	return m.counts
 }
 
-// fate is what the faults decided for one call.
-type fate struct {
+// outcome is the combination of faults drawn for one call.
+type outcome struct {
 	refused     error
 	hang        bool
 	loseRequest bool
@@ -107,19 +107,19 @@
 	delay       time.Duration
 }
 
-func (m *Memory) decide(kind callKind) fate {
+func (m *Memory) decide(kind callKind) outcome {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.counts.add(kind)
 	f := m.faults
-	if m.gate != nil && !m.gate.limiter.Allow() {
+	if m.limit != nil && !m.limit.limiter.Allow() {
 		m.counts.Refused++
-		return fate{refused: store.ErrOverBudget}
+		return outcome{refused: store.ErrOverBudget}
 	}
 	if f.Down || m.chance(f.Refuse) {
-		return fate{refused: store.ErrUnavailable}
+		return outcome{refused: store.ErrUnavailable}
 	}
-	decided := fate{
+	decided := outcome{
 		hang:        f.Hang,
 		loseRequest: m.chance(f.LoseRequests),
 		loseAnswer:  m.chance(f.LoseAnswers),
@@ -132,7 +132,7 @@
 
 func (m *Memory) chance(p float64) bool { return p > 0 && m.rng.Float64() < p }
 
-// call runs effect under the lock, with the faults applied around it.
+// call counts a call and runs its effect under the lock, subject to the faults.
 func (m *Memory) call(ctx context.Context, kind callKind, effect func() error) error {
 	f := m.decide(kind)
 	if f.refused != nil {
@@ -140,10 +140,10 @@
 	}
 	if f.hang {
 		<-ctx.Done()
-		return lost(kind, ctx.Err())
+		return lostError(kind, ctx.Err())
 	}
 	if f.loseRequest {
-		return lost(kind, nil)
+		return lostError(kind, nil)
 	}
 	if f.delay > 0 {
 		if err := m.delayed(ctx, kind, f.delay, effect); err != nil {
@@ -152,12 +152,13 @@
 	}
 	err := m.locked(effect)
 	if f.loseAnswer {
-		return lost(kind, nil)
+		return lostError(kind, nil)
 	}
 	return err
 }
 
-// delayed waits; when ctx ends first, a write takes effect later all the same.
+// delayed waits for the delay. If ctx ends first, a write still takes effect at the end of
+// the delay, in the background.
 func (m *Memory) delayed(ctx context.Context, kind callKind, delay time.Duration, effect func() error) error {
 	due := time.Now().Add(delay)
 	timer := time.NewTimer(delay)
@@ -170,7 +171,7 @@
 	if kind.writes() {
 		time.AfterFunc(time.Until(due), func() { _ = m.locked(effect) })
 	}
-	return lost(kind, ctx.Err())
+	return lostError(kind, ctx.Err())
 }
 
 func (m *Memory) locked(effect func() error) error {
@@ -179,7 +180,7 @@
 	return effect()
 }
 
-// stillUp is asked by a waiting watch when it wakes: an outage ends it.
+// stillUp returns an error during an outage, which ends waiting watches.
 func (m *Memory) stillUp() error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -189,7 +190,8 @@
 	return nil
 }
 
-func lost(kind callKind, cause error) error {
+// lostError returns the error of a call without a response.
+func lostError(kind callKind, cause error) error {
 	err := store.ErrUnavailable
 	if kind.writes() {
 		err = store.ErrUnknownOutcome
--- a/standin/kv/handler.go
+++ b/standin/kv/handler.go
@@ -9,12 +9,12 @@
 	"fennelshunt.example/fennelshunt/connection/store/wire"
 )
 
-// method serves one call of the protocol.
+// method handles one kind of call of the protocol.
 type method func(s store.Store, r *http.Request, req wire.Request) (wire.Reply, error)
 
-// Handler serves s over the protocol of package wire. When s answers
-// ErrUnknownOutcome the connection is cut without a reply, as it is when a
-// real service's answer is lost.
+// Handler serves s over the protocol of package wire. If s returns
+// ErrUnknownOutcome, the connection is closed without a response, as it is when the
+// response of a real service is lost.
 func Handler(s store.Store) http.Handler {
 	mux := http.NewServeMux()
 	for path, m := range map[string]method{
--- a/standin/kv/lease.go
+++ b/standin/kv/lease.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// lease holds the keys that go with it; timer fires at until or before.
+// lease is a lease with the keys bound to it. timer fires at until or earlier.
 type lease struct {
 	ttl   time.Duration
 	timer *time.Timer
@@ -31,7 +31,7 @@
 			ttl:   ttl,
 			until: time.Now().Add(ttl),
 			keys:  make(map[string]struct{}),
-			timer: time.AfterFunc(ttl, func() { m.lapse(granted) }),
+			timer: time.AfterFunc(ttl, func() { m.expire(granted) }),
 		}
 		return nil
 	})
@@ -65,9 +65,9 @@
 	})
 }
 
-// lapse runs when a lease's timer fires; a renewal that came in between has
-// moved the end.
-func (m *Memory) lapse(id store.LeaseID) {
+// expire ends a lease when its timer fires, unless a renewal has moved the end
+// meanwhile.
+func (m *Memory) expire(id store.LeaseID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	l := m.leases[id]
--- a/standin/kv/memory.go
+++ b/standin/kv/memory.go
@@ -1,9 +1,9 @@
-// Package kv is a stand-in of the platform's key-value service: an in-memory
-// engine with compare-and-swap, leases and watches, faults that tests inject,
+// Package kv is a stand-in for the platform's key-value service: an in-memory
+// engine with compare-and-swap, transactions, leases and watches, injectable faults,
 // and a handler that serves it over HTTP+JSON.
 //
-// Time is read with the time package, so that an engine made inside a
-// testing/synctest bubble lives in the bubble's virtual time.
+// Time is read with the time package, so that an engine created in a
+// testing/synctest bubble uses the bubble's virtual time.
 package kv
 
 import (
@@ -21,7 +21,7 @@
 )
 
 const (
-	// historySize is how many events are kept for watches.
+	// historySize is the number of events that are kept for watches.
 	historySize = 4096
 	treeDegree  = 32
 	defaultSeed = 1
@@ -32,15 +32,15 @@
 	mu        sync.Mutex
 	rev       store.Revision
 	entries   *btree.BTreeG[store.Entry]
-	history   []store.Event  // by rising revision
-	compacted store.Revision // events up to here are no longer kept
-	changed   chan struct{}  // closed at the next event
+	history   []store.Event  // by ascending revision
+	compacted store.Revision // events up to this revision are dropped
+	changed   chan struct{}  // closed and replaced at each event
 	leases    map[store.LeaseID]*lease
 	lastLease store.LeaseID
 
 	faults   Faults
-	gate     *gate
-	released chan struct{} // closed when the faults change
+	limit    *rateLimit
+	released chan struct{} // closed and replaced when the faults change
 	rng      *rand.Rand
 	counts   Counts
 }
@@ -50,7 +50,7 @@
 // New returns an empty engine without faults.
 func New() *Memory { return NewSeeded(defaultSeed) }
 
-// NewSeeded returns an empty engine whose random faults follow seed.
+// NewSeeded returns an empty engine whose random faults are drawn from seed.
 func NewSeeded(seed uint64) *Memory {
 	return &Memory{
 		entries:  btree.NewG(treeDegree, func(a, b store.Entry) bool { return a.Key < b.Key }),
@@ -135,7 +135,7 @@
 	return nil
 }
 
-// Delete implements store.Store. A key that does not exist is ErrNotFound.
+// Delete implements store.Store. It returns ErrNotFound for a key that does not exist.
 func (m *Memory) Delete(ctx context.Context, key string, prev store.Revision) error {
 	return m.call(ctx, callDelete, func() error {
 		old, ok := m.entries.Get(store.Entry{Key: key})
@@ -164,7 +164,7 @@
 	}
 }
 
-// record appends an event, drops the oldest beyond the limit and wakes the
+// record appends an event, drops the oldest ones beyond historySize and wakes the
 // watches.
 func (m *Memory) record(e store.Event) {
 	m.history = append(m.history, e)
@@ -185,7 +185,7 @@
 	m.compacted = max(m.compacted, min(rev, m.rev))
 }
 
-// Compact drops every kept event, so that a watch that lags gets ErrCompacted.
+// Compact drops all events, so that watches that lag behind get ErrCompacted.
 func (m *Memory) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -208,10 +208,10 @@
 		defer timer.Stop()
 		timeout = timer.C
 	}
-	// The first look is the call that counts; later looks continue it.
-	look := func() error { return m.call(ctx, callWatch, func() error { return nil }) }
+	// Only the first check counts as a call; later ones only end the watch in an outage.
+	check := func() error { return m.call(ctx, callWatch, func() error { return nil }) }
 	for {
-		if err := look(); err != nil {
+		if err := check(); err != nil {
 			return nil, 0, err
 		}
 		events, rev, changed, err := m.since(prefix, after)
@@ -229,11 +229,11 @@
 		case <-changed.events:
 		case <-changed.faults:
 		}
-		look = m.stillUp
+		check = m.stillUp
 	}
 }
 
-// wakeups are closed at the next event and at the next change of the faults.
+// wakeups are channels that are closed at the next event and the next change of the faults.
 type wakeups struct{ events, faults <-chan struct{} }
 
 func (m *Memory) since(prefix string, after store.Revision) ([]store.Event, store.Revision, wakeups, error) {
--- a/standin/kv/memory_test.go
+++ b/standin/kv/memory_test.go
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// engines returns the engine itself and the engine behind HTTP.
+// engines returns constructors of an engine used directly and of one used over HTTP.
 func engines(t *testing.T) map[string]func() (*kv.Memory, store.Store) {
 	return map[string]func() (*kv.Memory, store.Store){
 		"memory": func() (*kv.Memory, store.Store) { m := kv.New(); return m, m },
@@ -25,7 +25,7 @@
 	}
 }
 
-func TestEngineKeepsTheContract(t *testing.T) {
+func TestEngineImplementsTheStoreContract(t *testing.T) {
 	for name, open := range engines(t) {
 		t.Run(name, func(t *testing.T) {
 			m, s := open()
--- a/standin/kv/model_test.go
+++ b/standin/kv/model_test.go
@@ -17,7 +17,7 @@
 
 func TestMain(m *testing.M) { rapidtest.Main(m) }
 
-// naive is the oracle: a log of events, replayed for every question.
+// naive is the reference implementation: a log of events that is replayed for each query.
 type naive struct {
 	log    []store.Event
 	leases map[store.LeaseID]bool
@@ -58,8 +58,8 @@
 	case e.Revision != prev:
 		return store.ErrConflict
 	}
-	gone := store.Entry{Key: key, Revision: n.rev() + 1}
-	n.log = append(n.log, store.Event{Entry: gone, Deleted: true})
+	deleted := store.Entry{Key: key, Revision: n.rev() + 1}
+	n.log = append(n.log, store.Event{Entry: deleted, Deleted: true})
 	return nil
 }
 
@@ -97,7 +97,7 @@
 	return found
 }
 
-// TestEngineAgainstNaiveLog compares the engine with the replayed log.
+// TestEngineAgainstNaiveLog compares the engine with the reference implementation.
 func TestEngineAgainstNaiveLog(t *testing.T) {
 	ctx := context.Background()
 	keys := rapid.SampledFrom([]string{"a", "a/1", "a/2", "ab", "b/1"})
--- a/standin/kv/txn.go
+++ b/standin/kv/txn.go
@@ -80,7 +80,7 @@
 	return nil
 }
 
-// ListStale implements store.Transactor; the answer is never stale.
+// ListStale implements store.Transactor; its result is never stale.
 func (m *Memory) ListStale(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
 	return m.List(ctx, prefix)
 }
