--- a/cmd/fennelstandin/main.go
+++ b/cmd/fennelstandin/main.go
@@ -1,6 +1,6 @@
-// Command fennelstandin serves the stand-ins of the platform as one process: a
-// key-value service, a list of VMs and the workers with their endpoints, with
-// faults that are switched on and off over HTTP and a count of what was seen.
+// Command fennelstandin serves the stand-ins of the platform in one process: a
+// key-value service, a list of VMs, and workers with their endpoints. Faults are
+// injected and counts are read over HTTP.
 package main
 
 import (
@@ -30,14 +30,14 @@
 func run(args []string) error {
 	fs := flag.NewFlagSet("fennelstandin", flag.ContinueOnError)
 	var (
-		cell    = fs.String("cell", "authority", "workers of which user: authority or guild")
+		cell    = fs.String("cell", "authority", "user whose workers are served: authority or guild")
 		kvAddr  = fs.String("store", "127.0.0.1:7000", "address of the key-value service")
 		vmsAddr = fs.String("vm-list", "127.0.0.1:7001", "address of the list of VMs")
-		control = fs.String("control", "127.0.0.1:7002", "address for reports and faults")
-		work    = fs.Duration("work", 20*time.Millisecond, "time that an endpoint takes for a request")
+		control = fs.String("control", "127.0.0.1:7002", "address for reports and fault injection")
+		work    = fs.Duration("work", 20*time.Millisecond, "working time of an endpoint for each request")
 		lag     = fs.Duration("lag", time.Second, "lag of the list of VMs")
-		workers = fs.Int("workers", 0, "number of workers, 0 for the user's own")
-		seed    = fs.Uint64("seed", 1, "seed of the faults' random choices")
+		workers = fs.Int("workers", 0, "number of workers; 0 for the user's default")
+		seed    = fs.Uint64("seed", 1, "seed of the random faults")
 	)
 	if err := ff.Parse(fs, args, ff.WithEnvVarPrefix("FENNELSTANDIN")); err != nil {
 		return err
@@ -51,8 +51,8 @@
 	}, *control)
 }
 
-// shapeOf returns the cell of a user; a positive number of workers replaces the
-// user's own.
+// shapeOf returns the shape of a user's cell. A positive number of workers replaces the
+// user's default.
 func shapeOf(cell string, workers int) (platform.Shape, error) {
 	var shape platform.Shape
 	switch cell {
@@ -61,7 +61,7 @@
 	case "guild":
 		shape = platform.Guild()
 	default:
-		return shape, fmt.Errorf("flag -cell: %q is not known; use authority or guild", cell)
+		return shape, fmt.Errorf("flag -cell: unknown user %q; use authority or guild", cell)
 	}
 	if workers > 0 {
 		shape.Workers = workers
@@ -69,7 +69,7 @@
 	return shape, nil
 }
 
-// serve runs the stand-ins, and their control on the address, until a signal.
+// serve runs the stand-ins, and their control API at the address, until a signal.
 func serve(o platform.Options, control string) error {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
@@ -84,7 +84,7 @@
 	server := &http.Server{Handler: p.Control(), ReadHeaderTimeout: 5 * time.Second}
 	go func() {
 		<-ctx.Done()
-		_ = server.Close() // the process ends
+		_ = server.Close() // the process exits
 	}()
 	fmt.Printf("store %s\nvm list %s\ncontrol http://%s\n", p.StoreURL, p.VMListURL, l.Addr())
 	if err := server.Serve(l); !errors.Is(err, http.ErrServerClosed) {
--- a/command/bench/drive_test.go
+++ b/command/bench/drive_test.go
@@ -45,7 +45,7 @@
 	})
 	require.NoError(t, err)
 	_, err = d.repeat(t.Context(), 0)
-	require.ErrorContains(t, err, "restarted")
+	require.ErrorContains(t, err, "restarted during the measurement")
 }
 
 func TestDriveNeedsProcessCounters(t *testing.T) {
--- a/command/bench/run.go
+++ b/command/bench/run.go
@@ -63,7 +63,7 @@
 	case "guild":
 		return platform.Guild(), "remodel-desk", nil
 	default:
-		return platform.Shape{}, "", fmt.Errorf("flag -user: %q is not known; use authority or guild", user)
+		return platform.Shape{}, "", fmt.Errorf("flag -user: unknown user %q; use authority or guild", user)
 	}
 }
 
--- a/standin/agent/agent.go
+++ b/standin/agent/agent.go
@@ -1,7 +1,7 @@
-// Package agent is a stand-in for the platform's agent on a worker VM. Tasks
-// are timers; a service instance is launched by a function that the user
-// passes. The stand-in can compare epochs or only know leases, fail every
-// task, and overrun declared sizes.
+// Package agent is a stand-in for the platform's agent on a worker VM. Batch tasks
+// are timers; service instances are launched by a function in the Options. The
+// stand-in compares epochs or checks leases only, and can fail all tasks and use
+// more than the declared sizes.
 package agent
 
 import (
@@ -26,8 +26,8 @@
 	Zone     string
 	Rack     string
 	Capacity spec.Resources
-	// ComparesEpochs makes the agent refuse a lease with an epoch lower than
-	// the highest it has seen.
+	// ComparesEpochs makes the agent refuse leases with an epoch lower than the highest
+	// that it has received.
 	ComparesEpochs bool
 	Launch         LaunchService
 	// Recorder may be nil.
@@ -42,7 +42,7 @@
 
 func (l *lease) valid(now time.Time) bool { return !l.revoked && now.Sub(l.renewed) < l.ttl }
 
-// Agent implements worker.Agent. Its state has one mutex; calls are short.
+// Agent implements worker.Agent. One mutex guards its state; calls hold it briefly.
 type Agent struct {
 	o Options
 
@@ -62,7 +62,7 @@
 	return &Agent{o: o, leases: map[worker.LeaseID]*lease{}, runs: map[worker.Ref]*run{}}
 }
 
-// SetFailAll makes every task that starts from now on fail.
+// SetFailAll makes all tasks fail that start from now on.
 func (a *Agent) SetFailAll(on bool) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -76,8 +76,8 @@
 	a.draining = on
 }
 
-// Serve stops the tasks whose task lease has run out, until ctx ends. Then it
-// ends everything, as the loss of the VM does.
+// Serve stops the tasks whose task lease has expired, until ctx ends. Then it ends
+// all tasks, as the loss of the VM does.
 func (a *Agent) Serve(ctx context.Context) error {
 	tick := time.NewTicker(50 * time.Millisecond)
 	defer tick.Stop()
@@ -92,7 +92,7 @@
 	}
 }
 
-// Kill ends every task without a result, as the loss of the VM does.
+// Kill ends all tasks without a result, as the loss of the VM does.
 func (a *Agent) Kill() {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -158,7 +158,7 @@
 	return id, nil
 }
 
-// lease returns a valid lease. The caller holds mu.
+// lease returns the lease if it is valid. The caller holds mu.
 func (a *Agent) lease(id worker.LeaseID) (*lease, error) {
 	if a.closed {
 		return nil, worker.ErrUnreachable
@@ -251,8 +251,8 @@
 	return nil
 }
 
-// Throttle implements worker.Agent. The stand-in lowers the reported usage; it
-// does not slow the run down.
+// Throttle implements worker.Agent. The stand-in lowers the reported usage but does not
+// slow the run down.
 func (a *Agent) Throttle(_ context.Context, id worker.LeaseID, ref worker.Ref, milliCPU int64) error {
 	a.mu.Lock()
 	defer a.mu.Unlock()
--- a/standin/agent/agent_test.go
+++ b/standin/agent/agent_test.go
@@ -29,11 +29,10 @@
 	}
 }
 
-// Symptom: a task runs although its owner lost the worker.
-// Sequence: an owner opens a lease, the lease is revoked by its successor, a
-// start that was under way arrives afterwards.
-// Cause: an agent that checks leases only when they are opened.
-func TestStartUnderRevokedOrLapsedLeaseIsRefused(t *testing.T) {
+// Guards against an agent that checks leases only when they are opened, and runs a task
+// for an owner that has lost the worker: a successor revokes the owner's lease, or
+// the lease expires, and a start that was in flight arrives afterwards.
+func TestStartUnderRevokedOrExpiredLeaseIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rec := record.New()
 		a := New(Options{ID: "w1", Recorder: rec})
@@ -42,9 +41,9 @@
 		_, err := a.Start(t.Context(), revoked, []worker.Start{batch(0, time.Second)})
 		require.ErrorIs(t, err, worker.ErrLeaseInvalid)
 
-		lapsed := open(t, a, 1)
+		expired := open(t, a, 1)
 		time.Sleep(10 * time.Second)
-		_, err = a.Start(t.Context(), lapsed, []worker.Start{batch(0, time.Second)})
+		_, err = a.Start(t.Context(), expired, []worker.Start{batch(0, time.Second)})
 		require.ErrorIs(t, err, worker.ErrLeaseInvalid)
 		require.Zero(t, rec.Report().Starts)
 	})
@@ -73,7 +72,7 @@
 	})
 }
 
-func TestTasksStopWhenTheirLeaseRunsOut(t *testing.T) {
+func TestTasksStopWhenTheirLeaseExpires(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		a := New(Options{ID: "w1", Recorder: record.New()})
--- a/standin/agent/run.go
+++ b/standin/agent/run.go
@@ -8,18 +8,18 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Parameters of a task that the stand-in understands.
+// Parameters of a task that control the stand-in.
 const (
-	// ParamActualRunTime is the real run time, a duration; the default is the
+	// ParamActualRunTime is the actual run time, a duration; the default is the
 	// declared one.
 	ParamActualRunTime = "actual_run_time"
-	// ParamUsagePercent is the real usage in percent of the declared size.
+	// ParamUsagePercent is the actual usage in percent of the declared size.
 	ParamUsagePercent = "usage_percent"
-	// ParamFail makes every run fail when it is "always".
+	// ParamFail makes all runs of the task fail if it is "always".
 	ParamFail = "fail"
 )
 
-// defaultRunTime is the run time of a batch task that declares none.
+// defaultRunTime is the run time of a task that declares none.
 const defaultRunTime = 100 * time.Millisecond
 
 // run is one attempt of a task on the VM.
@@ -28,13 +28,13 @@
 	start   worker.Start
 	began   time.Time
 	runTime time.Duration
-	base    float64 // work done before this run, from a checkpoint
+	base    float64 // share of the work done before this run, from a checkpoint
 	timer   *time.Timer
 	stop    func() // ends a service instance
 	seq     uint64
 }
 
-// startOne returns why the start was refused, or "". The caller holds mu.
+// startOne starts a run, and returns the reason of a refusal or "". The caller holds mu.
 func (a *Agent) startOne(id worker.LeaseID, s worker.Start) string {
 	ref := worker.Ref{Task: s.Task, Attempt: s.Attempt}
 	if a.runs[ref] != nil {
@@ -66,7 +66,7 @@
 	return ""
 }
 
-// armTimer ends the run after left. The caller holds mu.
+// armTimer sets the timer that ends the run after left. The caller holds mu.
 func (a *Agent) armTimer(r *run, left time.Duration) {
 	state := worker.Succeeded
 	if a.failAll || r.start.Parameters[ParamFail] == "always" {
@@ -87,7 +87,7 @@
 		r.timer.Stop()
 	}
 	if r.stop != nil {
-		go r.stop() // stopping an HTTP server waits; the agent does not
+		go r.stop() // in the background, since stopping an HTTP server can take long
 	}
 	r.task.Work = r.work(time.Now())
 	if state == worker.Succeeded {
@@ -127,7 +127,7 @@
 	return t
 }
 
-// actualRunTime returns how long the run takes in the stand-in.
+// actualRunTime returns how long a run takes in the stand-in.
 func actualRunTime(s worker.Start) time.Duration {
 	if d, err := time.ParseDuration(s.Parameters[ParamActualRunTime]); err == nil {
 		return d
@@ -138,7 +138,7 @@
 	return defaultRunTime
 }
 
-// usage returns what the run really uses of the worker.
+// usage returns the resources that a run actually uses.
 func usage(s worker.Start) spec.Resources {
 	percent, err := strconv.ParseInt(s.Parameters[ParamUsagePercent], 10, 64)
 	if err != nil {
--- a/standin/callers/callers.go
+++ b/standin/callers/callers.go
@@ -1,7 +1,7 @@
-// Package callers stands in for callers: it sends requests at given times, not
-// when earlier ones have returned, checks each answer against its own request,
-// and keeps per request what it was told, to be compared with what the
-// endpoints saw.
+// Package callers is a stand-in for callers. It sends an open-loop load (requests do
+// not wait for earlier ones to return), checks that each response belongs to its
+// request, and records the outcome of each request, to be compared with what the
+// endpoints counted.
 package callers
 
 import (
@@ -26,10 +26,10 @@
 // Kind of a request.
 type Kind int
 
-// Kinds. An Idempotent one may run again; a NonIdempotent one has no key and is
-// tried again only when it did not run; a Keyed one is non-idempotent and
-// carries an idempotency key, so that it is tried again on any daemon, unless that says
-// that the outcome will never be known.
+// Kinds. An Idempotent request may run more than once. A NonIdempotent one has no
+// idempotency key and is retried only if it did not run. A Keyed one is non-idempotent
+// and has an idempotency key, so that it can be retried on any daemon, unless a
+// daemon reports that the outcome will never be known.
 const (
 	Idempotent Kind = iota
 	NonIdempotent
@@ -40,9 +40,9 @@
 // Options of a Run.
 type Options struct {
 	Client  *http.Client
-	BaseURL string // default http://cell
+	BaseURL string // http://cell if empty
 	Service string
-	// Rate is the arrivals per second, in a Poisson process.
+	// Rate is the mean number of arrivals per second, a Poisson process.
 	Rate float64
 	// Count is the number of requests.
 	Count int
@@ -50,33 +50,33 @@
 	NonIdempotent, Keyed float64
 	// BodySize is the size of each request's body, in bytes.
 	BodySize int
-	// Tries bounds how often one request is sent, 0 means 5.
+	// Tries is how often one request is sent at most; 0 means 5.
 	Tries int
 	Seed  uint64
-	// Until, when set, ends the arrivals early when it is closed.
+	// Until, if not nil, ends the arrivals early when it is closed.
 	Until <-chan struct{}
-	// Progress, when set, is called after each request has ended.
+	// Progress, if not nil, is called after the end of each request.
 	Progress func()
 }
 
-// Outcome is what one request came to.
+// Outcome is the outcome of one request.
 type Outcome struct {
 	Key   string
 	Kind  Kind
-	Whole bool // the whole answer to this very request arrived
-	// Foreign is set when an answer was not the one to this request.
+	Whole bool // the complete response to this request arrived
+	// Foreign is set if a response was not the one to this request.
 	Foreign bool
 	// Last is the verdict of the last try, valid when Answered.
 	Last verdict.Verdict
-	// AllNotRun is set when every try was answered with NotRun.
+	// AllNotRun is set if every try got the verdict NotRun.
 	AllNotRun bool
-	Answered  bool // the last try got a whole answer of some kind
+	Answered  bool // the last try got a complete response of some kind
 	Tries     int
-	// Latency counts from the time at which the request was due.
+	// Latency counts from the scheduled time of the request.
 	Latency time.Duration
 	Status  int
 	Code    string
-	// Problem is why the last try got no whole answer, and At when that was known.
+	// Problem is the error of a last try without a complete response, At the time of the error.
 	Problem error
 	At      time.Time
 }
@@ -84,7 +84,7 @@
 // Result of a Run.
 type Result struct {
 	Outcomes []Outcome
-	// Latency of whole answers, in microseconds; ByKind holds it per Kind.
+	// Latency is that of complete responses, in microseconds; ByKind has it per Kind.
 	Latency *hdrhistogram.Histogram
 	ByKind  [kinds]*hdrhistogram.Histogram
 	Elapsed time.Duration
@@ -92,14 +92,14 @@
 
 const (
 	defaultTries = 5
-	// retryPause is the pause before a try without advice from the answer.
+	// retryPause is the pause before a retry if the response has no Retry-After.
 	retryPause = 50 * time.Millisecond
-	// latencyMax and latencyDigits size the histogram, in microseconds.
+	// latencyMax, in microseconds, and latencyDigits, significant digits, size the histograms.
 	latencyMax    = 10 * 60 * 1_000_000
 	latencyDigits = 3
 )
 
-// Run sends the requests and returns when all have ended.
+// Run sends the requests and returns after all have ended.
 func Run(ctx context.Context, o Options) *Result {
 	if o.BaseURL == "" {
 		o.BaseURL = "http://cell"
@@ -159,18 +159,18 @@
 func isClosed(c <-chan struct{}) bool {
 	select {
 	case <-c:
-		return true // a nil channel is never ready
+		return true // never for a nil channel
 	default:
 		return false
 	}
 }
 
-// sleepUntil reports whether t came before ctx ended.
+// sleepUntil waits until t, and reports false if ctx ended before.
 func sleepUntil(ctx context.Context, t time.Time) bool {
 	return sleep.For(ctx, time.Until(t)) == nil
 }
 
-// call is one request with its tries.
+// call is one request with its retries.
 type call struct {
 	o    *Options
 	kind Kind
@@ -194,7 +194,7 @@
 	return out
 }
 
-// try sends the request once and reports whether and when to try again.
+// try sends the request once and reports whether to retry it, and after which pause.
 func (c *call) try(ctx context.Context, out *Outcome) (pause time.Duration, again bool) {
 	body := c.body()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, c.o.BaseURL+"/desk", bytes.NewReader(body))
@@ -202,7 +202,7 @@
 		out.Answered, out.AllNotRun = false, false
 		return 0, false
 	}
-	r.GetBody = nil // the stand-in, not the transport, decides about tries
+	r.GetBody = nil // so that the transport does not retry on its own
 	r.Header.Set(gateway.ServiceHeader, c.o.Service)
 	r.Header.Set(endpoint.KeyHeader, c.key)
 	switch c.kind {
@@ -222,15 +222,16 @@
 		out.unanswered(err)
 		return retryPause, c.kind != NonIdempotent
 	}
-	return c.judge(out, res, got, body)
+	return c.evaluate(out, res, got, body)
 }
 
-// unanswered notes that the answer is lost: the request may have run.
+// unanswered records that no complete response arrived: the request may have run.
 func (o *Outcome) unanswered(why error) {
 	o.Answered, o.AllNotRun, o.Problem, o.At = false, false, why, time.Now()
 }
 
-func (c *call) judge(out *Outcome, res *http.Response, got, body []byte) (pause time.Duration, again bool) {
+// evaluate records a complete response and reports whether and when to retry.
+func (c *call) evaluate(out *Outcome, res *http.Response, got, body []byte) (pause time.Duration, again bool) {
 	out.Answered, out.Status = true, res.StatusCode
 	out.Last, out.Code = parseVerdict(res.Header.Get(verdict.Header)), res.Header.Get(verdict.CodeHeader)
 	if out.Last != verdict.NotRun {
--- a/standin/callers/callers_test.go
+++ b/standin/callers/callers_test.go
@@ -16,7 +16,7 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// slowTransport answers each request after the given time.
+// slowTransport responds to each request after the given time.
 type slowTransport time.Duration
 
 func (s slowTransport) RoundTrip(r *http.Request) (*http.Response, error) {
@@ -25,7 +25,7 @@
 	return &http.Response{StatusCode: http.StatusBadGateway, Header: http.Header{}, Body: io.NopCloser(strings.NewReader("")), Request: r}, nil
 }
 
-// verdictTransport answers each request with a verdict, and counts them by key.
+// verdictTransport responds to each request with MayHaveRun and a code, and counts requests by key.
 type verdictTransport struct {
 	code  string
 	after string // Retry-After, if any
@@ -48,9 +48,9 @@
 	return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: r}, nil
 }
 
-// TestCallersSendAgainAsTheirPageSays guards against stand-ins that give up, or double, a request
-// of which it is not known whether it ran.
-func TestCallersSendAgainAsTheirPageSays(t *testing.T) {
+// TestRetriesFollowTheCallersContract guards against stand-ins that give up or double a request
+// that may have run, against the documented contract of callers.
+func TestRetriesFollowTheCallersContract(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
 		nonIdempotent, keyed float64
@@ -59,7 +59,7 @@
 	}{
 		{"idempotent", 0, 0, "deadline_exceeded", 3},
 		{"keyed", 0, 1, "deadline_exceeded", 3},
-		{"keyed, never to be known", 0, 1, idem.CodeOutcomeUnknown, 1},
+		{"keyed, outcome unknown for good", 0, 1, idem.CodeOutcomeUnknown, 1},
 		{"non-idempotent", 1, 0, "deadline_exceeded", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
@@ -74,9 +74,9 @@
 	}
 }
 
-// TestCallersComeBackWhenTheyAreTold guards against stand-ins that come back sooner, and keep a
-// busy service busy with refusing them.
-func TestCallersComeBackWhenTheyAreTold(t *testing.T) {
+// TestRetriesWaitForRetryAfter guards against stand-ins that retry sooner than Retry-After says,
+// and keep a busy service busy with refusals.
+func TestRetriesWaitForRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := &verdictTransport{after: "7", sent: map[string]int{}}
 		r := Run(t.Context(), Options{Client: &http.Client{Transport: v}, Service: "s", Rate: 100, Count: 1, Tries: 3, Seed: 1})
@@ -85,19 +85,18 @@
 	})
 }
 
-// Symptom: a report shows a median of 1 µs for a service that works for 5 ms.
-// Sequence: the next request becomes due before a goroutine has begun with its
-// own.
-// Cause: all goroutines read one variable for the time at which they were due.
-func TestLatencyCountsFromTheRequestsOwnTime(t *testing.T) {
+// TestLatencyCountsFromTheScheduledTime guards against a shared variable for the scheduled time:
+// the next request became due before a goroutine had read its own time, and a report showed a
+// median of 1 µs for a service that takes 5 ms.
+func TestLatencyCountsFromTheScheduledTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		const answer = 20 * time.Millisecond
+		const latency = 20 * time.Millisecond
 		r := Run(t.Context(), Options{
-			Client: &http.Client{Transport: slowTransport(answer)}, Service: "s", Rate: 100, Count: 200, Tries: 1, Seed: 1,
+			Client: &http.Client{Transport: slowTransport(latency)}, Service: "s", Rate: 100, Count: 200, Tries: 1, Seed: 1,
 		})
 		require.Len(t, r.Outcomes, 200)
 		for _, o := range r.Outcomes {
-			require.GreaterOrEqual(t, o.Latency, answer)
+			require.GreaterOrEqual(t, o.Latency, latency)
 		}
 	})
 }
--- a/standin/callers/check.go
+++ b/standin/callers/check.go
@@ -7,22 +7,22 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// Summary counts outcomes and compares them with what the endpoints saw.
+// Summary counts outcomes and their contradictions to what the endpoints counted.
 type Summary struct {
 	Requests int `json:"requests"`
 	Whole    int `json:"whole"`
-	// NotRun, MayHaveRun and Unanswered count requests that ended without a
-	// whole answer, by the last thing that the caller was told.
+	// NotRun, MayHaveRun and Unanswered count requests without a complete successful
+	// response, by the result of the last try.
 	NotRun     int `json:"not_run"`
 	MayHaveRun int `json:"may_have_run"`
 	Unanswered int `json:"unanswered"`
-	// Retried counts requests that were sent more than once by the caller.
+	// Retried counts requests that the caller sent more than once.
 	Retried int `json:"retried"`
 
 	// Doubled counts non-idempotent requests that ran more than once, FalseNotRun
-	// those that ran though the caller was only ever told that they did not,
-	// Mixed the answers that were not the request's own, and Lost the requests
-	// with a whole answer that no endpoint ran.
+	// those that ran although every try got the verdict NotRun, Mixed the responses
+	// that belonged to another request, and Lost the requests with a complete
+	// response that no endpoint ran.
 	Doubled     int      `json:"doubled"`
 	FalseNotRun int      `json:"false_not_run"`
 	Mixed       int      `json:"mixed"`
@@ -30,10 +30,10 @@
 	Examples    []string `json:"examples,omitempty"`
 }
 
-// maxExamples bounds the texts of a Summary.
+// maxExamples bounds Summary.Examples.
 const maxExamples = 10
 
-// Check compares the outcomes with runs, the endpoints' count per request key.
+// Check compares the outcomes with runs, the number of runs per request key at the endpoints.
 func (r *Result) Check(runs map[string]int) Summary {
 	s := Summary{Requests: len(r.Outcomes)}
 	for i := range r.Outcomes {
@@ -51,20 +51,21 @@
 		s.Whole++
 	case !o.Answered:
 		s.Unanswered++
-		s.broken(true, new(int), o, fmt.Sprintf("no answer at %s: %v", o.At.Format(time.StampMilli), o.Problem), runs)
+		s.problem(true, new(int), o, fmt.Sprintf("no response at %s: %v", o.At.Format(time.StampMilli), o.Problem), runs)
 	case o.Last == verdict.NotRun:
 		s.NotRun++
 	default:
 		s.MayHaveRun++
 	}
-	s.broken(o.Foreign, &s.Mixed, o, "the answer belongs to another request", runs)
-	s.broken(o.Kind != Idempotent && runs > 1, &s.Doubled, o, "non-idempotent, ran more than once", runs)
-	s.broken(o.AllNotRun && o.Tries > 0 && runs > 0, &s.FalseNotRun, o, "told not run, ran", runs)
-	s.broken(o.Whole && runs == 0, &s.Lost, o, "answered, never ran", runs)
+	s.problem(o.Foreign, &s.Mixed, o, "the response belongs to another request", runs)
+	s.problem(o.Kind != Idempotent && runs > 1, &s.Doubled, o, "non-idempotent, ran more than once", runs)
+	s.problem(o.AllNotRun && o.Tries > 0 && runs > 0, &s.FalseNotRun, o, "reported as not run, but ran", runs)
+	s.problem(o.Whole && runs == 0, &s.Lost, o, "response received, but never ran", runs)
 }
 
-func (s *Summary) broken(is bool, count *int, o *Outcome, what string, runs int) {
-	if !is {
+// problem counts a problem and keeps an example of it, if found.
+func (s *Summary) problem(found bool, count *int, o *Outcome, what string, runs int) {
+	if !found {
 		return
 	}
 	*count++
@@ -73,5 +74,5 @@
 	}
 }
 
-// OK reports whether every promise to callers held.
+// OK reports whether all guarantees to callers held.
 func (s *Summary) OK() bool { return s.Doubled+s.FalseNotRun+s.Mixed+s.Lost == 0 }
--- a/standin/endpoint/endpoint.go
+++ b/standin/endpoint/endpoint.go
@@ -1,7 +1,7 @@
-// Package endpoint is a stand-in for one instance of a service: an HTTP server
-// that counts what it sees, checks its own limits on slots and connections,
-// and can be told to misbehave. Its answers are bound to the request, so that
-// a caller can tell a foreign or a partial answer from its own.
+// Package endpoint is a stand-in for one instance of a service: an HTTP server that
+// counts requests and connections, checks its own limits on slots and connections,
+// and injects faults. Each response is derived from its request, so that a caller
+// can detect a response to another request or a truncated one.
 package endpoint
 
 import (
@@ -17,31 +17,31 @@
 	"fennelshunt.example/fennelshunt/internal/loopback"
 )
 
-// Headers understood and sent by the stand-in.
+// Headers that the stand-in reads and sends.
 const (
-	// KeyHeader names the request in the bookkeeping; Idempotency-Key and
-	// RequestIDHeader are used when it is absent.
+	// KeyHeader is the key of the request in Report.Runs. If it is absent,
+	// Idempotency-Key or RequestIDHeader is used.
 	KeyHeader = "Endpoint-Request-Key"
-	// RequestIDHeader is echoed into the answer.
+	// RequestIDHeader is echoed in the response.
 	RequestIDHeader = "Fennel-Request-Id"
-	// RefusedHeader with the value RefusedBeforeWork tells that the request
-	// was refused before any work.
+	// RefusedHeader with the value RefusedBeforeWork means that the request was
+	// refused before any work.
 	RefusedHeader     = "Fennel-Refused"
 	RefusedBeforeWork = "before-work"
 )
 
 const headerTimeout = 10 * time.Second
 
-// Options of an endpoint. Zero limits are not checked.
+// Options of an endpoint. A limit of 0 is not checked.
 type Options struct {
-	Slots       int           // requests served at once
-	Connections int           // connections open at once
-	Work        time.Duration // time each request takes
-	Seed        uint64        // of the faults' random choices
-	// RefuseWhenFull refuses a request beyond Slots before work; it is counted
-	// as a violation all the same.
+	Slots       int           // concurrent requests
+	Connections int           // concurrent connections
+	Work        time.Duration // working time of each request
+	Seed        uint64        // of the random faults
+	// RefuseWhenFull makes the endpoint refuse requests beyond Slots before work; they
+	// still count as violations.
 	RefuseWhenFull bool
-	// NoEcho leaves RequestIDHeader out of the answers.
+	// NoEcho omits RequestIDHeader from the responses.
 	NoEcho bool
 }
 
@@ -61,7 +61,7 @@
 	stopOnce sync.Once
 }
 
-// New returns an endpoint that does not listen yet.
+// New returns an endpoint that is not listening yet.
 func New(o Options) *Endpoint {
 	e := &Endpoint{
 		opts:  o,
@@ -81,7 +81,7 @@
 	return e
 }
 
-// Start listens on a free port of the process's own loopback address and serves
+// Start listens on a free port of the process's own loopback address and serves requests
 // until Close or Drain.
 func (e *Endpoint) Start() error {
 	ln, err := loopback.Listen()
@@ -93,10 +93,10 @@
 	return nil
 }
 
-// Address returns host:port; only after Start.
+// Address returns host:port. It must not be called before Start.
 func (e *Endpoint) Address() string { return e.ln.Addr().String() }
 
-// Drain stops accepting, waits for the requests in flight and stops.
+// Drain stops accepting connections, waits for the requests in flight and stops.
 func (e *Endpoint) Drain(ctx context.Context) error {
 	if err := e.server.Shutdown(ctx); err != nil {
 		return fmt.Errorf("endpoint: drain: %w", err)
@@ -105,7 +105,7 @@
 	return nil
 }
 
-// Close cuts every connection, as the death of the VM does.
+// Close closes all connections at once, as a crash of the VM does.
 func (e *Endpoint) Close() error {
 	e.stopOnce.Do(func() { close(e.stop) })
 	if err := e.server.Close(); err != nil && !errors.Is(err, http.ErrServerClosed) {
@@ -114,8 +114,8 @@
 	return nil
 }
 
-// CloseIdle closes the kept-alive connections that wait for a request, as a
-// server does after its idle timeout.
+// CloseIdle closes the idle keep-alive connections, as a server does after its idle
+// timeout.
 func (e *Endpoint) CloseIdle() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/endpoint/endpoint_test.go
+++ b/standin/endpoint/endpoint_test.go
@@ -10,13 +10,12 @@
 )
 
 func TestRequestsOfAnotherProcessAreNotCounted(t *testing.T) {
-	// Symptom: beside other test processes an endpoint reported a request
-	//   without key, over its slots, that no daemon of the test had sent.
-	// Sequence: a server of another process closes; the endpoint is given its
-	//   port; clients of that process go on sending there.
-	// Cause: all processes listened on the same address.
+	// Guards against requests of another test process, which an endpoint reported as over
+	// its slots: all processes listened on the same address, the endpoint got the port
+	// of a server that another process had closed, and clients of that server still
+	// sent to it.
 	if runtime.GOOS != "linux" {
-		t.Skip("only Linux has the whole of 127.0.0.0/8 without set-up")
+		t.Skip("only Linux can bind all of 127.0.0.0/8 without configuration")
 	}
 	e := New(Options{Slots: 1})
 	require.NoError(t, e.Start())
@@ -24,7 +23,7 @@
 	_, port, err := net.SplitHostPort(e.Address())
 	require.NoError(t, err)
 
-	resp, err := http.Get("http://127.0.0.1:" + port) // as the other process knows it
+	resp, err := http.Get("http://127.0.0.1:" + port) // the address that the other process would use
 	if err == nil {
 		_ = resp.Body.Close()
 	}
--- a/standin/endpoint/faults.go
+++ b/standin/endpoint/faults.go
@@ -6,31 +6,30 @@
 	"time"
 )
 
-// Faults tells how an endpoint misbehaves. Shares are probabilities from 0 to
+// Faults are the injected faults of an endpoint. Shares are probabilities from 0 to
 // 1, drawn once per request in the order of the fields.
 type Faults struct {
 	// Delay is added to the work of each request.
 	Delay time.Duration `json:"delay,omitempty"`
-	// Refuse answers 503 with RefusedHeader before any work.
+	// Refuse responds 503 with RefusedHeader before any work.
 	Refuse float64 `json:"refuse,omitempty"`
-	// Reset cuts the connection after the work, before any answer.
+	// Reset resets the connection (RST) after the work, before any response.
 	Reset float64 `json:"reset,omitempty"`
-	// ResetMidAnswer cuts the connection by RST in the middle of the body.
+	// ResetMidAnswer resets the connection (RST) in the middle of the body.
 	ResetMidAnswer float64 `json:"reset_mid_answer,omitempty"`
-	// Truncate ends the connection in good order in the middle of the body.
+	// Truncate closes the connection (FIN) in the middle of the body.
 	Truncate float64 `json:"truncate,omitempty"`
-	// Hang never answers until the faults change or the connection ends.
+	// Hang gives no response until the connection or the endpoint is closed.
 	Hang float64 `json:"hang,omitempty"`
-	// Error answers 500 after the work.
+	// Error responds 500 after the work.
 	Error float64 `json:"error,omitempty"`
-	// CloseIdle closes a kept-alive connection without notice, right after an
-	// answer.
+	// CloseIdle closes a keep-alive connection without notice, right after a
+	// response.
 	CloseIdle float64 `json:"close_idle,omitempty"`
-	// Unsolicited sends a second answer that nobody asked for, right after an
-	// answer.
+	// Unsolicited sends a second, unsolicited response right after a response.
 	Unsolicited float64 `json:"unsolicited,omitempty"`
-	// Leaving announces with LeavingHeader on every answer that the endpoint
-	// takes no new requests soon.
+	// Leaving sends LeavingHeader with every response: the endpoint will soon accept
+	// no new requests.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
@@ -51,19 +50,19 @@
 	faultError
 )
 
-// UnsolicitedAnswer is the body of an answer that nobody asked for.
+// UnsolicitedAnswer is the body of an unsolicited response.
 const UnsolicitedAnswer = "UNSOLICITED"
 
 const unsolicited = "HTTP/1.1 200 OK\r\nContent-Length: 11\r\n\r\n" + UnsolicitedAnswer
 
-// SetFaults replaces the faults; requests that hang go on.
+// SetFaults replaces the injected faults. Requests that hang keep hanging.
 func (e *Endpoint) SetFaults(f Faults) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.faults = f
 }
 
-// draw picks the fault of one request and the added delay, and tells whether
+// draw draws the fault of one request, and returns it with the added delay and whether
 // the endpoint is leaving.
 func (e *Endpoint) draw() (kind fault, delay time.Duration, leaving bool) {
 	e.mu.Lock()
@@ -78,7 +77,7 @@
 	return faultNone, f.Delay, f.Leaving
 }
 
-// idleFaultLocked applies the faults of a connection that has become idle.
+// idleFaultLocked applies the faults of connections that become idle. The caller holds mu.
 func (e *Endpoint) idleFaultLocked(c net.Conn) {
 	if e.faults.CloseIdle > 0 && e.rng.Float64() < e.faults.CloseIdle {
 		_ = c.Close()
@@ -89,7 +88,7 @@
 	}
 }
 
-// reset cuts the request's connection by RST.
+// reset resets the request's connection (RST).
 func reset(r *http.Request) {
 	if c, ok := r.Context().Value(connKey{}).(*net.TCPConn); ok {
 		_ = c.SetLinger(0)
--- a/standin/endpoint/report.go
+++ b/standin/endpoint/report.go
@@ -7,20 +7,20 @@
 	"net/http"
 )
 
-// maxKeys bounds the bookkeeping; requests beyond it are counted without key.
+// maxKeys bounds Report.Runs; requests with further keys are counted without their key.
 const maxKeys = 1 << 20
 
-// Report is what an endpoint has seen.
+// Report has the counts of an endpoint.
 type Report struct {
-	Requests        int            `json:"requests"` // that began work
+	Requests        int            `json:"requests"` // requests on which work began
 	Completed       int            `json:"completed"`
-	Refused         int            `json:"refused"` // before work
+	Refused         int            `json:"refused"` // requests refused before work
 	PeakRunning     int            `json:"peak_running"`
 	PeakConnections int            `json:"peak_connections"`
 	Accepted        int            `json:"accepted"` // connections
 	Running         int            `json:"running"`
 	Connections     int            `json:"connections"`
-	Violations      []string       `json:"violations,omitempty"` // the first few
+	Violations      []string       `json:"violations,omitempty"` // the first ten
 	ViolationCount  int            `json:"violation_count"`
 	Runs            map[string]int `json:"runs,omitempty"` // per request key
 }
@@ -36,7 +36,7 @@
 	return r
 }
 
-// Runs returns how often the request of that key began work here.
+// Runs returns how often work began on the request with the key.
 func (e *Endpoint) Runs(key string) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -51,8 +51,8 @@
 	}
 }
 
-// begin counts a request that starts work; false when it is to be refused. A
-// violation names where the request came from.
+// begin counts a request on which work begins; it returns false if the request is to be
+// refused. A violation includes the source of the request.
 func (e *Endpoint) begin(key string, r *http.Request) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -10,22 +10,22 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// chunkSize is how much of a large answer is written at once.
+// chunkSize is the size of the writes of a large response, in bytes.
 const chunkSize = 32 << 10
 
-// Answer returns the body that an endpoint answers to a request with this key
-// and body.
+// Answer returns the body of an endpoint's response to a request with this key and
+// body.
 func Answer(key string, body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s %016x\n", key, xxhash.Sum64(body)), body...)
 }
 
-// Filler returns the byte at an offset of a large answer to the request with
-// this key: answers of different keys differ, and so do their parts.
+// Filler returns the byte at an offset of a large response to the request with this
+// key. Responses to different keys differ, and so do the parts of a response.
 func Filler(key string, offset int64) byte {
 	return byte(xxhash.Sum64String(key) + uint64(offset)*0x9e37 + uint64(offset>>8))
 }
 
-// Key returns the name of the request in the bookkeeping.
+// Key returns the key of the request in Report.Runs.
 func Key(h http.Header) string {
 	for _, name := range []string{KeyHeader, "Idempotency-Key", RequestIDHeader} {
 		if v := h.Get(name); v != "" {
@@ -35,8 +35,8 @@
 	return ""
 }
 
-// ServeHTTP serves one request. The query parameter size=N asks for N filler
-// bytes instead of the echo of the request's body; trailer=1 for a trailer.
+// ServeHTTP serves one request. With the query parameter size=N the response has N
+// filler bytes instead of the request's body, with trailer=1 it has a trailer.
 func (e *Endpoint) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	key := Key(r.Header)
 	kind, delay, leaving := e.draw()
@@ -127,7 +127,7 @@
 	}
 }
 
-// cut ends the answer here when the fault says so.
+// cut aborts the response here if kind is a fault that truncates it.
 func cut(w http.ResponseWriter, r *http.Request, kind fault) {
 	if kind != faultTruncate && kind != faultResetMid {
 		return
--- a/standin/fault/fault.go
+++ b/standin/fault/fault.go
@@ -1,6 +1,6 @@
-// Package fault puts switchable faults in front of a stand-in's HTTP handler:
-// calls that are refused, delayed, lost before they take effect, paused, or
-// whose answers are lost after they took effect.
+// Package fault injects faults in front of a stand-in's HTTP handler: calls can be
+// refused, delayed, paused or lost before they take effect, and their responses
+// can be lost afterwards.
 package fault
 
 import (
@@ -13,22 +13,22 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Path switches the faults: POST a JSON Set.
+// Path is where a POST of a JSON Set replaces the faults in force.
 const Path = "/fault"
 
-// Set describes the faults in force. The zero value is none.
+// Set describes the faults in force. The zero value means none.
 type Set struct {
 	// Refuse answers every call with 503 before it takes effect.
 	Refuse bool `json:"refuse,omitempty"`
-	// LoseCalls is the share of calls whose connection is cut before they take
+	// LoseCalls is the share of calls whose connection is closed before they take
 	// effect, 0 to 1.
 	LoseCalls float64 `json:"lose_calls,omitempty"`
 	// LoseAnswers is the share of calls that take effect and whose connection
-	// is cut instead of answered, 0 to 1.
+	// is closed without a response, 0 to 1.
 	LoseAnswers float64 `json:"lose_answers,omitempty"`
-	// Delay is added before each call.
+	// Delay is how long each call is delayed before it takes effect.
 	Delay spec.Duration `json:"delay,omitempty"`
-	// Pause holds calls back until it is cleared.
+	// Pause blocks calls until it is cleared.
 	Pause bool `json:"pause,omitempty"`
 }
 
@@ -42,7 +42,7 @@
 	resume chan struct{} // closed when Pause is cleared
 }
 
-// New wraps next. The seed fixes which calls are lost.
+// New returns an injector in front of next. The seed determines which calls are lost.
 func New(next http.Handler, seed uint64) *Injector {
 	return &Injector{next: next, rng: rand.New(rand.NewPCG(seed, seed)), resume: closed()}
 }
@@ -53,7 +53,7 @@
 	return c
 }
 
-// Set switches the faults.
+// Set replaces the faults in force.
 func (i *Injector) Set(s Set) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -66,8 +66,8 @@
 	i.set = s
 }
 
-// draw returns the faults in force and whether this call loses its request or
-// its answer.
+// draw returns the faults in force and whether the request or the response of this
+// call is to be lost.
 func (i *Injector) draw() (s Set, loseCall, loseAnswer bool, resume chan struct{}) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -94,7 +94,7 @@
 		return
 	}
 	if loseCall {
-		panic(http.ErrAbortHandler) // net/http cuts the connection
+		panic(http.ErrAbortHandler) // net/http closes the connection
 	}
 	if loseAnswer {
 		i.next.ServeHTTP(discard{}, r)
@@ -103,7 +103,7 @@
 	i.next.ServeHTTP(w, r)
 }
 
-// ServeSet passes the faults in the body of a call, a JSON object, to set.
+// ServeSet decodes the faults in the body of a request, a JSON object, and passes them to set.
 func ServeSet[T any](w http.ResponseWriter, r *http.Request, set func(T)) {
 	var faults T
 	dec := json.NewDecoder(r.Body)
@@ -116,7 +116,7 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// discard is a ResponseWriter whose answer nobody sees.
+// discard is a ResponseWriter that drops the response.
 type discard struct{}
 
 func (discard) Header() http.Header         { return http.Header{} }
--- a/standin/platform/control.go
+++ b/standin/platform/control.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/standin/record"
 )
 
-// FullReport is everything that the stand-ins counted.
+// FullReport combines the counts of all stand-ins.
 type FullReport struct {
 	Tasks     record.Report `json:"tasks"`
 	Endpoints Report        `json:"endpoints"`
@@ -21,7 +21,7 @@
 	return FullReport{Tasks: p.Recorder.Report(), Endpoints: p.EndpointReport(), Store: p.Store.Counts()}
 }
 
-// Control serves the counts and switches the faults:
+// Control returns a handler that serves the counts and controls the faults:
 //
 //	GET  /report                    FullReport
 //	POST /fault/store               fault.Set
@@ -35,7 +35,7 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /report", func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(p.FullReport()) // a cut answer fails to decode
+		_ = json.NewEncoder(w).Encode(p.FullReport()) // the client cannot decode a truncated response
 	})
 	mux.HandleFunc("POST /fault/store", func(w http.ResponseWriter, r *http.Request) {
 		fault.ServeSet(w, r, p.StoreFault.Set)
--- a/standin/platform/platform.go
+++ b/standin/platform/platform.go
@@ -1,4 +1,4 @@
-// Package platform puts the stand-ins together to what a cell runs on: a
+// Package platform combines the stand-ins to the platform that a cell runs on: a
 // key-value service, a list of VMs, and workers whose service instances are
 // endpoints on loopback.
 package platform
@@ -28,9 +28,9 @@
 type Shape struct {
 	// Zones are the availability zones.
 	Zones []string
-	// Workers is the number of worker VMs, dealt to the racks in turn.
+	// Workers is the number of worker VMs; racks are filled one after another.
 	Workers int
-	// PerRack is the number of workers of a rack.
+	// PerRack is the number of workers per rack.
 	PerRack  int
 	Capacity spec.Resources
 }
@@ -54,18 +54,18 @@
 // Options of a Platform.
 type Options struct {
 	Shape Shape
-	// Work is the time that an endpoint takes for each request.
+	// Work is how long an endpoint works on each request.
 	Work time.Duration
-	// Lag of the list of VMs.
+	// Lag is the lag of the list of VMs.
 	Lag time.Duration
-	// Seed of the faults' random choices.
+	// Seed is the seed of the random faults.
 	Seed uint64
-	// Store and VMList are the addresses to listen on; empty means a free
-	// port on loopback.
+	// Store and VMList are the listen addresses of the store and of the list of VMs;
+	// empty means a free port on loopback.
 	Store, VMList string
 }
 
-// Worker is one stand-in VM with its agent.
+// Worker is a stand-in worker VM with its agent.
 type Worker struct {
 	VM    vmlist.VM
 	Agent *agent.Agent
@@ -73,8 +73,8 @@
 	stop  context.CancelFunc
 }
 
-// Kill ends the VM: its agent answers no more and its tasks end. The list of
-// VMs is not changed.
+// Kill ends the VM: its agent stops responding and its tasks end. The list of VMs is
+// not changed.
 func (w *Worker) Kill() { w.stop() }
 
 // Platform is a running set of stand-ins.
@@ -89,15 +89,15 @@
 
 	o  Options
 	mu sync.Mutex
-	// endpoints holds the newest service instance of each address, launched
-	// every one: the port of an ended instance may be given to a later one.
+	// endpoints has the latest service instance of each address, launched all
+	// instances: a later instance may get the port of one that has ended.
 	endpoints map[string]*endpoint.Endpoint
 	launched  []*endpoint.Endpoint
 	group     *errgroup.Group
 	cancel    context.CancelFunc
 }
 
-// Start starts the stand-ins; Close ends them.
+// Start starts the stand-ins. Close ends them.
 func Start(ctx context.Context, o Options) (*Platform, error) {
 	ctx, cancel := context.WithCancel(ctx)
 	group, ctx := errgroup.WithContext(ctx)
@@ -149,7 +149,7 @@
 	return l.Addr().String(), nil
 }
 
-// startWorker starts worker i; racks are filled one after another and dealt to
+// startWorker starts worker i. Racks are filled one after another and assigned to
 // the zones in turn.
 func (p *Platform) startWorker(ctx context.Context, i int) error {
 	s := p.o.Shape
@@ -192,14 +192,14 @@
 	return e.Address(), func() { _ = e.Close() }, nil
 }
 
-// Launched returns every service instance ever launched.
+// Launched returns all service instances launched so far.
 func (p *Platform) Launched() []*endpoint.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return append([]*endpoint.Endpoint{}, p.launched...)
 }
 
-// Endpoints returns the newest service instance of each address.
+// Endpoints returns the latest service instance of each address.
 func (p *Platform) Endpoints() map[string]*endpoint.Endpoint {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -210,15 +210,15 @@
 	return out
 }
 
-// Report sums up what the endpoints saw.
+// Report has the counts of all endpoints.
 type Report struct {
 	Requests, Completed, Refused int
-	PeakRunning, PeakConnections int // the highest of any instance
+	PeakRunning, PeakConnections int // maximum over the instances
 	Violations                   []string
 	Runs                         map[string]int // per request key
 }
 
-// EndpointReport sums up what all endpoints saw.
+// EndpointReport returns the counts of all endpoints, summed over the instances.
 func (p *Platform) EndpointReport() Report {
 	rep := Report{Runs: map[string]int{}}
 	for _, e := range p.Launched() {
@@ -238,12 +238,12 @@
 	return rep
 }
 
-// Close ends every stand-in and waits for them.
+// Close ends all stand-ins and waits for them.
 func (p *Platform) Close() error {
 	p.cancel()
 	err := p.group.Wait()
 	for _, e := range p.Launched() {
-		_ = e.Close() // already closed where its task ended
+		_ = e.Close() // closed already if its task has ended
 	}
 	return err
 }
--- a/standin/record/record.go
+++ b/standin/record/record.go
@@ -1,6 +1,6 @@
-// Package record keeps the truth of what ran on the stand-ins, beside the
-// system and independent of it: how often each task started, whether it ever
-// ran in two places, and whether a VM ever held more than it has.
+// Package record records what ran on the stand-in workers, independently of the system
+// under test: how often each task started, whether it ever ran twice at the same
+// time, and whether a VM was ever allocated more than its capacity.
 package record
 
 import (
@@ -13,10 +13,10 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// maxViolations bounds the kept texts; the count goes on.
+// maxViolations bounds the texts that are kept; further violations are only counted.
 const maxViolations = 100
 
-// Recorder counts what the stand-in workers did. It is safe for concurrent
+// Recorder records the runs of the stand-in workers. It is safe for concurrent
 // use. A nil Recorder records nothing.
 type Recorder struct {
 	mu         sync.Mutex
@@ -26,10 +26,10 @@
 	capacity   map[worker.ID]spec.Resources
 	violations []string
 	violated   int
-	saved      map[spec.TaskID]float64 // checkpointed work
+	saved      map[spec.TaskID]float64 // work of the last checkpoint
 }
 
-// taskRecord is what ran of one task, by worker where it runs now.
+// taskRecord has the counts of one task; running are the current runs by worker.
 type taskRecord struct {
 	running   map[worker.ID]int
 	starts    int
@@ -48,7 +48,7 @@
 	}
 }
 
-// SetCapacity tells what a VM has.
+// SetCapacity sets the capacity of a VM.
 func (r *Recorder) SetCapacity(id worker.ID, c spec.Resources) {
 	if r == nil {
 		return
@@ -58,8 +58,8 @@
 	r.capacity[id] = c
 }
 
-// Started records a start. A task that already runs somewhere, or a VM that
-// now holds more than it has, is a violation.
+// Started records a start. It is a violation if the task already runs, or if the VM is
+// now allocated more than its capacity.
 func (r *Recorder) Started(id worker.ID, task spec.TaskID, size spec.Resources) {
 	if r == nil {
 		return
@@ -110,7 +110,7 @@
 	r.held[id] = r.held[id].Sub(size)
 }
 
-// SaveWork keeps a checkpoint's progress.
+// SaveWork records the progress of a checkpoint.
 func (r *Recorder) SaveWork(task spec.TaskID, work float64) {
 	if r == nil {
 		return
@@ -120,7 +120,7 @@
 	r.saved[task] = work
 }
 
-// SavedWork returns the progress of the last checkpoint, 0 without one.
+// SavedWork returns the progress of the last checkpoint, or 0 if there is none.
 func (r *Recorder) SavedWork(task spec.TaskID) float64 {
 	if r == nil {
 		return 0
@@ -145,20 +145,20 @@
 	}
 }
 
-// Report sums up what was recorded.
+// Report has the counts of a Recorder.
 type Report struct {
 	Tasks      int      `json:"tasks"`
 	Starts     int      `json:"starts"`
 	Succeeded  int      `json:"succeeded"`
 	Running    int      `json:"running"`
 	Violations []string `json:"violations"`
-	// ViolationCount counts also those whose text was not kept.
+	// ViolationCount includes the violations whose text was not kept.
 	ViolationCount int `json:"violation_count"`
-	// Peak is the most that each VM held, by declared sizes.
+	// Peak is the largest allocation of each VM, by declared sizes.
 	Peak map[worker.ID]spec.Resources `json:"peak"`
 }
 
-// Report returns the sums so far.
+// Report returns the counts so far.
 func (r *Recorder) Report() Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -208,7 +208,7 @@
 	return r.count(job, func(t *taskRecord) bool { return t.succeeded > 0 })
 }
 
-// RunningOf returns how many tasks of the job run now.
+// RunningOf returns how many tasks of the job are running.
 func (r *Recorder) RunningOf(job string) int {
 	return r.count(job, func(t *taskRecord) bool { return len(t.running) > 0 })
 }
@@ -238,7 +238,7 @@
 	return out
 }
 
-// Held returns what all VMs hold now and what they have, by declared sizes.
+// Held returns the current allocations and the capacity of all VMs, by declared sizes.
 func (r *Recorder) Held() (held, capacity spec.Resources) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/standin/vms/vms.go
+++ b/standin/vms/vms.go
@@ -1,4 +1,4 @@
-// Package vms is a stand-in for the platform's lagging list of VMs.
+// Package vms is a stand-in for the platform's list of VMs, which shows changes with a lag.
 package vms
 
 import (
@@ -12,7 +12,7 @@
 	"fennelshunt.example/fennelshunt/connection/vmlist"
 )
 
-// List holds VMs; readers see changes only after the lag.
+// List is a list of VMs whose readers see changes only after the lag.
 type List struct {
 	lag time.Duration
 
@@ -27,7 +27,7 @@
 	vms []vmlist.VM
 }
 
-// New returns an empty list whose changes show after lag.
+// New returns an empty list that shows changes after lag.
 func New(lag time.Duration) *List {
 	return &List{lag: lag, current: map[string]vmlist.VM{}}
 }
@@ -40,7 +40,7 @@
 	l.publish()
 }
 
-// Remove takes a VM off the list.
+// Remove removes a VM from the list.
 func (l *List) Remove(name string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -59,7 +59,7 @@
 	}
 }
 
-// publish queues the present content to be shown after the lag.
+// publish queues the current content, to be shown after the lag.
 func (l *List) publish() {
 	vms := make([]vmlist.VM, 0, len(l.current))
 	for _, v := range l.current {
@@ -81,14 +81,14 @@
 	return l.shown, nil
 }
 
-// Handler serves the list over HTTP: GET the list, PUT a VM to set it, DELETE
-// one by name.
+// Handler serves the list over HTTP: GET returns the list, PUT sets a VM, DELETE
+// removes one by name.
 func (l *List) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+vmlist.Path, func(w http.ResponseWriter, r *http.Request) {
 		vms, _ := l.List(r.Context()) // never fails
 		w.Header().Set("Content-Type", "application/json")
-		_ = json.NewEncoder(w).Encode(vms) // a cut answer fails to decode
+		_ = json.NewEncoder(w).Encode(vms) // the client cannot decode a truncated response
 	})
 	mux.HandleFunc("PUT "+vmlist.Path, func(w http.ResponseWriter, r *http.Request) {
 		var v vmlist.VM
