--- a/command/bench/compare.go
+++ b/command/bench/compare.go
@@ -44,7 +44,7 @@
 		names = append(names, name)
 	}
 	slices.Sort(names)
-	few := len(before.Repetitions) < minRepetitions || len(after.Repetitions) < minRepetitions
+	tooFew := len(before.Repetitions) < minRepetitions || len(after.Repetitions) < minRepetitions
 	var out []Change
 	for _, name := range names {
 		b0, b1, ok := before.span(name)
@@ -52,15 +52,15 @@
 		if !ok || !has {
 			continue
 		}
-		out = append(out, change(name, [2]float64{b0, b1}, [2]float64{a0, a1}, few))
+		out = append(out, change(name, [2]float64{b0, b1}, [2]float64{a0, a1}, tooFew))
 	}
 	return out, nil
 }
 
-func change(name string, before, after [2]float64, few bool) Change {
-	c := Change{Name: name, Before: before, After: after, Verdict: Same, TooFew: few}
+func change(name string, before, after [2]float64, tooFew bool) Change {
+	c := Change{Name: name, Before: before, After: after, Verdict: Same, TooFew: tooFew}
 	switch {
-	case few:
+	case tooFew:
 	case after[0] > before[1]:
 		c.Verdict = Higher
 	case after[1] < before[0]:
--- a/command/ctl/change.go
+++ b/command/ctl/change.go
@@ -101,8 +101,8 @@
 		if err != nil {
 			return err
 		}
-		var answer api.Validated
-		if err := client.Post(ctx, api.PathValidate, url.Values{api.ParamName: {path}}, data, &answer); err != nil {
+		var result api.Validated
+		if err := client.Post(ctx, api.PathValidate, url.Values{api.ParamName: {path}}, data, &result); err != nil {
 			return err
 		}
 	}
@@ -137,13 +137,13 @@
 	if err != nil {
 		return err
 	}
-	var answer api.Diffed
-	if err := client.Post(ctx, api.PathDiff, url.Values{api.ParamName: {path}}, data, &answer); err != nil {
+	var result api.Diffed
+	if err := client.Post(ctx, api.PathDiff, url.Values{api.ParamName: {path}}, data, &result); err != nil {
 		return err
 	}
-	return a.print(answer, func(w io.Writer) {
-		fmt.Fprintf(w, "file %s, base %d: %d differences\n", answer.File, answer.Base, len(answer.Differences))
-		for _, d := range answer.Differences {
+	return a.print(result, func(w io.Writer) {
+		fmt.Fprintf(w, "file %s, base %d: %d differences\n", result.File, result.Base, len(result.Differences))
+		for _, d := range result.Differences {
 			fmt.Fprintln(w, d)
 		}
 	})
@@ -201,30 +201,30 @@
 		onBase = base(diffed.Base)
 	}
 	query := url.Values{api.ParamName: {path}, api.ParamBase: {onBase}, api.ParamWait: {strconv.FormatBool(wait)}}
-	var answer api.Applied
-	err := client.Post(ctx, api.PathApply, query, data, &answer)
+	var result api.Applied
+	err := client.Post(ctx, api.PathApply, query, data, &result)
 	if errors.Is(err, ErrNoAnswer) {
 		return fmt.Errorf("%s on base %s: %w: %w", path, onBase, errMayHaveApplied, err)
 	}
 	if err != nil {
 		return err
 	}
-	if err := a.print(answer, func(w io.Writer) { printApplied(w, answer) }); err != nil {
+	if err := a.print(result, func(w io.Writer) { printApplied(w, result) }); err != nil {
 		return err
 	}
-	if len(answer.Lagging) > 0 {
-		return fmt.Errorf("version %d: %w: %d of %d daemons lag", answer.Version, errLagging, len(answer.Lagging), len(answer.Members))
+	if len(result.Lagging) > 0 {
+		return fmt.Errorf("version %d: %w: %d of %d daemons lag", result.Version, errLagging, len(result.Lagging), len(result.Members))
 	}
 	return nil
 }
 
-func printApplied(w io.Writer, answer api.Applied) {
-	if answer.Unchanged {
-		fmt.Fprintf(w, "file %s is unchanged, in force since version %d\n", answer.File, answer.Version)
+func printApplied(w io.Writer, result api.Applied) {
+	if result.Unchanged {
+		fmt.Fprintf(w, "file %s is unchanged, in force since version %d\n", result.File, result.Version)
 	} else {
-		fmt.Fprintf(w, "file %s applied as version %d\n", answer.File, answer.Version)
+		fmt.Fprintf(w, "file %s applied as version %d\n", result.File, result.Version)
 	}
-	printMembers(w, answer.Members, answer.Version)
+	printMembers(w, result.Members, result.Version)
 }
 
 func (a *app) tokenCommand() *ffcli.Command {
--- a/command/ctl/client.go
+++ b/command/ctl/client.go
@@ -65,27 +65,27 @@
 }
 
 // Get sends a GET request and decodes the response.
-func (c *Client) Get(ctx context.Context, path string, query url.Values, answer any) error {
-	return c.call(ctx, http.MethodGet, path, query, nil, answer)
+func (c *Client) Get(ctx context.Context, path string, query url.Values, result any) error {
+	return c.call(ctx, http.MethodGet, path, query, nil, result)
 }
 
 // Post sends a POST request with a body and decodes the response.
-func (c *Client) Post(ctx context.Context, path string, query url.Values, body []byte, answer any) error {
-	return c.call(ctx, http.MethodPost, path, query, body, answer)
+func (c *Client) Post(ctx context.Context, path string, query url.Values, body []byte, result any) error {
+	return c.call(ctx, http.MethodPost, path, query, body, result)
 }
 
-// call sends a request and decodes the response into answer, or stores the raw
-// body if answer is a *[]byte.
-func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, answer any) error {
+// call sends a request and decodes the response into result, or stores the raw
+// body if result is a *[]byte.
+func (c *Client) call(ctx context.Context, method, path string, query url.Values, body []byte, result any) error {
 	data, err := c.do(ctx, method, path, query, body)
 	if err != nil {
 		return err
 	}
-	if raw, ok := answer.(*[]byte); ok {
+	if raw, ok := result.(*[]byte); ok {
 		*raw = data
 		return nil
 	}
-	if err := json.Unmarshal(data, answer); err != nil {
+	if err := json.Unmarshal(data, result); err != nil {
 		return fmt.Errorf("cannot decode the daemon's response: %w", err)
 	}
 	return nil
--- a/command/ctl/ctl_test.go
+++ b/command/ctl/ctl_test.go
@@ -88,7 +88,7 @@
 	return path
 }
 
-func TestApplyAndLook(t *testing.T) {
+func TestApplyAndRead(t *testing.T) {
 	s := newSession(t)
 	example := filepath.Join("..", "..", "examples", "survey-desk.json")
 	require.Equal(t, ExitOK, s.run("validate", example), s.err.String())
--- a/command/ctl/look.go
+++ b/command/ctl/show.go
@@ -16,9 +16,9 @@
 )
 
 // print writes a result as JSON with -json, else as text.
-func (a *app) print(answer any, text func(io.Writer)) error {
+func (a *app) print(result any, text func(io.Writer)) error {
 	if a.settings.json {
-		return writeJSON(a.out, answer)
+		return writeJSON(a.out, result)
 	}
 	w := tabwriter.NewWriter(a.out, 0, 0, 2, ' ', 0)
 	text(w)
@@ -32,12 +32,12 @@
 }
 
 // get sends a GET request to the daemon named by the settings.
-func (a *app) get(ctx context.Context, path string, query url.Values, answer any) error {
+func (a *app) get(ctx context.Context, path string, query url.Values, result any) error {
 	client, err := a.client()
 	if err != nil {
 		return err
 	}
-	return client.Get(ctx, path, query, answer)
+	return client.Get(ctx, path, query, result)
 }
 
 func (a *app) filesCommand() *ffcli.Command {
@@ -48,13 +48,13 @@
 			if len(args) > 0 {
 				return a.file(ctx, args[0])
 			}
-			var answer api.Files
-			if err := a.get(ctx, api.PathFiles, nil, &answer); err != nil {
+			var result api.Files
+			if err := a.get(ctx, api.PathFiles, nil, &result); err != nil {
 				return err
 			}
-			return a.print(answer, func(w io.Writer) {
+			return a.print(result, func(w io.Writer) {
 				fmt.Fprintln(w, "FILE\tVERSION\tTEAM\tAUTHOR\tTIME")
-				for _, f := range answer.Files {
+				for _, f := range result.Files {
 					fmt.Fprintf(w, "%s\t%d\t%s\t%s\t%s\n", f.Name, f.Version, f.Team, f.Author, formatTime(f.Time))
 				}
 			})
@@ -64,11 +64,11 @@
 
 // file prints a file such that it can be applied again.
 func (a *app) file(ctx context.Context, name string) error {
-	var answer api.File
-	if err := a.get(ctx, api.PathFiles+"/"+url.PathEscape(name), nil, &answer); err != nil {
+	var result api.File
+	if err := a.get(ctx, api.PathFiles+"/"+url.PathEscape(name), nil, &result); err != nil {
 		return err
 	}
-	return writeJSON(a.out, answer.Content)
+	return writeJSON(a.out, result.Content)
 }
 
 func formatTime(t time.Time) string { return t.UTC().Format(time.RFC3339) }
@@ -82,26 +82,26 @@
 		ShortHelp: "List the applied and removed files, the latest first.",
 		Exec: func(ctx context.Context, _ []string) error {
 			query := url.Values{api.ParamLimit: {strconv.Itoa(*limit)}, api.ParamBefore: {base(*before)}}
-			var answer api.History
-			if err := a.get(ctx, api.PathHistory, query, &answer); err != nil {
+			var result api.History
+			if err := a.get(ctx, api.PathHistory, query, &result); err != nil {
 				return err
 			}
-			return a.print(answer, func(w io.Writer) { printHistory(w, answer) })
+			return a.print(result, func(w io.Writer) { printHistory(w, result) })
 		},
 	}
 }
 
-func printHistory(w io.Writer, answer api.History) {
+func printHistory(w io.Writer, result api.History) {
 	fmt.Fprintln(w, "VERSION\tFILE\tCHANGE\tAUTHOR\tTIME")
-	for _, c := range answer.Changes {
+	for _, c := range result.Changes {
 		change := "applied"
 		if c.Removed {
 			change = "removed"
 		}
 		fmt.Fprintf(w, "%d\t%s\t%s\t%s\t%s\n", c.Version, c.File, change, c.Author, formatTime(c.Time))
 	}
-	if answer.Before > 0 {
-		fmt.Fprintf(w, "earlier: fennelctl history -before %d\n", answer.Before)
+	if result.Before > 0 {
+		fmt.Fprintf(w, "earlier: fennelctl history -before %d\n", result.Before)
 	}
 }
 
@@ -110,11 +110,11 @@
 		Name: "status", ShortUsage: "fennelctl status", FlagSet: a.flags("fennelctl status"),
 		ShortHelp: "Show the daemons with the version that each has in force, and the jobs.",
 		Exec: func(ctx context.Context, _ []string) error {
-			var answer api.Status
-			if err := a.get(ctx, api.PathStatus, nil, &answer); err != nil {
+			var result api.Status
+			if err := a.get(ctx, api.PathStatus, nil, &result); err != nil {
 				return err
 			}
-			return a.print(answer, func(w io.Writer) { printStatus(w, answer) })
+			return a.print(result, func(w io.Writer) { printStatus(w, result) })
 		},
 	}
 }
@@ -162,13 +162,13 @@
 			if len(args) != 1 {
 				return usageError("give one task as job/generation/index")
 			}
-			var answer api.Explanation
-			if err := a.get(ctx, api.PathExplain, url.Values{api.ParamTask: args}, &answer); err != nil {
+			var result api.Explanation
+			if err := a.get(ctx, api.PathExplain, url.Values{api.ParamTask: args}, &result); err != nil {
 				return err
 			}
-			return a.print(answer, func(w io.Writer) {
-				fmt.Fprintf(w, "task %s: %s\n", answer.Task, answer.State)
-				for _, reason := range answer.Reasons {
+			return a.print(result, func(w io.Writer) {
+				fmt.Fprintf(w, "task %s: %s\n", result.Task, result.State)
+				for _, reason := range result.Reasons {
 					fmt.Fprintln(w, " ", reason)
 				}
 			})
--- a/command/demo/demo.go
+++ b/command/demo/demo.go
@@ -111,7 +111,7 @@
 }
 
 // loadFile reads a user's file and makes the actual run times a hundredth of the
-// declared ones, so that the demonstration takes seconds.
+// declared ones, but at least 50 ms, so that the demonstration takes seconds.
 func loadFile(path string) (*spec.File, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -203,11 +203,11 @@
 	full := r.c.Platform.FullReport()
 	s := result.Check(full.Endpoints.Runs)
 	h := result.Latency
-	fmt.Fprintf(r.out, "  requests: %d, whole answers %d, not run %d, may have run %d, unanswered %d; sent again by callers %d\n",
+	fmt.Fprintf(r.out, "  requests: %d, complete responses %d, not run %d, may have run %d, unanswered %d; retried by callers %d\n",
 		s.Requests, s.Whole, s.NotRun, s.MayHaveRun, s.Unanswered, s.Retried)
 	fmt.Fprintf(r.out, "  one daemon stopped as planned, one killed; latency p50 %s, p99 %s, max %s\n",
 		micros(h.ValueAtQuantile(50)), micros(h.ValueAtQuantile(99)), micros(h.Max()))
-	fmt.Fprintf(r.out, "  doubled %d, false \"not run\" %d, mixed up %d, lost %d\n", s.Doubled, s.FalseNotRun, s.Mixed, s.Lost)
+	fmt.Fprintf(r.out, "  duplicate runs %d, false \"not run\" %d, responses to other requests %d, lost %d\n", s.Doubled, s.FalseNotRun, s.Mixed, s.Lost)
 	fmt.Fprintf(r.out, "  peak per instance: %d requests, %d connections; task starts %d, completions %d\n",
 		full.Endpoints.PeakRunning, full.Endpoints.PeakConnections, full.Tasks.Starts, full.Tasks.Succeeded)
 	fmt.Fprintf(r.out, "  violations: workers %d, endpoints %d, inside the daemons %d\n",
--- a/command/why/why.go
+++ b/command/why/why.go
@@ -72,14 +72,14 @@
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "JOB\t%s\nSTATE\t%s\n", x.Job, x.State)
 	if x.Account != "" {
-		fmt.Fprintf(w, "ACCOUNT\t%s holds %.1f of %s cores, %d of %s MB here%s\n", x.Account, float64(x.Held.MilliCPU)/1000, bound(x.Cap.MilliCPU/1000),
+		fmt.Fprintf(w, "ACCOUNT\t%s holds %.1f of %s cores, %d of %s MB in this shard%s\n", x.Account, float64(x.Held.MilliCPU)/1000, bound(x.Cap.MilliCPU/1000),
 			x.Held.MemoryMB, bound(x.Cap.MemoryMB), map[bool]string{true: "; submitted over its entitlement"}[x.Beyond])
 	}
 	for _, cause := range slices.Sorted(maps.Keys(x.Waited)) {
 		fmt.Fprintf(w, "WAITED FOR\t%s %.1f s\n", cause, seconds(x.Waited[cause]))
 	}
 	if len(x.Steps) > 0 {
-		fmt.Fprintln(w, "\nOCCURRENCE\tSTEP\tTASKS\tDONE\tRUNNING\tBLOCKED BY\tOPEN FOR")
+		fmt.Fprintln(w, "\nOCCURRENCE\tSTEP\tTASKS\tDONE\tRUNNING\tBLOCKED BY\tREADY FOR")
 	}
 	for _, s := range x.Steps {
 		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%s\t%.1f s\n", s.Occurrence, s.Step, s.Tasks, s.Done, s.Running, orDash(s.Bound), seconds(s.OpenMS))
--- a/command/why/why_test.go
+++ b/command/why/why_test.go
@@ -29,7 +29,7 @@
 	var out, errOut bytes.Buffer
 	require.NoError(t, Show(t.Context(), &out, &errOut, "00000000000000aa", []string{failing, good}))
 	require.Contains(t, errOut.String(), failing)
-	for _, want := range []string{"north holds 7.5 of 8 cores, 100 of any number of MB here; submitted over its entitlement", "quota 6.2 s", "1.5 s",
+	for _, want := range []string{"north holds 7.5 of 8 cores, 100 of any number of MB in this shard; submitted over its entitlement", "quota 6.2 s", "1.5 s",
 		"00000000000000aa.0.1.3", "run 7 on w-1, no run of another job had started there"} {
 		require.Contains(t, out.String(), want)
 	}
--- a/standin/cellsim/load.go
+++ b/standin/cellsim/load.go
@@ -89,22 +89,22 @@
 
 // job is one job as its caller sees it.
 type job struct {
-	id    work.JobID
-	class int
-	spec  *work.Job
-	takes [][]time.Duration // run times by step and task, on a worker of slowdown 1
-	worth float64
-	due   time.Duration // objective
-	size  int           // tasks of the widest step
-	hot   bool          // extra job of a hot account
+	id       work.JobID
+	class    int
+	spec     *work.Job
+	runTimes [][]time.Duration // run times by step and task, on a worker of slowdown 1
+	worth    float64
+	due      time.Duration // objective
+	size     int           // tasks of the widest step
+	hot      bool          // extra job of a hot account
 	// poisoned: every run fails, and the job earns its worth when it is shown as failed.
 	poisoned bool
 
-	sent     time.Duration // first submission
-	accepted time.Duration // 0 if not accepted
-	begun    time.Duration
-	shown    time.Duration
-	ended    work.State
+	submitted time.Duration // first submission
+	accepted  time.Duration // 0 if not accepted
+	started   time.Duration
+	shown     time.Duration
+	ended     work.State
 }
 
 // Classes returns three classes of jobs for a number of workers of 32 cores: wide
@@ -160,7 +160,7 @@
 	for t := time.Duration(0); t < o.Length; t += loadStep {
 		add := func(c int, by *Account) {
 			j := drawJob(&o.Classes[c], by, rng)
-			j.class, j.sent = c, t+time.Duration(rng.Int64N(int64(loadStep)))
+			j.class, j.submitted = c, t+time.Duration(rng.Int64N(int64(loadStep)))
 			j.id = work.JobID(fmt.Sprintf("%016x", len(all)+1))
 			all = append(all, j)
 		}
@@ -216,16 +216,16 @@
 		}
 		runTime := time.Duration(c.Work.draw(rng)) * time.Millisecond
 		s.Estimate = time.Duration(float64(runTime) * math.Exp(rng.NormFloat64()*c.EstimateError))
-		takes := make([]time.Duration, s.Count)
+		runTimes := make([]time.Duration, s.Count)
 		longest := time.Duration(0)
-		for k := range takes {
-			takes[k] = time.Duration(float64(runTime) * (1 + 0.3*(rng.Float64()-0.5)))
-			longest = max(longest, takes[k])
+		for k := range runTimes {
+			runTimes[k] = time.Duration(float64(runTime) * (1 + 0.3*(rng.Float64()-0.5)))
+			longest = max(longest, runTimes[k])
 		}
 		demand += float64(s.Count) * float64(s.Size.CPU) / 1000 * runTime.Seconds()
 		path += longest + c.Queue.Advice.Cost(advisedFree)
 		j.size = max(j.size, s.Count)
-		j.takes = append(j.takes, takes)
+		j.runTimes = append(j.runTimes, runTimes)
 		j.spec.Steps = append(j.spec.Steps, s)
 	}
 	mean := c.Steps * c.Width.Mean * c.CPU.Mean / 1000 * c.Work.Mean / 1000
--- a/standin/cellsim/result.go
+++ b/standin/cellsim/result.go
@@ -75,7 +75,7 @@
 	for _, w := range s.order {
 		if !w.crashed {
 			used += w.used.CPU
-			all += w.seen.Capacity.CPU
+			all += w.entry.Capacity.CPU
 		}
 	}
 	busy := float64(used) / float64(max(all, 1))
@@ -84,7 +84,7 @@
 	if t%sampleEvery < tick {
 		waiting := make([]int, len(s.o.Classes))
 		for _, j := range s.open {
-			if j.begun == 0 {
+			if j.started == 0 {
 				waiting[j.class]++
 			}
 		}
@@ -98,7 +98,7 @@
 
 // earned returns the credit that a job has earned.
 func (j *job) earned() float64 {
-	took := j.shown - settle - j.sent
+	took := j.shown - settle - j.submitted
 	switch {
 	case j.shown == 0 || (j.ended != work.Completed && !(j.poisoned && j.ended == work.Failed)):
 		return 0
@@ -126,8 +126,8 @@
 		}
 		owed += j.worth
 		earned += j.earned()
-		w := windows[j.sent/windowLength]
-		windows[j.sent/windowLength] = [2]float64{w[0] + j.earned(), w[1] + j.worth}
+		w := windows[j.submitted/windowLength]
+		windows[j.submitted/windowLength] = [2]float64{w[0] + j.earned(), w[1] + j.worth}
 	}
 	r.Credit = share(earned, owed)
 	shares := make([]float64, 0, len(windows))
@@ -176,11 +176,11 @@
 		case j.earned() > 0:
 			r.Late++
 		}
-		if j.begun > 0 {
-			r.Start = append(r.Start, j.begun-settle-j.sent)
+		if j.started > 0 {
+			r.Start = append(r.Start, j.started-settle-j.submitted)
 		}
 		if j.shown > 0 {
-			r.Done = append(r.Done, j.shown-settle-j.sent)
+			r.Done = append(r.Done, j.shown-settle-j.submitted)
 		}
 	}
 	r.Credit = share(earned, owed)
--- a/standin/cellsim/sim.go
+++ b/standin/cellsim/sim.go
@@ -119,7 +119,7 @@
 	s.lead()
 	for _, j := range s.all {
 		s.jobs[j.id] = j
-		s.at(settle+j.sent, func() { s.submit(j, 0) })
+		s.at(settle+j.submitted, func() { s.submit(j, 0) })
 	}
 	if o.Pattern.LeaderLost > 0 {
 		s.at(settle+o.Pattern.LeaderLost, s.loseLeader)
@@ -175,15 +175,15 @@
 				s.o.Violation(fmt.Sprintf("%s: %s on %s", what, task, w))
 			}
 		}})
-	saved := dispatch.Saved{Accepted: s.under(dispatch.PrefixJobs), States: s.under(dispatch.PrefixState), Bundles: s.under(dispatch.PrefixBundle)}
-	saved.Fleet = s.under("fleet")
+	saved := dispatch.Saved{Accepted: s.entriesUnder(dispatch.PrefixJobs), States: s.entriesUnder(dispatch.PrefixState), Bundles: s.entriesUnder(dispatch.PrefixBundle)}
+	saved.Fleet = s.entriesUnder("fleet")
 	if err := s.engine.Load(s.now, saved); err != nil && s.o.Violation != nil {
 		s.o.Violation(err.Error())
 	}
 	s.engine.SetAccounts(s.now, s.o.accounts())
 	for _, w := range s.order {
 		if !w.crashed {
-			s.engine.WorkerSeen(s.now, w.seen)
+			s.engine.WorkerSeen(s.now, w.entry)
 		}
 	}
 	names := make([]string, s.o.Daemons)
@@ -220,9 +220,9 @@
 	s.stats.Violations += st.Violations
 }
 
-// under returns the store's entries with a prefix, sorted by key. The engine uses
+// entriesUnder returns the store's entries with a prefix, sorted by key. The engine uses
 // their revisions only, but a fixed order keeps runs reproducible.
-func (s *sim) under(prefix string) []store.Entry {
+func (s *sim) entriesUnder(prefix string) []store.Entry {
 	var found []store.Entry
 	for key, e := range s.entries {
 		if strings.HasPrefix(key, prefix) {
@@ -251,11 +251,11 @@
 func (s *sim) submit(j *job, attempt int) {
 	if s.o.Pattern.Outage.has(s.loadTime()) {
 		if attempt < len(retries) {
-			s.at(settle+j.sent+retries[attempt], func() { s.submit(j, attempt+1) })
+			s.at(settle+j.submitted+retries[attempt], func() { s.submit(j, attempt+1) })
 		}
 		return
 	}
-	j.spec.Accepted = j.sent.Milliseconds()
+	j.spec.Accepted = j.submitted.Milliseconds()
 	s.after(s.storeDelay(), func() {
 		j.accepted = s.now
 		j.spec.Epoch = s.epoch
@@ -284,13 +284,13 @@
 	kept := s.open[:0]
 	for _, j := range s.open {
 		state, known := s.engine.State(j.id)
-		if known && state == work.Running && j.begun == 0 {
-			j.begun = s.now
+		if known && state == work.Running && j.started == 0 {
+			j.started = s.now
 		}
 		if known && state.Final() {
 			j.shown, j.ended = s.now, state
-			if j.begun == 0 {
-				j.begun = s.now
+			if j.started == 0 {
+				j.started = s.now
 			}
 			continue
 		}
--- a/standin/cellsim/worker.go
+++ b/standin/cellsim/worker.go
@@ -17,30 +17,30 @@
 
 // worker is a model of a worker.
 type worker struct {
-	seen     runner.Worker
-	slowdown float64 // run time of a task here against its drawn run time
-	crashed  bool    // for good
+	entry    runner.Worker // in the directory
+	slowdown float64       // run time of a task here against its drawn run time
+	crashed  bool          // for good
 
-	used    work.Resources
-	runs    map[work.TaskID]*run
-	ends    []runner.End // completions that are not acknowledged
-	number  int64
-	waiting func() // responds to the pending renewal, nil for none
+	used           work.Resources
+	runs           map[work.TaskID]*run
+	ends           []runner.End // completions that are not acknowledged
+	number         int64
+	pendingRenewal func() // responds to the renewal that waits, nil for none
 	slow,
 	failing bool
 }
 
 // run is one run of a task on a worker.
 type run struct {
-	w      *worker
-	task   work.TaskID
-	number uint64
-	job    *job
-	spec   *work.Step
-	takes  time.Duration // run time of the whole task on this worker
-	saved  float64       // share of the task done in earlier runs
-	began  time.Duration // -1 while it waits for its gang
-	ended  bool
+	w       *worker
+	task    work.TaskID
+	number  uint64
+	job     *job
+	spec    *work.Step
+	runTime time.Duration // run time of the whole task on this worker
+	saved   float64       // share of the task done in earlier runs
+	began   time.Duration // -1 while it waits for its gang
+	ended   bool
 }
 
 type gangKey struct {
@@ -57,7 +57,7 @@
 func (s *sim) addWorkers() {
 	for i := range s.o.Workers {
 		id := runner.WorkerID(fmt.Sprintf("w-%04d", i))
-		w := &worker{slowdown: 0.9 + 0.2*s.rng.Float64(), runs: map[work.TaskID]*run{}, seen: runner.Worker{
+		w := &worker{slowdown: 0.9 + 0.2*s.rng.Float64(), runs: map[work.TaskID]*run{}, entry: runner.Worker{
 			Ref: runner.Ref{ID: id, Address: string(id)}, Service: service, Labels: []string{"a", fmt.Sprint("r", i/12)},
 			Capacity: work.Resources{CPU: workerCores * 1000, Memory: 128 << 10}}}
 		s.workers[id] = w
@@ -100,10 +100,10 @@
 	for _, r := range sorted(w.runs) {
 		s.loseRun(r)
 	}
-	w.waiting = nil
+	w.pendingRenewal = nil
 	s.after(4500*time.Millisecond, func() {
 		if s.engine != nil {
-			s.engine.WorkerUnlisted(s.now, w.seen.ID)
+			s.engine.WorkerUnlisted(s.now, w.entry.ID)
 		}
 	})
 }
@@ -130,7 +130,7 @@
 	return float64(xxhash.Sum64String(step.String()+string(w))>>11) / (1 << 53)
 }
 
-// callTimeout is how long a call to a crashed worker takes to fail.
+// callTimeout is how long a call to a crashed worker runTime to fail.
 const callTimeout = 500 * time.Millisecond
 
 func (s *sim) sendStart(x dispatch.SendStart, reply func(time.Duration, func())) {
@@ -158,14 +158,14 @@
 	if w.slow {
 		slowdown *= slowFactor
 	}
-	r.takes = time.Duration(float64(j.takes[x.Task.Step][x.Task.Index]) * slowdown)
+	r.runTime = time.Duration(float64(j.runTimes[x.Task.Step][x.Task.Index]) * slowdown)
 	if x.Checkpoint != "" {
 		r.saved, _ = strconv.ParseFloat(x.Checkpoint, 64) // an invalid checkpoint counts as 0
 	}
 	w.runs[x.Task] = r
 	w.used = w.used.Add(spec.Need())
 	if !spec.Gang {
-		s.begin(r, r.left())
+		s.begin(r, r.remaining())
 		return
 	}
 	key := gangOf(r)
@@ -182,7 +182,7 @@
 	g.began = true
 	longest := time.Duration(0)
 	for _, m := range g.members {
-		longest = max(longest, m.left())
+		longest = max(longest, m.remaining())
 	}
 	for _, m := range g.members {
 		s.begin(m, longest)
@@ -195,9 +195,9 @@
 	return gangKey{task, r.number}
 }
 
-// left is the remaining run time at the start of a run.
-func (r *run) left() time.Duration {
-	d := time.Duration(float64(r.takes) * (1 - r.saved))
+// remaining is the remaining run time at the start of a run.
+func (r *run) remaining() time.Duration {
+	d := time.Duration(float64(r.runTime) * (1 - r.saved))
 	if r.saved > 0 {
 		d += restore
 	}
@@ -266,14 +266,14 @@
 		e.Checkpoint = strconv.FormatFloat(r.progress(s.now), 'f', 4, 64)
 	}
 	w.ends = append(w.ends, e)
-	if w.waiting != nil {
-		answer := w.waiting
-		w.waiting = nil
-		answer()
+	if w.pendingRenewal != nil {
+		respond := w.pendingRenewal
+		w.pendingRenewal = nil
+		respond()
 	}
 }
 
-// release frees the resources of a run; kept tells whether its work is not wasted.
+// release frees the resources of a run; its work counts as wasted unless kept is true.
 func (s *sim) release(r *run, kept bool) {
 	r.ended = true
 	r.w.used = r.w.used.Sub(r.spec.Need())
@@ -308,10 +308,10 @@
 
 // progress returns the share of a run's task that is done.
 func (r *run) progress(now time.Duration) float64 {
-	if r.began < 0 || r.takes <= 0 {
+	if r.began < 0 || r.runTime <= 0 {
 		return r.saved
 	}
-	return min(r.saved+float64(now-r.began)/float64(r.takes), 1)
+	return min(r.saved+float64(now-r.began)/float64(r.runTime), 1)
 }
 
 func (s *sim) sendStop(x dispatch.SendStop, reply func(time.Duration, func())) {
@@ -337,21 +337,21 @@
 		return
 	}
 	w.ends = slices.DeleteFunc(w.ends, func(e runner.End) bool { return e.Number <= x.Renewal.Acknowledge })
-	answered := false
-	answer := func() {
-		if answered {
+	responded := false
+	respond := func() {
+		if responded {
 			return
 		}
-		answered = true
+		responded = true
 		report := w.report(s.now)
 		reply(hop, func() { s.engine.Renewed(s.now, x.To.ID, report, nil) })
 	}
 	if x.Renewal.Wait == 0 || len(w.ends) > 0 {
-		s.after(hop, answer)
+		s.after(hop, respond)
 		return
 	}
-	w.waiting = answer
-	s.after(x.Renewal.Wait, answer)
+	w.pendingRenewal = respond
+	s.after(x.Renewal.Wait, respond)
 }
 
 func (w *worker) report(now time.Duration) runner.Report {
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -85,10 +85,10 @@
 		return
 	}
 	w.Header().Set(KeyHeader, key)
-	e.answer(w, r, key, body, kind)
+	e.respond(w, r, key, body, kind)
 }
 
-func (e *Endpoint) answer(w http.ResponseWriter, r *http.Request, key string, body []byte, kind fault) {
+func (e *Endpoint) respond(w http.ResponseWriter, r *http.Request, key string, body []byte, kind fault) {
 	if r.URL.Query().Get("trailer") == "1" {
 		w.Header().Set("Trailer", "Endpoint-Sum")
 		defer w.Header().Set("Endpoint-Sum", strconv.FormatUint(xxhash.Sum64(body), 16))
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -10,10 +10,10 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// reach delivers a call to a worker. answer is false if the response is to be lost. For a
+// reach delivers a call to a worker. responds is false if the response is to be lost. For a
 // call that gets no response at all, reach waits for the end of ctx and returns an error;
 // a late call then takes effect through effect, which is nil for calls that cannot be late.
-func (f *Fleet) reach(ctx context.Context, to runner.Ref, effect func(w *worker)) (_ *worker, answer bool, err error) {
+func (f *Fleet) reach(ctx context.Context, to runner.Ref, effect func(w *worker)) (_ *worker, responds bool, err error) {
 	select {
 	case <-ctx.Done():
 		return nil, false, fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
@@ -58,8 +58,8 @@
 	return w
 }
 
-// noAnswer waits for the end of ctx, as a caller does whose response is lost.
-func noAnswer(ctx context.Context) error {
+// noResponse waits for the end of ctx, as a caller does whose response is lost.
+func noResponse(ctx context.Context) error {
 	<-ctx.Done()
 	return fmt.Errorf("%w: %w", runner.ErrUnknown, ctx.Err())
 }
@@ -74,7 +74,7 @@
 		w.ordered[s.Task] = true
 	}
 	f.mu.Unlock()
-	w, answer, err := f.reach(ctx, to, func(w *worker) { _ = f.start(w, s) })
+	w, responds, err := f.reach(ctx, to, func(w *worker) { _ = f.start(w, s) })
 	if err != nil {
 		return 0, err
 	}
@@ -82,8 +82,8 @@
 	err = f.start(w, s)
 	clock := w.clock()
 	f.mu.Unlock()
-	if !answer {
-		return 0, noAnswer(ctx)
+	if !responds {
+		return 0, noResponse(ctx)
 	}
 	return clock, err
 }
@@ -324,15 +324,15 @@
 
 // Stop implements runner.Runner.
 func (f *Fleet) Stop(ctx context.Context, to runner.Ref, task work.TaskID, number, epoch uint64) error {
-	w, answer, err := f.reach(ctx, to, func(w *worker) { _ = f.stop(w, task, number, epoch) })
+	w, responds, err := f.reach(ctx, to, func(w *worker) { _ = f.stop(w, task, number, epoch) })
 	if err != nil {
 		return err
 	}
 	f.mu.Lock()
 	err = f.stop(w, task, number, epoch)
 	f.mu.Unlock()
-	if !answer {
-		return noAnswer(ctx)
+	if !responds {
+		return noResponse(ctx)
 	}
 	return err
 }
@@ -378,7 +378,7 @@
 
 // Renew implements runner.Runner.
 func (f *Fleet) Renew(ctx context.Context, to runner.Ref, x runner.Renewal) (runner.Report, error) {
-	w, answer, err := f.reach(ctx, to, nil)
+	w, responds, err := f.reach(ctx, to, nil)
 	if err != nil {
 		return runner.Report{}, err
 	}
@@ -397,14 +397,14 @@
 		case <-wake:
 		}
 	}
-	if !answer {
-		return runner.Report{}, noAnswer(ctx)
+	if !responds {
+		return runner.Report{}, noResponse(ctx)
 	}
 	f.mu.Lock()
 	unreachable := w.disconnected
 	f.mu.Unlock()
 	if unreachable {
-		return runner.Report{}, noAnswer(ctx)
+		return runner.Report{}, noResponse(ctx)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
