--- a/standin/epochworker/fleet.go
+++ b/standin/epochworker/fleet.go
@@ -266,8 +266,8 @@
 	return f.crashes
 }
 
-// CrashesUnder returns how many workers were crashed by runs of a task.
-func (f *Fleet) CrashesUnder(t work.TaskID) int {
+// CrashesBy returns how many workers were crashed by runs of a task.
+func (f *Fleet) CrashesBy(t work.TaskID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.history(t).crashes
