--- a/process/cellnode/layout.go
+++ b/process/cellnode/layout.go
@@ -44,7 +44,7 @@
 func (n *Node) ensureLayout(s *shard, t *lead.Term) (lead.Layout, error) {
 	ctx := t.Context()
 	layout, err := n.layout(ctx)
-	if err != nil || s.index > 0 || layout.Parts > 1 || t.Epoch > 1 || !n.o.Settings.Bootstrap {
+	if err != nil || s.index > 0 || layout.Shards > 1 || t.Epoch > 1 || !n.o.Settings.Bootstrap {
 		return layout, err
 	}
 	for {
@@ -54,7 +54,7 @@
 		}
 		n.log.Warn().Err(err).Msg("cell layout not determined yet; retrying")
 		if err := sleep.For(ctx, registrationPoll); err != nil {
-			return lead.One, err
+			return lead.SingleShard, err
 		}
 	}
 }
@@ -68,7 +68,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return lead.One, ctx.Err()
+			return lead.SingleShard, ctx.Err()
 		case <-changed:
 		}
 	}
@@ -81,23 +81,23 @@
 	case err == nil:
 		return lead.DecodeLayout(entry)
 	case !errors.Is(err, store.ErrNotFound):
-		return lead.One, err
+		return lead.SingleShard, err
 	}
-	fresh, err := dispatch.Fresh(ctx, n.o.Store)
+	fresh, err := dispatch.IsEmpty(ctx, n.o.Store)
 	if err != nil || !fresh {
-		return lead.One, err
+		return lead.SingleShard, err
 	}
 	workers, err := n.countWorkers(ctx)
 	if err != nil {
-		return lead.One, err
+		return lead.SingleShard, err
 	}
-	layout := lead.Layout{Parts: shardsFor(workers, n.view().Members())}
-	if layout.Parts == 1 {
+	layout := lead.Layout{Shards: shardsFor(workers, n.view().Members())}
+	if layout.Shards == 1 {
 		return layout, nil
 	}
-	n.log.Info().Int("workers", workers).Int("parts", layout.Parts).Msg("dividing the cell into shards")
+	n.log.Info().Int("workers", workers).Int("parts", layout.Shards).Msg("dividing the cell into shards")
 	if err := t.Commit(ctx, 0, []store.Write{{Key: lead.KeyLayout, Value: layout.Encode()}}, nil); err != nil {
-		return lead.One, err
+		return lead.SingleShard, err
 	}
 	return layout, nil
 }
@@ -149,7 +149,7 @@
 
 // capacity returns how many workers a daemon can serve as a leader, by its CPU time
 // and, where that is known, its link; 0 if neither is known.
-func capacity(m lead.Member) float64 { return m.Carries(workersPerLeaderCore, workersPerLeaderMbit) }
+func capacity(m lead.Member) float64 { return m.Capacity(workersPerLeaderCore, workersPerLeaderMbit) }
 
 // workersPerLeaderMbit is how many workers a leader can serve for each Mbit/s of its link.
 // With relays, 135 workers, 47 jobs and 120 starts per second take 50 to 170 KB/s out and
--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -39,13 +39,13 @@
 	s := &shard{n: n, index: index, store: n.o.Store}
 	suffix, log := "", n.log
 	if index > 0 {
-		s.store = store.Prefixed{Transactor: n.o.Store, Prefix: lead.PartPrefix(index)}
+		s.store = store.Prefixed{Transactor: n.o.Store, Prefix: lead.ShardPrefix(index)}
 		suffix = fmt.Sprintf(".%d", index)
 		log = n.log.With().Int("part", index).Logger()
 	}
-	s.elector = lead.New(lead.Options{Self: n.self, Store: s.store, Log: log, Patience: n.storeTimeout, Lead: s.lead,
-		Lease: n.memberLease(), Peers: n.peers, Main: main, Suffix: suffix, Busy: func() bool { return n.leadsOther(index) },
-		Leading: func(name string) bool { return n.shardLedBy(name, index) }})
+	s.elector = lead.New(lead.Options{Self: n.self, Store: s.store, Log: log, StoreTimeout: n.storeTimeout, RunTerm: s.lead,
+		Lease: n.memberLease(), Peers: n.peers, Primary: main, Suffix: suffix, LeadsAnother: func() bool { return n.leadsOther(index) },
+		LeadsElsewhere: func(name string) bool { return n.shardLedBy(name, index) }})
 	s.elector.Register(n.mux)
 	s.jobs = submit.New(submit.Options{Self: n.self.Name, Peer: n.self.Peer, Texts: texts{s}, Store: s.store, Patience: n.storeTimeout,
 		View: s.elector.View(), Peers: n.peers, Leading: s.host.Load, Log: log, Suffix: suffix, Stats: &n.submitted, Guards: s.guards})
@@ -78,14 +78,14 @@
 	defer s.orders.CompareAndSwap(orders, nil)
 	defer s.rows.Store(nil)
 	h := dispatch.NewHost(dispatch.HostOptions{
-		Store: s.store, Patience: n.storeTimeout, Runner: orders, Directory: shardDirectory{n.o.Directory, layout, s.index}, View: n.view(),
-		Members: members, Advise: n.advise, Accounts: n.catalogs.accounts, Part: s.index, Parts: layout.Parts, Bounds: n.bounds(), Policy: n.o.Settings.Policy, Log: n.log, Count: n.count, Took: n.observeSpan,
+		Store: s.store, StoreTimeout: n.storeTimeout, Runner: orders, Directory: shardDirectory{n.o.Directory, layout, s.index}, View: n.view(),
+		Members: members, Advise: n.advise, Accounts: n.catalogs.accounts, Shard: s.index, Shards: layout.Shards, Bounds: n.bounds(), Policy: n.o.Settings.Policy, Log: n.log, Count: n.count, Took: n.observeSpan,
 		ShowAccounts: func(rows []quota.Row) { s.rows.Store(&rows) },
 		Violation:    func(string) { n.metrics.Add("violations", 1) },
 	}, t)
 	s.host.Store(h)
 	go n.reportLoad(t.Context())
-	go s.runQuota(t, h, layout.Parts)
+	go s.runQuota(t, h, layout.Shards)
 	h.Run()
 	s.host.CompareAndSwap(h, nil)
 }
@@ -99,7 +99,7 @@
 func shardMembers(members []lead.Member, layout lead.Layout, index int) []lead.Member {
 	var own []lead.Member
 	for _, m := range members {
-		if layout.Of(m.Name) == index {
+		if layout.ShardOf(m.Name) == index {
 			own = append(own, m)
 		}
 	}
@@ -118,7 +118,7 @@
 
 // has decides by the worker's name, not its incarnation: a later incarnation stays with the
 // leader that has the records of the earlier one.
-func (s shardDirectory) has(id runner.WorkerID) bool { return s.layout.Of(id.Name()) == s.index }
+func (s shardDirectory) has(id runner.WorkerID) bool { return s.layout.ShardOf(id.Name()) == s.index }
 
 // List implements runner.Directory.
 func (s shardDirectory) List(ctx context.Context) ([]runner.Worker, store.Revision, error) {
@@ -177,22 +177,22 @@
 func (n *Node) shardOf(id work.JobID) ([]*submit.Service, int, error) {
 	layout, known := n.view().Layout()
 	shards := n.shards()
-	if !known || len(shards) < layout.Parts {
+	if !known || len(shards) < layout.Shards {
 		return nil, 0, errNoLayout
 	}
 	all := make([]*submit.Service, len(shards))
 	for i, s := range shards {
 		all[i] = s.jobs
 	}
-	return all, layout.Of(string(id)), nil
+	return all, layout.ShardOf(string(id)), nil
 }
 
 // runShards builds and runs the shards other than shard 0 once the layout is known.
 func (n *Node) runShards(ctx context.Context) error {
 	var layout lead.Layout
-	for layout.Parts <= len(n.shards()) {
+	for layout.Shards <= len(n.shards()) {
 		changed := n.view().Changed()
-		if layout, _ = n.view().Layout(); layout.Parts > len(n.shards()) {
+		if layout, _ = n.view().Layout(); layout.Shards > len(n.shards()) {
 			break
 		}
 		select {
@@ -201,9 +201,9 @@
 		case <-changed:
 		}
 	}
-	n.log.Info().Int("parts", layout.Parts).Msg("cell is divided into shards")
+	n.log.Info().Int("parts", layout.Shards).Msg("cell is divided into shards")
 	built := n.shards()
-	for i := len(built); i < layout.Parts; i++ {
+	for i := len(built); i < layout.Shards; i++ {
 		built = append(built, n.newShard(i, built[0].elector))
 	}
 	n.built.Store(&built)
--- a/process/cellnode/shard_test.go
+++ b/process/cellnode/shard_test.go
@@ -55,7 +55,7 @@
 	const workers = 20
 	sum := 0
 	for shard := range 3 {
-		listed, gone, next := names(shardDirectory{restartedWorkers{workers}, lead.Layout{Parts: 3}, shard})
+		listed, gone, next := names(shardDirectory{restartedWorkers{workers}, lead.Layout{Shards: 3}, shard})
 		require.Equal(t, listed, gone)
 		require.Equal(t, listed, next)
 		sum += len(listed)
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -22,7 +22,7 @@
 	prefixShares = "quota/"
 	keyShares    = prefixShares + "shares"
 	// sharesStream is the write stream of the owner's term on which they are written.
-	sharesStream = lead.Chains - 1
+	sharesStream = lead.WriteStreams - 1
 
 	// reportPeriod is the interval of reports while work waits for a share; moving a share
 	// takes three of them. idleReportPeriod is the interval otherwise; these reports inform
--- a/process/cellnode/texts.go
+++ b/process/cellnode/texts.go
@@ -63,7 +63,7 @@
 	if !errors.Is(err, store.ErrNotFound) {
 		return "", err
 	}
-	if entry, err = s.stored(ctx, dispatch.KeyIn(id)); err != nil {
+	if entry, err = s.stored(ctx, dispatch.KeySubmission(id)); err != nil {
 		return "", err
 	}
 	job, err := work.DecodeJob(entry.Value)
--- a/process/cellnode/texts_test.go
+++ b/process/cellnode/texts_test.go
@@ -21,7 +21,7 @@
 	put := func(id work.JobID, apart bool, inside string) {
 		value, err := work.EncodeJob(&work.Job{Queue: work.Queue{Name: "q", Attempts: 1, Slack: 1}, Spec: inside, Apart: apart, Steps: []work.Step{{Count: 1}}})
 		require.NoError(t, err)
-		txn := store.Txn{Writes: []store.Write{{Key: dispatch.KeyIn(id), Value: value}}}
+		txn := store.Txn{Writes: []store.Write{{Key: dispatch.KeySubmission(id), Value: value}}}
 		if apart && inside == "" {
 			txn.Writes = append(txn.Writes, store.Write{Key: dispatch.KeySpec(id), Value: []byte("kept apart")})
 		}
--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -57,12 +57,12 @@
 			sole++
 		}
 	}
-	return Guilty(losses, sole)
+	return LimitReached(losses, sole)
 }
 
-// Guilty reports whether a task is to be given up under which losses workers have crashed,
-// sole of them without a suspect run of another job.
-func Guilty(losses, sole int) bool {
+// LimitReached reports whether a task is to be given up after its runs were suspected of
+// crashing losses workers. For sole of these crashes no run of another job was suspected.
+func LimitReached(losses, sole int) bool {
 	return losses >= maxLosses || (losses >= soleLosses && sole > 0)
 }
 
--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -33,7 +33,7 @@
 		return
 	}
 	e.capShares = shares.Version
-	e.ledger.SetShares(func(account string) int64 { return shares.Of(account, e.o.Part, e.o.Parts) })
+	e.ledger.SetShares(func(account string) int64 { return shares.Of(account, e.o.Shard, e.o.Shards) })
 	e.scheduled = false
 }
 
@@ -44,7 +44,7 @@
 // orders of earlier leaders, which may still act by older shares. Cordoned workers are not
 // waited for: nothing is started on them.
 func (e *Engine) QuotaReport(asked []string) quota.Report {
-	r := quota.Report{Part: e.o.Part, Epoch: e.o.Epoch, Uses: e.ledger.Uses(asked)}
+	r := quota.Report{Part: e.o.Shard, Epoch: e.o.Epoch, Uses: e.ledger.Uses(asked)}
 	if e.unresolvedUncordoned == 0 {
 		r.Obeyed = e.capShares
 	}
@@ -62,7 +62,7 @@
 
 // capsKnown reports whether the accounts and this shard's shares of their caps have been
 // received.
-func (e *Engine) capsKnown() bool { return e.accountsKnown && (e.o.Parts <= 1 || e.capShares > 0) }
+func (e *Engine) capsKnown() bool { return e.accountsKnown && (e.o.Shards <= 1 || e.capShares > 0) }
 
 func sizeOf(r work.Resources) quota.Size {
 	return quota.Size{MilliCPU: int64(r.CPU), MemoryMB: int64(r.Memory), Accelerators: int64(r.GPU)}
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -25,7 +25,7 @@
 // jobOf returns the submission of a job of an account.
 func jobOf(t *testing.T, account string, id work.JobID, epoch uint64, steps ...work.Step) store.Entry {
 	e := changed(t, jobEntry(t, epoch, 4, steps...), func(j *work.Job) { j.Account = account })
-	e.Key = KeyIn(id)
+	e.Key = KeySubmission(id)
 	return e
 }
 
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -432,9 +432,7 @@
 	e.effects = append(e.effects, AskAdvice{Member: proxy.member, Step: s.id(), Workers: proxy.workers, Timeout: cost + adviceGrace})
 }
 
-func (proxy *adviceProxy) cost() time.Duration {
-	return proxy.busy.job.spec.Queue.Advice.Cost(len(proxy.workers))
-}
+func (p *adviceProxy) cost() time.Duration { return p.busy.job.spec.Queue.Advice.Cost(len(p.workers)) }
 
 // pickProxy picks the proxy for a call. Quick and slow calls are taken from opposite ends of
 // the members, so that slow ones rarely occupy every proxy.
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -49,7 +49,7 @@
 		return
 	}
 	e.batchSeq++
-	ws.batch = &batch{key: fmt.Sprintf("%s%016x-%08x", PrefixBundle, e.o.Epoch, e.batchSeq)}
+	ws.batch = &batch{key: fmt.Sprintf("%s%016x-%08x", PrefixBatches, e.o.Epoch, e.batchSeq)}
 	c.Writes = append(c.Writes, store.Write{Key: ws.batch.key, Value: data})
 	for _, j := range e.dirty[:n] {
 		e.include(ws, j, true)
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -136,9 +136,9 @@
 	if os.Getenv("FENNEL_LOG") == "1" {
 		log = zerolog.New(os.Stdout).With().Str("daemon", name).Timestamp().Logger()
 	}
-	n.elector = lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: c.kv, Patience: patience, Log: log,
-		Lead: func(t *lead.Term) {
-			h := NewHost(HostOptions{Store: c.kv, Patience: patience, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
+	n.elector = lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: c.kv, StoreTimeout: patience, Log: log,
+		RunTerm: func(t *lead.Term) {
+			h := NewHost(HostOptions{Store: c.kv, StoreTimeout: patience, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
 				Advise: c.advice.ask, Log: log, Policy: c.policy,
 				Accounts: func() (*work.Accounts, bool) { return c.accounts.Load(), true },
 				Count:    func(s Stats) { c.batches.Store(max(c.batches.Load(), s.Bundles)) },
@@ -200,11 +200,11 @@
 	c.fleet.Know(id, j)
 	value, err := work.EncodeJob(j)
 	require.NoError(c.t, err)
-	c.write(store.Txn{Checks: []store.Check{{Key: KeyIn(id)}, {Key: KeyState(id)}}, Writes: []store.Write{{Key: KeyIn(id), Value: value}}})
+	c.write(store.Txn{Checks: []store.Check{{Key: KeySubmission(id)}, {Key: KeyState(id)}}, Writes: []store.Write{{Key: KeySubmission(id), Value: value}}})
 	c.jobs[id] = j
 	c.order = append(c.order, id)
 	if h := c.leader(); h != nil && c.rng.IntN(4) > 0 {
-		h.Offer(store.Entry{Key: KeyIn(id), Value: value})
+		h.Offer(store.Entry{Key: KeySubmission(id), Value: value})
 	}
 	return id
 }
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -27,17 +27,15 @@
 
 func (iso isolation) excludes(s *step, now time.Duration) bool { return now < iso.until && iso.s != s }
 
-// pastCrashWindow reports whether a run is known to have started so long before at that, if
-// its worker was running at that time, the run has not crashed it.
-func (alloc *allocation) pastCrashWindow(at time.Duration) bool {
-	return alloc.confirmedAt > 0 && at >= alloc.confirmedAt+crash.Window
-}
+// survived reports whether a run is known to have started so long before t that, if its
+// worker was running at that time, the run has not crashed it.
+func (a *allocation) survived(t time.Duration) bool { return a.ackAt > 0 && t >= a.ackAt+crash.Window }
 
 // noRecentStarts reports whether no run of another job has just started on the worker, is
 // about to, or is on trial there.
 func (e *Engine) noRecentStarts(w *worker, s *step) bool {
 	for _, alloc := range w.allocs {
-		if alloc.s.job != s.job && (!alloc.pastCrashWindow(e.now) || alloc.task().crashes.OnTrial(alloc.run)) {
+		if alloc.s.job != s.job && (!alloc.survived(e.now) || alloc.task().crashes.OnTrial(alloc.run)) {
 			return false
 		}
 	}
@@ -92,7 +90,7 @@
 // running. If there are none and the incarnation has ended, all its runs are suspect.
 func (w *worker) suspects(ended bool) (all []*allocation, sole bool) {
 	for _, alloc := range sortedAllocs(w) {
-		if alloc.tries > 0 && !alloc.pastCrashWindow(w.aliveAt) {
+		if alloc.tries > 0 && !alloc.survived(w.aliveAt) {
 			all = append(all, alloc)
 		}
 	}
@@ -188,7 +186,7 @@
 func (e *Engine) settleCrash(s *step, id work.TaskID, w *worker, ended bool) bool {
 	t := &s.tasks[id.Index]
 	var live uint64 // a trial that may still crash the worker
-	if alloc := t.alloc; alloc != nil && alloc.w == w && !alloc.pastCrashWindow(w.aliveAt) {
+	if alloc := t.alloc; alloc != nil && alloc.w == w && !alloc.survived(w.aliveAt) {
 		live = alloc.run
 	}
 	if t.crashes.Settle(string(w.ID), ended && !w.Draining, live) {
@@ -287,7 +285,7 @@
 // crash.HealthyAfter.
 func (e *Engine) noteHealthy(alloc *allocation) {
 	t := alloc.task()
-	if len(t.crashes) == 0 || alloc.state != running || e.now-alloc.confirmedAt < crash.HealthyAfter {
+	if len(t.crashes) == 0 || alloc.state != running || e.now-alloc.ackAt < crash.HealthyAfter {
 		return
 	}
 	t.crashes = nil
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -161,7 +161,7 @@
 						require.NoError(t, err)
 					}
 				}
-				h.e.Committed(h.now, x.Chain)
+				h.e.Committed(h.now, x.Stream)
 			case SendStart:
 				require.NotNil(t, recorded, "started before it was recorded")
 				require.Equal(t, work.Crash{Run: x.Start.Run, Worker: "w-a", Sole: true, Open: true}, recorded.Ends[0].Crashes[2])
@@ -217,7 +217,7 @@
 	h.e.Started(h.now, "w-a", trial[0].Start.Task, trial[0].Start.Run, nil)
 	h.step(2 * crash.Window) // no renewal is answered in that time
 	other := jobEntry(t, 2, 4, oneTask())
-	other.Key = KeyIn("00000000000000bb")
+	other.Key = KeySubmission("00000000000000bb")
 	require.NoError(t, h.e.Accepted(h.now, other))
 	h.step(2 * tickPeriod)
 	later := h.starts()
@@ -380,7 +380,7 @@
 func TestSuspectTaskDoesNotHoldUpItsSiblings(t *testing.T) {
 	h := newHarness(t, 2, "w-a")
 	first := jobEntry(t, 1, 4, oneTask())
-	first.Key = KeyIn("00000000000000bb")
+	first.Key = KeySubmission("00000000000000bb")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{first}}))
 	h.step(50 * time.Millisecond)
 	h.report("w-a", runner.Report{Clock: time.Second})
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -73,9 +73,9 @@
 	dirtyAt        time.Duration // since when a change waits for a commit
 	urgent         bool
 	removals       []string
-	writes         [lead.Chains]*writeSet // in flight, by write stream
-	writtenAt      time.Duration          // when the last one was sent
-	unbatch        []*job                 // whose newest progress is in a batch
+	writes         [lead.WriteStreams]*writeSet // in flight, by write stream
+	writtenAt      time.Duration                // when the last one was sent
+	unbatch        []*job                       // whose newest progress is in a batch
 	batchSeq       uint64
 	fleetChanged   bool
 	cordonsChanged bool // the list of cordoned workers has to be written
@@ -112,7 +112,7 @@
 func NewEngine(o Options) *Engine {
 	o.Policy = o.Policy.complete()
 	entitled := o.Bounds.Entitled
-	entitled.Share = 1 / float64(max(o.Parts, 1))
+	entitled.Share = 1 / float64(max(o.Shards, 1))
 	return &Engine{o: o, fair: fair.New(o.Policy.Shares, entitled), jobs: map[work.JobID]*job{}, cancels: map[work.JobID]time.Duration{},
 		workers: map[runner.WorkerID]*worker{}, proxies: map[string]*adviceProxy{}, ledger: quota.NewLedger(), endedHeld: map[*quota.Account]quota.Size{},
 		usages: map[usageKey]*usage{}, priorities: map[*quota.Account][]int{}, keptFree: map[*quota.Account]quota.Size{},
@@ -134,7 +134,7 @@
 type Saved struct {
 	Accepted []store.Entry // under PrefixJobs
 	States   []store.Entry // under PrefixState
-	Bundles  []store.Entry // under PrefixBundle
+	Batches  []store.Entry // under PrefixBatches
 	Fleet    []store.Entry // under prefixFleet
 }
 
@@ -146,7 +146,7 @@
 	for _, entry := range saved.Accepted {
 		errs = append(errs, e.Accepted(now, entry))
 	}
-	states, bad := e.newest(saved.States, saved.Bundles)
+	states, bad := e.newest(saved.States, saved.Batches)
 	errs = append(errs, bad...)
 	for _, s := range states {
 		e.loadState(s)
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -39,7 +39,7 @@
 		h.e.Tick(h.now)
 		for _, x := range h.e.Flush(h.now) {
 			if c, ok := x.(SendCommit); ok {
-				h.e.Committed(h.now, c.Chain)
+				h.e.Committed(h.now, c.Stream)
 				continue
 			}
 			h.effects = append(h.effects, x)
@@ -73,7 +73,7 @@
 	j := &work.Job{Queue: work.Queue{Name: "q", Service: "s", Attempts: attempts, Slack: 2}, Spec: "x", Steps: steps, Epoch: epoch}
 	value, err := work.EncodeJob(j)
 	require.NoError(t, err)
-	return store.Entry{Key: KeyIn(testJob), Value: value}
+	return store.Entry{Key: KeySubmission(testJob), Value: value}
 }
 
 // changed returns an entry with its job changed.
@@ -325,7 +325,7 @@
 		for _, x := range h.e.Flush(h.now) {
 			if c, ok := x.(SendCommit); ok {
 				deleted = append(deleted, c.Deletes...)
-				h.e.Committed(h.now, c.Chain)
+				h.e.Committed(h.now, c.Stream)
 			}
 		}
 	}
@@ -375,7 +375,7 @@
 			j.Queue.Name, j.Queue.Priority = id, priority
 			j.Queue.Advice = &work.Advice{Base: base, Valid: 2 * time.Second}
 		})
-		entry.Key = KeyIn(work.JobID(id))
+		entry.Key = KeySubmission(work.JobID(id))
 		entries = append(entries, entry)
 	}
 	for i := range 9 {
--- a/process/dispatch/estimate.go
+++ b/process/dispatch/estimate.go
@@ -35,7 +35,7 @@
 	if s.spec.Estimate <= 0 || alloc.state != running || s.spec.Lasting {
 		return
 	}
-	took := float64(e.now-alloc.confirmedAt) / float64(s.spec.Estimate)
+	took := float64(e.now-alloc.ackAt) / float64(s.spec.Estimate)
 	mean := *s.job.estimateRatio
 	w.slowdown += (min(max(took/mean, 0.2), 5) - w.slowdown) * runTimeDecay
 	*s.job.estimateRatio = mean + (min(took, 5)-mean)*runTimeDecay/4
@@ -51,8 +51,8 @@
 	}
 	elapsed := e.now - alloc.sent
 	whole := e.estimate(alloc.s)
-	if alloc.percent >= minPercent && alloc.percentAt > alloc.confirmedAt {
-		whole = scale(alloc.percentAt-alloc.confirmedAt, 100/alloc.percent) + alloc.confirmedAt - alloc.sent
+	if alloc.percent >= minPercent && alloc.percentAt > alloc.ackAt {
+		whole = scale(alloc.percentAt-alloc.ackAt, 100/alloc.percent) + alloc.ackAt - alloc.sent
 	}
 	return max(whole-elapsed, minRemaining)
 }
@@ -66,7 +66,7 @@
 	if alloc.state != running || alloc.percent >= nearlyDone {
 		return
 	}
-	stalled := e.now - max(alloc.percentAt, alloc.confirmedAt)
+	stalled := e.now - max(alloc.percentAt, alloc.ackAt)
 	bound := max(stallTimeout, e.estimate(alloc.s)/2)
 	if alloc.s.spec.Lasting {
 		bound = stallTimeout // its estimate says nothing about how soon it serves
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -16,7 +16,7 @@
 // which has answered.
 func successorOf(t *testing.T, s *slowStore, ids ...runner.WorkerID) *harness {
 	next := newHarness(t, 2)
-	require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Bundles: s.withPrefix(PrefixBundle), Fleet: s.withPrefix(prefixFleet)}))
+	require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Batches: s.withPrefix(PrefixBatches), Fleet: s.withPrefix(prefixFleet)}))
 	next.e.SetAccounts(0, nil)
 	for _, id := range ids {
 		next.e.WorkerSeen(next.now, runner.Worker{Ref: runner.Ref{ID: id}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}})
@@ -28,7 +28,7 @@
 // putJob submits a job and passes it to the engine.
 func (s *slowStore) putJob(id work.JobID, steps ...work.Step) {
 	entry := jobEntry(s.h.t, s.h.e.o.Epoch, 2, steps...)
-	entry.Key = KeyIn(id)
+	entry.Key = KeySubmission(id)
 	s.put(entry.Key, entry.Value)
 	require.NoError(s.h.t, s.h.e.Accepted(s.h.now, s.entries[entry.Key]))
 }
@@ -148,7 +148,7 @@
 	s := newSlowStore(h, 0)
 	s.put(keyFleet, value)
 	entry := jobEntry(t, 1, 2, oneTask())
-	entry.Key, entry.Revision = KeyIn("00000000000000a1"), 1
+	entry.Key, entry.Revision = KeySubmission("00000000000000a1"), 1
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{entry}, Fleet: s.withPrefix(prefixFleet)}))
 	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}})
 	s.run(50 * time.Millisecond)
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -208,7 +208,7 @@
 	}
 	switch {
 	case have >= s.spec.Count:
-		if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+		if e.requestAdvice(s, ids) && !e.o.Policy.NoGangReservations {
 			a.reserve = reserveAll
 		}
 	case e.anyUnknown(s, a):
@@ -251,7 +251,7 @@
 	if reserved < s.spec.Count || float64(open) < aheadShare*float64(reserved) || from-e.now > s.job.spec.Queue.Advice.Cost(len(ids)) {
 		return
 	}
-	if e.requestAdvice(s, ids) && !e.o.Policy.NoHolds {
+	if e.requestAdvice(s, ids) && !e.o.Policy.NoGangReservations {
 		a.reserve = reserveAhead
 	}
 }
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -29,7 +29,7 @@
 		gang := oneTask()
 		gang.Gang, gang.Count = true, 4
 		waits := jobEntry(t, 1, 2, gang)
-		waits.Key = KeyIn("00000000000000bb")
+		waits.Key = KeySubmission("00000000000000bb")
 		require.NoError(t, h.e.Accepted(h.now, waits))
 		for range 12 {
 			h.step(tickPeriod)
@@ -85,7 +85,7 @@
 	entries := make([]store.Entry, 0, maxTried+1)
 	for i := range maxTried {
 		entry := jobEntry(t, 1, 2, wide)
-		entry.Key = KeyIn(work.JobID(fmt.Sprintf("%016x", i+1)))
+		entry.Key = KeySubmission(work.JobID(fmt.Sprintf("%016x", i+1)))
 		entries = append(entries, entry)
 	}
 	wide.Count = 4
@@ -144,7 +144,7 @@
 	var entries []store.Entry
 	for i := range 3 * maxTried {
 		entry := jobEntry(t, 1, 2, rare)
-		entry.Key = KeyIn(work.JobID(fmt.Sprintf("%016x", i)))
+		entry.Key = KeySubmission(work.JobID(fmt.Sprintf("%016x", i)))
 		entries = append(entries, entry)
 	}
 	any := rare
@@ -192,10 +192,10 @@
 	// before they arrive, a quick job takes a part of its capacity, because it was not
 	// reserved for the duration of the call.
 	for _, reserved := range []bool{true, false} {
-		h, s := advisedGang(t, Policy{NoHolds: !reserved}, 3)
+		h, s := advisedGang(t, Policy{NoGangReservations: !reserved}, 3)
 		require.Equal(t, reserved, s.gangReserved)
 		quick := jobEntry(t, 1, 2, oneTask())
-		require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
+		require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeySubmission("00000000000000bb"), Value: quick.Value}))
 		h.step(100 * time.Millisecond)
 		if !reserved {
 			require.Len(t, h.starts(), 1, "the quick job takes a worker")
@@ -219,7 +219,7 @@
 	require.True(t, s.gangReserved)
 	h.e.Members(h.now, nil) // no further calls possible
 	quick := jobEntry(t, 1, 2, oneTask())
-	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyIn("00000000000000bb"), Value: quick.Value}))
+	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeySubmission("00000000000000bb"), Value: quick.Value}))
 	h.step(2 * time.Second)
 	require.False(t, s.gangReserved)
 	require.Len(t, h.starts(), 1)
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -43,11 +43,11 @@
 
 // HostOptions are the options of a Host.
 type HostOptions struct {
-	Store     store.Transactor
-	Patience  *store.Patience
-	Runner    runner.Runner
-	Directory runner.Directory
-	View      *lead.View // of the cell's daemons
+	Store        store.Transactor
+	StoreTimeout *store.Patience
+	Runner       runner.Runner
+	Directory    runner.Directory
+	View         *lead.View // of the cell's daemons
 	// Members returns the daemons through which advice is requested; nil: all of View.
 	Members func() []lead.Member
 	// Advise calls the advice service through a member.
@@ -55,11 +55,11 @@
 	// Accounts returns the client accounts of the configuration in force, and whether there is
 	// one; nil: there are no accounts.
 	Accounts func() (*work.Accounts, bool)
-	// Part and Parts are as in Options.
-	Part, Parts int
-	Bounds      Bounds
-	Policy      Policy
-	Log         zerolog.Logger
+	// Shard and Shards are as in Options.
+	Shard, Shards int
+	Bounds        Bounds
+	Policy        Policy
+	Log           zerolog.Logger
 	// Count is called with the counters every publishPeriod and at the end of a term.
 	Count func(Stats)
 	// ShowAccounts is called every publishPeriod with the state of the client accounts; may be
@@ -99,7 +99,7 @@
 func (h *Host) Run() {
 	ctx := h.term.Context()
 	h.engine = NewEngine(Options{
-		Epoch: h.term.Epoch, Part: h.o.Part, Parts: h.o.Parts, Bounds: h.o.Bounds, Policy: h.o.Policy, Today: h.start.UnixMilli(),
+		Epoch: h.term.Epoch, Shard: h.o.Shard, Shards: h.o.Shards, Bounds: h.o.Bounds, Policy: h.o.Policy, Today: h.start.UnixMilli(),
 		Decide: h.logDecision, Violation: h.logViolation, Took: h.o.Took,
 	})
 	var tasks sync.WaitGroup
@@ -137,7 +137,7 @@
 			if bad := h.engine.Load(h.now(), saved); bad != nil {
 				h.o.Log.Error().Err(bad).Msg("entries of the store cannot be decoded and are left as they are")
 			}
-			h.o.Log.Info().Int("accepted", len(saved.Accepted)).Int("states", len(saved.States)).Int("bundles", len(saved.Bundles)).Dur("took_ms", time.Since(began)).Msg("state loaded")
+			h.o.Log.Info().Int("accepted", len(saved.Accepted)).Int("states", len(saved.States)).Int("bundles", len(saved.Batches)).Dur("took_ms", time.Since(began)).Msg("state loaded")
 			return rev, nil
 		}
 		h.o.Log.Warn().Err(err).Msg("state not loaded yet")
@@ -152,7 +152,7 @@
 	var jobsErr, statesErr, batchesErr, fleetErr error
 	wg.Go(func() { saved.Accepted, rev, jobsErr = h.list(ctx, PrefixJobs) })
 	wg.Go(func() { saved.States, _, statesErr = h.list(ctx, PrefixState) })
-	wg.Go(func() { saved.Bundles, _, batchesErr = h.list(ctx, PrefixBundle) })
+	wg.Go(func() { saved.Batches, _, batchesErr = h.list(ctx, PrefixBatches) })
 	wg.Go(func() { saved.Fleet, _, fleetErr = h.list(ctx, prefixFleet) })
 	wg.Wait()
 	return rev, saved, errors.Join(jobsErr, statesErr, batchesErr, fleetErr)
@@ -161,7 +161,7 @@
 // list reads a prefix, again if the response was lost.
 func (h *Host) list(ctx context.Context, prefix string) (entries []store.Entry, rev store.Revision, err error) {
 	for {
-		err = h.o.Patience.Read(ctx, func(ctx context.Context) (err error) {
+		err = h.o.StoreTimeout.Read(ctx, func(ctx context.Context) (err error) {
 			entries, rev, err = h.o.Store.List(ctx, prefix)
 			return err
 		})
@@ -172,9 +172,9 @@
 	}
 }
 
-// Fresh reports whether no job has been submitted to a cell and no worker has been used.
-func Fresh(ctx context.Context, s store.Transactor) (bool, error) {
-	for _, prefix := range []string{PrefixJobs, PrefixState, PrefixBundle, prefixFleet} {
+// IsEmpty reports whether no job has been submitted to a cell and no worker has been used.
+func IsEmpty(ctx context.Context, s store.Transactor) (bool, error) {
+	for _, prefix := range []string{PrefixJobs, PrefixState, PrefixBatches, prefixFleet} {
 		entries, _, err := s.List(ctx, prefix)
 		if err != nil || len(entries) > 0 {
 			return false, err
@@ -286,19 +286,19 @@
 	}
 }
 
-// Shown is what a job's callers are shown, and the account that the job belongs to.
-type Shown struct {
+// JobView is what a job's callers are shown, and the account that the job belongs to.
+type JobView struct {
 	State   work.State
 	Account string
 }
 
 // State returns what callers may be shown of a job.
-func (h *Host) State(ctx context.Context, id work.JobID) (shown Shown, known bool, err error) {
+func (h *Host) State(ctx context.Context, id work.JobID) (view JobView, known bool, err error) {
 	err = h.do(ctx, func(e *Engine, _ time.Duration) {
-		shown.State, known = e.State(id)
-		shown.Account = e.AccountOf(id)
+		view.State, known = e.State(id)
+		view.Account = e.AccountOf(id)
 	})
-	return shown, known, err
+	return view, known, err
 }
 
 // Explain describes what a job is waiting for.
@@ -378,7 +378,7 @@
 }
 
 func (h *Host) commit(ctx context.Context, x SendCommit) {
-	err := h.term.Commit(ctx, x.Chain, x.Writes, x.Deletes)
+	err := h.term.Commit(ctx, x.Stream, x.Writes, x.Deletes)
 	if err != nil {
 		if ctx.Err() == nil {
 			h.o.Log.Error().Err(err).Msg("progress not written, ending the term")
@@ -386,7 +386,7 @@
 		}
 		return
 	}
-	h.post(func(e *Engine, now time.Duration) { e.Committed(now, x.Chain) })
+	h.post(func(e *Engine, now time.Duration) { e.Committed(now, x.Stream) })
 }
 
 func (h *Host) askAdvice(ctx context.Context, x AskAdvice) {
@@ -399,7 +399,7 @@
 // watchJobs follows what accepting daemons write.
 func (h *Host) watchJobs(ctx context.Context, rev store.Revision) {
 	t := store.Tracker{What: "accepted jobs", Read: h.listJobs, Watch: h.watchJobsOnce, From: rev, ReadLimit: loadTimeout,
-		Wait: watchWait, Grace: watchGrace, Pause: jobsPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.Patience}
+		Wait: watchWait, Grace: watchGrace, Pause: jobsPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.StoreTimeout}
 	t.Run(ctx)
 }
 
@@ -430,7 +430,7 @@
 // watchWorkers follows the directory.
 func (h *Host) watchWorkers(ctx context.Context) {
 	t := store.Tracker{What: "the workers' entries", Read: h.listWorkers, Watch: h.watchWorkersOnce, ReadLimit: watchWait + watchGrace,
-		Wait: watchWait, Grace: watchGrace, Pause: workersPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.Patience}
+		Wait: watchWait, Grace: watchGrace, Pause: workersPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.StoreTimeout}
 	t.Run(ctx)
 }
 
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -91,7 +91,7 @@
 func (e *Engine) mayStartLate(alloc *allocation) bool {
 	name, startTime := alloc.w.ID.Life()
 	followed := e.latestStarts[name] != startTime
-	return startTime != 0 && alloc.tries > 0 && (alloc.confirmedAt == 0 || (followed && !alloc.reported))
+	return startTime != 0 && alloc.tries > 0 && (alloc.ackAt == 0 || (followed && !alloc.reported))
 }
 
 // addLateStart keeps an unconfirmed run that was in flight to a worker whose incarnation has
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -53,7 +53,7 @@
 	require.Empty(t, c.fleet.Broken())
 	require.Empty(t, c.broken)
 	for _, id := range c.order {
-		if crash.Guilty(c.fleet.MostDeaths(id), 1) {
+		if crash.LimitReached(c.fleet.MostDeaths(id), 1) {
 			continue // as many workers crashed under a task of it as are allowed
 		}
 		require.Equal(t, work.Completed, c.state(id), "%s: %v", id, c.fleet.NotDone(id))
--- a/process/dispatch/job.go
+++ b/process/dispatch/job.go
@@ -135,11 +135,11 @@
 	need  work.Resources
 	state allocState
 
-	ticket      string
-	sent        time.Duration // when the first start order was sent
-	tries       int           // start orders sent
-	confirmedAt time.Duration // when the worker confirmed it
-	reported    bool          // listed in a report of the worker's incarnation
+	ticket   string
+	sent     time.Duration // when the first start order was sent
+	tries    int           // start orders sent
+	ackAt    time.Duration // when the worker confirmed it
+	reported bool          // listed in a report of the worker's incarnation
 
 	stopSent     time.Duration // when the last stop order was sent
 	stopAckedAt  time.Duration // when a stop order was answered, 0 if none was
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -65,8 +65,8 @@
 	start := time.Now()
 	var took atomic.Int64 // written by a goroutine of each term
 	var e *lead.Elector
-	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, Patience: patience, Log: zerolog.Nop(), Lead: func(term *lead.Term) {
-		h := NewHost(HostOptions{Store: lists, Patience: patience, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
+	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, StoreTimeout: patience, Log: zerolog.Nop(), RunTerm: func(term *lead.Term) {
+		h := NewHost(HostOptions{Store: lists, StoreTimeout: patience, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
 			Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Gang: 3 * time.Second, Keep: time.Minute}}, term)
 		go func() {
 			if _, _, err := h.State(ctx, testJob); err == nil {
--- a/process/dispatch/longrunning.go
+++ b/process/dispatch/longrunning.go
@@ -17,9 +17,7 @@
 const rankLongRunning = -1
 
 // serves reports whether the run is of a long-running task that is serving.
-func (alloc *allocation) serves() bool {
-	return alloc.s.spec.Lasting && alloc.percent >= servingPercent
-}
+func (a *allocation) serves() bool { return a.s.spec.Lasting && a.percent >= servingPercent }
 
 // noteServing counts a long-running task that starts to serve as a success of its worker: such
 // tasks never end as done, which is what counts for other work.
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -87,7 +87,7 @@
 	large := longRunningTask()
 	large.Size.CPU = 3500
 	service := jobEntry(t, 1, 1, large)
-	service.Key = KeyIn("00000000000000bb")
+	service.Key = KeySubmission("00000000000000bb")
 	require.NoError(t, h.e.Accepted(h.now, service))
 	number := int64(0)
 	for range 4 {
@@ -134,7 +134,7 @@
 		serves := h.starts()[0].To.ID
 		h.report("w-b", runner.Report{})
 		other := jobEntry(t, 1, 1, fill)
-		other.Key = KeyIn("00000000000000bb")
+		other.Key = KeySubmission("00000000000000bb")
 		require.NoError(t, h.e.Accepted(h.now, other))
 		h.step(50 * time.Millisecond)
 		starts := h.starts()
@@ -150,7 +150,7 @@
 		h.report("w-a", runner.Report{})
 		require.Len(t, h.starts(), 3)
 		service := jobEntry(t, 1, 1, longRunningTask())
-		service.Key = KeyIn("00000000000000bb")
+		service.Key = KeySubmission("00000000000000bb")
 		require.NoError(t, h.e.Accepted(h.now, service))
 		h.step(50 * time.Millisecond)
 		stops := 0
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -19,7 +19,7 @@
 		Repeat: repeat, StartAt: from.Milliseconds(), Interval: interval}
 	value, err := work.EncodeJob(j)
 	require.NoError(t, err)
-	return store.Entry{Key: KeyIn(testJob), Value: value}
+	return store.Entry{Key: KeySubmission(testJob), Value: value}
 }
 
 // done reports the started runs as done.
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -74,7 +74,7 @@
 // freeStream returns a write stream for the next write.
 func (e *Engine) freeStream() (stream int, ok bool) {
 	busy, first := 0, -1
-	for i := range e.writes[:e.o.Policy.WriteChains] {
+	for i := range e.writes[:e.o.Policy.WriteStreams] {
 		switch {
 		case e.writes[i] != nil:
 			busy++
@@ -108,12 +108,12 @@
 // one write takes everything that waits, however slow the store is.
 func (e *Engine) write(stream int) {
 	ws := &writeSet{}
-	c := SendCommit{Chain: stream}
+	c := SendCommit{Stream: stream}
 	room := e.o.Policy.WriteKeys
 	if e.fleetDirty() && stream == fleetStream {
 		room -= e.addFleet(ws, &c)
 	}
-	batched := !e.o.Policy.NoBundles && e.dirtySize() > room
+	batched := !e.o.Policy.NoBatches && e.dirtySize() > room
 	if batched {
 		room--
 	}
@@ -183,7 +183,7 @@
 	}
 	c.Writes = append(c.Writes, store.Write{Key: KeyState(j.id), Value: data})
 	if j.state.Final() && j.submitted {
-		c.Deletes = append(c.Deletes, KeyIn(j.id))
+		c.Deletes = append(c.Deletes, KeySubmission(j.id))
 		if j.spec.Apart {
 			c.Deletes = append(c.Deletes, KeySpec(j.id))
 		}
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -56,7 +56,7 @@
 		for _, key := range w.c.Deletes {
 			delete(s.entries, key)
 		}
-		h.e.Committed(h.now, w.c.Chain)
+		h.e.Committed(h.now, w.c.Stream)
 	}
 	s.inFlight = kept
 	h.e.Tick(h.now)
@@ -97,7 +97,7 @@
 	for i := range jobs {
 		id := work.JobID(fmt.Sprintf("%016x", i))
 		entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) { j.Spec, j.Apart = "", true })
-		s.put(KeyIn(id), entry.Value)
+		s.put(KeySubmission(id), entry.Value)
 		s.put(KeySpec(id), []byte("x"))
 	}
 	require.NoError(t, h.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs)}))
@@ -146,8 +146,8 @@
 		}
 		return slowest, s.writes - before
 	}
-	one, _ := slowest(Policy{WriteChains: 1, NoBundles: true})
-	batches, _ := slowest(Policy{WriteChains: 1})
+	one, _ := slowest(Policy{WriteStreams: 1, NoBatches: true})
+	batches, _ := slowest(Policy{WriteStreams: 1})
 	all, writes := slowest(Policy{})
 	t.Logf("slowest end shown after %v with one write at a time, %v with batches, %v with write streams as well", one, batches, all)
 	require.Greater(t, one, 5*time.Second)
@@ -161,7 +161,7 @@
 	const jobs = 400
 	counts := map[int]int{}
 	for _, streams := range []int{1, 4} {
-		h, s, starts := runningJobs(t, jobs, Policy{WriteChains: streams}, 0)
+		h, s, starts := runningJobs(t, jobs, Policy{WriteStreams: streams}, 0)
 		before := s.writes
 		for i := range jobs {
 			h.e.Renewed(h.now, "w-a", endsOf(i, runner.Done, starts[i]), nil)
@@ -179,13 +179,13 @@
 	h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
 	h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, starts...), nil)
 	s.run(400 * time.Millisecond)
-	require.NotEmpty(t, s.withPrefix(PrefixBundle), "a batch has what did not fit under separate keys")
+	require.NotEmpty(t, s.withPrefix(PrefixBatches), "a batch has what did not fit under separate keys")
 	for _, x := range starts {
 		state, _ := h.e.State(x.Start.Task.Job)
 		require.Equal(t, work.Completed, state)
 	}
 	s.run(15 * time.Second)
-	require.Empty(t, s.withPrefix(PrefixBundle))
+	require.Empty(t, s.withPrefix(PrefixBatches))
 	require.Empty(t, s.withPrefix(PrefixJobs))
 	require.Empty(t, s.withPrefix(prefixSpec), "specs are removed with their jobs")
 	require.Len(t, s.withPrefix(PrefixState), jobs)
@@ -203,9 +203,9 @@
 		h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, done...), nil)
 		h.e.Renewed(h.now, "w-a", endsOf(jobs/2, runner.Failed, failed...), nil)
 		s.run(later)
-		require.NotEmpty(t, s.withPrefix(PrefixBundle))
+		require.NotEmpty(t, s.withPrefix(PrefixBatches))
 		next := newHarness(t, 2)
-		require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Bundles: s.withPrefix(PrefixBundle)}))
+		require.NoError(t, next.e.Load(0, Saved{Accepted: s.withPrefix(PrefixJobs), States: s.withPrefix(PrefixState), Batches: s.withPrefix(PrefixBatches)}))
 		for _, x := range done {
 			state, known := next.e.State(x.Start.Task.Job)
 			require.True(t, known)
@@ -219,7 +219,7 @@
 		took := newSlowStore(next, 0)
 		took.entries, took.rev = s.entries, s.rev
 		took.run(5 * time.Second)
-		require.Empty(t, took.withPrefix(PrefixBundle), "the successor moves jobs out of batches as well")
+		require.Empty(t, took.withPrefix(PrefixBatches), "the successor moves jobs out of batches as well")
 		require.Len(t, took.withPrefix(PrefixJobs), jobs/2)
 	}
 }
@@ -244,20 +244,20 @@
 		h := newHarness(t, 2)
 		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 3, oneTask())},
 			States:  []store.Entry{{Key: KeyState(testJob), Value: state, Revision: revs[!inBatch]}},
-			Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: value, Revision: revs[inBatch]}}}))
+			Batches: []store.Entry{{Key: PrefixBatches + "x", Value: value, Revision: revs[inBatch]}}}))
 		require.Equal(t, []uint64{1, 2}, h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].failed)
 	}
 }
 
 func TestBundleThatCanNotBeReadIsLeftAlone(t *testing.T) {
 	h := newHarness(t, 2)
-	err := h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Bundles: []store.Entry{{Key: PrefixBundle + "x", Value: []byte("?"), Revision: 1}}})
-	require.ErrorContains(t, err, PrefixBundle+"x")
+	err := h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Batches: []store.Entry{{Key: PrefixBatches + "x", Value: []byte("?"), Revision: 1}}})
+	require.ErrorContains(t, err, PrefixBatches+"x")
 	require.NotNil(t, h.e.jobs[testJob], "the other entries are loaded")
 	s := newSlowStore(h, 0)
-	s.put(PrefixBundle+"x", nil)
+	s.put(PrefixBatches+"x", nil)
 	s.run(time.Second)
-	require.Len(t, s.withPrefix(PrefixBundle), 1)
+	require.Len(t, s.withPrefix(PrefixBatches), 1)
 }
 
 // TestRandomTroublesOfASlowStore is TestRandomTroubles with a store that is sometimes slow and
@@ -268,7 +268,7 @@
 	for seed := first; seed < first+seeds; seed++ {
 		t.Run(seedName(seed), func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				c := newCellOf(t, seed, 16, 3, Policy{WriteKeys: minWriteKeys, WriteChains: 2}, usualBehaviour(0.05))
+				c := newCellOf(t, seed, 16, 3, Policy{WriteKeys: minWriteKeys, WriteStreams: 2}, usualBehaviour(0.05))
 				randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
 					c.injectFaultOf(0, 1, 2, 3, 4, 5, 6, 7, 9, 9, 9)
 				})
--- a/process/dispatch/policy.go
+++ b/process/dispatch/policy.go
@@ -12,17 +12,17 @@
 // benefit of each can be measured by changing a settings file. The zero value of a field
 // stands for its default.
 type Policy struct {
-	// WriteChains is how many writes to the store may be in flight at once, 1 to lead.Chains.
+	// WriteStreams is how many writes to the store may be in flight at once, 1 to lead.WriteStreams.
 	// It matters with a store that answers slowly.
-	WriteChains int `json:"write_chains,omitempty"`
-	// NoBundles keeps each job's progress under its own key, however many jobs wait to be
+	WriteStreams int `json:"write_chains,omitempty"`
+	// NoBatches keeps each job's progress under its own key, however many jobs wait to be
 	// written. Batches matter with a slow store and bursts of jobs.
-	NoBundles bool `json:"no_bundles,omitempty"`
+	NoBatches bool `json:"no_bundles,omitempty"`
 	// WriteKeys is how many keys one write may change, minWriteKeys to lead.MaxCommit.
 	WriteKeys int `json:"write_keys,omitempty"`
-	// NoHolds turns off gang reservations: other steps may use the capacity of a gang while
+	// NoGangReservations turns off gang reservations: other steps may use the capacity of a gang while
 	// its tickets are requested. Reservations matter with many wide gangs and slow advice.
-	NoHolds bool `json:"no_holds,omitempty"`
+	NoGangReservations bool `json:"no_holds,omitempty"`
 	// NoPacking lets small tasks go where most capacity is free. Packing matters with many
 	// wide gangs and slow advice.
 	NoPacking bool `json:"no_packing,omitempty"`
@@ -50,7 +50,7 @@
 // Check returns an error for each field that is out of its bounds.
 func (p Policy) Check() error {
 	return errors.Join(
-		inBounds("policy.write_chains", p.WriteChains, 1, lead.Chains),
+		inBounds("policy.write_chains", p.WriteStreams, 1, lead.WriteStreams),
 		inBounds("policy.write_keys", p.WriteKeys, minWriteKeys, lead.MaxCommit),
 		inBounds("policy.reserved_share", p.ReservedShare, 1, 1_000_000),
 		named("policy.shares", p.Shares.Check()),
@@ -75,8 +75,8 @@
 
 // complete fills in defaults.
 func (p Policy) complete() Policy {
-	if p.WriteChains == 0 {
-		p.WriteChains = lead.Chains
+	if p.WriteStreams == 0 {
+		p.WriteStreams = lead.WriteStreams
 	}
 	if p.WriteKeys == 0 {
 		p.WriteKeys = lead.MaxCommit
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -180,7 +180,7 @@
 		s.gang.run = r.Run
 	}
 	e.stats.Adopted++
-	alloc := &allocation{w: w, s: s, index: r.Task.Index, run: r.Run, need: s.spec.Need(), sent: e.now, tries: 1, state: running, confirmedAt: e.now, percentAt: e.now}
+	alloc := &allocation{w: w, s: s, index: r.Task.Index, run: r.Run, need: s.spec.Need(), sent: e.now, tries: 1, state: running, ackAt: e.now, percentAt: e.now}
 	t.alloc = alloc
 	s.unqueue(alloc.index)
 	e.book(alloc)
@@ -196,7 +196,7 @@
 	case alloc.state == stopping && alloc.stopAckedAt > 0 && alloc.stopAckedAt < w.renewSent && complete:
 		// Neither running nor completed, and the worker rejects it from now on.
 		e.release(alloc)
-	case alloc.state == running && alloc.confirmedAt < w.renewSent && complete:
+	case alloc.state == running && alloc.ackAt < w.renewSent && complete:
 		if alloc.missingSince == 0 {
 			alloc.missingSince = e.now
 			return
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -145,7 +145,7 @@
 		return
 	}
 	if alloc.state != running {
-		alloc.state, alloc.confirmedAt = running, e.now
+		alloc.state, alloc.ackAt = running, e.now
 		alloc.percentAt = e.now
 	}
 	e.noteStarted(alloc)
--- a/process/dispatch/shrink_test.go
+++ b/process/dispatch/shrink_test.go
@@ -73,7 +73,7 @@
 		for _, x := range h.e.Flush(h.now) {
 			switch x := x.(type) {
 			case SendCommit:
-				streams = append(streams, x.Chain)
+				streams = append(streams, x.Stream)
 			case SendStart:
 				t.Fatal("started before it was recorded")
 			}
--- a/process/dispatch/types.go
+++ b/process/dispatch/types.go
@@ -52,9 +52,9 @@
 	Epoch  uint64
 	Bounds Bounds
 	Policy Policy
-	// Part is the shard that the engine schedules, out of Parts; 0 of 1 if Parts is 0. With
+	// Shard is the shard that the engine schedules, out of Shards; 0 of 1 if Shards is 0. With
 	// several shards, the engine needs its shares of the accounts' caps (SetShares).
-	Part, Parts int
+	Shard, Shards int
 	// Today is the Unix time in milliseconds at the engine's time 0.
 	Today int64
 	// Decide is called with each decision that changes the engine's state.
@@ -111,7 +111,7 @@
 // SendCommit asks to write to the store on one of the term's write streams; Committed is
 // called once the write is stored.
 type SendCommit struct {
-	Chain   int
+	Stream  int
 	Writes  []store.Write
 	Deletes []string
 }
@@ -141,8 +141,8 @@
 	prefixSpec = "spec/"
 	// PrefixState holds the progress that the leader writes, a key for each job.
 	PrefixState = "state/"
-	// PrefixBundle holds batches: values with the progress of many jobs.
-	PrefixBundle = "bundle/"
+	// PrefixBatches holds batches: values with the progress of many jobs.
+	PrefixBatches = "bundle/"
 	// prefixFleet holds the list of workers that the leader uses and the list of those that
 	// are cordoned.
 	prefixFleet = "fleet"
@@ -150,8 +150,8 @@
 	keyCordoned = "fleet/closed"
 )
 
-// KeyIn returns the key of an accepted job.
-func KeyIn(id work.JobID) string { return prefixIn + string(id) }
+// KeySubmission returns the key of an accepted job.
+func KeySubmission(id work.JobID) string { return prefixIn + string(id) }
 
 // KeySpec returns the key of an accepted job's spec.
 //
@@ -166,8 +166,8 @@
 // KeyState returns the key of a job's progress.
 func KeyState(id work.JobID) string { return PrefixState + string(id) }
 
-// IsState reports whether a key is one that KeyState returns, also with the prefix of another
+// IsStateKey reports whether a key is one that KeyState returns, also with the prefix of another
 // shard.
-func IsState(key string) bool { return strings.Contains(key, PrefixState) }
+func IsStateKey(key string) bool { return strings.Contains(key, PrefixState) }
 
 func jobOfState(key string) work.JobID { return work.JobID(strings.TrimPrefix(key, PrefixState)) }
--- a/process/lead/claim.go
+++ b/process/lead/claim.go
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, err
 	}
-	t := newTerm(ctx, e.o.Self, e.o.Store, e.o.Patience)
+	t := newTerm(ctx, e.o.Self, e.o.Store, e.o.StoreTimeout)
 	t.taken = recordRev != 0
 	for range maxClaimTries {
 		t.Epoch = before.Epoch + 1
@@ -152,7 +152,7 @@
 	go func() {
 		defer close(done)
 		defer stop()
-		e.o.Lead(t)
+		e.o.RunTerm(t)
 		e.o.Log.Info().Uint64("epoch", t.Epoch).AnErr("cause", context.Cause(t.ctx)).Msg("no longer leading")
 		t.End(context.Canceled)
 		e.mu.Lock()
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -44,17 +44,17 @@
 	Store store.Transactor
 	Lease time.Duration // TTL of the membership lease; 0 for DefaultLease
 	Log   zerolog.Logger
-	// Lead runs one term. It returns when the term's context ends.
-	Lead func(t *Term)
-	// Patience bounds store calls adaptively; it is shared with other users of the store.
-	Patience *store.Patience
-	// Main, if set, is this daemon's elector for shard 0, which keeps the daemon registered
+	// RunTerm runs one term. It returns when the term's context ends.
+	RunTerm func(t *Term)
+	// StoreTimeout bounds store calls adaptively; it is shared with other users of the store.
+	StoreTimeout *store.Patience
+	// Primary, if set, is this daemon's elector for shard 0, which keeps the daemon registered
 	// and lists the members; this elector then claims another shard.
-	Main *Elector
-	// Busy reports whether this daemon leads another shard; may be nil.
-	Busy func() bool
-	// Leading reports whether the named daemon leads any other shard; may be nil.
-	Leading func(name string) bool
+	Primary *Elector
+	// LeadsAnother reports whether this daemon leads another shard; may be nil.
+	LeadsAnother func() bool
+	// LeadsElsewhere reports whether the named daemon leads any other shard; may be nil.
+	LeadsElsewhere func(name string) bool
 	// Suffix distinguishes the peer methods of this shard from those of others.
 	Suffix string
 	// Peers calls other daemons. If nil, a failed leader is replaced only after its lease
@@ -78,7 +78,7 @@
 
 	mu   sync.Mutex
 	term *Term
-	done chan struct{} // closed when Options.Lead of the term has returned
+	done chan struct{} // closed when Options.RunTerm of the term has returned
 }
 
 // New returns an elector; Run starts it.
@@ -87,38 +87,38 @@
 		o.Lease = DefaultLease
 	}
 	e := &Elector{o: o, view: newView(o.Log), sem: make(chan struct{}, 1)}
-	if o.Main != nil {
-		e.view.primary = o.Main.view
+	if o.Primary != nil {
+		e.view.primary = o.Primary.view
 	}
 	return e
 }
 
 // leaseID returns the lease that the daemon's records are attached to, 0 for none.
 func (e *Elector) leaseID() store.LeaseID {
-	if e.o.Main != nil {
-		return e.o.Main.leaseID()
+	if e.o.Primary != nil {
+		return e.o.Primary.leaseID()
 	}
 	return store.LeaseID(e.lease.Load())
 }
 
 // claimSem returns the semaphore that is held while one of the daemon's electors claims.
 func (e *Elector) claimSem() chan struct{} {
-	if e.o.Main != nil {
-		return e.o.Main.claimSem()
+	if e.o.Primary != nil {
+		return e.o.Primary.claimSem()
 	}
 	return e.sem
 }
 
 // dropLease stops renewing the lease, so that it expires with all records attached to it.
 func (e *Elector) dropLease() {
-	if e.o.Main != nil {
-		e.o.Main.dropLease()
+	if e.o.Primary != nil {
+		e.o.Primary.dropLease()
 		return
 	}
 	e.lease.Store(0)
 }
 
-func (e *Elector) busy() bool { return e.o.Busy != nil && e.o.Busy() }
+func (e *Elector) busy() bool { return e.o.LeadsAnother != nil && e.o.LeadsAnother() }
 
 // Leads reports whether this daemon leads, or is about to.
 func (e *Elector) Leads() bool { return e.current() != nil || e.claiming.Load() }
@@ -129,7 +129,7 @@
 // Run keeps the daemon registered, watches the cell and claims vacancies until ctx ends.
 func (e *Elector) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
-	if e.o.Main == nil {
+	if e.o.Primary == nil {
 		wg.Go(func() { e.keepRegistered(ctx) })
 	} else {
 		wg.Go(func() { e.keepLeaderRecord(ctx) })
@@ -163,7 +163,7 @@
 			e.o.Log.Warn().Err(err).Msg("leadership not released; the record expires with its lease")
 		}
 	}
-	if id := store.LeaseID(e.lease.Load()); id != 0 && e.o.Main == nil {
+	if id := store.LeaseID(e.lease.Load()); id != 0 && e.o.Primary == nil {
 		if err := e.o.Store.RevokeLease(ctx, id); err != nil {
 			e.o.Log.Warn().Err(err).Msg("membership lease not revoked; it expires")
 		}
@@ -185,8 +185,8 @@
 
 // call makes one bounded store call and records whether the store looks unresponsive.
 func (e *Elector) call(ctx context.Context, what string, f func(ctx context.Context) error) error {
-	err := e.o.Patience.Call(ctx, f)
-	if ctx.Err() == nil && e.o.Patience.Suspect() {
+	err := e.o.StoreTimeout.Call(ctx, f)
+	if ctx.Err() == nil && e.o.StoreTimeout.Suspect() {
 		e.recordStoreFailure(what, err)
 	}
 	return err
@@ -302,7 +302,7 @@
 // follow keeps the view up to date.
 func (e *Elector) follow(ctx context.Context) {
 	t := store.Tracker{What: "the cell", Read: e.readCell, Watch: e.watchCell, ReadLimit: watchWait + watchGrace,
-		Wait: watchWait, Grace: watchGrace, ErrorPause: errorPause, Log: e.o.Log, Patience: e.o.Patience}
+		Wait: watchWait, Grace: watchGrace, ErrorPause: errorPause, Log: e.o.Log, Patience: e.o.StoreTimeout}
 	t.Run(ctx)
 }
 
--- a/process/lead/layout.go
+++ b/process/lead/layout.go
@@ -17,24 +17,24 @@
 // keys of an undivided cell. The layout is written once, before the cell accepts its
 // first job, and does not change.
 type Layout struct {
-	Parts int `cbor:"1,keyasint"`
+	Shards int `cbor:"1,keyasint"`
 	// Revision is that of the record in the store, 0 if there is none.
 	Revision store.Revision `cbor:"-"`
 }
 
-// One is the layout of a cell with one shard.
-var One = Layout{Parts: 1}
+// SingleShard is the layout of a cell with one shard.
+var SingleShard = Layout{Shards: 1}
 
-// Of returns the shard of a worker, a job or a daemon, by its name.
-func (l Layout) Of(name string) int {
-	if l.Parts <= 1 {
+// ShardOf returns the shard of a worker, a job or a daemon, by its name.
+func (l Layout) ShardOf(name string) int {
+	if l.Shards <= 1 {
 		return 0
 	}
-	return int(xxhash.Sum64String(name) % uint64(l.Parts))
+	return int(xxhash.Sum64String(name) % uint64(l.Shards))
 }
 
-// PartPrefix returns the prefix of a shard's keys in the store.
-func PartPrefix(shard int) string {
+// ShardPrefix returns the prefix of a shard's keys in the store.
+func ShardPrefix(shard int) string {
 	if shard == 0 {
 		return ""
 	}
@@ -48,10 +48,10 @@
 func DecodeLayout(e store.Entry) (Layout, error) {
 	var l Layout
 	if err := peer.Unmarshal(e.Value, &l); err != nil {
-		return One, fmt.Errorf("lead: layout: %w", err)
+		return SingleShard, fmt.Errorf("lead: layout: %w", err)
 	}
-	if l.Parts < 1 {
-		return One, fmt.Errorf("lead: layout: invalid number of shards %d", l.Parts)
+	if l.Shards < 1 {
+		return SingleShard, fmt.Errorf("lead: layout: invalid number of shards %d", l.Shards)
 	}
 	l.Revision = e.Revision
 	return l, nil
--- a/process/lead/lead_test.go
+++ b/process/lead/lead_test.go
@@ -34,8 +34,8 @@
 // startWith completes the options and starts a daemon.
 func startWith(o Options) *daemon {
 	d := &daemon{done: make(chan struct{})}
-	o.Patience = &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-	o.Lead = func(t *Term) {
+	o.StoreTimeout = &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	o.RunTerm = func(t *Term) {
 		d.mu.Lock()
 		d.terms = append(d.terms, t)
 		d.mu.Unlock()
@@ -213,20 +213,20 @@
 		d := start(m, "a", 1)
 		time.Sleep(2 * time.Second)
 		old := d.term()
-		for stream := range Chains {
+		for stream := range WriteStreams {
 			require.NoError(t, old.Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: []byte("old")}}, nil))
 		}
 		d.stop()
 		b := start(m, "b", 1)
 		time.Sleep(4 * time.Second)
 		require.NotNil(t, b.term())
-		for stream := range Chains {
+		for stream := range WriteStreams {
 			err := old.Commit(context.Background(), stream, []store.Write{{Key: fmt.Sprint("y", stream), Value: []byte("late")}}, nil)
 			require.ErrorIs(t, err, ErrDeposed)
 			_, err = m.Get(t.Context(), fmt.Sprint("y", stream))
 			require.ErrorIs(t, err, store.ErrNotFound)
 		}
-		for stream := range Chains {
+		for stream := range WriteStreams {
 			require.NoError(t, b.term().Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: []byte("new")}}, nil), "the streams of the earlier term are taken over")
 		}
 		b.stop()
@@ -242,7 +242,7 @@
 		m.SetFaults(kv.Faults{Delay: 150 * time.Millisecond})
 		began := time.Now()
 		var wg sync.WaitGroup
-		for stream := range Chains {
+		for stream := range WriteStreams {
 			wg.Go(func() {
 				for i := range 3 {
 					assert.NoError(t, term.Commit(t.Context(), stream, []store.Write{{Key: fmt.Sprint("x", stream), Value: fmt.Append(nil, i)}}, nil))
--- a/process/lead/record.go
+++ b/process/lead/record.go
@@ -63,10 +63,10 @@
 // incarnations.
 func (m Member) same(n Member) bool { return m.Name == n.Name && m.Peer == n.Peer }
 
-// Carries returns the number of units of work that the daemon has capacity for, given the
+// Capacity returns the number of units of work that the daemon has capacity for, given the
 // units per core and per Mbit/s: the smaller of the two limits. An unknown link bandwidth
 // does not limit.
-func (m Member) Carries(perCore, perMbit float64) float64 {
+func (m Member) Capacity(perCore, perMbit float64) float64 {
 	n := m.Cores * perCore
 	if m.LinkMbps > 0 {
 		n = min(n, m.LinkMbps*perMbit)
--- a/process/lead/shards.go
+++ b/process/lead/shards.go
@@ -37,8 +37,8 @@
 
 // otherCanLead reports whether a daemon answers that leads no shard and reaches the store.
 func (e *Elector) otherCanLead(ctx context.Context) bool {
-	if e.o.Main != nil {
-		return e.o.Main.anyCanLead(ctx, e.nonLeaders())
+	if e.o.Primary != nil {
+		return e.o.Primary.anyCanLead(ctx, e.nonLeaders())
 	}
 	return e.anyCanLead(ctx, e.nonLeaders())
 }
@@ -47,7 +47,7 @@
 // the view.
 func (e *Elector) nonLeaders() []Member {
 	nonLeaders := slices.DeleteFunc(e.view.Members(), func(m Member) bool {
-		return m.same(e.o.Self) || e.o.Leading != nil && e.o.Leading(m.Name)
+		return m.same(e.o.Self) || e.o.LeadsElsewhere != nil && e.o.LeadsElsewhere(m.Name)
 	})
 	rand.Shuffle(len(nonLeaders), func(i, j int) { nonLeaders[i], nonLeaders[j] = nonLeaders[j], nonLeaders[i] })
 	return nonLeaders
--- a/process/lead/shards_test.go
+++ b/process/lead/shards_test.go
@@ -20,7 +20,7 @@
 func TestTwoPartsAreNotClaimedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
-		var first sync.WaitGroup // both electors call Busy before either claims
+		var first sync.WaitGroup // both electors call LeadsAnother before either claims
 		first.Add(2)
 		var mainNow, partNow atomic.Pointer[daemon]
 		busy := func(other *atomic.Pointer[daemon]) func() bool {
@@ -33,10 +33,10 @@
 			}
 		}
 		self := Member{Name: "a", Peer: "a", Cores: 1}
-		primary := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), Busy: busy(&partNow)})
+		primary := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), LeadsAnother: busy(&partNow)})
 		mainNow.Store(primary)
-		shard := startWith(Options{Self: self, Store: store.Prefixed{Transactor: m, Prefix: PartPrefix(1)}, Log: zerolog.Nop(),
-			Main: primary.e, Busy: busy(&mainNow)})
+		shard := startWith(Options{Self: self, Store: store.Prefixed{Transactor: m, Prefix: ShardPrefix(1)}, Log: zerolog.Nop(),
+			Primary: primary.e, LeadsAnother: busy(&mainNow)})
 		partNow.Store(shard)
 		time.Sleep(busyDelay / 2)
 		require.Len(t, leading(primary, shard), 1)
@@ -63,9 +63,9 @@
 			synctest.Test(t, func(t *testing.T) {
 				m, n := kv.New(), newNetwork()
 				elect := func(name string, primary *Elector, busy func() bool) *daemon {
-					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Main: primary, Busy: busy, Peers: testPeer{n, name}}
+					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Primary: primary, LeadsAnother: busy, Peers: testPeer{n, name}}
 					if primary != nil {
-						o.Store, o.Suffix = store.Prefixed{Transactor: m, Prefix: PartPrefix(1)}, ".1"
+						o.Store, o.Suffix = store.Prefixed{Transactor: m, Prefix: ShardPrefix(1)}, ".1"
 					}
 					return startWith(o)
 				}
@@ -81,15 +81,15 @@
 					n.join("b", muxB)
 				}
 				time.Sleep(time.Second)
-				aPart := elect("a", a.e, a.e.Leads)
-				aPart.e.Register(muxA)
+				aShard := elect("a", a.e, a.e.Leads)
+				aShard.e.Register(muxA)
 				time.Sleep(c.late)
-				bPart := elect("b", b.e, b.e.Leads)
-				bPart.e.Register(muxB)
+				bShard := elect("b", b.e, b.e.Leads)
+				bShard.e.Register(muxB)
 				time.Sleep((busyRounds + 1) * busyDelay)
-				require.Len(t, leading(aPart, bPart), 1)
-				require.Equal(t, c.own, aPart.term() != nil)
-				for _, d := range []*daemon{aPart, bPart, a, b} {
+				require.Len(t, leading(aShard, bShard), 1)
+				require.Equal(t, c.own, aShard.term() != nil)
+				for _, d := range []*daemon{aShard, bShard, a, b} {
 					d.stop()
 				}
 			})
--- a/process/lead/term.go
+++ b/process/lead/term.go
@@ -25,9 +25,9 @@
 // record.
 const MaxCommit = store.MaxTxnEntries - 3
 
-// Chains is the number of write streams of a term, each with at most one write in
+// WriteStreams is the number of write streams of a term, each with at most one write in
 // flight. If the store answers after 300 ms, eight streams allow a new write every 40 ms.
-const Chains = 8
+const WriteStreams = 8
 
 // Term is the leadership of one daemon under one epoch.
 type Term struct {
@@ -40,7 +40,7 @@
 	timeout *store.Patience
 
 	claimRev     store.Revision // of the claim, on which every write of the term is conditional
-	streams      [Chains]stream
+	streams      [WriteStreams]stream
 	nextSequence atomic.Uint64 // numbers the writes, including abandoned ones
 	cancel       context.CancelCauseFunc
 	ctx          context.Context
--- a/process/lead/view.go
+++ b/process/lead/view.go
@@ -46,7 +46,7 @@
 }
 
 func newView(log zerolog.Logger) *View {
-	return &View{log: log, layout: One, members: map[string]Member{}, changed: make(chan struct{})}
+	return &View{log: log, layout: SingleShard, members: map[string]Member{}, changed: make(chan struct{})}
 }
 
 // Leader returns the leader, if one is known: the one with a record in the store, or one
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -97,7 +97,7 @@
 
 func (e *Elector) alive() aliveReply {
 	leader, known := e.view.Leader()
-	return aliveReply{Leads: e.Leads(), TurnedAway: e.o.Patience.TurnedAway(),
+	return aliveReply{Leads: e.Leads(), TurnedAway: e.o.StoreTimeout.TurnedAway(),
 		Known: known, Leader: leader}
 }
 
@@ -152,7 +152,7 @@
 		if d.missed++; d.missed > pingsMissed {
 			e.recordPing(e.pingBound()) // the response takes at least that long
 		}
-		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.Patience.TurnedAway() ||
+		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.StoreTimeout.TurnedAway() ||
 			!e.confirmedByOthers(ctx, leader.Member) || sleep.For(ctx, time.Duration(rank)*rankDelay) != nil {
 			continue
 		}
@@ -239,7 +239,7 @@
 // callers' queries about jobs to a former leader, and could answer none.
 func (e *Elector) learnLeader(ctx context.Context) {
 	for sleep.For(ctx, queryPause) == nil {
-		if !e.o.Patience.Suspect() {
+		if !e.o.StoreTimeout.Suspect() {
 			continue
 		}
 		members := slices.DeleteFunc(e.view.Members(), func(m Member) bool { return m.same(e.o.Self) })
--- a/process/relay/choose.go
+++ b/process/relay/choose.go
@@ -28,7 +28,7 @@
 )
 
 // workerCapacity returns how many workers a daemon can call.
-func workerCapacity(m lead.Member) int { return int(m.Carries(workersPerCore, workersPerMbit)) }
+func workerCapacity(m lead.Member) int { return int(m.Capacity(workersPerCore, workersPerMbit)) }
 
 // choose returns the daemons that call the workers for the leader self: none if the leader
 // has the capacity to call them all, so that a small cell has no additional hop between
--- a/request/submit/admit_test.go
+++ b/request/submit/admit_test.go
@@ -111,7 +111,7 @@
 		// After the job has ended, its progress records its account.
 		ended, err := work.EncodeProgress(&work.Progress{State: work.Cancelled, Account: "north"})
 		require.NoError(t, err)
-		_, err = m.Commit(t.Context(), store.Txn{Writes: []store.Write{{Key: dispatch.KeyState(id), Value: ended}}, Deletes: []string{dispatch.KeyIn(id)}})
+		_, err = m.Commit(t.Context(), store.Txn{Writes: []store.Write{{Key: dispatch.KeyState(id), Value: ended}}, Deletes: []string{dispatch.KeySubmission(id)}})
 		require.NoError(t, err)
 		state, err := s.State(t.Context(), id, "north")
 		require.NoError(t, err)
--- a/request/submit/cancel.go
+++ b/request/submit/cancel.go
@@ -42,7 +42,7 @@
 
 // cancelOnce makes one attempt; done reports that err is the final result.
 func (s *Service) cancelOnce(ctx context.Context, id work.JobID, account string) (done bool, err error) {
-	accepted, found, err := s.get(ctx, dispatch.KeyIn(id))
+	accepted, found, err := s.get(ctx, dispatch.KeySubmission(id))
 	if err != nil {
 		return false, err
 	}
@@ -58,7 +58,7 @@
 	}
 	key := dispatch.KeyCancel(id)
 	err = s.commit(ctx, store.Txn{
-		Checks: []store.Check{{Key: dispatch.KeyIn(id), Revision: accepted.Revision}},
+		Checks: []store.Check{{Key: dispatch.KeySubmission(id), Revision: accepted.Revision}},
 		Writes: []store.Write{{Key: key, Value: cancelMark}},
 	})
 	if err != nil {
@@ -94,7 +94,7 @@
 		return true, unavailable(CodeStore, err)
 	}
 	err = s.commit(ctx, store.Txn{
-		Checks: []store.Check{{Key: dispatch.KeyIn(id)}, {Key: dispatch.KeyState(id)}},
+		Checks: []store.Check{{Key: dispatch.KeySubmission(id)}, {Key: dispatch.KeyState(id)}},
 		Writes: []store.Write{{Key: dispatch.KeyState(id), Value: mark}},
 	})
 	if err != nil {
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -114,7 +114,7 @@
 	if err != nil {
 		return forwardReply{Uncertain: errors.Is(err, store.ErrUnknownOutcome)}, nil
 	}
-	s.push(store.Entry{Key: dispatch.KeyIn(id), Value: o.Value})
+	s.push(store.Entry{Key: dispatch.KeySubmission(id), Value: o.Value})
 	return forwardReply{Accepted: true}, nil
 }
 
@@ -130,8 +130,8 @@
 	if h == nil {
 		return nil, errNoLeader
 	}
-	shown, known, err := h.State(ctx, r.ID)
-	return stateReply{State: shown.State, Known: known, Account: shown.Account}, err
+	view, known, err := h.State(ctx, r.ID)
+	return stateReply{State: view.State, Known: known, Account: view.Account}, err
 }
 
 func (s *Service) serveExplain(ctx context.Context, r stateRequest) (any, error) {
--- a/request/submit/shards.go
+++ b/request/submit/shards.go
@@ -49,7 +49,7 @@
 	if shard != 0 {
 		// Cancelling a job that is absent marks its id in its shard, so the job must first be
 		// looked for in shard 0.
-		_, inShard0, err := all[0].get(ctx, dispatch.KeyIn(id))
+		_, inShard0, err := all[0].get(ctx, dispatch.KeySubmission(id))
 		if err != nil {
 			return unavailable(CodeStore, err)
 		}
@@ -96,5 +96,5 @@
 	if shard == 0 {
 		return nil
 	}
-	return []string{store.Outside(dispatch.KeyIn(id)), store.Outside(dispatch.KeyState(id))}
+	return []string{store.Outside(dispatch.KeySubmission(id)), store.Outside(dispatch.KeyState(id))}
 }
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -24,10 +24,10 @@
 		s := store.Transactor(m)
 		key := lead.KeyLayout
 		if shard > 0 {
-			s, key = store.Prefixed{Transactor: m, Prefix: lead.PartPrefix(shard)}, store.Outside(key)
+			s, key = store.Prefixed{Transactor: m, Prefix: lead.ShardPrefix(shard)}, store.Outside(key)
 		}
 		patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-		return New(Options{Self: "a", Store: s, Patience: patience, View: lead.New(lead.Options{Store: s, Patience: patience}).View(),
+		return New(Options{Self: "a", Store: s, Patience: patience, View: lead.New(lead.Options{Store: s, StoreTimeout: patience}).View(),
 			Peers: noPeers{}, Log: zerolog.Nop(), Leading: func() *dispatch.Host { return nil },
 			Guards: func(id work.JobID) Guards {
 				return Guards{Layout: store.Check{Key: key, Revision: revision}, Elsewhere: ElsewhereThan(shard, id)}
@@ -43,7 +43,7 @@
 }
 
 func writeLayout(t *testing.T, m *kv.Memory) store.Revision {
-	rev, err := m.Put(t.Context(), lead.KeyLayout, lead.Layout{Parts: 2}.Encode(), 0, 0)
+	rev, err := m.Put(t.Context(), lead.KeyLayout, lead.Layout{Shards: 2}.Encode(), 0, 0)
 	require.NoError(t, err)
 	return rev
 }
@@ -57,7 +57,7 @@
 		sharded := shardedCell(m, writeLayout(t, m))
 		require.NoError(t, sharded.Submit(t.Context(), id, testJob()))
 		require.True(t, stored(t, m, "job/in/"+string(id)))
-		require.False(t, stored(t, m, lead.PartPrefix(1)+"job/in/"+string(id)))
+		require.False(t, stored(t, m, lead.ShardPrefix(1)+"job/in/"+string(id)))
 		state, err := sharded.State(t.Context(), id, "")
 		require.NoError(t, err)
 		require.Equal(t, work.Queued, state)
@@ -79,7 +79,7 @@
 		require.False(t, stored(t, m, "job/in/"+string(id)))
 		sharded := shardedCell(m, revision)
 		require.NoError(t, sharded.Submit(t.Context(), id, testJob()))
-		require.True(t, stored(t, m, lead.PartPrefix(1)+"job/in/"+string(id)))
+		require.True(t, stored(t, m, lead.ShardPrefix(1)+"job/in/"+string(id)))
 		require.NoError(t, sharded.Cancel(t.Context(), id, ""))
 		_, err = sharded.State(t.Context(), "00000000000000bb", "")
 		require.ErrorIs(t, err, ErrNoJob)
--- a/request/submit/submission.go
+++ b/request/submit/submission.go
@@ -50,7 +50,7 @@
 
 // writes returns the writes that store the job.
 func (h *submission) writes() []store.Write {
-	all := []store.Write{{Key: dispatch.KeyIn(h.id), Value: h.value}}
+	all := []store.Write{{Key: dispatch.KeySubmission(h.id), Value: h.value}}
 	if h.spec != "" {
 		all = append(all, store.Write{Key: dispatch.KeySpec(h.id), Value: []byte(h.spec)})
 	}
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -264,7 +264,7 @@
 func (s *Service) create(ctx context.Context, h *submission) error {
 	id := h.id
 	txn := store.Txn{
-		Checks: []store.Check{{Key: dispatch.KeyIn(id)}, {Key: dispatch.KeyState(id)}},
+		Checks: []store.Check{{Key: dispatch.KeySubmission(id)}, {Key: dispatch.KeyState(id)}},
 		Writes: h.writes(),
 	}
 	var guards Guards
@@ -287,7 +287,7 @@
 	}
 	// The job was submitted before, possibly before the cell was divided into shards: the first
 	// submission stands.
-	for _, key := range slices.Concat(guards.Elsewhere, []string{dispatch.KeyIn(id), dispatch.KeyState(id)}) {
+	for _, key := range slices.Concat(guards.Elsewhere, []string{dispatch.KeySubmission(id), dispatch.KeyState(id)}) {
 		if entry, exists := conflict.Find(key); exists {
 			return checkExisting(entry, h.account)
 		}
@@ -299,7 +299,7 @@
 // under it: nil when the job belongs to the same account.
 func checkExisting(found store.Entry, account string) error {
 	owner := ""
-	if dispatch.IsState(found.Key) {
+	if dispatch.IsStateKey(found.Key) {
 		p, err := work.DecodeProgress(found.Value)
 		switch {
 		case err != nil:
@@ -347,7 +347,7 @@
 	if s.omitSpecs.Load() {
 		value = h.value
 	}
-	return store.Entry{Key: dispatch.KeyIn(h.id), Value: value}
+	return store.Entry{Key: dispatch.KeySubmission(h.id), Value: value}
 }
 
 // push notifies the leader of a new entry. If it fails, the leader's watch delivers the entry.
@@ -443,58 +443,58 @@
 func (s *Service) State(ctx context.Context, id work.JobID, account string) (work.State, error) {
 	var r stateReply
 	err := s.askLeader(ctx, func(ctx context.Context, h *dispatch.Host) error {
-		shown, known, err := h.State(ctx, id)
-		r = stateReply{State: shown.State, Known: known, Account: shown.Account}
+		view, known, err := h.State(ctx, id)
+		r = stateReply{State: view.State, Known: known, Account: view.Account}
 		return err
 	}, s.method(MethodState), stateRequest{ID: id}, &r)
-	shown := dispatch.Shown{State: r.State, Account: r.Account}
+	view := dispatch.JobView{State: r.State, Account: r.Account}
 	if err != nil || !r.Known {
-		if shown, err = s.storedState(ctx, id); err != nil {
+		if view, err = s.storedState(ctx, id); err != nil {
 			return 0, err
 		}
 	}
-	if !work.Owns(shown.Account, account) {
+	if !work.Owns(view.Account, account) {
 		return 0, refuseOtherAccount()
 	}
-	return shown.State, nil
+	return view.State, nil
 }
 
 var errNoLeader = errors.New("submit: no leader is known")
 
 // storedState reads a job's state from the store. The submission is read first: the transaction
 // that writes the final state under the job's own key also removes the submission.
-func (s *Service) storedState(ctx context.Context, id work.JobID) (dispatch.Shown, error) {
-	in, accepted, err := s.get(ctx, dispatch.KeyIn(id))
+func (s *Service) storedState(ctx context.Context, id work.JobID) (dispatch.JobView, error) {
+	in, accepted, err := s.get(ctx, dispatch.KeySubmission(id))
 	if err != nil {
-		return dispatch.Shown{}, unavailable(CodeStore, err)
+		return dispatch.JobView{}, unavailable(CodeStore, err)
 	}
 	p, err := s.progress(ctx, id)
 	if err != nil {
-		return dispatch.Shown{}, unavailable(CodeStore, err)
+		return dispatch.JobView{}, unavailable(CodeStore, err)
 	}
 	if accepted && (p == nil || !p.State.Final()) {
 		if p, err = s.batched(ctx, id, p); err != nil {
-			return dispatch.Shown{}, unavailable(CodeStore, err)
+			return dispatch.JobView{}, unavailable(CodeStore, err)
 		}
 	}
-	var shown dispatch.Shown
+	var view dispatch.JobView
 	if accepted {
 		job, err := work.DecodeJob(in.Value)
 		if err != nil {
-			return dispatch.Shown{}, unavailable(CodeStore, err)
+			return dispatch.JobView{}, unavailable(CodeStore, err)
 		}
-		shown.Account = job.Account
+		view.Account = job.Account
 	}
 	switch {
 	case p == nil && accepted:
-		return shown, nil
+		return view, nil
 	case p == nil, p.State == work.Refused:
-		return dispatch.Shown{}, ErrNoJob
+		return dispatch.JobView{}, ErrNoJob
 	case !accepted:
-		shown.Account = p.Account
+		view.Account = p.Account
 	}
-	shown.State = p.State
-	return shown, nil
+	view.State = p.State
+	return view, nil
 }
 
 // progress reads the value under a job's own key; nil if there is none.
@@ -515,7 +515,7 @@
 func (s *Service) batched(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
 	var entries []store.Entry
 	err := s.o.Patience.Call(ctx, func(ctx context.Context) (err error) {
-		entries, _, err = s.o.Store.List(ctx, dispatch.PrefixBundle)
+		entries, _, err = s.o.Store.List(ctx, dispatch.PrefixBatches)
 		return err
 	})
 	if err != nil {
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -32,7 +32,7 @@
 
 func newService(s store.Transactor) *Service {
 	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-	view := lead.New(lead.Options{Store: s, Patience: patience}).View()
+	view := lead.New(lead.Options{Store: s, StoreTimeout: patience}).View()
 	return New(Options{Self: "a", Store: s, Patience: patience, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
@@ -60,7 +60,7 @@
 		j := testJob()
 		j.Spec = strings.Repeat("spec", 1000)
 		require.NoError(t, newService(m).Submit(t.Context(), id, j))
-		in, err := m.Get(t.Context(), dispatch.KeyIn(id))
+		in, err := m.Get(t.Context(), dispatch.KeySubmission(id))
 		require.NoError(t, err)
 		require.Less(t, len(in.Value), 200)
 		spec, err := m.Get(t.Context(), dispatch.KeySpec(id))
@@ -104,7 +104,7 @@
 		require.Less(t, time.Since(start), 100*time.Millisecond)
 		m.SetFaults(kv.Faults{})
 		time.Sleep(time.Minute)
-		require.False(t, stored(t, m, dispatch.KeyIn(id)))
+		require.False(t, stored(t, m, dispatch.KeySubmission(id)))
 	})
 }
 
@@ -148,9 +148,9 @@
 			for key, err := range verdicts {
 				switch {
 				case err == nil:
-					require.True(t, stored(t, m, dispatch.KeyIn(key)), "seed %d: %s was acknowledged", seed, key)
+					require.True(t, stored(t, m, dispatch.KeySubmission(key)), "seed %d: %s was acknowledged", seed, key)
 				case verdict.Of(err) == verdict.NotRun:
-					require.False(t, stored(t, m, dispatch.KeyIn(key)), "seed %d: %s was refused: %v", seed, key, err)
+					require.False(t, stored(t, m, dispatch.KeySubmission(key)), "seed %d: %s was refused: %v", seed, key, err)
 				}
 			}
 		})
@@ -169,7 +169,7 @@
 		m.SetFaults(kv.Faults{})
 		require.ErrorIs(t, s.Cancel(t.Context(), id, ""), ErrNoJob)
 		time.Sleep(time.Minute)
-		require.False(t, stored(t, m, dispatch.KeyIn(id)))
+		require.False(t, stored(t, m, dispatch.KeySubmission(id)))
 		require.Equal(t, verdict.NotRun, verdict.Of(s.Submit(t.Context(), id, testJob())), "the id stays marked")
 		_, err := s.State(t.Context(), id, "")
 		require.ErrorIs(t, err, ErrNoJob)
@@ -205,7 +205,7 @@
 	var view *lead.View
 	for _, name := range []string{"a", "b"} {
 		e := lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: m, Log: zerolog.Nop(),
-			Patience: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, Lead: func(t *lead.Term) { <-t.Context().Done() }})
+			StoreTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, RunTerm: func(t *lead.Term) { <-t.Context().Done() }})
 		go func() { _ = e.Run(ctx) }()
 		if name == "a" {
 			view = e.View()
@@ -282,7 +282,7 @@
 		require.NoError(t, s.Submit(t.Context(), id, testJob()))
 		value, err := work.EncodeBundle([]work.JobProgress{{Job: id, Progress: work.Progress{State: work.Completed}}})
 		require.NoError(t, err)
-		_, err = m.Put(t.Context(), dispatch.PrefixBundle+"x", value, 0, 0)
+		_, err = m.Put(t.Context(), dispatch.PrefixBatches+"x", value, 0, 0)
 		require.NoError(t, err)
 		state, err := s.State(t.Context(), id, "")
 		require.NoError(t, err)
--- a/standin/cellsim/patterns.go
+++ b/standin/cellsim/patterns.go
@@ -46,15 +46,15 @@
 // Policies returns the policies to compare: the default one, variants with one of its
 // mechanisms switched off, one without all of them, and first come, first served.
 func Policies() map[string]dispatch.Policy {
-	baseline := dispatch.Policy{WriteChains: 1, NoBundles: true, NoHolds: true, NoPacking: true, NoParallelAdvice: true}
+	baseline := dispatch.Policy{WriteStreams: 1, NoBatches: true, NoGangReservations: true, NoPacking: true, NoParallelAdvice: true}
 	first := baseline
 	first.FirstCome = true
 	return map[string]dispatch.Policy{
 		"now":         {},
-		"one-chain":   {WriteChains: 1},
-		"no-bundles":  {NoBundles: true},
-		"slow-writes": {WriteChains: 1, NoBundles: true},
-		"no-holds":    {NoHolds: true},
+		"one-chain":   {WriteStreams: 1},
+		"no-bundles":  {NoBatches: true},
+		"slow-writes": {WriteStreams: 1, NoBatches: true},
+		"no-holds":    {NoGangReservations: true},
 		"no-packing":  {NoPacking: true},
 		"no-parallel": {NoParallelAdvice: true},
 		"without-all": baseline,
--- a/standin/cellsim/sim.go
+++ b/standin/cellsim/sim.go
@@ -175,7 +175,7 @@
 				s.o.Violation(fmt.Sprintf("%s: %s on %s", what, task, w))
 			}
 		}})
-	saved := dispatch.Saved{Accepted: s.entriesUnder(dispatch.PrefixJobs), States: s.entriesUnder(dispatch.PrefixState), Bundles: s.entriesUnder(dispatch.PrefixBundle)}
+	saved := dispatch.Saved{Accepted: s.entriesUnder(dispatch.PrefixJobs), States: s.entriesUnder(dispatch.PrefixState), Batches: s.entriesUnder(dispatch.PrefixBatches)}
 	saved.Fleet = s.entriesUnder("fleet")
 	if err := s.engine.Load(s.now, saved); err != nil && s.o.Violation != nil {
 		s.o.Violation(err.Error())
@@ -264,7 +264,7 @@
 			panic(fmt.Sprintf("cellsim: cannot encode a generated job: %v", err))
 		}
 		s.rev++
-		e := store.Entry{Key: dispatch.KeyIn(j.id), Value: value, Revision: s.rev}
+		e := store.Entry{Key: dispatch.KeySubmission(j.id), Value: value, Revision: s.rev}
 		s.entries[e.Key] = e
 		s.open = append(s.open, j)
 		if s.engine != nil {
@@ -339,7 +339,7 @@
 		for _, key := range x.Deletes {
 			delete(s.entries, key)
 		}
-		s.engine.Committed(s.now, x.Chain)
+		s.engine.Committed(s.now, x.Stream)
 	})
 }
 
--- a/standin/cellsim/sim_test.go
+++ b/standin/cellsim/sim_test.go
@@ -73,7 +73,7 @@
 	}
 	const seeds = 3
 	all, wide, _ := credits(t, "calm", dispatch.Policy{}, seeds)
-	without := dispatch.Policy{NoHolds: true, NoPacking: true, NoParallelAdvice: true}
+	without := dispatch.Policy{NoGangReservations: true, NoPacking: true, NoParallelAdvice: true}
 	allWithout, wideWithout, _ := credits(t, "calm", without, seeds)
 	require.Greater(t, wide, wideWithout+0.03)
 	require.Greater(t, all, allWithout+0.01)
@@ -92,7 +92,7 @@
 	}
 	const seeds = 2
 	_, _, quick := credits(t, "slow-store", dispatch.Policy{}, seeds)
-	_, _, before := credits(t, "slow-store", dispatch.Policy{WriteChains: 1, NoBundles: true}, seeds)
+	_, _, before := credits(t, "slow-store", dispatch.Policy{WriteStreams: 1, NoBatches: true}, seeds)
 	require.Greater(t, quick, before+0.05)
 }
 
@@ -104,7 +104,7 @@
 	if testing.Short() {
 		t.Skip("some seconds of processor time")
 	}
-	first := dispatch.Policy{WriteChains: 1, NoBundles: true, NoHolds: true, NoPacking: true, NoParallelAdvice: true, FirstCome: true}
+	first := dispatch.Policy{WriteStreams: 1, NoBatches: true, NoGangReservations: true, NoPacking: true, NoParallelAdvice: true, FirstCome: true}
 	var wg sync.WaitGroup
 	for d := range uint64(deployments) {
 		wg.Go(func() {
