--- a/connection/runner/directory.go
+++ b/connection/runner/directory.go
@@ -9,8 +9,8 @@
 
 // Change is the current registration of a worker, or the removal of its entry.
 type Change struct {
-	Worker Worker // if Gone, only the id is set: of an incarnation, or the name for any incarnation
-	Gone   bool
+	Worker  Worker // if Removed, only the id is set: of an incarnation, or the name for any incarnation
+	Removed bool
 }
 
 // Directory is the list in which workers register themselves. A removed entry
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -20,12 +20,12 @@
 )
 
 // WorkerID identifies one incarnation of a worker; a restarted worker has another id.
-// Where workers restart under the same name, the id is the one that LifeID returns.
+// Where workers restart under the same name, the id is the one that IncarnationID returns.
 type WorkerID string
 
-// LifeID returns the id of the incarnation that started at the given time, in
+// IncarnationID returns the id of the incarnation that started at the given time, in
 // milliseconds since 1970. The time is 0 where worker names are not reused.
-func LifeID(name string, started int64) WorkerID {
+func IncarnationID(name string, started int64) WorkerID {
 	if started == 0 {
 		return WorkerID(name)
 	}
@@ -35,9 +35,9 @@
 // startSeparator stands between a worker's name and the start time of the incarnation.
 const startSeparator = "@"
 
-// Life returns the worker's name and the start time of the incarnation, in milliseconds
+// Incarnation returns the worker's name and the start time of the incarnation, in milliseconds
 // since 1970; 0 if the id has no start time.
-func (id WorkerID) Life() (name string, started int64) {
+func (id WorkerID) Incarnation() (name string, started int64) {
 	name, text, found := strings.Cut(string(id), startSeparator)
 	if !found {
 		return string(id), 0
@@ -51,7 +51,7 @@
 
 // Name returns the worker's name, which all its incarnations share.
 func (id WorkerID) Name() string {
-	name, _ := id.Life()
+	name, _ := id.Incarnation()
 	return name
 }
 
@@ -78,18 +78,18 @@
 	ErrUnknown = errors.New("runner: no answer, the worker may have acted")
 	// ErrFenced means that the worker was called with a higher epoch. Matches ErrNotRun.
 	ErrFenced = notRun("a higher epoch has called the worker")
-	// ErrGone means that the address belongs to another incarnation of the worker;
+	// ErrIncarnationEnded means that the address belongs to another incarnation of the worker;
 	// this one has ended, and so have all its runs. Matches ErrNotRun.
-	ErrGone = notRun("the worker's life has ended")
-	// ErrOld means that the run, or a higher one of the task, was stopped or has ended
+	ErrIncarnationEnded = notRun("the worker's life has ended")
+	// ErrStaleRun means that the run, or a higher one of the task, was stopped or has ended
 	// on the worker.
-	ErrOld = notRun("the run is not higher than one that ended there")
-	// ErrLate means that the lease in the start order had expired on arrival.
-	ErrLate = notRun("the lease had lapsed at arrival")
-	// ErrNoRoom means that the worker enforces its capacity and has too little left.
-	ErrNoRoom = notRun("no room")
-	// ErrTicket means that the ticket is missing, has expired or is of another step.
-	ErrTicket = notRun("ticket not valid")
+	ErrStaleRun = notRun("the run is not higher than one that ended there")
+	// ErrLeaseExpired means that the lease in the start order had expired on arrival.
+	ErrLeaseExpired = notRun("the lease had lapsed at arrival")
+	// ErrNoCapacity means that the worker enforces its capacity and has too little left.
+	ErrNoCapacity = notRun("no room")
+	// ErrInvalidTicket means that the ticket is missing, has expired or is of another step.
+	ErrInvalidTicket = notRun("ticket not valid")
 	// ErrUnhealthy means that the worker accepts no orders now.
 	ErrUnhealthy = notRun("the worker is not healthy")
 	// ErrNoConnection means that no connection to the worker could be made.
@@ -98,20 +98,22 @@
 	ErrBadOrder = notRun("the worker does not accept the order")
 )
 
-// OtherLife is the error of a renewal that another incarnation under the worker's name
-// has answered: its lease was renewed, and Report is its answer. Matches ErrGone.
-type OtherLife struct {
+// OtherIncarnationError is the error of a renewal that another incarnation under the worker's name
+// has answered: its lease was renewed, and Report is its answer. Matches ErrIncarnationEnded.
+type OtherIncarnationError struct {
 	ID     WorkerID // the incarnation that answered
 	Report Report
 }
 
 // Error implements error.
-func (o *OtherLife) Error() string {
-	return fmt.Sprintf("runner: %s answers, with %d runs and %d ends", o.ID, len(o.Report.Running), len(o.Report.Ended))
+func (o *OtherIncarnationError) Error() string {
+	return fmt.Sprintf("runner: %s answers, with %d runs and %d completions", o.ID, len(o.Report.Running), len(o.Report.Ended))
 }
 
-// Is makes it match ErrGone and the errors that ErrGone matches.
-func (o *OtherLife) Is(target error) bool { return target == ErrGone || errors.Is(ErrGone, target) }
+// Is makes it match ErrIncarnationEnded and the errors that ErrIncarnationEnded matches.
+func (o *OtherIncarnationError) Is(target error) bool {
+	return target == ErrIncarnationEnded || errors.Is(ErrIncarnationEnded, target)
+}
 
 type notRunError struct{ text string }
 
@@ -127,8 +129,8 @@
 type Start struct {
 	Task       work.TaskID
 	Run        uint64
-	Spec       string // "" if it is to be fetched from Home
-	Home       string // the daemon that accepted the job and has its spec; "" for none
+	Spec       string // "" if it is to be fetched from AcceptedBy
+	AcceptedBy string // the daemon that accepted the job and has its spec; "" for none
 	Checkpoint string // "" for none
 	Ticket     string // "" for none
 	Epoch      uint64
@@ -148,50 +150,50 @@
 	Wait time.Duration
 }
 
-// How is the way in which a run ended.
-type How uint8
+// Outcome is the way in which a run ended.
+type Outcome uint8
 
 // Ways in which runs end.
 const (
-	Done    How = iota
-	Failed      // by its own fault or the worker's
-	Stopped     // by an order
-	Lapsed      // the worker's lease expired
-	Broken      // another member of the gang ended
-	Alone       // the other members of the gang did not start in time
+	Done           Outcome = iota
+	Failed                 // by its own fault or the worker's
+	Stopped                // by an order
+	Expired                // the worker's lease expired
+	GangBroken             // another member of the gang ended
+	GangIncomplete         // the other members of the gang did not start in time
 )
 
 // String returns the name by which workers report it.
-func (h How) String() string {
-	return [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}[h]
+func (o Outcome) String() string {
+	return [...]string{"done", "failed", "stopped", "lapsed", "broken", "alone"}[o]
 }
 
-// Live is a run in progress on a worker.
-type Live struct {
+// ActiveRun is a run in progress on a worker.
+type ActiveRun struct {
 	Task       work.TaskID
 	Run        uint64
 	Checkpoint string
 	Percent    float64
 }
 
-// End is the completion report of a run on a worker.
-type End struct {
+// Completion is the completion report of a run on a worker.
+type Completion struct {
 	Number     int64 // increasing from 1 in each incarnation of a worker
 	Task       work.TaskID
 	Run        uint64
-	How        How
+	Outcome    Outcome
 	Checkpoint string
 }
 
 // Report is a worker's answer to a Renewal.
 type Report struct {
 	Clock   time.Duration // the worker's clock at the answer
-	Running []Live
-	Ended   []End
+	Running []ActiveRun
+	Ended   []Completion
 }
 
-// MaxEnds is the largest number of completions in one Report.
-const MaxEnds = 500
+// MaxCompletions is the largest number of completions in one Report.
+const MaxCompletions = 500
 
 // Runner calls workers.
 type Runner interface {
@@ -201,7 +203,7 @@
 	// Stop returns nil if the run is being stopped, has ended, or will be
 	// refused if its start order arrives later.
 	Stop(ctx context.Context, to Ref, task work.TaskID, run, epoch uint64) error
-	// Renew returns the runs and completions of the worker. The error is an *OtherLife
+	// Renew returns the runs and completions of the worker. The error is an *OtherIncarnationError
 	// if another incarnation under its name has answered.
 	Renew(ctx context.Context, to Ref, r Renewal) (Report, error)
 }
--- a/process/cellnode/shard_test.go
+++ b/process/cellnode/shard_test.go
@@ -18,15 +18,15 @@
 
 func (l restartedWorkers) List(context.Context) (all []runner.Worker, _ store.Revision, _ error) {
 	for i := range l.n {
-		all = append(all, runner.Worker{Ref: runner.Ref{ID: runner.LifeID(fmt.Sprint("w-", i), 1)}})
+		all = append(all, runner.Worker{Ref: runner.Ref{ID: runner.IncarnationID(fmt.Sprint("w-", i), 1)}})
 	}
 	return all, 1, nil
 }
 
 func (l restartedWorkers) Watch(context.Context, store.Revision, time.Duration) (all []runner.Change, _ store.Revision, _ error) {
 	for i := range l.n {
-		all = append(all, runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.WorkerID(fmt.Sprint("w-", i))}}, Gone: true},
-			runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.LifeID(fmt.Sprint("w-", i), 2)}}})
+		all = append(all, runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.WorkerID(fmt.Sprint("w-", i))}}, Removed: true},
+			runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: runner.IncarnationID(fmt.Sprint("w-", i), 2)}}})
 	}
 	return all, 2, nil
 }
@@ -44,7 +44,7 @@
 		changes, _, err := s.Watch(t.Context(), 1, time.Second)
 		require.NoError(t, err)
 		for _, c := range changes {
-			if c.Gone {
+			if c.Removed {
 				gone = append(gone, c.Worker.ID.Name())
 			} else {
 				next = append(next, c.Worker.ID.Name())
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -177,7 +177,7 @@
 	h.step(tickPeriod)
 	require.Empty(t, h.starts(), "all five tasks may run on the worker that has not answered")
 	run := h.e.nextRun(0)
-	h.report("w-2", runner.Report{Clock: time.Second + h.now, Running: []runner.Live{
+	h.report("w-2", runner.Report{Clock: time.Second + h.now, Running: []runner.ActiveRun{
 		{Task: work.TaskID{Job: firstJob, Index: 0}, Run: run}, {Task: work.TaskID{Job: firstJob, Index: 1}, Run: run}}})
 	require.Len(t, h.starts(), 3, "two run, and three more are within the cap")
 }
@@ -216,7 +216,7 @@
 	require.Len(t, next.starts(), 1, "four may run on the other worker")
 	untracked := runner.Report{Clock: time.Second + next.now}
 	for _, s := range starts {
-		untracked.Running = append(untracked.Running, runner.Live{Task: s.Start.Task, Run: s.Start.Run})
+		untracked.Running = append(untracked.Running, runner.ActiveRun{Task: s.Start.Task, Run: s.Start.Run})
 	}
 	next.report("w-1", untracked)
 	require.Empty(t, next.starts(), "they run there, and are being stopped")
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -114,7 +114,7 @@
 	for i := range workers {
 		id := runner.WorkerID(fmt.Sprintf("w-%02d", i))
 		if o.SameName {
-			id = runner.LifeID(string(id), 1)
+			id = runner.IncarnationID(string(id), 1)
 		}
 		c.addWorker(id, fmt.Sprintf("10.0.0.%d", i), fmt.Sprint("r", i/8))
 	}
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -11,17 +11,17 @@
 // Completions of runs: what they mean for their tasks, and when a worker may drop them.
 
 // takeCompletions processes the completions that are new and returns their number.
-func (e *Engine) takeCompletions(w *worker, ends []runner.End) int {
+func (e *Engine) takeCompletions(w *worker, completions []runner.Completion) int {
 	n := 0
-	slices.SortFunc(ends, func(a, b runner.End) int { return int(a.Number - b.Number) })
-	for i := range ends {
-		if ends[i].Number <= w.lastCompletion {
+	slices.SortFunc(completions, func(a, b runner.Completion) int { return int(a.Number - b.Number) })
+	for i := range completions {
+		if completions[i].Number <= w.lastCompletion {
 			continue
 		}
-		e.noteMissedCompletions(w, ends[i].Number)
-		w.lastCompletion = ends[i].Number
-		j := e.takeCompletion(w, &ends[i])
-		wait := pendingAck{number: ends[i].Number, task: ends[i].Task, job: j}
+		e.noteMissedCompletions(w, completions[i].Number)
+		w.lastCompletion = completions[i].Number
+		j := e.takeCompletion(w, &completions[i])
+		wait := pendingAck{number: completions[i].Number, task: completions[i].Task, job: j}
 		if j != nil {
 			wait.version = j.version
 		}
@@ -45,19 +45,19 @@
 
 // takeCompletion processes one completion and returns the job whose progress has to be stored
 // before it is acknowledged, if any.
-func (e *Engine) takeCompletion(w *worker, end *runner.End) *job {
-	alloc := w.allocs[end.Task]
-	if alloc != nil && alloc.run != end.Run {
+func (e *Engine) takeCompletion(w *worker, completion *runner.Completion) *job {
+	alloc := w.allocs[completion.Task]
+	if alloc != nil && alloc.run != completion.Run {
 		alloc = nil
 	}
-	j := e.jobs[end.Task.Job]
-	s := j.step(end.Task)
+	j := e.jobs[completion.Task.Job]
+	s := j.step(completion.Task)
 	if s == nil {
 		return j // for an occurrence that is done the store has to be waited for as well
 	}
-	t := &s.tasks[end.Task.Index]
+	t := &s.tasks[completion.Task.Index]
 	ours := alloc != nil && t.alloc == alloc
-	e.endTrial(s, end.Task.Index, end.Run)
+	e.endTrial(s, completion.Task.Index, completion.Run)
 	if alloc != nil {
 		e.noteStarted(alloc)
 		e.unbook(alloc)
@@ -66,19 +66,19 @@
 	if ours {
 		t.alloc = nil // before the completion is processed, which stops the task's other runs
 	}
-	if end.Checkpoint != "" && s.spec.Checkpoints {
-		s.keepCheckpoint(end.Task.Index, end.Checkpoint)
+	if completion.Checkpoint != "" && s.spec.Checkpoints {
+		s.keepCheckpoint(completion.Task.Index, completion.Checkpoint)
 	}
-	switch end.How {
+	switch completion.Outcome {
 	case runner.Done:
-		e.taskDone(w, s, end, alloc)
+		e.taskDone(w, s, completion, alloc)
 	case runner.Failed:
-		e.taskFailed(w, s, end, alloc)
+		e.taskFailed(w, s, completion, alloc)
 	default:
 		e.stats.Back++
 	}
 	if ours {
-		e.requeueEnded(s, end.Task.Index)
+		e.requeueEnded(s, completion.Task.Index)
 	}
 	return j
 }
@@ -105,20 +105,20 @@
 	e.open(s)
 }
 
-func (e *Engine) taskDone(w *worker, s *step, end *runner.End, alloc *allocation) {
+func (e *Engine) taskDone(w *worker, s *step, completion *runner.Completion, alloc *allocation) {
 	j := s.job
 	if alloc != nil {
 		w.noteSuccess()
 		e.learnRunTime(w, s, alloc)
 	}
-	if s.tasks[end.Task.Index].done || !j.active() {
+	if s.tasks[completion.Task.Index].done || !j.active() {
 		return
 	}
 	e.stats.Done++
 	if s.spec.Lasting {
 		return // a long-running task starts again however it ended
 	}
-	e.finish(s, end.Task.Index)
+	e.finish(s, completion.Task.Index)
 	if s.spec.Gang {
 		for i := range s.tasks {
 			e.finish(s, i)
@@ -143,9 +143,9 @@
 	}
 }
 
-func (e *Engine) taskFailed(w *worker, s *step, end *runner.End, alloc *allocation) {
-	j, t := s.job, &s.tasks[end.Task.Index]
-	e.decide(Decision{What: "failed", Task: end.Task, Run: end.Run, Worker: w.ID})
+func (e *Engine) taskFailed(w *worker, s *step, completion *runner.Completion, alloc *allocation) {
+	j, t := s.job, &s.tasks[completion.Task.Index]
+	e.decide(Decision{What: "failed", Task: completion.Task, Run: completion.Run, Worker: w.ID})
 	e.stats.Failed++
 	if alloc != nil && alloc.serves() {
 		return // a task that reached serving fails by itself, not because of its worker
@@ -162,10 +162,10 @@
 	if s.spec.Gang {
 		failed = &s.gang.failed
 	}
-	if slices.Contains(*failed, end.Run) {
+	if slices.Contains(*failed, completion.Run) {
 		return // counted before, by this epoch or an earlier one
 	}
-	*failed = append(*failed, end.Run)
+	*failed = append(*failed, completion.Run)
 	e.markDirty(j, false)
 	if len(*failed) >= j.spec.Queue.Attempts {
 		e.end(j, work.Failed, "a task failed as often as its queue allows")
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -233,10 +233,10 @@
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a")
 	first := h.starts()
 	require.Len(t, first, 1)
-	live := []runner.Live{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 10}}
+	active := []runner.ActiveRun{{Task: first[0].Start.Task, Run: first[0].Start.Run, Percent: 10}}
 	for i := range 26 {
-		live[0].Percent = 10 + float64(i)
-		h.report("w-a", runner.Report{Clock: time.Duration(i) * time.Second, Running: live})
+		active[0].Percent = 10 + float64(i)
+		h.report("w-a", runner.Report{Clock: time.Duration(i) * time.Second, Running: active})
 		h.step(400 * time.Millisecond)
 	}
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
@@ -249,28 +249,28 @@
 	first := h.starts()
 	require.Len(t, first, 1)
 	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}, Draining: true})
-	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrGone)
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrIncarnationEnded)
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
 // TestLateStartAtTheNextLifeDoesNotRunBesideAnother guards against a start that is carried out
 // by a worker's next incarnation while the task runs elsewhere.
 func TestLateStartAtTheNextLifeDoesNotRunBesideAnother(t *testing.T) {
-	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
+	first, next := runner.IncarnationID("w-a", 1), runner.IncarnationID("w-a", 2)
 	h := newHarness(t, 1, first, "w-b")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
 	h.step(50 * time.Millisecond)
 	h.report(first, runner.Report{Clock: time.Second})
 	start := h.starts()[0].Start
-	h.e.Renewed(h.now, first, runner.Report{}, runner.ErrGone)
+	h.e.Renewed(h.now, first, runner.Report{}, runner.ErrIncarnationEnded)
 	h.resize(next, work.Resources{CPU: 4000, Memory: 4000})
 	h.step(50 * time.Millisecond)
 	h.report("w-b", runner.Report{Clock: time.Second})
 	require.Empty(t, h.starts(), "it may run on the next incarnation")
-	h.report(next, runner.Report{Clock: time.Second, Running: []runner.Live{{Task: start.Task, Run: start.Run}}})
+	h.report(next, runner.Report{Clock: time.Second, Running: []runner.ActiveRun{{Task: start.Task, Run: start.Run}}})
 	h.report("w-b", runner.Report{Clock: time.Second})
 	require.Empty(t, h.starts(), "it runs on the next incarnation")
-	h.report(next, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run, How: runner.Stopped}}})
+	h.report(next, runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: start.Task, Run: start.Run, Outcome: runner.Stopped}}})
 	h.step(200 * time.Millisecond) // it is suspect now, and its trial is recorded first
 	require.Len(t, h.starts(), 1)
 }
@@ -278,18 +278,18 @@
 // TestEndsOfTheNextLifeCount guards against completions of a worker's next incarnation that
 // are taken for those of the earlier one.
 func TestEndsOfTheNextLifeCount(t *testing.T) {
-	first, next := runner.LifeID("w-a", 1), runner.LifeID("w-a", 2)
+	first, next := runner.IncarnationID("w-a", 1), runner.IncarnationID("w-a", 2)
 	h := newHarness(t, 1, first)
 	step := oneTask()
 	step.Count = 4
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, step)}}))
 	h.step(50 * time.Millisecond)
 	h.report(first, runner.Report{Clock: time.Second})
-	var ends []runner.End
+	var completions []runner.Completion
 	for i, s := range h.starts()[:3] {
-		ends = append(ends, runner.End{Number: int64(i + 1), Task: s.Start.Task, Run: s.Start.Run})
+		completions = append(completions, runner.Completion{Number: int64(i + 1), Task: s.Start.Task, Run: s.Start.Run})
 	}
-	h.report(first, runner.Report{Clock: time.Second, Ended: ends})
+	h.report(first, runner.Report{Clock: time.Second, Ended: completions})
 	h.resize(next, work.Resources{CPU: 4000, Memory: 4000}) // listed with a later start time
 	h.step(50 * time.Millisecond)
 	h.resize(first, work.Resources{CPU: 4000, Memory: 4000}) // a late entry of the earlier incarnation
@@ -300,7 +300,7 @@
 	last := h.starts()
 	require.NotEmpty(t, last)
 	x := last[len(last)-1].Start
-	h.report(next, runner.Report{Clock: 31 * time.Second, Ended: []runner.End{{Number: 1, Task: x.Task, Run: x.Run}}})
+	h.report(next, runner.Report{Clock: 31 * time.Second, Ended: []runner.Completion{{Number: 1, Task: x.Task, Run: x.Run}}})
 	h.step(100 * time.Millisecond)
 	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Completed, state)
@@ -371,7 +371,7 @@
 	crashes := func() crash.Records { return h.e.jobs[testJob].step(task).tasks[0].crashes }
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has expired")
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
-	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrGone)
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrIncarnationEnded)
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true}}, crashes())
 }
 
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -99,8 +99,8 @@
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
 	task := work.TaskID{Job: testJob}
-	h.report("w-b", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 2, How: runner.Failed}}})
-	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: task, Run: 1, How: runner.Failed}}})
+	h.report("w-b", runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: task, Run: 2, Outcome: runner.Failed}}})
+	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: task, Run: 1, Outcome: runner.Failed}}})
 	h.step(50 * time.Millisecond)
 	state, known := h.e.State(testJob)
 	require.True(t, known)
@@ -116,7 +116,7 @@
 	require.NoError(t, err)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
 	h.step(50 * time.Millisecond)
-	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: work.TaskID{Job: testJob}, Run: 1, How: runner.Failed}}})
+	h.report("w-a", runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: work.TaskID{Job: testJob}, Run: 1, Outcome: runner.Failed}}})
 	h.step(avoidTimeout + 100*time.Millisecond) // there is no other worker
 	state, _ := h.e.State(testJob)
 	require.Equal(t, work.Running, state)
@@ -253,7 +253,7 @@
 	s := h.starts()[0]
 	h.e.Started(h.now, "w-a", s.Start.Task, s.Start.Run, nil)
 	h.e.Flush(h.now)
-	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Done}}}, nil)
+	h.e.Renewed(h.now, "w-a", runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, Outcome: runner.Done}}}, nil)
 	for range 40 { // the store does not answer the write
 		h.now += tickPeriod
 		h.e.Tick(h.now)
@@ -294,7 +294,7 @@
 	require.Len(t, first, 1)
 	h.e.Started(h.now, "w-a", first[0].Start.Task, first[0].Start.Run, nil)
 	h.e.Members(h.now, []string{"d"})
-	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.End{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run, How: runner.Failed}}})
+	h.report("w-a", runner.Report{Clock: 2 * time.Second, Ended: []runner.Completion{{Number: 1, Task: first[0].Start.Task, Run: first[0].Start.Run, Outcome: runner.Failed}}})
 	h.step(50 * time.Millisecond)
 	var asked []runner.WorkerID
 	for _, x := range h.effects {
@@ -351,7 +351,7 @@
 	require.True(t, known)
 	require.Equal(t, work.Completed, state)
 	task := starts[0].Start.Task
-	h.report("w-a", runner.Report{Running: []runner.Live{{Task: task, Run: 9}}})
+	h.report("w-a", runner.Report{Running: []runner.ActiveRun{{Task: task, Run: 9}}})
 	var stopped []SendStop
 	for _, x := range h.effects {
 		if s, ok := x.(SendStop); ok {
@@ -359,7 +359,7 @@
 		}
 	}
 	require.Len(t, stopped, 1, "a late run of it")
-	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 2, Task: task, Run: 9, How: runner.Stopped}}})
+	h.report("w-a", runner.Report{Ended: []runner.Completion{{Number: 2, Task: task, Run: 9, Outcome: runner.Stopped}}})
 	require.EqualValues(t, 2, h.e.workers["w-a"].ackedCompletion)
 }
 
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -60,7 +60,7 @@
 	for _, x := range running {
 		h.e.Started(h.now, x.To.ID, x.Start.Task, x.Start.Run, nil)
 		if x.To.ID == "w-a" {
-			near.Running = append(near.Running, runner.Live{Task: x.Start.Task, Run: x.Start.Run})
+			near.Running = append(near.Running, runner.ActiveRun{Task: x.Start.Task, Run: x.Start.Run})
 		}
 	}
 	for range 40 {
@@ -88,9 +88,9 @@
 	// The tasks of the unresponsive worker start when its lease has expired.
 	for next.e.workers["w-b"] != nil {
 		require.Empty(t, next.starts())
-		var rows []runner.Live
+		var rows []runner.ActiveRun
 		for _, alloc := range next.e.workers["w-a"].allocs {
-			rows = append(rows, runner.Live{Task: alloc.id(), Run: alloc.run, Percent: next.now.Seconds()})
+			rows = append(rows, runner.ActiveRun{Task: alloc.id(), Run: alloc.run, Percent: next.now.Seconds()})
 		}
 		next.report("w-a", runner.Report{Clock: time.Second + next.now, Running: rows})
 	}
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -116,11 +116,11 @@
 		stops := 0
 		for i := range 12 {
 			for k, s := range starts {
-				row := runner.Live{Task: s.Start.Task, Run: s.Start.Run, Percent: percent}
+				row := runner.ActiveRun{Task: s.Start.Task, Run: s.Start.Run, Percent: percent}
 				if k == 1 {
 					row.Percent = float64(i) // it makes progress
 				}
-				h.report(s.To.ID, runner.Report{Clock: time.Second + h.now, Running: []runner.Live{row}})
+				h.report(s.To.ID, runner.Report{Clock: time.Second + h.now, Running: []runner.ActiveRun{row}})
 			}
 			h.step(500 * time.Millisecond)
 			for _, x := range h.effects {
@@ -244,8 +244,8 @@
 	gang.Count, gang.Gang = 2, true
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
 	h.step(50 * time.Millisecond)
-	member := runner.Live{Task: work.TaskID{Job: testJob}, Run: 1}
-	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{member}})
+	member := runner.ActiveRun{Task: work.TaskID{Job: testJob}, Run: 1}
+	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.ActiveRun{member}})
 	h.report("w-b", runner.Report{Clock: time.Second})
 	h.step(300 * time.Millisecond)
 	require.Empty(t, h.stops(), "the other may still be reported")
@@ -261,7 +261,7 @@
 	gang.Count, gang.Gang = 2, true
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, gang)}}))
 	h.step(50 * time.Millisecond)
-	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.Live{{Task: work.TaskID{Job: testJob}, Run: 1, Percent: 3}}})
+	h.report("w-a", runner.Report{Clock: time.Second, Running: []runner.ActiveRun{{Task: work.TaskID{Job: testJob}, Run: 1, Percent: 3}}})
 	h.step(2 * time.Second)
 	require.Empty(t, h.stops())
 }
--- a/process/dispatch/health_test.go
+++ b/process/dispatch/health_test.go
@@ -29,11 +29,11 @@
 			for _, s := range h.starts() {
 				h.e.Started(h.now, s.To.ID, s.Start.Task, s.Start.Run, nil)
 				number[s.To.ID]++
-				how := runner.Done
+				outcome := runner.Done
 				if fails(jobNumber[s.Start.Task.Job]) {
-					how = runner.Failed
+					outcome = runner.Failed
 				}
-				h.report(s.To.ID, runner.Report{Clock: h.now, Ended: []runner.End{{Number: number[s.To.ID], Task: s.Start.Task, Run: s.Start.Run, How: how}}})
+				h.report(s.To.ID, runner.Report{Clock: h.now, Ended: []runner.Completion{{Number: number[s.To.ID], Task: s.Start.Task, Run: s.Start.Run, Outcome: outcome}}})
 			}
 		}
 	}
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -451,7 +451,7 @@
 	}
 	h.post(func(e *Engine, now time.Duration) {
 		for _, c := range changes {
-			if c.Gone {
+			if c.Removed {
 				e.WorkerUnlisted(now, c.Worker.ID)
 				continue
 			}
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -20,7 +20,7 @@
 // name. It reports whether the incarnation is older than the latest known one, or succeeds an
 // earlier one.
 func (e *Engine) noteIncarnation(id runner.WorkerID) (older, next bool) {
-	name, startTime := id.Life()
+	name, startTime := id.Incarnation()
 	if startTime == 0 {
 		return false, false
 	}
@@ -29,7 +29,7 @@
 		return startTime < before, false
 	}
 	e.latestStarts[name] = startTime
-	if w := e.workers[runner.LifeID(name, before)]; known && w != nil {
+	if w := e.workers[runner.IncarnationID(name, before)]; known && w != nil {
 		e.removeWorker(w, "it is listed with a later start time", true)
 	}
 	return false, known
@@ -42,7 +42,7 @@
 // The runs that it reports are taken over from w. If w were only removed, starts that were
 // sent to w and carried out by the other incarnation would count as lost, and be repeated
 // beside the runs that exist, or after these have ended.
-func (e *Engine) takeOtherIncarnation(w *worker, x *runner.OtherLife) {
+func (e *Engine) takeOtherIncarnation(w *worker, x *runner.OtherIncarnationError) {
 	e.decide(Decision{What: "answer of another incarnation", Worker: w.ID, Why: x.Error(), Age: e.now - w.answered})
 	next := e.workers[x.ID]
 	if next == nil {
@@ -52,7 +52,7 @@
 		next.newInEpoch, next.rack = true, w.rack
 		e.fleetChanged = true
 	}
-	name, startTime := x.ID.Life()
+	name, startTime := x.ID.Incarnation()
 	e.latestStarts[name] = startTime
 	// The runs there got their lease from orders to the other incarnation, whose clock says
 	// nothing about when it ends.
@@ -89,7 +89,7 @@
 // carried out by the next incarnation under its worker's name. If that incarnation has been
 // seen, an answer to the start does not say which of the two gave it.
 func (e *Engine) mayStartLate(alloc *allocation) bool {
-	name, startTime := alloc.w.ID.Life()
+	name, startTime := alloc.w.ID.Incarnation()
 	followed := e.latestStarts[name] != startTime
 	return startTime != 0 && alloc.tries > 0 && (alloc.ackAt == 0 || (followed && !alloc.reported))
 }
@@ -141,17 +141,17 @@
 // incarnationOf returns the id of the incarnation that an entry names: without a start time,
 // the latest known one of that name.
 func (e *Engine) incarnationOf(id runner.WorkerID) runner.WorkerID {
-	name, startTime := id.Life()
+	name, startTime := id.Incarnation()
 	if startTime != 0 {
 		return id
 	}
-	return runner.LifeID(name, e.latestStarts[name])
+	return runner.IncarnationID(name, e.latestStarts[name])
 }
 
 // unlistedByName handles the removal of a directory entry that names no incarnation.
 func (e *Engine) unlistedByName(now time.Duration, id runner.WorkerID) {
-	name, startTime := id.Life()
+	name, startTime := id.Incarnation()
 	if latest, known := e.latestStarts[name]; known && startTime == 0 {
-		e.WorkerUnlisted(now, runner.LifeID(name, latest))
+		e.WorkerUnlisted(now, runner.IncarnationID(name, latest))
 	}
 }
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -72,7 +72,7 @@
 		return &work.Job{Queue: work.Queue{Name: "q", Service: "s", Attempts: 4, Slack: 2, Allowance: time.Second}, Spec: "x",
 			Steps: []work.Step{{Count: 8, Size: work.Resources{CPU: 1000, Memory: 1000}, Estimate: takes}}}
 	}
-	crashes := runner.LifeID("w-a", 1)
+	crashes := runner.IncarnationID("w-a", 1)
 	c.addWorker(crashes, "w-a", "r")
 	time.Sleep(3 * time.Second)
 	c.submit(tasks()) // completions that are acknowledged
@@ -86,7 +86,7 @@
 	time.Sleep(700 * time.Millisecond)
 	c.submit(tasks())
 	time.Sleep(300 * time.Millisecond)
-	c.addWorker(runner.LifeID("w-b", 1), "w-b", "r") // where they may start again
+	c.addWorker(runner.IncarnationID("w-b", 1), "w-b", "r") // where they may start again
 	time.Sleep(time.Minute)
 	c.stop()
 	require.Empty(t, c.fleet.Broken())
@@ -114,13 +114,13 @@
 // of one incarnation that is sent to the next one, which would drop as many completions that
 // no leader has received.
 func TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds(t *testing.T) {
-	id := runner.LifeID("w-a", 1)
+	id := runner.IncarnationID("w-a", 1)
 	h := newHarness(t, 1, id)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
 	h.step(50 * time.Millisecond)
 	h.report(id, runner.Report{Clock: time.Second})
 	start := h.starts()[0].Start
-	h.report(id, runner.Report{Clock: time.Second, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
+	h.report(id, runner.Report{Clock: time.Second, Ended: []runner.Completion{{Number: 1, Task: start.Task, Run: start.Run}}})
 	last := func() (r runner.Renewal) {
 		h.step(400 * time.Millisecond) // longer than the pauses between renewals
 		for _, x := range h.effects {
@@ -148,7 +148,7 @@
 	h.step(50 * time.Millisecond)
 	h.report("w-a", runner.Report{Clock: time.Second})
 	first := h.starts()[0].Start
-	h.e.Started(h.now, "w-a", first.Task, first.Run, runner.ErrLate)
+	h.e.Started(h.now, "w-a", first.Task, first.Run, runner.ErrLeaseExpired)
 	h.step(100 * time.Millisecond)
 	require.Empty(t, h.starts())
 	h.report("w-a", runner.Report{Clock: time.Hour})
@@ -169,8 +169,8 @@
 	h.step(50 * time.Millisecond)
 	h.report("w-a", runner.Report{Clock: time.Hour})
 	start := h.starts()[0].Start
-	h.report("w-a", runner.Report{Clock: time.Hour, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
-	h.report("w-a", runner.Report{Clock: time.Minute, Ended: []runner.End{{Number: 1, Task: start.Task, Run: start.Run}}})
+	h.report("w-a", runner.Report{Clock: time.Hour, Ended: []runner.Completion{{Number: 1, Task: start.Task, Run: start.Run}}})
+	h.report("w-a", runner.Report{Clock: time.Minute, Ended: []runner.Completion{{Number: 1, Task: start.Task, Run: start.Run}}})
 	require.Nil(t, h.e.workers["w-a"])
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000}) // its next heartbeat
 	h.step(50 * time.Millisecond)
@@ -180,7 +180,7 @@
 // TestEntryWithoutABirthNamesTheLifeThatIsKnown guards against an entry without a start time
 // that is taken for another worker.
 func TestEntryWithoutABirthNamesTheLifeThatIsKnown(t *testing.T) {
-	id := runner.LifeID("w-a", 7)
+	id := runner.IncarnationID("w-a", 7)
 	h := newHarness(t, 1, id)
 	h.step(50 * time.Millisecond)
 	h.report(id, runner.Report{Clock: time.Second})
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -21,10 +21,10 @@
 }
 
 // live reports the started runs as running.
-func live(percent float64, starts ...SendStart) []runner.Live {
-	var all []runner.Live
+func live(percent float64, starts ...SendStart) []runner.ActiveRun {
+	var all []runner.ActiveRun
 	for _, s := range starts {
-		all = append(all, runner.Live{Task: s.Start.Task, Run: s.Start.Run, Percent: percent})
+		all = append(all, runner.ActiveRun{Task: s.Start.Task, Run: s.Start.Run, Percent: percent})
 	}
 	return all
 }
@@ -36,13 +36,13 @@
 	h.report("w-a", runner.Report{})
 	h.report("w-b", runner.Report{})
 	number := int64(0)
-	for _, how := range []runner.How{runner.Done, runner.Failed, runner.Failed, runner.Stopped, runner.Lapsed, runner.Broken} {
+	for _, outcome := range []runner.Outcome{runner.Done, runner.Failed, runner.Failed, runner.Stopped, runner.Expired, runner.GangBroken} {
 		starts := h.starts()
-		require.Len(t, starts, 1, "before it ends as %s", how)
+		require.Len(t, starts, 1, "before it ends as %s", outcome)
 		s := starts[0]
 		number++
 		h.report(s.To.ID, runner.Report{Running: live(100, s)})
-		h.report(s.To.ID, runner.Report{Ended: []runner.End{{Number: number, Task: s.Start.Task, Run: s.Start.Run, How: how}}})
+		h.report(s.To.ID, runner.Report{Ended: []runner.Completion{{Number: number, Task: s.Start.Task, Run: s.Start.Run, Outcome: outcome}}})
 		h.step(50 * time.Millisecond)
 	}
 	require.Len(t, h.starts(), 1)
@@ -66,7 +66,7 @@
 	h.report("w-a", runner.Report{Running: live(100, s)})
 	require.False(t, w.probation, "a task serves there")
 	require.Empty(t, w.failJobs)
-	h.report("w-a", runner.Report{Ended: []runner.End{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, How: runner.Failed}}})
+	h.report("w-a", runner.Report{Ended: []runner.Completion{{Number: 1, Task: s.Start.Task, Run: s.Start.Run, Outcome: runner.Failed}}})
 	require.Empty(t, w.failJobs)
 	require.Len(t, h.starts(), 1, "at once, on the same worker")
 }
@@ -94,7 +94,7 @@
 		number++
 		first := running[0]
 		running = running[1:]
-		h.report("w-a", runner.Report{Running: live(10, running...), Ended: []runner.End{{Number: number, Task: first.Start.Task, Run: first.Start.Run, How: runner.Done}}})
+		h.report("w-a", runner.Report{Running: live(10, running...), Ended: []runner.Completion{{Number: number, Task: first.Start.Task, Run: first.Start.Run, Outcome: runner.Done}}})
 		h.step(150 * time.Millisecond)
 		for _, s := range h.starts() {
 			if s.Start.Task.Job == "00000000000000bb" {
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -26,7 +26,7 @@
 func done(number int64, starts ...SendStart) runner.Report {
 	var r runner.Report
 	for _, s := range starts {
-		r.Ended = append(r.Ended, runner.End{Number: number, Task: s.Start.Task, Run: s.Start.Run, How: runner.Done})
+		r.Ended = append(r.Ended, runner.Completion{Number: number, Task: s.Start.Task, Run: s.Start.Run, Outcome: runner.Done})
 		number++
 	}
 	return r
@@ -86,9 +86,9 @@
 			require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 2, time.Second, time.Second, oneTask())}}))
 			h.step(50 * time.Millisecond)
 			task := work.TaskID{Job: testJob, Occurrence: 1}
-			r := runner.Report{Running: []runner.Live{{Task: task, Run: 1}}}
+			r := runner.Report{Running: []runner.ActiveRun{{Task: task, Run: 1}}}
 			if ended {
-				r = runner.Report{Ended: []runner.End{{Number: 1, Task: task, Run: 1, How: runner.Done}}}
+				r = runner.Report{Ended: []runner.Completion{{Number: 1, Task: task, Run: 1, Outcome: runner.Done}}}
 			}
 			h.report("w-a", r)
 			h.step(3 * time.Second)
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -110,10 +110,10 @@
 }
 
 // endsOf reports completions of starts, numbered from first+1 on.
-func endsOf(first int, how runner.How, starts ...SendStart) runner.Report {
+func endsOf(first int, outcome runner.Outcome, starts ...SendStart) runner.Report {
 	var r runner.Report
 	for i, x := range starts {
-		r.Ended = append(r.Ended, runner.End{Number: int64(first + i + 1), Task: x.Start.Task, Run: x.Start.Run, How: how})
+		r.Ended = append(r.Ended, runner.Completion{Number: int64(first + i + 1), Task: x.Start.Task, Run: x.Start.Run, Outcome: outcome})
 	}
 	return r
 }
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -70,15 +70,15 @@
 		e.takeLateStarts(w)
 	}
 	e.uncordon(w)
-	ends := e.takeCompletions(w, report.Ended)
-	e.reconcileRunning(w, report.Running, len(report.Ended) < runner.MaxEnds)
+	completions := e.takeCompletions(w, report.Ended)
+	e.reconcileRunning(w, report.Running, len(report.Ended) < runner.MaxCompletions)
 	e.settleCrashes(w, false)
 	w.nextRenew = now
 	switch {
-	case len(w.untracked) > 0, ends == 0 && w.stopsAnswered():
+	case len(w.untracked) > 0, completions == 0 && w.stopsAnswered():
 		w.nextRenew = now + untrackedPause // a stop takes a while
 	case w.unacknowledged():
-		w.renewPause = nextPause(w.renewPause, ends > 0)
+		w.renewPause = nextPause(w.renewPause, completions > 0)
 		w.nextRenew = now + w.renewPause
 	}
 }
@@ -93,7 +93,7 @@
 }
 
 func (e *Engine) notRenewed(w *worker, err error) {
-	var other *runner.OtherLife
+	var other *runner.OtherIncarnationError
 	switch {
 	case errors.Is(err, runner.ErrFenced):
 		e.deposed = true
@@ -101,7 +101,7 @@
 	case errors.As(err, &other):
 		e.takeOtherIncarnation(w, other)
 		return
-	case errors.Is(err, runner.ErrGone):
+	case errors.Is(err, runner.ErrIncarnationEnded):
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
@@ -117,7 +117,7 @@
 
 // reconcileRunning compares the runs that a worker reports with the runs booked on it.
 // complete means that the report lists every completion.
-func (e *Engine) reconcileRunning(w *worker, rows []runner.Live, complete bool) {
+func (e *Engine) reconcileRunning(w *worker, rows []runner.ActiveRun, complete bool) {
 	w.refundUntracked()
 	present := make(map[work.TaskID]uint64, len(rows))
 	for i := range rows {
@@ -137,7 +137,7 @@
 	}
 }
 
-func (e *Engine) updateAlloc(alloc *allocation, r *runner.Live) {
+func (e *Engine) updateAlloc(alloc *allocation, r *runner.ActiveRun) {
 	alloc.missingSince, alloc.reported = 0, true
 	e.noteHealthy(alloc)
 	if r.Checkpoint != "" && alloc.s.spec.Checkpoints {
@@ -155,7 +155,7 @@
 
 // handleUnexpected handles a run that this engine has not started or has released: one of an
 // earlier epoch is adopted if its task needs it, any other is stopped.
-func (e *Engine) handleUnexpected(w *worker, r *runner.Live) {
+func (e *Engine) handleUnexpected(w *worker, r *runner.ActiveRun) {
 	j := e.jobs[r.Task.Job]
 	s := j.step(r.Task)
 	if s != nil && j.active() && r.Run <= e.nextRun(0) && e.adopt(w, s, r) {
@@ -168,7 +168,7 @@
 }
 
 // adopt takes over a run of an earlier epoch.
-func (e *Engine) adopt(w *worker, s *step, r *runner.Live) bool {
+func (e *Engine) adopt(w *worker, s *step, r *runner.ActiveRun) bool {
 	t := &s.tasks[r.Task.Index]
 	if t.done || t.alloc != nil || s.gang.stopping || (s.spec.Gang && s.gang.run > r.Run) {
 		return false
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -73,7 +73,7 @@
 	alloc.tries++
 	j := alloc.s.job
 	e.effects = append(e.effects, SendStart{To: alloc.w.Ref, Start: runner.Start{
-		Task: alloc.id(), Run: alloc.run, Spec: j.spec.Spec, Home: j.spec.Home, Checkpoint: alloc.task().checkpoint, Ticket: alloc.ticket,
+		Task: alloc.id(), Run: alloc.run, Spec: j.spec.Spec, AcceptedBy: j.spec.Home, Checkpoint: alloc.task().checkpoint, Ticket: alloc.ticket,
 		Epoch: e.o.Epoch, Until: alloc.w.renewUntil(e.now, e.o.Bounds.Lease),
 	}})
 }
@@ -98,7 +98,7 @@
 		return
 	}
 	w := e.workers[id]
-	if w != nil && errors.Is(err, runner.ErrGone) {
+	if w != nil && errors.Is(err, runner.ErrIncarnationEnded) {
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
@@ -110,7 +110,7 @@
 	case err == nil:
 		e.confirm(alloc)
 		e.startAnswered(alloc)
-	case errors.Is(err, runner.ErrOld):
+	case errors.Is(err, runner.ErrStaleRun):
 		// It was stopped or has completed; a report will tell which.
 		alloc.state, alloc.stopAckedAt = stopping, now
 		e.memberNotStarted(alloc, err)
@@ -174,13 +174,13 @@
 func (e *Engine) refusedBy(alloc *allocation, err error) {
 	w := alloc.w
 	switch {
-	case errors.Is(err, runner.ErrTicket):
+	case errors.Is(err, runner.ErrInvalidTicket):
 		if a := alloc.s.advice; a != nil {
 			a.expire(w)
 		}
-	case errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrNoRoom):
+	case errors.Is(err, runner.ErrUnhealthy), errors.Is(err, runner.ErrNoCapacity):
 		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
-	case errors.Is(err, runner.ErrLate): // the estimate of its clock is wrong
+	case errors.Is(err, runner.ErrLeaseExpired): // the estimate of its clock is wrong
 		w.quarantinedUntil = max(w.quarantinedUntil, e.now+refusalQuarantine)
 		w.nextRenew = e.now
 	case errors.Is(err, runner.ErrNoConnection):
@@ -258,7 +258,7 @@
 	case errors.Is(err, runner.ErrFenced):
 		e.deposed = true
 		return
-	case w != nil && errors.Is(err, runner.ErrGone):
+	case w != nil && errors.Is(err, runner.ErrIncarnationEnded):
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
--- a/process/jobs/partition_test.go
+++ b/process/jobs/partition_test.go
@@ -211,7 +211,7 @@
 }
 
 // endLocked ends a task with the outcome given by the event.
-func (c *cell) endLocked(t *fakeTask, how plan.Event) {
+func (c *cell) endLocked(t *fakeTask, event plan.Event) {
 	if t.ended() || t.worker.tasks[worker.Ref{Task: t.event.Task, Attempt: t.event.Attempt}] != t {
 		return
 	}
@@ -220,12 +220,12 @@
 	}
 	r := c.runs[t.event.Task]
 	r.running--
-	if how.State == worker.Succeeded && !how.Lost {
+	if event.State == worker.Succeeded && !event.Lost {
 		r.succeeded++
 	}
 	c.held[t.step.Team] = c.held[t.step.Team].Sub(t.step.Start.Size)
-	how.Task, how.Attempt, how.Worker = t.event.Task, t.event.Attempt, t.event.Worker
-	t.event, t.sent = how, false
+	event.Task, event.Attempt, event.Worker = t.event.Task, t.event.Attempt, t.event.Worker
+	t.event, t.sent = event, false
 	c.partitions[t.worker.partition].markChanged()
 }
 
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -83,7 +83,7 @@
 	Number     int64
 	Task       work.TaskID
 	Run        uint64
-	How        runner.How
+	How        runner.Outcome
 	Checkpoint string
 }
 
@@ -168,8 +168,8 @@
 
 // codeErrors pairs codes with the errors of package runner.
 var codeErrors = map[code]error{
-	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrGone, codeOld: runner.ErrOld,
-	codeLate: runner.ErrLate, codeNoRoom: runner.ErrNoRoom, codeTicket: runner.ErrTicket, codeUnhealthy: runner.ErrUnhealthy,
+	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrIncarnationEnded, codeOld: runner.ErrStaleRun,
+	codeLate: runner.ErrLeaseExpired, codeNoRoom: runner.ErrNoCapacity, codeTicket: runner.ErrInvalidTicket, codeUnhealthy: runner.ErrUnhealthy,
 	codeNoConnection: runner.ErrNoConnection, codeBadOrder: runner.ErrBadOrder, codeNoSpec: errNoSpec, codeSpecLate: errSpecLate, codeLost: errLost,
 }
 
@@ -205,7 +205,7 @@
 	case o.Code == codeDone:
 		return nil
 	case o.Code == codeGone && o.incarnation != "":
-		return &runner.OtherLife{ID: o.incarnation, Report: o.report()}
+		return &runner.OtherIncarnationError{ID: o.incarnation, Report: o.report()}
 	}
 	kind, known := codeErrors[o.Code]
 	if !known { // code of a later version
@@ -219,14 +219,14 @@
 
 // report returns the worker's report.
 func (o *outcome) report() runner.Report {
-	r := runner.Report{Clock: o.Clock, Running: make([]runner.Live, len(o.Running)), Ended: make([]runner.End, len(o.Ended))}
+	r := runner.Report{Clock: o.Clock, Running: make([]runner.ActiveRun, len(o.Running)), Ended: make([]runner.Completion, len(o.Ended))}
 	for i := range o.Running {
 		x := &o.Running[i]
-		r.Running[i] = runner.Live{Task: x.Task, Run: x.Run, Checkpoint: x.Checkpoint, Percent: float64(x.Percent)}
+		r.Running[i] = runner.ActiveRun{Task: x.Task, Run: x.Run, Checkpoint: x.Checkpoint, Percent: float64(x.Percent)}
 	}
 	for i := range o.Ended {
 		x := &o.Ended[i]
-		r.Ended[i] = runner.End{Number: x.Number, Task: x.Task, Run: x.Run, How: x.How, Checkpoint: x.Checkpoint}
+		r.Ended[i] = runner.Completion{Number: x.Number, Task: x.Task, Run: x.Run, Outcome: x.How, Checkpoint: x.Checkpoint}
 	}
 	return r
 }
@@ -240,6 +240,6 @@
 	}
 	for i := range r.Ended {
 		x := &r.Ended[i]
-		o.Ended[i] = completionRow{Number: x.Number, Task: x.Task, Run: x.Run, How: x.How, Checkpoint: x.Checkpoint}
+		o.Ended[i] = completionRow{Number: x.Number, Task: x.Task, Run: x.Run, How: x.Outcome, Checkpoint: x.Checkpoint}
 	}
 }
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -56,8 +56,8 @@
 
 func (f *fakeWorkers) Renew(ctx context.Context, _ runner.Ref, _ runner.Renewal) (runner.Report, error) {
 	err := f.call(ctx, func() { f.renews++ })
-	return runner.Report{Clock: 9 * time.Second, Running: []runner.Live{{Task: work.TaskID{Job: "j", Index: 2}, Run: 3, Percent: 41}},
-		Ended: []runner.End{{Number: 5, Task: work.TaskID{Job: "j"}, Run: 1, How: runner.Failed, Checkpoint: "c"}}}, err
+	return runner.Report{Clock: 9 * time.Second, Running: []runner.ActiveRun{{Task: work.TaskID{Job: "j", Index: 2}, Run: 3, Percent: 41}},
+		Ended: []runner.Completion{{Number: 5, Task: work.TaskID{Job: "j"}, Run: 1, Outcome: runner.Failed, Checkpoint: "c"}}}, err
 }
 
 func (f *fakeWorkers) set(change func()) {
@@ -261,7 +261,7 @@
 		c.renewAll(t, workers)
 		require.True(t, c.orders.Relaying())
 		leader, owner := c.sentBy("l"), c.sentBy("home")
-		errs := c.startAll(t, workers, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "home", Epoch: 4})
+		errs := c.startAll(t, workers, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "home", Epoch: 4})
 		for _, err := range errs {
 			require.NoError(t, err)
 		}
@@ -304,7 +304,7 @@
 		c.renewAll(t, 60)
 		c.makeUnresponsive("b")
 		began := time.Now()
-		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"}
+		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "a"}
 		for _, err := range c.startAll(t, 60, start) {
 			require.NoError(t, err)
 		}
@@ -348,7 +348,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			c.makeUnresponsive(name)
 		}
-		c.workers["l"].set(func() { c.workers["l"].err = runner.ErrNoRoom })
+		c.workers["l"].set(func() { c.workers["l"].err = runner.ErrNoCapacity })
 		_, err := c.orders.Start(bound(t, 350*time.Millisecond), worker(0), runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Spec: "x"})
 		require.ErrorIs(t, err, runner.ErrUnknown)
 		require.NotErrorIs(t, err, runner.ErrNotRun)
@@ -384,7 +384,7 @@
 		c.members = c.members[:4] // the job's owner is not a relay
 		c.renewAll(t, workers)
 		c.makeUnresponsive("home")
-		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "home"}
+		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "home"}
 		before := c.sentBy("l")
 		c.startAll(t, workers, start) // may time out, and is issued again below
 		for _, err := range c.startAll(t, workers, start) {
@@ -404,15 +404,15 @@
 		defer c.end()
 		c.renewAll(t, 300)
 		before := c.stats.Direct.Value()
-		want := &runner.OtherLife{ID: runner.LifeID("w", 7), Report: runner.Report{Clock: 9 * time.Second,
-			Running: []runner.Live{{Task: work.TaskID{Job: "j", Index: 2}, Run: 3, Percent: 41}},
-			Ended:   []runner.End{{Number: 1, Task: work.TaskID{Job: "j"}, Run: 1, How: runner.Failed, Checkpoint: "c"}}}}
+		want := &runner.OtherIncarnationError{ID: runner.IncarnationID("w", 7), Report: runner.Report{Clock: 9 * time.Second,
+			Running: []runner.ActiveRun{{Task: work.TaskID{Job: "j", Index: 2}, Run: 3, Percent: 41}},
+			Ended:   []runner.Completion{{Number: 1, Task: work.TaskID{Job: "j"}, Run: 1, Outcome: runner.Failed, Checkpoint: "c"}}}}
 		for _, w := range c.workers {
 			w.set(func() { w.err = want })
 		}
 		_, err := c.orders.Renew(bound(t, time.Second), worker(1), runner.Renewal{Epoch: 1})
-		require.ErrorIs(t, err, runner.ErrGone)
-		var other *runner.OtherLife
+		require.ErrorIs(t, err, runner.ErrIncarnationEnded)
+		var other *runner.OtherIncarnationError
 		require.ErrorAs(t, err, &other)
 		require.Equal(t, want, other)
 		require.Equal(t, before, c.stats.Direct.Value(), "through a relay")
@@ -436,8 +436,8 @@
 }
 
 func TestWorkerErrorsKeepTheirKind(t *testing.T) {
-	for _, want := range []error{runner.ErrUnknown, runner.ErrFenced, runner.ErrGone, runner.ErrOld, runner.ErrLate, runner.ErrNoRoom,
-		runner.ErrTicket, runner.ErrUnhealthy, runner.ErrNoConnection, runner.ErrBadOrder} {
+	for _, want := range []error{runner.ErrUnknown, runner.ErrFenced, runner.ErrIncarnationEnded, runner.ErrStaleRun, runner.ErrLeaseExpired, runner.ErrNoCapacity,
+		runner.ErrInvalidTicket, runner.ErrUnhealthy, runner.ErrNoConnection, runner.ErrBadOrder} {
 		o := outcome{Code: codeOf(fmt.Errorf("call: %w", want)), Problem: "more"}
 		require.ErrorIs(t, o.err(), want)
 		require.Equal(t, errors.Is(want, runner.ErrNotRun), errors.Is(o.err(), runner.ErrNotRun), want.Error())
@@ -504,7 +504,7 @@
 		c.renewAll(t, 60)
 		c.makeUnresponsive("b")
 		for range 80 { // 20 s
-			for _, err := range c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"}) {
+			for _, err := range c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "a"}) {
 				require.NoError(t, err)
 			}
 			time.Sleep(250 * time.Millisecond)
@@ -526,7 +526,7 @@
 		for _, name := range []string{"a", "b", "c"} {
 			c.makeUnresponsive(name)
 		}
-		c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Home: "a"})
+		c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "a"})
 		require.Zero(t, c.stats.Down.Value())
 		for range 10 { // the leader is cut off from all daemons
 			c.startAll(t, 60, runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, Spec: "x"})
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -121,7 +121,7 @@
 
 // Start implements runner.Runner.
 func (r *Runner) Start(ctx context.Context, to runner.Ref, s runner.Start) (time.Duration, error) {
-	o := order{What: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, Home: s.Home}
+	o := order{What: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, Home: s.AcceptedBy}
 	var clock time.Duration
 	err := r.issue(ctx, to, o, func(x *outcome) { clock = x.Clock }, func() (err error) {
 		if s.Spec, err = r.spec(ctx, s); err != nil {
@@ -135,10 +135,10 @@
 
 // spec returns the spec of a start, which the scheduler may not have.
 func (r *Runner) spec(ctx context.Context, s runner.Start) (string, error) {
-	if s.Spec != "" || s.Home == "" {
+	if s.Spec != "" || s.AcceptedBy == "" {
 		return s.Spec, nil
 	}
-	spec, err := r.o.Text(ctx, s.Task.Job, s.Home)
+	spec, err := r.o.Text(ctx, s.Task.Job, s.AcceptedBy)
 	if err != nil {
 		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
@@ -231,7 +231,7 @@
 	switch {
 	case err == nil, !lost, !errors.Is(err, runner.ErrNotRun):
 		return err
-	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrGone), errors.Is(err, runner.ErrOld):
+	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrIncarnationEnded), errors.Is(err, runner.ErrStaleRun):
 		return err // these hold for the first order as well
 	}
 	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
--- a/standin/cellsim/worker.go
+++ b/standin/cellsim/worker.go
@@ -23,7 +23,7 @@
 
 	used           work.Resources
 	runs           map[work.TaskID]*run
-	ends           []runner.End // completions that are not acknowledged
+	completions    []runner.Completion // completions that are not acknowledged
 	number         int64
 	pendingRenewal func() // responds to the renewal that waits, nil for none
 	slow,
@@ -208,21 +208,21 @@
 func (s *sim) begin(r *run, d time.Duration) {
 	r.began = s.now
 	fails := r.w.failing || r.job.poisoned || s.rng.Float64() < s.o.Classes[r.job.class].FailureRate
-	how := runner.Done
+	outcome := runner.Done
 	if fails {
-		how = runner.Failed
+		outcome = runner.Failed
 		d = time.Duration(float64(d) * s.rng.Float64())
 	}
 	s.after(d, func() {
 		if !r.ended {
-			s.end(r, how)
+			s.end(r, outcome)
 		}
 	})
 }
 
 // end ends a run, and with it the other members of its gang.
-func (s *sim) end(r *run, how runner.How) {
-	s.endOne(r, how)
+func (s *sim) end(r *run, outcome runner.Outcome) {
+	s.endOne(r, outcome)
 	if !r.spec.Gang {
 		return
 	}
@@ -232,8 +232,8 @@
 	if g == nil {
 		return
 	}
-	others := runner.Broken
-	if how == runner.Done {
+	others := runner.GangBroken
+	if outcome == runner.Done {
 		others = runner.Done
 	}
 	for _, m := range g.members {
@@ -252,20 +252,20 @@
 	delete(s.gangs, key)
 	for _, m := range g.members {
 		if !m.ended {
-			s.endOne(m, runner.Alone)
+			s.endOne(m, runner.GangIncomplete)
 		}
 	}
 }
 
-func (s *sim) endOne(r *run, how runner.How) {
+func (s *sim) endOne(r *run, outcome runner.Outcome) {
 	w := r.w
-	s.release(r, how == runner.Done || r.spec.Checkpoints)
+	s.release(r, outcome == runner.Done || r.spec.Checkpoints)
 	w.number++
-	e := runner.End{Number: w.number, Task: r.task, Run: r.number, How: how}
-	if r.spec.Checkpoints && how != runner.Done {
+	e := runner.Completion{Number: w.number, Task: r.task, Run: r.number, Outcome: outcome}
+	if r.spec.Checkpoints && outcome != runner.Done {
 		e.Checkpoint = strconv.FormatFloat(r.progress(s.now), 'f', 4, 64)
 	}
-	w.ends = append(w.ends, e)
+	w.completions = append(w.completions, e)
 	if w.pendingRenewal != nil {
 		respond := w.pendingRenewal
 		w.pendingRenewal = nil
@@ -300,7 +300,7 @@
 		delete(s.gangs, key)
 		for _, m := range g.members {
 			if !m.ended && !m.w.crashed {
-				s.endOne(m, runner.Broken)
+				s.endOne(m, runner.GangBroken)
 			}
 		}
 	}
@@ -336,7 +336,7 @@
 		reply(callTimeout, func() { s.engine.Renewed(s.now, x.To.ID, runner.Report{}, runner.ErrUnknown) })
 		return
 	}
-	w.ends = slices.DeleteFunc(w.ends, func(e runner.End) bool { return e.Number <= x.Renewal.Acknowledge })
+	w.completions = slices.DeleteFunc(w.completions, func(e runner.Completion) bool { return e.Number <= x.Renewal.Acknowledge })
 	responded := false
 	respond := func() {
 		if responded {
@@ -346,7 +346,7 @@
 		report := w.report(s.now)
 		reply(hop, func() { s.engine.Renewed(s.now, x.To.ID, report, nil) })
 	}
-	if x.Renewal.Wait == 0 || len(w.ends) > 0 {
+	if x.Renewal.Wait == 0 || len(w.completions) > 0 {
 		s.after(hop, respond)
 		return
 	}
@@ -355,9 +355,9 @@
 }
 
 func (w *worker) report(now time.Duration) runner.Report {
-	r := runner.Report{Clock: now, Ended: slices.Clone(w.ends)}
+	r := runner.Report{Clock: now, Ended: slices.Clone(w.completions)}
 	for _, x := range sorted(w.runs) {
-		r.Running = append(r.Running, runner.Live{Task: x.task, Run: x.number, Percent: 100 * x.progress(now)})
+		r.Running = append(r.Running, runner.ActiveRun{Task: x.task, Run: x.number, Percent: 100 * x.progress(now)})
 	}
 	return r
 }
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -38,7 +38,7 @@
 	f.mu.Unlock()
 	switch {
 	case replaced:
-		return nil, false, runner.ErrGone
+		return nil, false, runner.ErrIncarnationEnded
 	case refused:
 		return nil, false, runner.ErrNoConnection
 	}
@@ -101,10 +101,10 @@
 	}
 	if s.Run <= w.highest[s.Task] {
 		f.extend(w, s.Until)
-		return runner.ErrOld
+		return runner.ErrStaleRun
 	}
 	if s.Until <= w.clock() {
-		return runner.ErrLate
+		return runner.ErrLeaseExpired
 	}
 	f.extend(w, s.Until)
 	f.begin(w, s)
@@ -194,17 +194,17 @@
 	if r.stuck {
 		return
 	}
-	how := runner.Done
+	outcome := runner.Done
 	if r.fails {
-		how = runner.Failed
+		outcome = runner.Failed
 	}
 	r.timer.Stop()
 	r.timer = time.AfterFunc(r.takes, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.end(w, r, how)
+		f.end(w, r, outcome)
 		if f.jobs[r.task.Job].Steps[r.task.Step].Gang {
-			f.endGang(r, how)
+			f.endGang(r, outcome)
 		}
 	})
 }
@@ -217,7 +217,7 @@
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if r.began.IsZero() {
-				f.end(w, r, runner.Alone)
+				f.end(w, r, runner.GangIncomplete)
 			}
 		})
 		return
@@ -246,17 +246,17 @@
 	return all
 }
 
-func (f *Fleet) endGang(r *run, how runner.How) {
-	if how != runner.Done {
-		how = runner.Broken
+func (f *Fleet) endGang(r *run, outcome runner.Outcome) {
+	if outcome != runner.Done {
+		outcome = runner.GangBroken
 	}
 	for _, m := range f.members(r) {
-		f.end(m.w, m.r, how)
+		f.end(m.w, m.r, outcome)
 	}
 }
 
 // end ends a run, if it is still running, and lists its completion.
-func (f *Fleet) end(w *worker, r *run, how runner.How) {
+func (f *Fleet) end(w *worker, r *run, outcome runner.Outcome) {
 	if w.crashed || w.running[r.task] != r {
 		return
 	}
@@ -268,7 +268,7 @@
 	w.used = w.used.Sub(r.need)
 	h := f.history(r.task)
 	h.running--
-	switch how {
+	switch outcome {
 	case runner.Done:
 		h.done = true
 		h.doneRuns = append(h.doneRuns, r.number)
@@ -279,7 +279,7 @@
 	w.highest[r.task] = max(w.highest[r.task], r.number)
 	w.number++
 	w.endedAt[w.number] = time.Now()
-	w.ends = append(w.ends, runner.End{Number: w.number, Task: r.task, Run: r.number, How: how})
+	w.completions = append(w.completions, runner.Completion{Number: w.number, Task: r.task, Run: r.number, Outcome: outcome})
 	close(w.wake)
 	w.wake = make(chan struct{})
 }
@@ -314,9 +314,9 @@
 		}
 		w.expiredAt = time.Now()
 		for _, r := range w.running {
-			f.end(w, r, runner.Lapsed)
+			f.end(w, r, runner.Expired)
 			if f.jobs[r.task.Job].Steps[r.task.Step].Gang {
-				f.endGang(r, runner.Lapsed)
+				f.endGang(r, runner.Expired)
 			}
 		}
 	})
@@ -384,7 +384,7 @@
 	}
 	f.mu.Lock()
 	err = f.renew(w, x)
-	wake, pending := w.wake, len(w.ends) > 0
+	wake, pending := w.wake, len(w.completions) > 0
 	f.mu.Unlock()
 	if err != nil {
 		return runner.Report{}, err
@@ -412,7 +412,7 @@
 	case w.crashed:
 		return runner.Report{}, runner.ErrUnknown
 	case w.ID != to.ID:
-		return runner.Report{}, &runner.OtherLife{ID: w.ID, Report: w.report()}
+		return runner.Report{}, &runner.OtherIncarnationError{ID: w.ID, Report: w.report()}
 	}
 	return w.report(), nil
 }
@@ -423,20 +423,20 @@
 	}
 	w.epoch = x.Epoch
 	f.extend(w, x.Until)
-	for len(w.ends) > 0 && w.ends[0].Number <= x.Acknowledge {
-		f.acknowledge(w, &w.ends[0])
-		w.ends = w.ends[1:]
+	for len(w.completions) > 0 && w.completions[0].Number <= x.Acknowledge {
+		f.acknowledge(w, &w.completions[0])
+		w.completions = w.completions[1:]
 	}
 	f.renews++
 	return nil
 }
 
 // acknowledge records the acknowledgement of a completion.
-func (f *Fleet) acknowledge(w *worker, e *runner.End) {
+func (f *Fleet) acknowledge(w *worker, e *runner.Completion) {
 	at := w.endedAt[e.Number]
 	delete(w.endedAt, e.Number)
 	delete(w.ordered, e.Task)
-	if e.How != runner.Done {
+	if e.Outcome != runner.Done {
 		return
 	}
 	h := f.history(e.Task)
@@ -447,9 +447,9 @@
 }
 
 func (w *worker) report() runner.Report {
-	r := runner.Report{Clock: w.clock(), Ended: slices.Clone(w.ends[:min(len(w.ends), runner.MaxEnds)])}
+	r := runner.Report{Clock: w.clock(), Ended: slices.Clone(w.completions[:min(len(w.completions), runner.MaxCompletions)])}
 	for _, x := range w.running {
-		r.Running = append(r.Running, runner.Live{Task: x.task, Run: x.number, Percent: x.percent()})
+		r.Running = append(r.Running, runner.ActiveRun{Task: x.task, Run: x.number, Percent: x.percent()})
 	}
 	return r
 }
--- a/standin/epochworker/fleet.go
+++ b/standin/epochworker/fleet.go
@@ -116,23 +116,23 @@
 	disconnected bool
 	crashed      bool
 	// replaced: the next incarnation responds at its address.
-	replaced   bool
-	next       *worker
-	unlisted   bool // not in the directory yet
-	epoch      uint64
-	started    time.Time
-	until      time.Duration // end of the lease, on its clock
-	running    map[work.TaskID]*run
-	highest    map[work.TaskID]uint64 // highest run that was stopped or ended
-	ordered    map[work.TaskID]bool   // to start, without an acknowledged completion
-	ends       []runner.End           // completions that are not acknowledged
-	endedAt    map[int64]time.Time    // times of these completions, by number
-	expiredAt  time.Time              // when its lease last expired
-	number     int64                  // of the last completion
-	wake       chan struct{}
-	capacities []timedLimit // earlier capacities that still count
-	expiry     *time.Timer
-	used       work.Resources
+	replaced    bool
+	next        *worker
+	unlisted    bool // not in the directory yet
+	epoch       uint64
+	started     time.Time
+	until       time.Duration // end of the lease, on its clock
+	running     map[work.TaskID]*run
+	highest     map[work.TaskID]uint64 // highest run that was stopped or ended
+	ordered     map[work.TaskID]bool   // to start, without an acknowledged completion
+	completions []runner.Completion    // completions that are not acknowledged
+	endedAt     map[int64]time.Time    // times of these completions, by number
+	expiredAt   time.Time              // when its lease last expired
+	number      int64                  // of the last completion
+	wake        chan struct{}
+	capacities  []timedLimit // earlier capacities that still count
+	expiry      *time.Timer
+	used        work.Resources
 }
 
 type run struct {
@@ -309,7 +309,7 @@
 		f.history(r.task).running--
 		r.timer.Stop()
 		if j := f.jobs[r.task.Job]; j.Steps[r.task.Step].Gang {
-			f.endGang(r, runner.Lapsed)
+			f.endGang(r, runner.Expired)
 		}
 	}
 	for t := range w.ordered {
@@ -318,7 +318,7 @@
 	time.AfterFunc(4500*time.Millisecond, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
-		f.record(runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: id}}, Gone: true})
+		f.record(runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: id}}, Removed: true})
 	})
 	if f.o.Restart > 0 {
 		close(w.wake) // its connections are closed
@@ -335,8 +335,8 @@
 	next := w.Worker
 	next.ID = runner.WorkerID(fmt.Sprintf("life-%d", f.restarts))
 	if f.o.SameName {
-		name, born := w.ID.Life()
-		next.ID = runner.LifeID(name, born+1)
+		name, born := w.ID.Incarnation()
+		next.ID = runner.IncarnationID(name, born+1)
 	}
 	w.next = f.newWorker(next)
 	if f.o.SameName {
--- a/standin/epochworker/fleet_test.go
+++ b/standin/epochworker/fleet_test.go
@@ -81,7 +81,7 @@
 		f := twoWorkers(work.Step{Count: 1})
 		task := work.TaskID{Job: id}
 		require.NoError(t, f.Stop(t.Context(), runner.Ref{ID: "a"}, task, 5, 1))
-		require.ErrorIs(t, order(t, f, "a", task, 5), runner.ErrOld)
+		require.ErrorIs(t, order(t, f, "a", task, 5), runner.ErrStaleRun)
 		_, err := f.Renew(t.Context(), runner.Ref{ID: "a"}, runner.Renewal{Epoch: 2})
 		require.NoError(t, err)
 		require.ErrorIs(t, order(t, f, "a", task, 6), runner.ErrFenced)
