--- a/connection/graceful/graceful.go
+++ b/connection/graceful/graceful.go
@@ -46,9 +46,9 @@
 	since time.Time
 }
 
-// Follow tracks the server's connections. It sets the server's ConnState and wraps its
+// Track tracks the server's connections. It sets the server's ConnState and wraps its
 // Handler. The server must serve a listener returned by Listener.
-func Follow(s *http.Server) *Conns {
+func Track(s *http.Server) *Conns {
 	c := &Conns{server: s, handler: s.Handler, conns: map[net.Conn]status{}}
 	s.ConnState, s.Handler = c.setState, c
 	return c
--- a/connection/graceful/graceful_test.go
+++ b/connection/graceful/graceful_test.go
@@ -56,7 +56,7 @@
 	require.NoError(t, err)
 	f := &fixture{listen: &slowListener{Listener: Listener(l), release: make(chan struct{})}, done: make(chan error, 1)}
 	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, "whole") })}
-	f.conns = Follow(server)
+	f.conns = Track(server)
 	go func() { _ = server.Serve(f.listen) }() // ends with the listener
 	t.Cleanup(func() { _ = server.Close() })
 	return f
@@ -135,7 +135,7 @@
 	in, err := Listener(l).Accept()
 	require.NoError(t, err)
 	defer in.Close()
-	conns := Follow(&http.Server{})
+	conns := Track(&http.Server{})
 	conns.setState(in, http.StateIdle)
 	_, err = io.WriteString(out, "POST")
 	require.NoError(t, err)
--- a/connection/peer/errors.go
+++ b/connection/peer/errors.go
@@ -14,25 +14,25 @@
 	ErrClosed    = fmt.Errorf("%w: node closed", ErrNotSent)
 )
 
-// WrongLifeError reports that the address of the wanted incarnation of a daemon
-// belongs to another incarnation, or to another daemon. It matches ErrWrongLife.
-type WrongLifeError struct {
+// WrongIncarnationError reports that the address of the wanted incarnation of a daemon
+// belongs to another incarnation, or to another daemon. It matches ErrWrongIncarnation.
+type WrongIncarnationError struct {
 	Want, Actual Ref
 }
 
 // Error implements error.
-func (e *WrongLifeError) Error() string {
-	return fmt.Sprintf("%v: want %s/%d, found %s/%d", ErrWrongLife,
+func (e *WrongIncarnationError) Error() string {
+	return fmt.Sprintf("%v: want %s/%d, found %s/%d", ErrWrongIncarnation,
 		e.Want.ID, e.Want.Incarnation, e.Actual.ID, e.Actual.Incarnation)
 }
 
-// Unwrap makes errors.Is(err, ErrWrongLife) hold.
-func (e *WrongLifeError) Unwrap() error { return ErrWrongLife }
+// Unwrap makes errors.Is(err, ErrWrongIncarnation) hold.
+func (e *WrongIncarnationError) Unwrap() error { return ErrWrongIncarnation }
 
 // NotRun reports whether a call that failed with err certainly did not run on the
 // remote daemon, so that it may be sent again even if it is not idempotent.
 func NotRun(err error) bool {
-	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrWrongLife) || errors.Is(err, ErrNoMethod)
+	return errors.Is(err, ErrNotSent) || errors.Is(err, ErrWrongIncarnation) || errors.Is(err, ErrNoMethod)
 }
 
 func notSent(err error) error {
--- a/connection/peer/frame.go
+++ b/connection/peer/frame.go
@@ -88,7 +88,7 @@
 	case statusNoMethod:
 		return ErrNoMethod
 	case statusWrongIncarnation:
-		return &WrongLifeError{Want: to, Actual: r.Actual}
+		return &WrongIncarnationError{Want: to, Actual: r.Actual}
 	case statusRefused:
 		return ErrBusy
 	default:
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -69,13 +69,13 @@
 		return nil, err
 	}
 	if l.remote.Self != to {
-		return nil, &WrongLifeError{Want: to, Actual: l.remote.Self}
+		return nil, &WrongIncarnationError{Want: to, Actual: l.remote.Self}
 	}
 	return l, nil
 }
 
 // current returns the open link to the incarnation, nil if there is none, or a
-// *WrongLifeError if there is an open link to a later incarnation: the earlier one
+// *WrongIncarnationError if there is an open link to a later incarnation: the earlier one
 // has ended, and a handshake for each call to it would be in vain.
 func (n *Node) current(to Ref) (*link, error) {
 	n.mu.Lock()
@@ -87,7 +87,7 @@
 	case l.remote.Self == to:
 		return l, nil
 	case l.remote.Self.Incarnation > to.Incarnation:
-		return nil, &WrongLifeError{Want: to, Actual: l.remote.Self}
+		return nil, &WrongIncarnationError{Want: to, Actual: l.remote.Self}
 	default:
 		return nil, nil
 	}
--- a/connection/peer/node_test.go
+++ b/connection/peer/node_test.go
@@ -130,8 +130,8 @@
 		{"handler panics", to, "panic", nil, testTimeout, remote(CodePanic)},
 		{"reply too large", to, "huge", nil, testTimeout, remote(CodeBadReply)},
 		{"method not registered", to, "absent", nil, testTimeout, is(ErrNoMethod)},
-		{"earlier incarnation", old, "echo", message{}, testTimeout, is(ErrWrongLife)},
-		{"later incarnation", next, "echo", message{}, testTimeout, is(ErrWrongLife)},
+		{"earlier incarnation", old, "echo", message{}, testTimeout, is(ErrWrongIncarnation)},
+		{"later incarnation", next, "echo", message{}, testTimeout, is(ErrWrongIncarnation)},
 		{"no address", Ref{ID: "else", Incarnation: 1}, "echo", message{}, testTimeout, is(ErrNotSent, ErrNoAddress)},
 		{"request too large", to, "echo", message{Data: make([]byte, MaxMessage)}, testTimeout, is(ErrNotSent, ErrTooLarge)},
 		{"request cannot be encoded", to, "echo", make(chan int), testTimeout, is(ErrNotSent)},
@@ -231,8 +231,8 @@
 	second := startNode(t, addr, newHello("server", 2), peerTLS(t), mux).Self()
 	require.Eventually(t, func() bool { return call(second) == nil }, testTimeout, time.Millisecond)
 	err := call(first)
-	require.ErrorIs(t, err, ErrWrongLife)
-	var wrong *WrongLifeError
+	require.ErrorIs(t, err, ErrWrongIncarnation)
+	var wrong *WrongIncarnationError
 	require.ErrorAs(t, err, &wrong)
 	require.Equal(t, second, wrong.Actual)
 }
--- a/connection/peer/peer.go
+++ b/connection/peer/peer.go
@@ -20,10 +20,10 @@
 
 // Errors of calls. Test with errors.Is.
 var (
-	ErrNotSent   = errors.New("peer: not sent, the call did not run")
-	ErrUnknown   = errors.New("peer: outcome unknown, the call may have run")
-	ErrNoMethod  = errors.New("peer: method not known to the other side")
-	ErrWrongLife = errors.New("peer: the address belongs to another incarnation, the call did not run")
+	ErrNotSent          = errors.New("peer: not sent, the call did not run")
+	ErrUnknown          = errors.New("peer: outcome unknown, the call may have run")
+	ErrNoMethod         = errors.New("peer: method not known to the other side")
+	ErrWrongIncarnation = errors.New("peer: the address belongs to another incarnation, the call did not run")
 )
 
 // Method is the name of a call, for example "slots.acquire".
--- a/connection/peer/peertest/node.go
+++ b/connection/peer/peertest/node.go
@@ -133,7 +133,7 @@
 
 func (x *Node) serve(ctx context.Context, from, to peer.Ref, anyIncarnation bool, method peer.Method, payload []byte) outcome {
 	if !anyIncarnation && to != x.self {
-		return outcome{err: &peer.WrongLifeError{Want: to, Actual: x.self}}
+		return outcome{err: &peer.WrongIncarnationError{Want: to, Actual: x.self}}
 	}
 	data, err := x.mux.Dispatch(ctx, from, method, payload)
 	return outcome{payload: data, err: copyError(err)}
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -78,9 +78,9 @@
 	ErrUnknown = errors.New("runner: no answer, the worker may have acted")
 	// ErrFenced means that the worker was called with a higher epoch. Matches ErrNotRun.
 	ErrFenced = notRun("a higher epoch has called the worker")
-	// ErrIncarnationEnded means that the address belongs to another incarnation of the worker;
+	// ErrRestarted means that the address belongs to another incarnation of the worker;
 	// this one has ended, and so have all its runs. Matches ErrNotRun.
-	ErrIncarnationEnded = notRun("the worker's life has ended")
+	ErrRestarted = notRun("the worker's life has ended")
 	// ErrStaleRun means that the run, or a higher one of the task, was stopped or has ended
 	// on the worker.
 	ErrStaleRun = notRun("the run is not higher than one that ended there")
@@ -98,22 +98,20 @@
 	ErrBadOrder = notRun("the worker does not accept the order")
 )
 
-// OtherIncarnationError is the error of a renewal that another incarnation under the worker's name
-// has answered: its lease was renewed, and Report is its answer. Matches ErrIncarnationEnded.
-type OtherIncarnationError struct {
+// IncarnationError is the error of a renewal that another incarnation under the worker's name
+// has answered: its lease was renewed, and Report is its answer. Matches ErrRestarted.
+type IncarnationError struct {
 	ID     WorkerID // the incarnation that answered
 	Report Report
 }
 
 // Error implements error.
-func (o *OtherIncarnationError) Error() string {
+func (o *IncarnationError) Error() string {
 	return fmt.Sprintf("runner: %s answers, with %d runs and %d completions", o.ID, len(o.Report.Running), len(o.Report.Ended))
 }
 
-// Is makes it match ErrIncarnationEnded and the errors that ErrIncarnationEnded matches.
-func (o *OtherIncarnationError) Is(target error) bool {
-	return target == ErrIncarnationEnded || errors.Is(ErrIncarnationEnded, target)
-}
+// Is makes it match ErrRestarted and the errors that ErrRestarted matches.
+func (o *IncarnationError) Is(t error) bool { return t == ErrRestarted || errors.Is(ErrRestarted, t) }
 
 type notRunError struct{ text string }
 
@@ -203,7 +201,7 @@
 	// Stop returns nil if the run is being stopped, has ended, or will be
 	// refused if its start order arrives later.
 	Stop(ctx context.Context, to Ref, task work.TaskID, run, epoch uint64) error
-	// Renew returns the runs and completions of the worker. The error is an *OtherIncarnationError
+	// Renew returns the runs and completions of the worker. The error is an *IncarnationError
 	// if another incarnation under its name has answered.
 	Renew(ctx context.Context, to Ref, r Renewal) (Report, error)
 }
--- a/connection/store/patience.go
+++ b/connection/store/adaptivetimeout.go
@@ -7,13 +7,13 @@
 	"time"
 )
 
-// Patience is an adaptive call timeout: it is derived from the duration of recent
+// AdaptiveTimeout is an adaptive call timeout: it is derived from the duration of recent
 // calls. It also records whether the store answers or refuses calls.
 //
 // A lost response or a dead connection is noticed only by the timeout. With a
 // fixed timeout that suits a slow store every lost response costs that long; with
 // one that suits a fast store no call to a slow one ever succeeds.
-type Patience struct {
+type AdaptiveTimeout struct {
 	// Min and Max bound the timeout.
 	Min, Max time.Duration
 
@@ -29,7 +29,7 @@
 	open       map[*pendingCall]struct{} // reads and watches in flight
 }
 
-// Parameters of Patience: the timeout is timeoutFactor times the decaying average
+// Parameters of AdaptiveTimeout: the timeout is timeoutFactor times the decaying average
 // duration of answered calls, in which a new call has the weight 1/averageDecay.
 const (
 	timeoutFactor       = 8
@@ -39,15 +39,15 @@
 
 // Timeout returns the timeout of the next call: doubled for each consecutive call
 // without an answer, between Min and Max.
-func (p *Patience) Timeout() time.Duration {
+func (p *AdaptiveTimeout) Timeout() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	d := max(p.average*timeoutFactor, p.Min) << min(p.timeouts, maxTimeoutDoublings)
 	return min(d, p.Max)
 }
 
-// Usual returns the decaying average duration of answered calls; 0 before the first.
-func (p *Patience) Usual() time.Duration {
+// Average returns the decaying average duration of answered calls; 0 before the first.
+func (p *AdaptiveTimeout) Average() time.Duration {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.average
@@ -56,13 +56,13 @@
 // Call makes one call bounded by Timeout and records its result. A call that the
 // caller cancels is not recorded: it would make the store look failed, and each
 // submission after it would cost an additional read.
-func (p *Patience) Call(ctx context.Context, f func(ctx context.Context) error) error {
-	return p.CallWithin(ctx, 0, f)
+func (p *AdaptiveTimeout) Call(ctx context.Context, f func(ctx context.Context) error) error {
+	return p.CallWithMinTimeout(ctx, 0, f)
 }
 
-// CallWithin is Call with a timeout of at least limit, for a caller that does other
+// CallWithMinTimeout is Call with a timeout of at least limit, for a caller that does other
 // work meanwhile and can use a late answer.
-func (p *Patience) CallWithin(ctx context.Context, limit time.Duration, f func(ctx context.Context) error) error {
+func (p *AdaptiveTimeout) CallWithMinTimeout(ctx context.Context, limit time.Duration, f func(ctx context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, max(p.Timeout(), limit))
 	defer cancel()
 	start := time.Now()
@@ -74,7 +74,7 @@
 }
 
 // answered records a call that was answered after d.
-func (p *Patience) answered(d time.Duration) {
+func (p *AdaptiveTimeout) answered(d time.Duration) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
@@ -94,7 +94,7 @@
 }
 
 // timedOut records a call without an answer.
-func (p *Patience) timedOut() {
+func (p *AdaptiveTimeout) timedOut() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.timeouts++
@@ -102,31 +102,31 @@
 }
 
 // refused records a call that the store refused or that did not reach it.
-func (p *Patience) refused() {
+func (p *AdaptiveTimeout) refused() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.refusals++
 	p.failing, p.refusedAt = true, time.Now()
 }
 
-// refusingCalls is the number of consecutive refusals that TurnedAway requires: more than
+// refusingCalls is the number of consecutive refusals that Refusing requires: more than
 // a store returns that sheds calls over its rate limits.
 const refusingCalls = 3
 
-// refusingTime is how long the store must have refused every call for TurnedAway to
+// refusingTime is how long the store must have refused every call for Refusing to
 // report it.
 const refusingTime = 300 * time.Millisecond
 
-// TurnedAway reports whether the store has refused every call for a while.
-func (p *Patience) TurnedAway() bool {
+// Refusing reports whether the store has refused every call for a while.
+func (p *AdaptiveTimeout) Refusing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.refusals >= refusingCalls && time.Since(p.answeredAt) >= refusingTime
 }
 
-// Suspect reports whether the last call failed. The outcome of a write that is sent
+// Failing reports whether the last call failed. The outcome of a write that is sent
 // then may stay unknown; a read is the safe way to check that the store is available.
-func (p *Patience) Suspect() bool {
+func (p *AdaptiveTimeout) Failing() bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failing
@@ -135,16 +135,16 @@
 // RefusedWithin reports whether the last call failed and a call was refused within the
 // last d. Calls without an answer do not count: waiting for their timeout already
 // spaces the next calls.
-func (p *Patience) RefusedWithin(d time.Duration) bool {
+func (p *AdaptiveTimeout) RefusedWithin(d time.Duration) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return p.failing && time.Since(p.refusedAt) < d
 }
 
-// Await returns when a call has been answered after the last failed one, at the latest
+// AwaitAnswer returns when a call has been answered after the last failed one, at the latest
 // after limit. It keeps each of a daemon's followers from calling the store ten times a
 // second during an outage; all calls are billed.
-func (p *Patience) Await(ctx context.Context, limit time.Duration) {
+func (p *AdaptiveTimeout) AwaitAnswer(ctx context.Context, limit time.Duration) {
 	p.mu.Lock()
 	if !p.failing {
 		p.mu.Unlock()
@@ -165,7 +165,7 @@
 }
 
 // record records the result of a call that took d, by its error.
-func (p *Patience) record(err error, d time.Duration) {
+func (p *AdaptiveTimeout) record(err error, d time.Duration) {
 	switch {
 	case errors.Is(err, ErrUnknownOutcome), errors.Is(err, ErrUnavailable) && errors.Is(err, context.DeadlineExceeded):
 		p.timedOut()
--- a/connection/store/client.go
+++ b/connection/store/client.go
@@ -104,7 +104,7 @@
 // package's; ErrUnavailable and ErrOverBudget mean that nothing took effect.
 func (c *Client) call(ctx context.Context, h *Handle, class callClass, timeout time.Duration, f func(context.Context) error) error {
 	m := c.metrics.of(h.role)
-	if !h.insistent && c.breaker.refuses() {
+	if !h.ignoreBreaker && c.breaker.refuses() {
 		m.refused.Add(1)
 		return fmt.Errorf("outage: %w", ErrUnavailable)
 	}
@@ -113,7 +113,7 @@
 		return err
 	}
 	ticket, ok := c.breaker.enter()
-	if !ok && !h.insistent {
+	if !ok && !h.ignoreBreaker {
 		m.refused.Add(1)
 		return fmt.Errorf("outage: %w", ErrUnavailable)
 	}
--- a/connection/store/handle.go
+++ b/connection/store/handle.go
@@ -21,8 +21,8 @@
 type Handle struct {
 	client *Client
 	role   Role
-	// insistent handles also make calls during a known outage.
-	insistent bool
+	// ignoreBreaker handles also make calls during a known outage.
+	ignoreBreaker bool
 }
 
 const (
@@ -37,11 +37,11 @@
 	return sleep.NewBackoff(firstRetry, lastRetry)
 }
 
-// Insistent returns a handle of the same role whose calls are also made during a
+// IgnoreBreaker returns a handle of the same role whose calls are also made during a
 // known outage. It is for the few calls that an operator waits for: the store may
 // have recovered seconds before the breaker's next probe.
-func (h *Handle) Insistent() *Handle {
-	return &Handle{client: h.client, role: h.role, insistent: true}
+func (h *Handle) IgnoreBreaker() *Handle {
+	return &Handle{client: h.client, role: h.role, ignoreBreaker: true}
 }
 
 // Get returns the item of key. It fails with ErrNotFound, ErrUnavailable,
--- a/connection/store/lease.go
+++ b/connection/store/lease.go
@@ -29,7 +29,7 @@
 // So validity counts from the beginning of the last successful renewal, by the
 // monotonic or the wall clock, whichever has advanced further.
 //
-// Checking Left is not enough to protect an action: the holder can be paused
+// Checking Remaining is not enough to protect an action: the holder can be paused
 // between the check and the action. An action that must not happen twice has to
 // be fenced where it takes effect.
 type Lease struct {
@@ -62,8 +62,8 @@
 	return l.renewed
 }
 
-// Left returns how long the lease is still certainly valid; never negative.
-func (l *Lease) Left() time.Duration {
+// Remaining returns how long the lease is still certainly valid; never negative.
+func (l *Lease) Remaining() time.Duration {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.lost {
--- a/connection/store/outage_test.go
+++ b/connection/store/outage_test.go
@@ -160,7 +160,7 @@
 		require.NoError(t, err)
 		m.SetFaults(kv.Faults{Delay: time.Second})
 		require.NoError(t, l.Renew(t.Context()))
-		require.Equal(t, ttl-time.Second, l.Left())
+		require.Equal(t, ttl-time.Second, l.Remaining())
 
 		m.SetFaults(kv.Faults{LoseAnswers: 1})
 		renewed := l.Renewed()
@@ -169,7 +169,7 @@
 
 		m.SetFaults(kv.Faults{})
 		time.Sleep(2 * ttl)
-		require.Zero(t, l.Left())
+		require.Zero(t, l.Remaining())
 		require.ErrorIs(t, l.Renew(t.Context()), store.ErrLeaseLost)
 		_, err = h.Get(t.Context(), "member")
 		require.ErrorIs(t, err, store.ErrNotFound)
@@ -193,11 +193,11 @@
 			time.Sleep(ttl / 3)
 			m.SetFaults(kv.Faults{})
 			time.Sleep(ttl)
-			require.Positive(t, l.Left())
+			require.Positive(t, l.Remaining())
 		}
 		m.SetFaults(kv.Faults{Down: true})
 		time.Sleep(3 * ttl)
-		require.Zero(t, l.Left())
+		require.Zero(t, l.Remaining())
 		m.SetFaults(kv.Faults{})
 		require.ErrorIs(t, <-ended, store.ErrLeaseLost)
 	})
--- a/connection/store/prefixed.go
+++ b/connection/store/prefixed.go
@@ -18,9 +18,9 @@
 // byte.
 const outside = "\x00"
 
-// Outside returns the name by which a user of a Prefixed accesses a key of the
+// Unprefixed returns the name by which a user of a Prefixed accesses a key of the
 // underlying store, without the prefix.
-func Outside(key string) string { return outside + key }
+func Unprefixed(key string) string { return outside + key }
 
 func (p Prefixed) in(key string) string {
 	if raw, ok := strings.CutPrefix(key, outside); ok {
@@ -33,7 +33,7 @@
 	if own, ok := strings.CutPrefix(key, p.Prefix); ok {
 		return own
 	}
-	return Outside(key)
+	return Unprefixed(key)
 }
 
 func (p Prefixed) entry(e Entry) Entry {
--- a/connection/store/prefixed_test.go
+++ b/connection/store/prefixed_test.go
@@ -73,13 +73,13 @@
 	rev, err := m.Put(ctx, "shared", []byte("x"), 0, 0)
 	require.NoError(t, err)
 	p := store.Prefixed{Transactor: m, Prefix: "part/1/"}
-	e, err := p.Get(ctx, store.Outside("shared"))
+	e, err := p.Get(ctx, store.Unprefixed("shared"))
 	require.NoError(t, err)
-	require.Equal(t, store.Outside("shared"), e.Key)
-	_, err = p.Commit(ctx, store.Txn{Checks: []store.Check{{Key: store.Outside("shared"), Revision: rev + 1}}, Writes: []store.Write{{Key: "own"}}})
+	require.Equal(t, store.Unprefixed("shared"), e.Key)
+	_, err = p.Commit(ctx, store.Txn{Checks: []store.Check{{Key: store.Unprefixed("shared"), Revision: rev + 1}}, Writes: []store.Write{{Key: "own"}}})
 	var conflict *store.ConflictError
 	require.True(t, errors.As(err, &conflict))
-	now, found := conflict.Find(store.Outside("shared"))
+	now, found := conflict.Find(store.Unprefixed("shared"))
 	require.True(t, found)
 	require.Equal(t, rev, now.Revision)
 	_, err = p.Put(ctx, "own", []byte("y"), 0, 0)
--- a/connection/store/overtaken.go
+++ b/connection/store/presumedlost.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// ErrOvertaken means that a call is presumed lost, since the store has answered one that
+// ErrPresumedLost means that a call is presumed lost, since the store has answered one that
 // was sent well after it.
-var ErrOvertaken = errors.New("store: no answer, while a later call was answered")
+var ErrPresumedLost = errors.New("store: no answer, while a later call was answered")
 
 // pendingCall is a call in flight.
 type pendingCall struct {
@@ -21,17 +21,17 @@
 
 type pendingCallKey struct{}
 
-// Sent is called by adapters when they send a request, with the call's context. A read
+// MarkSent is called by adapters when they send a request, with the call's context. A read
 // of several pages sends several requests.
-func Sent(ctx context.Context) {
+func MarkSent(ctx context.Context) {
 	if c, ok := ctx.Value(pendingCallKey{}).(*pendingCall); ok {
 		now := time.Now()
 		c.sent.Store(&now)
 	}
 }
 
-// Begun is called by adapters when the first byte of a response has arrived.
-func Begun(ctx context.Context) {
+// MarkAnswering is called by adapters when the first byte of a response has arrived.
+func MarkAnswering(ctx context.Context) {
 	if c, ok := ctx.Value(pendingCallKey{}).(*pendingCall); ok {
 		c.sent.Store(nil)
 	}
@@ -42,23 +42,23 @@
 const minOutage = time.Second
 
 // Read makes a read that may take long once its response has started. It cancels the read
-// with ErrOvertaken if it is presumed lost: no response has started, and the store has
+// with ErrPresumedLost if it is presumed lost: no response has started, and the store has
 // answered a call that was sent well after it.
 //
 // A read that is sent while the store is unresponsive is never answered. Its timeout allows
 // for a large response over a slow link, so without Read the daemon would work with old data
 // for seconds while its other calls are answered again.
-func (p *Patience) Read(ctx context.Context, f func(ctx context.Context) error) error {
+func (p *AdaptiveTimeout) Read(ctx context.Context, f func(ctx context.Context) error) error {
 	return p.guard(ctx, false, f)
 }
 
-// Watch makes a long poll and cancels it with ErrOvertaken if an outage has ended since it
+// Watch makes a long poll and cancels it with ErrPresumedLost if an outage has ended since it
 // was sent: the request or its response may have been lost in the outage.
-func (p *Patience) Watch(ctx context.Context, f func(ctx context.Context) error) error {
+func (p *AdaptiveTimeout) Watch(ctx context.Context, f func(ctx context.Context) error) error {
 	return p.guard(ctx, true, f)
 }
 
-func (p *Patience) guard(ctx context.Context, longPoll bool, f func(ctx context.Context) error) error {
+func (p *AdaptiveTimeout) guard(ctx context.Context, longPoll bool, f func(ctx context.Context) error) error {
 	if p == nil {
 		return f(ctx)
 	}
@@ -66,7 +66,7 @@
 	defer cancel(nil)
 	c := &pendingCall{longPoll: longPoll, cancel: cancel}
 	ctx = context.WithValue(ctx, pendingCallKey{}, c)
-	Sent(ctx)
+	MarkSent(ctx)
 	p.mu.Lock()
 	if p.open == nil {
 		p.open = map[*pendingCall]struct{}{}
@@ -79,8 +79,8 @@
 		delete(p.open, c)
 	}()
 	err := f(ctx)
-	if err != nil && errors.Is(context.Cause(ctx), ErrOvertaken) {
-		return fmt.Errorf("%w: %w", ErrOvertaken, err)
+	if err != nil && errors.Is(context.Cause(ctx), ErrPresumedLost) {
+		return fmt.Errorf("%w: %w", ErrPresumedLost, err)
 	}
 	return err
 }
@@ -89,7 +89,7 @@
 // was sent at the given time; outage says that it is the first answered call for minOutage.
 // A read is presumed lost only if it was sent earlier by more than the usual timeout, since
 // a list may take the store several times as long as another call.
-func (p *Patience) overtake(sent time.Time, outage bool) {
+func (p *AdaptiveTimeout) overtake(sent time.Time, outage bool) {
 	minLead := max(p.average*timeoutFactor, p.Min)
 	for c := range p.open {
 		at := c.sent.Load()
@@ -98,7 +98,7 @@
 		}
 		lead := sent.Sub(*at)
 		if (!c.longPoll && lead > minLead) || (c.longPoll && outage && lead > 0) {
-			c.cancel(ErrOvertaken)
+			c.cancel(ErrPresumedLost)
 		}
 	}
 }
--- a/connection/store/overtaken_test.go
+++ b/connection/store/presumedlost_test.go
@@ -22,7 +22,7 @@
 		{"a large response that has started", 500 * time.Millisecond, time.Second, false},
 	} {
 		synctest.Test(t, func(t *testing.T) {
-			p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+			p := &AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 			go func() {
 				time.Sleep(x.later)
 				_ = p.Call(t.Context(), answered) // succeeds
@@ -30,7 +30,7 @@
 			start := time.Now()
 			err := p.Read(t.Context(), func(ctx context.Context) error {
 				if x.begun > 0 {
-					time.AfterFunc(x.begun, func() { Begun(ctx) })
+					time.AfterFunc(x.begun, func() { MarkAnswering(ctx) })
 				}
 				select {
 				case <-ctx.Done():
@@ -43,7 +43,7 @@
 				require.NoError(t, err, x.what)
 				return
 			}
-			require.ErrorIs(t, err, ErrOvertaken, x.what)
+			require.ErrorIs(t, err, ErrPresumedLost, x.what)
 			require.Equal(t, x.later, time.Since(start), x.what)
 			require.Empty(t, p.open)
 		})
@@ -52,15 +52,15 @@
 
 func TestSecondPageOfAReadCanBePresumedLost(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+		p := &AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 		time.AfterFunc(3*time.Second, func() { _ = p.Call(t.Context(), func(context.Context) error { return nil }) }) // succeeds
 		err := p.Read(t.Context(), func(ctx context.Context) error {
-			Begun(ctx) // the first page
+			MarkAnswering(ctx) // the first page
 			time.Sleep(time.Second)
-			Sent(ctx)
+			MarkSent(ctx)
 			<-ctx.Done()
 			return ctx.Err()
 		})
-		require.ErrorIs(t, err, ErrOvertaken)
+		require.ErrorIs(t, err, ErrPresumedLost)
 	})
 }
--- a/connection/store/readbound.go
+++ b/connection/store/readtimeout.go
@@ -9,20 +9,20 @@
 // maxReadDoublings bounds how far the timeout grows: to eight times its first value.
 const maxReadDoublings = 3
 
-// ReadBound is the timeout of attempts of a read whose duration depends on the size of
+// ReadTimeout is the timeout of attempts of a read whose duration depends on the size of
 // the data. An attempt that times out doubles the timeout of the next one; a successful
 // attempt resets it.
 //
 // With a fixed timeout, a read that takes longer over a slow link would be cancelled
 // when most of the data has arrived and start over for ever, saturating the link.
-type ReadBound struct {
+type ReadTimeout struct {
 	First time.Duration
 
 	doublings int
 }
 
 // Try makes one attempt with the current timeout.
-func (b *ReadBound) Try(ctx context.Context, read func(ctx context.Context) error) error {
+func (b *ReadTimeout) Try(ctx context.Context, read func(ctx context.Context) error) error {
 	bounded, cancel := context.WithTimeout(ctx, b.First<<b.doublings)
 	defer cancel()
 	err := read(bounded)
--- a/connection/store/readbound_test.go
+++ b/connection/store/readtimeout_test.go
@@ -10,12 +10,12 @@
 	"github.com/stretchr/testify/require"
 )
 
-func TestReadBoundGrowsUntilTheReadSucceeds(t *testing.T) {
+func TestReadTimeoutGrowsUntilTheReadSucceeds(t *testing.T) {
 	// Guards against a list that never succeeds: it takes 19 s over a slow link, the
 	// timeout of the first attempt is 3 s, and each attempt would start over with the
 	// same timeout.
 	synctest.Test(t, func(t *testing.T) {
-		b := ReadBound{First: 3 * time.Second}
+		b := ReadTimeout{First: 3 * time.Second}
 		read := func(takes time.Duration) error {
 			return b.Try(t.Context(), func(ctx context.Context) error {
 				select {
@@ -38,8 +38,8 @@
 	})
 }
 
-func TestReadBoundStaysWhereTheStoreRefuses(t *testing.T) {
-	b := ReadBound{First: time.Second}
+func TestReadTimeoutStaysWhereTheStoreRefuses(t *testing.T) {
+	b := ReadTimeout{First: time.Second}
 	refused := errors.New("refused")
 	for range 5 {
 		require.ErrorIs(t, b.Try(t.Context(), func(context.Context) error { return refused }), refused)
--- a/connection/store/track.go
+++ b/connection/store/track.go
@@ -13,7 +13,7 @@
 // Tracker lists a part of the store and then watches it. Its calls are not subject
 // to a call budget or a circuit breaker; clients that have these use Follow.
 type Tracker struct {
-	What string // what is followed, for the log
+	Name string // what is followed, for the log
 	// Read reads everything and returns the revision to watch from.
 	Read func(ctx context.Context) (Revision, error)
 	// Watch reads the changes after a revision and returns the revision to continue
@@ -21,16 +21,16 @@
 	Watch func(ctx context.Context, after Revision, wait time.Duration) (Revision, error)
 	// From is the revision to watch from; 0 to read first.
 	From Revision
-	// ReadLimit is the timeout of the first attempt of a read; see ReadBound. Wait is
+	// ReadLimit is the timeout of the first attempt of a read; see ReadTimeout. Wait is
 	// how long a watch waits for changes, and Grace how much later its answer may
 	// arrive before the connection is considered dead.
 	ReadLimit, Wait, Grace time.Duration
 	// Pause follows each successful call, ErrorPause each failed one.
 	Pause, ErrorPause time.Duration
 	Log               zerolog.Logger
-	// Patience, if set, says when a failed store answers again and which calls are
+	// Timeout, if set, says when a failed store answers again and which calls are
 	// presumed lost.
-	Patience *Patience
+	Timeout *AdaptiveTimeout
 }
 
 // trackerAwait bounds how long a tracker waits after a failed call for the store to
@@ -40,7 +40,7 @@
 // Run follows until ctx ends.
 func (t *Tracker) Run(ctx context.Context) {
 	rev := t.From
-	read := ReadBound{First: t.ReadLimit}
+	read := ReadTimeout{First: t.ReadLimit}
 	var gap gap
 	for ctx.Err() == nil {
 		begun := time.Now()
@@ -51,12 +51,12 @@
 		}
 		pause := t.Pause
 		if err != nil {
-			t.Log.Debug().Err(err).Str("what", t.What).Msg("store read or watch failed; trying again")
+			t.Log.Debug().Err(err).Str("what", t.Name).Msg("store read or watch failed; trying again")
 			pause = t.ErrorPause
 		}
 		_ = sleep.For(ctx, pause) // fails only when the context has ended, which the loop checks
-		if err != nil && t.Patience != nil {
-			t.Patience.Await(ctx, trackerAwait)
+		if err != nil && t.Timeout != nil {
+			t.Timeout.AwaitAnswer(ctx, trackerAwait)
 		}
 	}
 }
@@ -66,7 +66,7 @@
 		*next, err = t.Read(ctx)
 		return err
 	}
-	return t.Patience.Read(ctx, f)
+	return t.Timeout.Read(ctx, f)
 }
 
 // gap is a period in which a tracker's calls fail.
@@ -90,35 +90,35 @@
 		g.failed++
 		g.longest = max(g.longest, took)
 		if g.failed == gapLogThreshold {
-			t.Log.Info().Err(err).Str("what", t.What).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("store reads or watches fail; data may be outdated")
+			t.Log.Info().Err(err).Str("what", t.Name).Int64("since_ms", time.Since(g.since).Milliseconds()).Msg("store reads or watches fail; data may be outdated")
 		}
 		return
 	}
 	if g.failed >= gapLogThreshold {
-		t.Log.Info().Str("what", t.What).Int64("gap_ms", time.Since(g.since).Milliseconds()).Int("failed", g.failed).
+		t.Log.Info().Str("what", t.Name).Int64("gap_ms", time.Since(g.since).Milliseconds()).Int("failed", g.failed).
 			Int64("longest_call_ms", g.longest.Milliseconds()).Int64("call_ms", took.Milliseconds()).Msg("store reads and watches succeed again")
 	}
 	*g = gap{}
 }
 
 // step makes one call.
-func (t *Tracker) step(ctx context.Context, rev Revision, read *ReadBound) (next Revision, err error) {
+func (t *Tracker) step(ctx context.Context, rev Revision, read *ReadTimeout) (next Revision, err error) {
 	if rev == 0 {
 		err = read.Try(ctx, func(ctx context.Context) error { return t.read(ctx, &next) })
 		return next, err
 	}
 	bounded, cancel := context.WithTimeout(ctx, t.Wait+t.Grace)
 	defer cancel()
-	err = t.Patience.Watch(bounded, func(ctx context.Context) (err error) {
+	err = t.Timeout.Watch(bounded, func(ctx context.Context) (err error) {
 		next, err = t.Watch(ctx, rev, t.Wait)
 		return err
 	})
 	switch {
-	case errors.Is(err, ErrOvertaken):
-		t.Log.Info().Str("what", t.What).Msg("watch may have been lost in an outage; watching again")
+	case errors.Is(err, ErrPresumedLost):
+		t.Log.Info().Str("what", t.Name).Msg("watch may have been lost in an outage; watching again")
 		return max(rev, next), nil
 	case errors.Is(err, ErrCompacted):
-		t.Log.Warn().Str("what", t.What).Msg("watch revision was compacted; reading everything again")
+		t.Log.Warn().Str("what", t.Name).Msg("watch revision was compacted; reading everything again")
 		return 0, nil
 	}
 	return next, err
--- a/connection/store/track_test.go
+++ b/connection/store/track_test.go
@@ -24,7 +24,7 @@
 		}{{7, nil}, {7, errors.New("cut")}, {0, errors.New("must be read again")}, {9, nil}, {9, ErrCompacted}}
 		ctx, cancel := context.WithCancel(t.Context())
 		reads := 0
-		k := &Tracker{What: "test", Log: zerolog.Nop(), ReadLimit: 2 * time.Second, Wait: time.Second, Grace: time.Second, ErrorPause: time.Second,
+		k := &Tracker{Name: "test", Log: zerolog.Nop(), ReadLimit: 2 * time.Second, Wait: time.Second, Grace: time.Second, ErrorPause: time.Second,
 			Read: func(ctx context.Context) (Revision, error) {
 				calls = append(calls, "read")
 				if reads++; reads == 1 {
@@ -60,10 +60,10 @@
 	}{{"one call without an answer", 150 * time.Millisecond, false}, {"an outage", 1500 * time.Millisecond, true}} {
 		synctest.Test(t, func(t *testing.T) {
 			ctx, cancel := context.WithCancel(t.Context())
-			p := &Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+			p := &AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 			var down atomic.Bool
 			watched := make(chan Revision, 8) // start revisions of watches
-			k := &Tracker{What: "test", Log: zerolog.Nop(), ReadLimit: time.Second, Wait: 5 * time.Second, Grace: time.Second, ErrorPause: 100 * time.Millisecond, Patience: p,
+			k := &Tracker{Name: "test", Log: zerolog.Nop(), ReadLimit: time.Second, Wait: 5 * time.Second, Grace: time.Second, ErrorPause: 100 * time.Millisecond, Timeout: p,
 				Read: func(context.Context) (Revision, error) { return 5, nil },
 				Watch: func(ctx context.Context, after Revision, _ time.Duration) (Revision, error) {
 					watched <- after
--- a/connection/traffic/traffic.go
+++ b/connection/traffic/traffic.go
@@ -32,13 +32,13 @@
 	Opened   uint64 `json:"opened,omitempty"`
 }
 
-// Minus returns the difference from an earlier reading.
-func (c Counts) Minus(before Counts) Counts {
+// Sub returns the difference from an earlier reading.
+func (c Counts) Sub(before Counts) Counts {
 	return Counts{c.Calls - before.Calls, c.Sent - before.Sent, c.Received - before.Received, c.Opened - before.Opened}
 }
 
-// Plus returns the sum.
-func (c Counts) Plus(d Counts) Counts {
+// Add returns the sum.
+func (c Counts) Add(d Counts) Counts {
 	return Counts{c.Calls + d.Calls, c.Sent + d.Sent, c.Received + d.Received, c.Opened + d.Opened}
 }
 
@@ -133,9 +133,9 @@
 	return &Conn{Conn: c, meter: m}
 }
 
-// WrapAll is Wrap for a connection that is used for one kind only: each write counts
+// WrapCounting is Wrap for a connection that is used for one kind only: each write counts
 // as a call, and bytes are counted as they are transferred.
-func (m *Meter) WrapAll(k Kind, c net.Conn) *Conn {
+func (m *Meter) WrapCounting(k Kind, c net.Conn) *Conn {
 	conn := m.Wrap(k, c)
 	conn.kind = k
 	return conn
--- a/connection/traffic/traffic_test.go
+++ b/connection/traffic/traffic_test.go
@@ -15,7 +15,7 @@
 func TestBytesAndConnectionsAreCountedByKind(t *testing.T) {
 	var m Meter
 	near, far := net.Pipe()
-	c := m.WrapAll("orders", near)
+	c := m.WrapCounting("orders", near)
 	go func() {
 		_, _ = io.CopyN(far, far, 5) // echoes
 	}()
@@ -66,9 +66,9 @@
 		require.LessOrEqual(t, len(all), maxKinds+1)
 		var sum Counts
 		for _, c := range all {
-			sum = sum.Plus(c)
+			sum = sum.Add(c)
 		}
 		require.Equal(t, Counts{Calls: uint64(4 * kinds), Sent: uint64(6 * kinds), Received: uint64(8 * kinds)}, sum)
-		require.Equal(t, Counts{}, sum.Minus(sum))
+		require.Equal(t, Counts{}, sum.Sub(sum))
 	})
 }
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -38,13 +38,13 @@
 	confirmed atomic.Int64
 	started   time.Time
 	// storeTimeout also signals when the store answers again after failures.
-	storeTimeout *store.Patience
+	storeTimeout *store.AdaptiveTimeout
 	log          zerolog.Logger
 	now          atomic.Pointer[work.Catalog]
 	first        chan struct{} // closed with the first version
 }
 
-func newCatalogs(source work.Source, storeTimeout *store.Patience, log zerolog.Logger) *catalogs {
+func newCatalogs(source work.Source, storeTimeout *store.AdaptiveTimeout, log zerolog.Logger) *catalogs {
 	return &catalogs{source: source, wait: catalogWait, maxAge: unconfirmedAfter, started: time.Now(), storeTimeout: storeTimeout, log: log, first: make(chan struct{})}
 }
 
@@ -105,8 +105,8 @@
 // Serve follows the source until ctx ends.
 func (c *catalogs) Serve(ctx context.Context) error {
 	go c.check(ctx)
-	t := store.Tracker{What: "the configuration", Read: c.read, Watch: c.watch, ReadLimit: catalogWait + catalogGrace,
-		Wait: c.wait, Grace: catalogGrace, ErrorPause: catalogPause, Log: c.log, Patience: c.storeTimeout}
+	t := store.Tracker{Name: "the configuration", Read: c.read, Watch: c.watch, ReadLimit: catalogWait + catalogGrace,
+		Wait: c.wait, Grace: catalogGrace, ErrorPause: catalogPause, Log: c.log, Timeout: c.storeTimeout}
 	t.Run(ctx)
 	return ctx.Err()
 }
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -159,7 +159,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				source := &unresponsiveSource{store: &catalogStore{}}
 				source.store.publish()
-				storeTimeout := &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}
+				storeTimeout := &store.AdaptiveTimeout{Min: minStoreTimeout, Max: maxStoreTimeout}
 				c := newCatalogs(source, storeTimeout, zerolog.Nop())
 				var running sync.WaitGroup
 				running.Go(func() { _ = c.Serve(ctx) }) // ends with ctx
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -127,7 +127,7 @@
 			var running sync.WaitGroup
 			for i := range daemons {
 				source := &laggingSource{store: s, rng: rand.New(rand.NewPCG(seed, uint64(i)+2))}
-				c := newCatalogs(source, &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, zerolog.Nop())
+				c := newCatalogs(source, &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, zerolog.Nop())
 				sources, all = append(sources, source), append(all, c)
 				running.Go(func() { _ = c.Serve(ctx) }) // ends with ctx
 			}
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -84,7 +84,7 @@
 			n.logConfirmation(unconfirmed, age)
 		}
 		before = unconfirmed
-		urgent := unconfirmed || n.storeTimeout.TurnedAway()
+		urgent := unconfirmed || n.storeTimeout.Refusing()
 		if !urgent && i%idlePullPeriods != 0 {
 			continue
 		}
@@ -107,7 +107,7 @@
 		n.metrics.Add("configurations_doubted", 1)
 	}
 	n.log.Info().Int64("version", n.catalogs.request().Version).Int64("age_ms", age.Milliseconds()).
-		Bool("store_fails", n.storeTimeout.Suspect()).Msg(what)
+		Bool("store_fails", n.storeTimeout.Failing()).Msg(what)
 }
 
 // membersAfter returns the members other than name, those that follow name in order first,
--- a/process/cellnode/load.go
+++ b/process/cellnode/load.go
@@ -23,11 +23,11 @@
 		kinds := zerolog.Dict()
 		var total traffic.Counts
 		for kind, c := range now {
-			d := c.Minus(before[kind])
+			d := c.Sub(before[kind])
 			if d.Calls == 0 && d.Opened == 0 {
 				continue
 			}
-			total = total.Plus(d)
+			total = total.Add(d)
 			kinds.Dict(string(kind), zerolog.Dict().Uint64("calls", d.Calls).Uint64("sent", d.Sent).Uint64("received", d.Received).Uint64("opened", d.Opened))
 		}
 		n.log.Info().Int64("open_connections", n.o.Traffic.Open()).
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -92,7 +92,7 @@
 type Node struct {
 	o            Options
 	log          zerolog.Logger
-	storeTimeout *store.Patience
+	storeTimeout *store.AdaptiveTimeout
 	catalogs     *catalogs
 	peers        *peer.Node
 	mux          *peer.Mux
@@ -115,7 +115,7 @@
 // New returns a Node with its listeners open.
 func New(o Options) (*Node, error) {
 	n := &Node{o: o, log: o.Log,
-		storeTimeout: &store.Patience{Min: minStoreTimeout, Max: maxStoreTimeout}, metrics: new(expvar.Map).Init()}
+		storeTimeout: &store.AdaptiveTimeout{Min: minStoreTimeout, Max: maxStoreTimeout}, metrics: new(expvar.Map).Init()}
 	n.catalogs = newCatalogs(o.Catalogs, n.storeTimeout, n.log)
 	n.catalogs.follow(o.Settings.Bounds)
 	s := o.Settings
@@ -160,7 +160,7 @@
 		Handler:           n.o.Handler(Parts{Jobs: submit.Parts{Of: n.shardOf}, Catalog: n.catalogs.Current, Standing: n.standing, Closing: n.stopping.Load, Answered: n.Answered}),
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
 	}
-	n.conns = graceful.Follow(n.callers)
+	n.conns = graceful.Track(n.callers)
 	go n.serveHTTP(n.callers, graceful.Listener(n.listen.callers))
 	if n.listen.metrics != nil {
 		go n.serveHTTP(&http.Server{Handler: n.MetricsHandler(), ReadHeaderTimeout: headerTimeout}, n.listen.metrics)
--- a/process/cellnode/orders.go
+++ b/process/cellnode/orders.go
@@ -21,7 +21,7 @@
 // dialOrders opens a connection to the address at which a daemon accepts orders.
 func (n *Node) dialOrders(ctx context.Context, addr string) (net.Conn, error) {
 	return relay.Dialer(dialTimeout, func(ctx context.Context, c net.Conn) (net.Conn, error) {
-		secured := tls.Client(n.o.Traffic.WrapAll(kindOrders, c), n.tls)
+		secured := tls.Client(n.o.Traffic.WrapCounting(kindOrders, c), n.tls)
 		return secured, secured.HandshakeContext(ctx)
 	})(ctx, addr)
 }
--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -59,7 +59,7 @@
 	layout, _ := s.n.view().Layout()
 	key := lead.KeyLayout
 	if s.index > 0 {
-		key = store.Outside(key)
+		key = store.Unprefixed(key)
 	}
 	return submit.Guards{Layout: store.Check{Key: key, Revision: layout.Revision}, Elsewhere: submit.ElsewhereThan(s.index, id)}
 }
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -189,8 +189,8 @@
 // followShares watches the shares in the store and passes each version to the host.
 func (s *shard) followShares(ctx context.Context, h *dispatch.Host) {
 	n := s.n
-	t := store.Tracker{What: "the shares of the accounts' caps", ReadLimit: catalogWait + catalogGrace, Wait: catalogWait, Grace: catalogGrace,
-		Pause: sharesPause, ErrorPause: catalogPause, Log: n.log, Patience: n.storeTimeout,
+	t := store.Tracker{Name: "the shares of the accounts' caps", ReadLimit: catalogWait + catalogGrace, Wait: catalogWait, Grace: catalogGrace,
+		Pause: sharesPause, ErrorPause: catalogPause, Log: n.log, Timeout: n.storeTimeout,
 		Read: func(ctx context.Context) (store.Revision, error) {
 			shares, rev, err := n.listShares(ctx)
 			if err == nil {
--- a/process/cellnode/texts_test.go
+++ b/process/cellnode/texts_test.go
@@ -17,7 +17,7 @@
 
 func TestSpecIsReadFromTheStore(t *testing.T) {
 	m := kv.New()
-	s := &shard{store: m, n: &Node{storeTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
+	s := &shard{store: m, n: &Node{storeTimeout: &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
 	put := func(id work.JobID, apart bool, inside string) {
 		value, err := work.EncodeJob(&work.Job{Queue: work.Queue{Name: "q", Attempts: 1, Slack: 1}, Spec: inside, Apart: apart, Steps: []work.Step{{Count: 1}}})
 		require.NoError(t, err)
@@ -50,7 +50,7 @@
 		_, err := m.Commit(t.Context(), store.Txn{Writes: []store.Write{{Key: dispatch.KeySpec(id), Value: []byte("x")}}})
 		require.NoError(t, err)
 		m.SetFaults(kv.Faults{Delay: 50 * time.Millisecond, DelayChance: 1})
-		s := &shard{store: m, n: &Node{storeTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
+		s := &shard{store: m, n: &Node{storeTimeout: &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
 		before := m.Counts().Get
 		var starts sync.WaitGroup
 		for range 25 {
--- a/process/daemon/http.go
+++ b/process/daemon/http.go
@@ -32,7 +32,7 @@
 	ended := make(chan struct{})
 	accepting, stopAccepting := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopAccepting()
-	conns := graceful.Follow(h.server)
+	conns := graceful.Track(h.server)
 	stop := context.AfterFunc(ctx, func() {
 		defer close(ended)
 		h.end(conns, stopAccepting)
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -131,14 +131,14 @@
 
 func (c *cell) startNode(name string) *node {
 	n := &node{name: name, done: make(chan struct{})}
-	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	log := zerolog.Nop()
 	if os.Getenv("FENNEL_LOG") == "1" {
 		log = zerolog.New(os.Stdout).With().Str("daemon", name).Timestamp().Logger()
 	}
-	n.elector = lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: c.kv, StoreTimeout: patience, Log: log,
+	n.elector = lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: c.kv, StoreTimeout: storeTimeout, Log: log,
 		RunTerm: func(t *lead.Term) {
-			h := NewHost(HostOptions{Store: c.kv, StoreTimeout: patience, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
+			h := NewHost(HostOptions{Store: c.kv, StoreTimeout: storeTimeout, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
 				Advise: c.advice.ask, Log: log, Policy: c.policy,
 				Accounts: func() (*work.Accounts, bool) { return c.accounts.Load(), true },
 				Count:    func(s Stats) { c.batches.Store(max(c.batches.Load(), s.Bundles)) },
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -249,7 +249,7 @@
 	first := h.starts()
 	require.Len(t, first, 1)
 	h.e.WorkerSeen(h.now, runner.Worker{Ref: runner.Ref{ID: "w-a"}, Service: "s", Capacity: work.Resources{CPU: 4000, Memory: 4000}, Labels: []string{"a", "r"}, Draining: true})
-	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrIncarnationEnded)
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrRestarted)
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
@@ -262,7 +262,7 @@
 	h.step(50 * time.Millisecond)
 	h.report(first, runner.Report{Clock: time.Second})
 	start := h.starts()[0].Start
-	h.e.Renewed(h.now, first, runner.Report{}, runner.ErrIncarnationEnded)
+	h.e.Renewed(h.now, first, runner.Report{}, runner.ErrRestarted)
 	h.resize(next, work.Resources{CPU: 4000, Memory: 4000})
 	h.step(50 * time.Millisecond)
 	h.report("w-b", runner.Report{Clock: time.Second})
@@ -371,7 +371,7 @@
 	crashes := func() crash.Records { return h.e.jobs[testJob].step(task).tasks[0].crashes }
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has expired")
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
-	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrIncarnationEnded)
+	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrRestarted)
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true}}, crashes())
 }
 
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -44,7 +44,7 @@
 // HostOptions are the options of a Host.
 type HostOptions struct {
 	Store        store.Transactor
-	StoreTimeout *store.Patience
+	StoreTimeout *store.AdaptiveTimeout
 	Runner       runner.Runner
 	Directory    runner.Directory
 	View         *lead.View // of the cell's daemons
@@ -125,11 +125,11 @@
 // a run whose job is not known would be stopped.
 func (h *Host) load(ctx context.Context) (store.Revision, error) {
 	began := time.Now()
-	bound := store.ReadBound{First: loadTimeout}
+	timeout := store.ReadTimeout{First: loadTimeout}
 	for {
 		var rev store.Revision
 		var saved Saved
-		err := bound.Try(ctx, func(ctx context.Context) (err error) {
+		err := timeout.Try(ctx, func(ctx context.Context) (err error) {
 			rev, saved, err = h.readAll(ctx)
 			return err
 		})
@@ -165,7 +165,7 @@
 			entries, rev, err = h.o.Store.List(ctx, prefix)
 			return err
 		})
-		if !errors.Is(err, store.ErrOvertaken) {
+		if !errors.Is(err, store.ErrPresumedLost) {
 			return entries, rev, err
 		}
 		h.o.Log.Info().Str("prefix", prefix).Msg("response was lost, reading again")
@@ -398,8 +398,8 @@
 
 // watchJobs follows what accepting daemons write.
 func (h *Host) watchJobs(ctx context.Context, rev store.Revision) {
-	t := store.Tracker{What: "accepted jobs", Read: h.listJobs, Watch: h.watchJobsOnce, From: rev, ReadLimit: loadTimeout,
-		Wait: watchWait, Grace: watchGrace, Pause: jobsPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.StoreTimeout}
+	t := store.Tracker{Name: "accepted jobs", Read: h.listJobs, Watch: h.watchJobsOnce, From: rev, ReadLimit: loadTimeout,
+		Wait: watchWait, Grace: watchGrace, Pause: jobsPause, ErrorPause: errorPause, Log: h.o.Log, Timeout: h.o.StoreTimeout}
 	t.Run(ctx)
 }
 
@@ -429,8 +429,8 @@
 
 // watchWorkers follows the directory.
 func (h *Host) watchWorkers(ctx context.Context) {
-	t := store.Tracker{What: "the workers' entries", Read: h.listWorkers, Watch: h.watchWorkersOnce, ReadLimit: watchWait + watchGrace,
-		Wait: watchWait, Grace: watchGrace, Pause: workersPause, ErrorPause: errorPause, Log: h.o.Log, Patience: h.o.StoreTimeout}
+	t := store.Tracker{Name: "the workers' entries", Read: h.listWorkers, Watch: h.watchWorkersOnce, ReadLimit: watchWait + watchGrace,
+		Wait: watchWait, Grace: watchGrace, Pause: workersPause, ErrorPause: errorPause, Log: h.o.Log, Timeout: h.o.StoreTimeout}
 	t.Run(ctx)
 }
 
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -42,7 +42,7 @@
 // The runs that it reports are taken over from w. If w were only removed, starts that were
 // sent to w and carried out by the other incarnation would count as lost, and be repeated
 // beside the runs that exist, or after these have ended.
-func (e *Engine) takeOtherIncarnation(w *worker, x *runner.OtherIncarnationError) {
+func (e *Engine) takeOtherIncarnation(w *worker, x *runner.IncarnationError) {
 	e.decide(Decision{What: "answer of another incarnation", Worker: w.ID, Why: x.Error(), Age: e.now - w.answered})
 	next := e.workers[x.ID]
 	if next == nil {
--- a/process/dispatch/load_test.go
+++ b/process/dispatch/load_test.go
@@ -26,7 +26,7 @@
 }
 
 func (s slowListing) List(ctx context.Context, prefix string) ([]store.Entry, store.Revision, error) {
-	store.Begun(ctx)
+	store.MarkAnswering(ctx)
 	if err := sleep.For(ctx, s.takes); err != nil {
 		return nil, 0, err
 	}
@@ -59,14 +59,14 @@
 // leadOnce runs a daemon that leads over a store, and returns how long after its start it
 // answered a query of a job's state.
 func leadOnce(t *testing.T, lists store.Transactor, m *kv.Memory, most time.Duration) (loaded time.Duration, ok bool) {
-	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(t.Context(), most)
 	defer cancel()
 	start := time.Now()
 	var took atomic.Int64 // written by a goroutine of each term
 	var e *lead.Elector
-	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, StoreTimeout: patience, Log: zerolog.Nop(), RunTerm: func(term *lead.Term) {
-		h := NewHost(HostOptions{Store: lists, StoreTimeout: patience, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
+	e = lead.New(lead.Options{Self: lead.Member{Name: "a", Peer: "a"}, Store: m, StoreTimeout: storeTimeout, Log: zerolog.Nop(), RunTerm: func(term *lead.Term) {
+		h := NewHost(HostOptions{Store: lists, StoreTimeout: storeTimeout, Directory: noWorkers{}, View: e.View(), Log: zerolog.Nop(),
 			Bounds: Bounds{Lease: 6 * time.Second, MaxLease: 6 * time.Second, Gang: 3 * time.Second, Keep: time.Minute}}, term)
 		go func() {
 			if _, _, err := h.State(ctx, testJob); err == nil {
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -93,7 +93,7 @@
 }
 
 func (e *Engine) notRenewed(w *worker, err error) {
-	var other *runner.OtherIncarnationError
+	var other *runner.IncarnationError
 	switch {
 	case errors.Is(err, runner.ErrFenced):
 		e.deposed = true
@@ -101,7 +101,7 @@
 	case errors.As(err, &other):
 		e.takeOtherIncarnation(w, other)
 		return
-	case errors.Is(err, runner.ErrIncarnationEnded):
+	case errors.Is(err, runner.ErrRestarted):
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -98,7 +98,7 @@
 		return
 	}
 	w := e.workers[id]
-	if w != nil && errors.Is(err, runner.ErrIncarnationEnded) {
+	if w != nil && errors.Is(err, runner.ErrRestarted) {
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
@@ -258,7 +258,7 @@
 	case errors.Is(err, runner.ErrFenced):
 		e.deposed = true
 		return
-	case w != nil && errors.Is(err, runner.ErrIncarnationEnded):
+	case w != nil && errors.Is(err, runner.ErrRestarted):
 		e.removeWorker(w, "another incarnation answers at its address", true)
 		return
 	}
--- a/process/fleet/probe.go
+++ b/process/fleet/probe.go
@@ -213,7 +213,7 @@
 		result.reached = true
 		result.acks = append(result.acks, answer)
 	}
-	var wrong *peer.WrongLifeError
+	var wrong *peer.WrongIncarnationError
 	if errors.As(err, &wrong) {
 		result.actual = wrong.Actual
 	}
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -187,7 +187,7 @@
 
 // notRun reports whether a call certainly did not run at the remote peer.
 func notRun(err error) bool {
-	return errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife) || errors.Is(err, peer.ErrNoMethod)
+	return errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongIncarnation) || errors.Is(err, peer.ErrNoMethod)
 }
 
 func (st *state) handleStepResult(p *partition, a *attempt, r *plan.StepResult) {
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -47,7 +47,7 @@
 	// RunTerm runs one term. It returns when the term's context ends.
 	RunTerm func(t *Term)
 	// StoreTimeout bounds store calls adaptively; it is shared with other users of the store.
-	StoreTimeout *store.Patience
+	StoreTimeout *store.AdaptiveTimeout
 	// Primary, if set, is this daemon's elector for shard 0, which keeps the daemon registered
 	// and lists the members; this elector then claims another shard.
 	Primary *Elector
@@ -186,7 +186,7 @@
 // call makes one bounded store call and records whether the store looks unresponsive.
 func (e *Elector) call(ctx context.Context, what string, f func(ctx context.Context) error) error {
 	err := e.o.StoreTimeout.Call(ctx, f)
-	if ctx.Err() == nil && e.o.StoreTimeout.Suspect() {
+	if ctx.Err() == nil && e.o.StoreTimeout.Failing() {
 		e.recordStoreFailure(what, err)
 	}
 	return err
@@ -301,8 +301,8 @@
 
 // follow keeps the view up to date.
 func (e *Elector) follow(ctx context.Context) {
-	t := store.Tracker{What: "the cell", Read: e.readCell, Watch: e.watchCell, ReadLimit: watchWait + watchGrace,
-		Wait: watchWait, Grace: watchGrace, ErrorPause: errorPause, Log: e.o.Log, Patience: e.o.StoreTimeout}
+	t := store.Tracker{Name: "the cell", Read: e.readCell, Watch: e.watchCell, ReadLimit: watchWait + watchGrace,
+		Wait: watchWait, Grace: watchGrace, ErrorPause: errorPause, Log: e.o.Log, Timeout: e.o.StoreTimeout}
 	t.Run(ctx)
 }
 
--- a/process/lead/lead_test.go
+++ b/process/lead/lead_test.go
@@ -34,7 +34,7 @@
 // startWith completes the options and starts a daemon.
 func startWith(o Options) *daemon {
 	d := &daemon{done: make(chan struct{})}
-	o.StoreTimeout = &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	o.StoreTimeout = &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	o.RunTerm = func(t *Term) {
 		d.mu.Lock()
 		d.terms = append(d.terms, t)
--- a/process/lead/shards.go
+++ b/process/lead/shards.go
@@ -57,7 +57,7 @@
 // lead.
 func (e *Elector) anyCanLead(ctx context.Context, members []Member) bool {
 	for _, m := range members[:min(len(members), witnesses)] {
-		if reply, err := e.ping(ctx, m); err == nil && !reply.Leads && !reply.TurnedAway {
+		if reply, err := e.ping(ctx, m); err == nil && !reply.Leads && !reply.StoreRefuses {
 			return true
 		}
 	}
--- a/process/lead/term.go
+++ b/process/lead/term.go
@@ -37,7 +37,7 @@
 	holder  Member
 	taken   bool // taken over while the previous leader's record existed
 	store   store.Transactor
-	timeout *store.Patience
+	timeout *store.AdaptiveTimeout
 
 	claimRev     store.Revision // of the claim, on which every write of the term is conditional
 	streams      [WriteStreams]stream
@@ -57,7 +57,7 @@
 }
 
 // newTerm returns a term that has not been claimed yet.
-func newTerm(ctx context.Context, holder Member, s store.Transactor, timeout *store.Patience) *Term {
+func newTerm(ctx context.Context, holder Member, s store.Transactor, timeout *store.AdaptiveTimeout) *Term {
 	t := &Term{id: uuid.NewString(), holder: holder, store: s, timeout: timeout}
 	for i := range t.streams {
 		t.streams[i] = stream{key: streamKey(i), sem: semaphore.NewWeighted(1)}
@@ -149,7 +149,7 @@
 		if sleep.For(ctx, retryPause-time.Since(began)) != nil {
 			return ctx.Err()
 		}
-		t.timeout.Await(ctx, pause-time.Since(began))
+		t.timeout.AwaitAnswer(ctx, pause-time.Since(began))
 	}
 }
 
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -67,10 +67,10 @@
 
 // aliveReply is the state of a daemon and the leader that it has recorded.
 type aliveReply struct {
-	Leads      bool   `cbor:"1,keyasint"` // it leads, or is claiming
-	TurnedAway bool   `cbor:"2,keyasint"` // the store rejects its calls
-	Known      bool   `cbor:"3,keyasint"` // Leader is set
-	Leader     Leader `cbor:"4,keyasint"`
+	Leads        bool   `cbor:"1,keyasint"` // it leads, or is claiming
+	StoreRefuses bool   `cbor:"2,keyasint"` // the store rejects its calls
+	Known        bool   `cbor:"3,keyasint"` // Leader is set
+	Leader       Leader `cbor:"4,keyasint"`
 }
 
 type witnessRequest struct {
@@ -93,11 +93,11 @@
 // method returns the name of a method with the suffix of this shard.
 func (e *Elector) method(m peer.Method) peer.Method { return m + peer.Method(e.o.Suffix) }
 
-func (r *aliveReply) serves() bool { return r.Leads && !r.TurnedAway }
+func (r *aliveReply) serves() bool { return r.Leads && !r.StoreRefuses }
 
 func (e *Elector) alive() aliveReply {
 	leader, known := e.view.Leader()
-	return aliveReply{Leads: e.Leads(), TurnedAway: e.o.StoreTimeout.TurnedAway(),
+	return aliveReply{Leads: e.Leads(), StoreRefuses: e.o.StoreTimeout.Refusing(),
 		Known: known, Leader: leader}
 }
 
@@ -152,7 +152,7 @@
 		if d.missed++; d.missed > pingsMissed {
 			e.recordPing(e.pingBound()) // the response takes at least that long
 		}
-		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.StoreTimeout.TurnedAway() ||
+		if !d.mayClaim(e.o.Self, leader.Member, time.Now()) || e.o.StoreTimeout.Refusing() ||
 			!e.confirmedByOthers(ctx, leader.Member) || sleep.For(ctx, time.Duration(rank)*rankDelay) != nil {
 			continue
 		}
@@ -239,7 +239,7 @@
 // callers' queries about jobs to a former leader, and could answer none.
 func (e *Elector) learnLeader(ctx context.Context) {
 	for sleep.For(ctx, queryPause) == nil {
-		if !e.o.StoreTimeout.Suspect() {
+		if !e.o.StoreTimeout.Failing() {
 			continue
 		}
 		members := slices.DeleteFunc(e.view.Members(), func(m Member) bool { return m.same(e.o.Self) })
--- a/process/lead/yield.go
+++ b/process/lead/yield.go
@@ -39,7 +39,7 @@
 	if !found || !e.o.Self.weakerThan(stronger) {
 		return
 	}
-	if reply, err := e.ping(ctx, stronger); err != nil || reply.TurnedAway {
+	if reply, err := e.ping(ctx, stronger); err != nil || reply.StoreRefuses {
 		return
 	}
 	y.pause = min(max(2*y.pause, yieldPause), yieldPauseMax)
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -168,7 +168,7 @@
 
 // codeErrors pairs codes with the errors of package runner.
 var codeErrors = map[code]error{
-	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrIncarnationEnded, codeOld: runner.ErrStaleRun,
+	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrRestarted, codeOld: runner.ErrStaleRun,
 	codeLate: runner.ErrLeaseExpired, codeNoRoom: runner.ErrNoCapacity, codeTicket: runner.ErrInvalidTicket, codeUnhealthy: runner.ErrUnhealthy,
 	codeNoConnection: runner.ErrNoConnection, codeBadOrder: runner.ErrBadOrder, codeNoSpec: errNoSpec, codeSpecLate: errSpecLate, codeLost: errLost,
 }
@@ -205,7 +205,7 @@
 	case o.Code == codeDone:
 		return nil
 	case o.Code == codeGone && o.incarnation != "":
-		return &runner.OtherIncarnationError{ID: o.incarnation, Report: o.report()}
+		return &runner.IncarnationError{ID: o.incarnation, Report: o.report()}
 	}
 	kind, known := codeErrors[o.Code]
 	if !known { // code of a later version
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -404,15 +404,15 @@
 		defer c.end()
 		c.renewAll(t, 300)
 		before := c.stats.Direct.Value()
-		want := &runner.OtherIncarnationError{ID: runner.IncarnationID("w", 7), Report: runner.Report{Clock: 9 * time.Second,
+		want := &runner.IncarnationError{ID: runner.IncarnationID("w", 7), Report: runner.Report{Clock: 9 * time.Second,
 			Running: []runner.ActiveRun{{Task: work.TaskID{Job: "j", Index: 2}, Run: 3, Percent: 41}},
 			Ended:   []runner.Completion{{Number: 1, Task: work.TaskID{Job: "j"}, Run: 1, Outcome: runner.Failed, Checkpoint: "c"}}}}
 		for _, w := range c.workers {
 			w.set(func() { w.err = want })
 		}
 		_, err := c.orders.Renew(bound(t, time.Second), worker(1), runner.Renewal{Epoch: 1})
-		require.ErrorIs(t, err, runner.ErrIncarnationEnded)
-		var other *runner.OtherIncarnationError
+		require.ErrorIs(t, err, runner.ErrRestarted)
+		var other *runner.IncarnationError
 		require.ErrorAs(t, err, &other)
 		require.Equal(t, want, other)
 		require.Equal(t, before, c.stats.Direct.Value(), "through a relay")
@@ -436,7 +436,7 @@
 }
 
 func TestWorkerErrorsKeepTheirKind(t *testing.T) {
-	for _, want := range []error{runner.ErrUnknown, runner.ErrFenced, runner.ErrIncarnationEnded, runner.ErrStaleRun, runner.ErrLeaseExpired, runner.ErrNoCapacity,
+	for _, want := range []error{runner.ErrUnknown, runner.ErrFenced, runner.ErrRestarted, runner.ErrStaleRun, runner.ErrLeaseExpired, runner.ErrNoCapacity,
 		runner.ErrInvalidTicket, runner.ErrUnhealthy, runner.ErrNoConnection, runner.ErrBadOrder} {
 		o := outcome{Code: codeOf(fmt.Errorf("call: %w", want)), Problem: "more"}
 		require.ErrorIs(t, o.err(), want)
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -231,7 +231,7 @@
 	switch {
 	case err == nil, !lost, !errors.Is(err, runner.ErrNotRun):
 		return err
-	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrIncarnationEnded), errors.Is(err, runner.ErrStaleRun):
+	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrRestarted), errors.Is(err, runner.ErrStaleRun):
 		return err // these hold for the first order as well
 	}
 	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
--- a/process/relay/server.go
+++ b/process/relay/server.go
@@ -236,7 +236,7 @@
 	case doRenew:
 		report, err := s.direct.Renew(ctx, to, runner.Renewal{Epoch: epoch, Until: until,
 			Acknowledge: o.Acknowledge, Wait: time.Duration(o.Wait) * time.Millisecond})
-		var other *runner.OtherIncarnationError
+		var other *runner.IncarnationError
 		if errors.As(err, &other) {
 			result.incarnation, report = other.ID, other.Report
 		}
--- a/request/slots/poolpush.go
+++ b/request/slots/poolpush.go
@@ -54,7 +54,7 @@
 		h.unreachableUntil = now.Add(pushBackoff)
 	}
 	switch {
-	case errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongLife):
+	case errors.Is(err, peer.ErrNotSent) || errors.Is(err, peer.ErrWrongIncarnation):
 		p.undoGrants(h, msg.Terms)
 	case err != nil:
 		// The push may have arrived: the next full report shows it.
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -102,7 +102,7 @@
 // serveForward makes a single attempt, since the calling daemon can try others.
 func (s *Service) serveForward(ctx context.Context, o offer) (any, error) {
 	id := work.JobID(o.Key)
-	if s.o.Patience.Suspect() {
+	if s.o.Patience.Failing() {
 		return forwardReply{}, nil // the store fails this daemon as well
 	}
 	h, err := decodeSubmission(id, o.Value)
--- a/request/submit/shards.go
+++ b/request/submit/shards.go
@@ -96,5 +96,5 @@
 	if shard == 0 {
 		return nil
 	}
-	return []string{store.Outside(dispatch.KeySubmission(id)), store.Outside(dispatch.KeyState(id))}
+	return []string{store.Unprefixed(dispatch.KeySubmission(id)), store.Unprefixed(dispatch.KeyState(id))}
 }
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -24,10 +24,10 @@
 		s := store.Transactor(m)
 		key := lead.KeyLayout
 		if shard > 0 {
-			s, key = store.Prefixed{Transactor: m, Prefix: lead.ShardPrefix(shard)}, store.Outside(key)
+			s, key = store.Prefixed{Transactor: m, Prefix: lead.ShardPrefix(shard)}, store.Unprefixed(key)
 		}
-		patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-		return New(Options{Self: "a", Store: s, Patience: patience, View: lead.New(lead.Options{Store: s, StoreTimeout: patience}).View(),
+		storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+		return New(Options{Self: "a", Store: s, Patience: storeTimeout, View: lead.New(lead.Options{Store: s, StoreTimeout: storeTimeout}).View(),
 			Peers: noPeers{}, Log: zerolog.Nop(), Leading: func() *dispatch.Host { return nil },
 			Guards: func(id work.JobID) Guards {
 				return Guards{Layout: store.Check{Key: key, Revision: revision}, Elsewhere: ElsewhereThan(shard, id)}
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -89,7 +89,7 @@
 	Self     string // member name of this daemon
 	Peer     string // address at which other daemons call it
 	Store    store.Transactor
-	Patience *store.Patience
+	Patience *store.AdaptiveTimeout
 	View     *lead.View
 	Peers    Caller
 	// Leading returns the host of this daemon's term, nil when it does not lead.
@@ -234,7 +234,7 @@
 // was not accepted. Concurrent callers share one read.
 func (s *Service) reachable(ctx context.Context) error {
 	switch {
-	case !s.o.Patience.Suspect():
+	case !s.o.Patience.Failing():
 		return nil
 	case s.o.Patience.RefusedWithin(refusalAge):
 		return errJustRefused
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -31,9 +31,9 @@
 }
 
 func newService(s store.Transactor) *Service {
-	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-	view := lead.New(lead.Options{Store: s, StoreTimeout: patience}).View()
-	return New(Options{Self: "a", Store: s, Patience: patience, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
+	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	view := lead.New(lead.Options{Store: s, StoreTimeout: storeTimeout}).View()
+	return New(Options{Self: "a", Store: s, Patience: storeTimeout, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
 
@@ -199,13 +199,13 @@
 
 // cellOf returns a service of daemon "a" whose view contains one other daemon.
 func cellOf(t *testing.T, m *kv.Memory, peers Caller) *Service {
-	patience := &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
+	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
 	var view *lead.View
 	for _, name := range []string{"a", "b"} {
 		e := lead.New(lead.Options{Self: lead.Member{Name: name, Peer: name}, Store: m, Log: zerolog.Nop(),
-			StoreTimeout: &store.Patience{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, RunTerm: func(t *lead.Term) { <-t.Context().Done() }})
+			StoreTimeout: &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}, RunTerm: func(t *lead.Term) { <-t.Context().Done() }})
 		go func() { _ = e.Run(ctx) }()
 		if name == "a" {
 			view = e.View()
@@ -213,7 +213,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	require.Len(t, view.Members(), 2)
-	return New(Options{Self: "a", Store: m, Patience: patience, View: view, Peers: peers, Log: zerolog.Nop(),
+	return New(Options{Self: "a", Store: m, Patience: storeTimeout, View: view, Peers: peers, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
 
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -38,7 +38,7 @@
 	f.mu.Unlock()
 	switch {
 	case replaced:
-		return nil, false, runner.ErrIncarnationEnded
+		return nil, false, runner.ErrRestarted
 	case refused:
 		return nil, false, runner.ErrNoConnection
 	}
@@ -412,7 +412,7 @@
 	case w.crashed:
 		return runner.Report{}, runner.ErrUnknown
 	case w.ID != to.ID:
-		return runner.Report{}, &runner.OtherIncarnationError{ID: w.ID, Report: w.report()}
+		return runner.Report{}, &runner.IncarnationError{ID: w.ID, Report: w.report()}
 	}
 	return w.report(), nil
 }
--- a/version/history/apply.go
+++ b/version/history/apply.go
@@ -188,7 +188,7 @@
 	ctx, cancel := context.WithTimeout(context.WithoutCancel(ctx), readBackTime)
 	defer cancel()
 	pause := sleep.NewBackoff(firstReadBack, lastReadBack)
-	handle := a.history.handle.Insistent()
+	handle := a.history.handle.IgnoreBreaker()
 	for {
 		change, found, err := changeAt(ctx, handle, version)
 		if err == nil && found {
