--- a/process/cellnode/shard_test.go
+++ b/process/cellnode/shard_test.go
@@ -35,7 +35,7 @@
 // assigned to another shard, while the shard of the earlier one misses the removal of its
 // entry.
 func TestLivesUnderOneNameAreOfOnePart(t *testing.T) {
-	names := func(s shardDirectory) (listed, gone, next []string) {
+	names := func(s shardDirectory) (listed, removed, next []string) {
 		all, _, err := s.List(t.Context())
 		require.NoError(t, err)
 		for _, w := range all {
@@ -45,18 +45,18 @@
 		require.NoError(t, err)
 		for _, c := range changes {
 			if c.Removed {
-				gone = append(gone, c.Worker.ID.Name())
+				removed = append(removed, c.Worker.ID.Name())
 			} else {
 				next = append(next, c.Worker.ID.Name())
 			}
 		}
-		return listed, gone, next
+		return listed, removed, next
 	}
 	const workers = 20
 	sum := 0
 	for shard := range 3 {
-		listed, gone, next := names(shardDirectory{restartedWorkers{workers}, lead.Layout{Shards: 3}, shard})
-		require.Equal(t, listed, gone)
+		listed, removed, next := names(shardDirectory{restartedWorkers{workers}, lead.Layout{Shards: 3}, shard})
+		require.Equal(t, listed, removed)
 		require.Equal(t, listed, next)
 		sum += len(listed)
 	}
--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -65,7 +65,7 @@
 func newIncarnation(ctx context.Context, d *Daemon, floor uint64) (*incarnation, error) {
 	inc := &incarnation{d: d, mux: peer.NewMux(), ready: make(chan struct{}), leftDone: make(chan struct{})}
 	inc.store = store.NewClient(d.o.Store, store.Options{Log: d.log})
-	claimed := fleet.ClaimLife(ctx, inc.store.Role(store.RoleMembers), peer.MemberID(d.o.Settings.Name), floor)
+	claimed := fleet.ClaimIncarnation(ctx, inc.store.Role(store.RoleMembers), peer.MemberID(d.o.Settings.Name), floor)
 	inc.self = claimed.Ref
 	inc.log = d.log.With().Uint64("incarnation", inc.self.Incarnation).Logger()
 	socket, err := d.listenPeers()
@@ -91,7 +91,7 @@
 	return inc, nil
 }
 
-func (inc *incarnation) buildFleet(claimed fleet.Life) {
+func (inc *incarnation) buildFleet(claimed fleet.Incarnation) {
 	s, d := inc.d.o.Settings, inc.d
 	self := fleet.Member{
 		Ref: inc.self, Zone: s.Zone,
@@ -102,7 +102,7 @@
 		Protocol:    peer.ProtocolMax, State: fleet.Alive,
 	}
 	inc.fleet = fleet.New(fleet.Options{
-		Self: self, Life: claimed, Store: inc.store.Role(store.RoleMembers), Caller: inc.node, Registrar: inc.mux,
+		Self: self, Incarnation: claimed, Store: inc.store.Role(store.RoleMembers), Caller: inc.node, Registrar: inc.mux,
 		Seeds: s.Seeds, SeedCaller: inc.node, Log: inc.log, LeaseTTL: s.Leases.Member.Std(),
 		ConfirmTimeout: s.Leases.Member.Std() / confirmDivisor, OnViolation: inc.violation("fleet"),
 	})
--- a/process/fleet/cell_test.go
+++ b/process/fleet/cell_test.go
@@ -107,12 +107,12 @@
 	g := &gate{Store: c.mem}
 	handle := store.NewClient(g, store.Options{Log: zerolog.Nop()}).Role(store.RoleMembers)
 	claimCtx, done := context.WithTimeout(context.Background(), 2*time.Second)
-	claimed := ClaimLife(claimCtx, handle, id, floor)
+	claimed := ClaimIncarnation(claimCtx, handle, id, floor)
 	done()
 	caller, mux := c.net.Node(claimed.Ref)
 	o := Options{
 		Self:        Member{Zone: "z", PeerAddr: string(id), Protocol: 1},
-		Life:        claimed,
+		Incarnation: claimed,
 		Store:       handle,
 		Caller:      caller,
 		Registrar:   mux,
--- a/process/fleet/fleet.go
+++ b/process/fleet/fleet.go
@@ -3,7 +3,7 @@
 // suspicion and refutation (as in SWIM), and planned departure.
 //
 // Guarantees: a store outage removes no member; a restarted member has a higher
-// incarnation; an incarnation that has been seen as Gone never returns.
+// incarnation; an incarnation that has been seen as Ended never returns.
 package fleet
 
 import (
@@ -18,7 +18,7 @@
 	Alive   State = "alive"
 	Suspect State = "suspect" // probes fail; keeps its ownership, gets no new work
 	Leaving State = "leaving" // planned stop; transfers its resources, finishes running work
-	Gone    State = "gone"    // left, lease expired and probes fail, or replaced
+	Ended   State = "gone"    // left, lease expired and probes fail, or replaced
 )
 
 // Member is one daemon.
@@ -42,15 +42,15 @@
 type View interface {
 	// Self returns this daemon's entry.
 	Self() Member
-	// Members returns every member that is not Gone, self included, sorted by
+	// Members returns every member that is not Ended, self included, sorted by
 	// ID. The slice is shared and must not be changed.
 	Members() []Member
-	// Lookup returns the latest known entry of the member, even if it is Gone.
+	// Lookup returns the latest known entry of the member, even if it is Ended.
 	Lookup(id peer.MemberID) (Member, bool)
-	// Gone reports whether an incarnation of a member is known to have ended: it
+	// HasEnded reports whether an incarnation of a member is known to have ended: it
 	// left, a higher incarnation registered, or its store lease expired while
 	// probes failed.
-	Gone(ref peer.Ref) bool
+	HasEnded(ref peer.Ref) bool
 	// Changed returns a channel that is closed at the next change of the view.
 	Changed() <-chan struct{}
 }
--- a/process/fleet/fleet_test.go
+++ b/process/fleet/fleet_test.go
@@ -38,8 +38,8 @@
 			m, _ := d.Lookup("dac")
 			return m.State == Suspect
 		}))
-		gone := c.within(30*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.Gone(ref) }))
-		t.Logf("suspected everywhere after %s, gone after %s more", suspected, gone)
+		ended := c.within(30*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
+		t.Logf("suspected everywhere after %s, ended after %s more", suspected, ended)
 		require.True(t, c.converged())
 	})
 }
@@ -59,7 +59,7 @@
 		require.Greater(t, later.self.Incarnation, earlier.Incarnation)
 		c.start("dzz")
 		c.within(20*time.Second, "join in the outage", c.converged)
-		require.True(t, c.daemons["daa"].Gone(earlier))
+		require.True(t, c.daemons["daa"].HasEnded(earlier))
 		time.Sleep(30 * time.Minute)
 		c.mem.SetFaults(kv.Faults{})
 		for range 60 {
@@ -84,13 +84,13 @@
 		time.Sleep(2 * time.Minute)
 		require.True(t, c.converged())
 		c.net.Pause(d.self)
-		c.within(time.Minute, "gone", func() bool { return c.daemons["daa"].Gone(d.self) })
-		cause, _ := c.daemons["daa"].Ended(d.self)
+		c.within(time.Minute, "gone", func() bool { return c.daemons["daa"].HasEnded(d.self) })
+		cause, _ := c.daemons["daa"].EndCause(d.self)
 		require.Equal(t, LeaseExpired, cause)
 		c.net.Resume(d.self)
 		d.gate.setClosed(false)
 		c.within(time.Minute, "evicted", func() bool { return c.restartEvicted() == 1 })
-		require.Equal(t, Gone, d.Self().State)
+		require.Equal(t, Ended, d.Self().State)
 		require.ErrorIs(t, d.Drain(context.Background()), ErrStopped)
 		c.within(time.Minute, "back in a later incarnation", c.converged)
 	})
@@ -106,7 +106,7 @@
 		m, ok := c.daemons["daa"].Lookup("dab")
 		require.True(t, ok)
 		require.Equal(t, Suspect, m.State)
-		require.False(t, c.daemons["daa"].Gone(d.self))
+		require.False(t, c.daemons["daa"].HasEnded(d.self))
 		c.net.Resume(d.self)
 		c.within(20*time.Second, "refuted", c.converged)
 	})
@@ -130,14 +130,14 @@
 		require.Equal(t, Leaving, d.Self().State)
 		require.NoError(t, d.Leave(ctx))
 		require.ErrorIs(t, <-d.done, suture.ErrDoNotRestart)
-		require.Equal(t, Gone, d.Self().State)
+		require.Equal(t, Ended, d.Self().State)
 		require.ErrorIs(t, d.Drain(ctx), ErrStopped)
 		require.NoError(t, d.Leave(ctx))
 		delete(c.daemons, "dac")
-		gone := c.within(3*time.Second, "left", c.everyone(func(o *daemon) bool { return o.Gone(d.self) }))
-		cause, _ := c.daemons["daa"].Ended(d.self)
+		ended := c.within(3*time.Second, "left", c.everyone(func(o *daemon) bool { return o.HasEnded(d.self) }))
+		cause, _ := c.daemons["daa"].EndCause(d.self)
 		require.Equal(t, Left, cause)
-		t.Logf("leaving known everywhere after %s, left after %s", took, gone)
+		t.Logf("leaving known everywhere after %s, left after %s", took, ended)
 		next := c.start("dac")
 		require.Greater(t, next.self.Incarnation, d.self.Incarnation)
 		c.within(20*time.Second, "back", c.everyone(func(o *daemon) bool {
@@ -163,9 +163,9 @@
 			return m.State == Suspect
 		})
 		require.NoError(t, c.daemons["daa"].ObserveVMs(ctx, nil))
-		require.False(t, c.daemons["daa"].Gone(ref))
+		require.False(t, c.daemons["daa"].HasEnded(ref))
 		require.NoError(t, c.daemons["daa"].ObserveVMs(ctx, nil))
-		c.within(3*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.Gone(ref) }))
+		c.within(3*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
 	})
 }
 
@@ -181,9 +181,9 @@
 		require.Greater(t, third.Incarnation, second.Incarnation)
 		c.within(20*time.Second, "third incarnation", c.converged)
 		for _, ref := range []peer.Ref{first, second} {
-			require.True(t, c.daemons["daa"].Gone(ref))
+			require.True(t, c.daemons["daa"].HasEnded(ref))
 		}
-		require.False(t, c.daemons["daa"].Gone(third))
+		require.False(t, c.daemons["daa"].HasEnded(third))
 	})
 }
 
@@ -210,8 +210,8 @@
 // takes an incarnation from the clock that another process of the same name has claimed in
 // the store. The number alone does not distinguish them.
 func TestSameIncarnationOfAnotherProcess(t *testing.T) {
-	mine := Life{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
-	theirs := Life{Ref: mine.Ref, owner: "they"}
+	mine := Incarnation{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
+	theirs := Incarnation{Ref: mine.Ref, owner: "they"}
 	record, err := theirs.confirm(nil, false)
 	require.NoError(t, err)
 	_, err = mine.confirm(record, true)
@@ -223,7 +223,7 @@
 	require.NotEqual(t, record, again, "a registration must make a concurrent swap fail")
 }
 
-// Guards against a crashed daemon that some members never suspect until it is Gone: a member
+// Guards against a crashed daemon that some members never suspect until it is Ended: a member
 // refuted a suspicion, one daemon missed that and later suspects the member with the old
 // counter, and members with the newer counter ignored the suspicion without an answer.
 func TestOldSuspicionIsAnswered(t *testing.T) {
--- a/process/fleet/fleettest/view.go
+++ b/process/fleet/fleettest/view.go
@@ -15,7 +15,7 @@
 	mu      sync.Mutex
 	self    fleet.Member
 	members map[peer.MemberID]fleet.Member
-	gone    map[peer.Ref]bool
+	ended   map[peer.Ref]bool
 	changed chan struct{}
 }
 
@@ -27,7 +27,7 @@
 	v := &View{
 		self:    withState(self),
 		members: make(map[peer.MemberID]fleet.Member),
-		gone:    make(map[peer.Ref]bool),
+		ended:   make(map[peer.Ref]bool),
 		changed: make(chan struct{}),
 	}
 	v.Set(self)
@@ -45,12 +45,12 @@
 }
 
 // Set adds or replaces a member. A higher incarnation ends the earlier one; an
-// incarnation that is Gone stays so.
+// incarnation that is Ended stays so.
 func (v *View) Set(m fleet.Member) {
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	m = withState(m)
-	if v.gone[m.Ref] {
+	if v.ended[m.Ref] {
 		return
 	}
 	if old, ok := v.members[m.ID]; ok {
@@ -58,12 +58,12 @@
 			return
 		}
 		if old.Incarnation < m.Incarnation {
-			v.gone[old.Ref] = true
+			v.ended[old.Ref] = true
 		}
 	}
 	v.members[m.ID] = m
-	if m.State == fleet.Gone {
-		v.gone[m.Ref] = true
+	if m.State == fleet.Ended {
+		v.ended[m.Ref] = true
 	}
 	if m.ID == v.self.ID {
 		v.self = m
@@ -79,15 +79,15 @@
 	}
 }
 
-// SetGone ends an incarnation of a member.
-func (v *View) SetGone(ref peer.Ref) {
+// SetEnded ends an incarnation of a member.
+func (v *View) SetEnded(ref peer.Ref) {
 	if m, ok := v.Lookup(ref.ID); ok && m.Ref == ref {
-		v.SetState(ref.ID, fleet.Gone)
+		v.SetState(ref.ID, fleet.Ended)
 		return
 	}
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	v.gone[ref] = true
+	v.ended[ref] = true
 	v.bump()
 }
 
@@ -109,7 +109,7 @@
 	defer v.mu.Unlock()
 	var members []fleet.Member
 	for _, m := range v.members {
-		if m.State != fleet.Gone {
+		if m.State != fleet.Ended {
 			members = append(members, m)
 		}
 	}
@@ -127,11 +127,11 @@
 	return m, ok
 }
 
-// Gone implements fleet.View.
-func (v *View) Gone(ref peer.Ref) bool {
+// HasEnded implements fleet.View.
+func (v *View) HasEnded(ref peer.Ref) bool {
 	v.mu.Lock()
 	defer v.mu.Unlock()
-	return v.gone[ref] || v.members[ref.ID].Incarnation > ref.Incarnation
+	return v.ended[ref] || v.members[ref.ID].Incarnation > ref.Incarnation
 }
 
 // Changed implements fleet.View.
--- a/process/fleet/fuzz_test.go
+++ b/process/fleet/fuzz_test.go
@@ -61,7 +61,7 @@
 // there cannot be confirmed, and that a confirmed one is the latest.
 func FuzzIncarnationRecord(f *testing.F) {
 	addSeeds(f, incarnationRecord{Incarnation: 3, Owner: "o", Ended: 2, Cause: LeaseExpired})
-	claimed := Life{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
+	claimed := Incarnation{Ref: peer.Ref{ID: "a", Incarnation: 5}, owner: "me"}
 	f.Fuzz(func(t *testing.T, data []byte) {
 		before, err := decodeIncarnation(data)
 		if err != nil {
--- a/process/fleet/incarnation.go
+++ b/process/fleet/incarnation.go
@@ -35,8 +35,8 @@
 	return []error{ErrEvicted, suture.ErrTerminateSupervisorTree}
 }
 
-// Life is a claimed incarnation.
-type Life struct {
+// Incarnation is a claimed incarnation.
+type Incarnation struct {
 	Ref   peer.Ref
 	owner string // see incarnationRecord.Owner
 	// Provisional is set if the store could not be reached: the incarnation is taken
@@ -44,14 +44,14 @@
 	Provisional bool
 }
 
-// ClaimLife chooses the incarnation of a starting daemon: above floor, above every
+// ClaimIncarnation chooses the incarnation of a starting daemon: above floor, above every
 // earlier one, by compare-and-swap in the store, and not below the clock in
 // milliseconds. With the clock it rises even while the store is down and the daemon
 // cannot read its earlier incarnations: with a plain counter, two restarts in an
 // outage would choose the same number and be mistaken for each other. When ctx ends
 // before the store has answered, the result is provisional.
-func ClaimLife(ctx context.Context, members *store.Handle, id peer.MemberID, floor uint64) Life {
-	claimed := Life{
+func ClaimIncarnation(ctx context.Context, members *store.Handle, id peer.MemberID, floor uint64) Incarnation {
+	claimed := Incarnation{
 		Ref:   peer.Ref{ID: id, Incarnation: max(clock(), floor+1)},
 		owner: uuid.NewString(),
 	}
@@ -70,7 +70,7 @@
 
 func clock() uint64 { return uint64(time.Now().UnixMilli()) }
 
-func claim(ctx context.Context, members *store.Handle, claimed *Life) error {
+func claim(ctx context.Context, members *store.Handle, claimed *Incarnation) error {
 	_, err := members.Update(ctx, incarnationKey(claimed.Ref.ID), func(cur []byte, exists bool) ([]byte, error) {
 		var rec incarnationRecord
 		if exists {
@@ -99,7 +99,7 @@
 // confirm updates the incarnation record for a registration. It fails with an
 // *EvictedError if the incarnation has ended, or if another process has claimed the
 // same or a later one.
-func (l Life) confirm(cur []byte, exists bool) ([]byte, error) {
+func (l Incarnation) confirm(cur []byte, exists bool) ([]byte, error) {
 	var rec incarnationRecord
 	if exists {
 		var err error
--- a/process/fleet/measure_test.go
+++ b/process/fleet/measure_test.go
@@ -116,9 +116,9 @@
 const trials = 20
 
 // measureCrashes reports how long it takes until every daemon suspects a crashed one, and
-// until it is Gone in every view.
+// until it is Ended in every view.
 func (c *cell) measureCrashes() {
-	var suspected, gone []time.Duration
+	var suspected, ended []time.Duration
 	for i := range trials {
 		all := sortedIDs(c.daemons)
 		id := all[(i*7+3)%len(all)]
@@ -129,14 +129,14 @@
 			return m.State != Alive
 		}))
 		suspected = append(suspected, time.Since(start))
-		c.within(3*time.Minute, "gone", c.everyone(func(d *daemon) bool { return d.Gone(ref) }))
-		gone = append(gone, time.Since(start))
+		c.within(3*time.Minute, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
+		ended = append(ended, time.Since(start))
 		c.start(id)
 		c.within(time.Minute, "back", c.converged)
 		time.Sleep(time.Duration(i) * 370 * time.Millisecond)
 	}
-	c.t.Logf("crash under 5 %% loss, %d trials: suspected everywhere after %s, gone everywhere after %s",
-		trials, quantiles(suspected), quantiles(gone))
+	c.t.Logf("crash under 5 %% loss, %d trials: suspected everywhere after %s, ended everywhere after %s",
+		trials, quantiles(suspected), quantiles(ended))
 }
 
 // measurePauses reports how many members are suspected when daemons are suspended for two
@@ -215,17 +215,17 @@
 		require.NoError(t, err)
 		counting := &countingConn{PacketConn: socket}
 		handle := store.NewClient(mem, store.Options{Log: zerolog.Nop()}).Role(store.RoleMembers)
-		claimed := ClaimLife(ctx, handle, id, 0)
+		claimed := ClaimIncarnation(ctx, handle, id, 0)
 		mux := peer.NewMux()
 		node, err := peer.NewNode(counting, claimed.Ref, k.PeerConfig(), mux, zerolog.Nop())
 		require.NoError(t, err)
 		f := New(Options{
-			Self:      Member{Zone: "z", PeerAddr: node.Addr(), Protocol: peer.ProtocolMax},
-			Life:      claimed,
-			Store:     handle,
-			Caller:    node,
-			Registrar: mux,
-			Log:       zerolog.Nop(),
+			Self:        Member{Zone: "z", PeerAddr: node.Addr(), Protocol: peer.ProtocolMax},
+			Incarnation: claimed,
+			Store:       handle,
+			Caller:      node,
+			Registrar:   mux,
+			Log:         zerolog.Nop(),
 		})
 		node.SetResolver(f.Resolve)
 		sockets, fleets = append(sockets, counting), append(fleets, f)
--- a/process/fleet/options.go
+++ b/process/fleet/options.go
@@ -46,9 +46,9 @@
 
 // Options configure a Fleet. Self, Caller and Registrar are required.
 type Options struct {
-	// Self describes this daemon; its Ref is taken from Life when that is set.
-	Self Member
-	Life Life
+	// Self describes this daemon; its Ref is taken from Incarnation when that is set.
+	Self        Member
+	Incarnation Incarnation
 	// Store is where daemons are registered and listed; nil for none.
 	Store     *store.Handle
 	Caller    peer.Caller
@@ -76,10 +76,10 @@
 	o.Period = cmp.Or(o.Period, DefaultPeriod)
 	o.PingTimeout = cmp.Or(o.PingTimeout, DefaultPingTimeout)
 	o.ConfirmTimeout = cmp.Or(o.ConfirmTimeout, DefaultConfirmTimeout)
-	if o.Life.Ref.ID == "" {
-		o.Life = Life{Ref: o.Self.Ref, owner: uuid.NewString()}
+	if o.Incarnation.Ref.ID == "" {
+		o.Incarnation = Incarnation{Ref: o.Self.Ref, owner: uuid.NewString()}
 	}
-	o.Self.Ref = o.Life.Ref
+	o.Self.Ref = o.Incarnation.Ref
 	o.Self.State = Alive
 	return o
 }
--- a/process/fleet/random_test.go
+++ b/process/fleet/random_test.go
@@ -127,13 +127,13 @@
 }
 
 // check compares the views with the actual state: a daemon that runs and was never
-// suspended must not be Gone in any view.
+// suspended must not be Ended in any view.
 func (c *chaos) check() {
 	for _, viewer := range c.daemons {
 		for _, d := range c.daemons {
-			cause, gone := viewer.Ended(d.self)
-			if gone && !c.mayBeEvicted[d.self] && !c.ended[d.self] {
-				c.t.Fatalf("%s sees %v as gone (%s)", viewer.self.ID, d.self, cause)
+			cause, ended := viewer.EndCause(d.self)
+			if ended && !c.mayBeEvicted[d.self] && !c.ended[d.self] {
+				c.t.Fatalf("%s sees %v as ended (%s)", viewer.self.ID, d.self, cause)
 			}
 		}
 		require.NotEmpty(c.t, viewer.Members())
@@ -170,7 +170,7 @@
 			}
 		}
 		for id := range c.daemons {
-			if m, ok := viewer.Lookup(id); !ok || m.State == Gone {
+			if m, ok := viewer.Lookup(id); !ok || m.State == Ended {
 				fmt.Fprintf(&out, "%s does not see %s: %v %s\n", viewer.self.ID, id, m.Ref, m.State)
 			}
 		}
--- a/process/fleet/register.go
+++ b/process/fleet/register.go
@@ -93,7 +93,7 @@
 	if err := r.putAlive(ctx, lease); err != nil {
 		return grant{}, r.abandon(ctx, lease, err)
 	}
-	_, err = r.store.Update(ctx, incarnationKey(r.fleet.self.ID), r.fleet.options.Life.confirm)
+	_, err = r.store.Update(ctx, incarnationKey(r.fleet.self.ID), r.fleet.options.Incarnation.confirm)
 	if err != nil {
 		return grant{}, r.abandon(ctx, lease, err)
 	}
--- a/process/fleet/table.go
+++ b/process/fleet/table.go
@@ -24,7 +24,7 @@
 func (e *entry) state() State {
 	switch {
 	case e.Ended != NotEnded:
-		return Gone
+		return Ended
 	case e.Flags&flagLeaving != 0:
 		return Leaving
 	case e.Flags&flagSuspect != 0:
--- a/process/fleet/view.go
+++ b/process/fleet/view.go
@@ -13,7 +13,7 @@
 // snapshot is one immutable state of the view.
 type snapshot struct {
 	self    Member
-	members []Member // those not Gone and with known addresses, by ID
+	members []Member // those not Ended and with known addresses, by ID
 	latest  map[peer.MemberID]latestIncarnation
 	changed chan struct{}
 }
@@ -39,17 +39,17 @@
 	return latest.Member, ok
 }
 
-// Gone implements View.
-func (f *Fleet) Gone(ref peer.Ref) bool {
-	_, ok := f.Ended(ref)
+// HasEnded implements View.
+func (f *Fleet) HasEnded(ref peer.Ref) bool {
+	_, ok := f.EndCause(ref)
 	return ok
 }
 
-// Ended returns the cause for which an incarnation has ended, and false if it is not
+// EndCause returns the cause for which an incarnation has ended, and false if it is not
 // known to have ended. After LeaseExpired the process may still run, suspended or
 // partitioned; it detects the end before it registers again. After the other causes
 // the process has stopped acting as that incarnation, or its VM was removed.
-func (f *Fleet) Ended(ref peer.Ref) (Cause, bool) {
+func (f *Fleet) EndCause(ref peer.Ref) (Cause, bool) {
 	latest, ok := f.view.Load().latest[ref.ID]
 	switch {
 	case !ok || ref.Incarnation > latest.Incarnation:
@@ -71,9 +71,9 @@
 }
 
 // newSnapshot returns a view of the table. If the table has a later incarnation of
-// this daemon, its own entry is shown as Gone.
+// this daemon, its own entry is shown as Ended.
 func newSnapshot(t *table, self Member) *snapshot {
-	self.State = Gone
+	self.State = Ended
 	s := &snapshot{
 		self:    self,
 		latest:  make(map[peer.MemberID]latestIncarnation, len(t.entries)),
--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -63,8 +63,8 @@
 		time.Sleep(takeoverWindow + 5*time.Second)
 		next, _ := w.leader(t)
 		w.kill(next)
-		for _, gone := range []string{leader, next} {
-			w.names = w.others(gone)
+		for _, removed := range []string{leader, next} {
+			w.names = w.others(removed)
 		}
 		took = w.untilReplaced(next)
 		t.Logf("replaced after %v when calm", took)
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -197,9 +197,9 @@
 	w.daemons[name].stop()
 }
 
-func (w *testCell) stop(gone ...string) {
+func (w *testCell) stop(removed ...string) {
 	for _, name := range w.names {
-		if !slices.Contains(gone, name) {
+		if !slices.Contains(removed, name) {
 			w.daemons[name].stop()
 		}
 	}
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -189,7 +189,7 @@
 	synctest.Wait() // until it has lost its resources
 	for _, other := range c.members {
 		if other != m {
-			other.view.SetGone(m.ref)
+			other.view.SetEnded(m.ref)
 		}
 	}
 }
@@ -319,7 +319,7 @@
 				case 2: // falsely considered gone: it keeps running
 					for _, other := range c.members {
 						if other != m {
-							other.view.SetGone(m.ref)
+							other.view.SetEnded(m.ref)
 						}
 					}
 				case 3:
--- a/process/ownership/state.go
+++ b/process/ownership/state.go
@@ -331,7 +331,7 @@
 	if e.Owner.ID == s.self().ID {
 		return true // an earlier incarnation of this daemon, or a claim that it has lost
 	}
-	if s.m.o.View.Gone(e.Owner) {
+	if s.m.o.View.HasEnded(e.Owner) {
 		return true
 	}
 	member, ok := s.m.o.View.Lookup(e.Owner.ID)
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -248,7 +248,7 @@
 func (c *cell) reportFailed(d *daemon) {
 	for _, other := range c.daemons {
 		if other != d {
-			other.view.SetGone(d.ref)
+			other.view.SetEnded(d.ref)
 		}
 	}
 }
--- a/process/partition/random_test.go
+++ b/process/partition/random_test.go
@@ -180,7 +180,7 @@
 		for _, o := range r.daemons {
 			for ref := range r.reportedFailed {
 				if o.ref != ref {
-					o.view.SetGone(ref)
+					o.view.SetEnded(ref)
 				}
 			}
 		}
--- a/process/versions/await.go
+++ b/process/versions/await.go
@@ -89,7 +89,7 @@
 		k.awaitSelf(ctx, version)
 		return
 	}
-	for ctx.Err() == nil && !k.options.Fleet.Gone(m.Ref) {
+	for ctx.Err() == nil && !k.options.Fleet.HasEnded(m.Ref) {
 		if s, ok := k.observed.of(m.Ref); ok && s.Version >= version {
 			return
 		}
--- a/process/versions/gossip.go
+++ b/process/versions/gossip.go
@@ -67,7 +67,7 @@
 	members := k.options.Fleet.Members()
 	refs := make([]peer.Ref, 0, len(members))
 	for _, m := range members {
-		if m.ID != self && m.State != fleet.Gone {
+		if m.ID != self && m.State != fleet.Ended {
 			refs = append(refs, m.Ref)
 		}
 	}
--- a/request/idem/manager.go
+++ b/request/idem/manager.go
@@ -105,7 +105,7 @@
 		return m.opts.Members.Self(), true, true
 	}
 	member, ok := m.opts.Members.Lookup(claim.Owner.ID)
-	if !ok || member.Ref != claim.Owner || member.State == fleet.Gone {
+	if !ok || member.Ref != claim.Owner || member.State == fleet.Ended {
 		return fleet.Member{}, false, false
 	}
 	return member, false, true
--- a/request/slots/churn_test.go
+++ b/request/slots/churn_test.go
@@ -149,7 +149,7 @@
 	d.stop()
 	c.net.Stop(d.ref)
 	for _, o := range c.daemons {
-		o.view.SetGone(d.ref)
+		o.view.SetEnded(d.ref)
 	}
 }
 
@@ -243,7 +243,7 @@
 func (c *churn) removeForOthers(old *daemon) {
 	for _, o := range c.daemons {
 		if o != old && o.disconnectedAt().IsZero() {
-			o.view.SetGone(old.ref)
+			o.view.SetEnded(old.ref)
 			c.net.Cut(old.ref.ID, o.ref.ID)
 		}
 	}
@@ -272,7 +272,7 @@
 
 func (c *churn) removedSomewhere(d *daemon) bool {
 	for _, o := range c.daemons {
-		if o.view.Gone(d.ref) {
+		if o.view.HasEnded(d.ref) {
 			return true
 		}
 	}
--- a/request/slots/fault_test.go
+++ b/request/slots/fault_test.go
@@ -73,7 +73,7 @@
 	d.stop()
 	c.net.Stop(d.ref)
 	for _, o := range c.daemons {
-		o.view.SetGone(d.ref)
+		o.view.SetEnded(d.ref)
 	}
 }
 
@@ -112,7 +112,7 @@
 			c.daemons[disconnected].directory.Freeze()
 			for _, o := range []peer.MemberID{"d2", "d3", "d4"} {
 				c.net.Cut(disconnected, o)
-				c.daemons[o].view.SetGone(c.daemons[disconnected].ref)
+				c.daemons[o].view.SetEnded(c.daemons[disconnected].ref)
 			}
 		}
 		time.Sleep(10 * time.Second)
--- a/request/slots/notices.go
+++ b/request/slots/notices.go
@@ -36,7 +36,7 @@
 func (s *notices) notify(to peer.Ref, address string) {
 	ctx, cancel := context.WithTimeout(s.m.ctx, noticeTimeout)
 	defer cancel()
-	for ctx.Err() == nil && !s.m.opts.Members.Gone(to) {
+	for ctx.Err() == nil && !s.m.opts.Members.HasEnded(to) {
 		if s.tryNotify(ctx, to, address) == nil {
 			return
 		}
--- a/request/slots/poolgrant.go
+++ b/request/slots/poolgrant.go
@@ -55,7 +55,7 @@
 	if !r.Full && (!ok || !now.Before(h.expires)) {
 		return nil, false
 	}
-	if p.m.opts.Members.Gone(from) {
+	if p.m.opts.Members.HasEnded(from) {
 		return nil, false
 	}
 	h = p.holder(from)
--- a/request/slots/takeover.go
+++ b/request/slots/takeover.go
@@ -104,7 +104,7 @@
 		switch {
 		case p.replaced(owner) || now.Sub(t.began) > p.m.opts.AuthorityBound:
 			p.resolve(owner, now)
-		case p.m.opts.Members.Gone(owner) && p.m.recentMajority(t.members()):
+		case p.m.opts.Members.HasEnded(owner) && p.m.recentMajority(t.members()):
 			// A removed member may just be unreachable. An owner that has lost the store stops
 			// once it has received nothing from a majority for a TTL, and the majority that
 			// answered here refuses it from now on.
