--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -109,7 +109,7 @@
 	inc.node.SetResolver(inc.fleet.Resolve)
 	inc.racks = partition.NewRacks(d.o.VMs, vmListPeriod, inc.log)
 	inc.owners = ownership.New(ownership.Options{
-		View: inc.fleet, Store: inc.store.Role(store.RoleClaims), Renewed: inc.fleet.LeaseRenewed,
+		View: inc.fleet, Store: inc.store.Role(store.RoleClaims), LastRenewal: inc.fleet.LeaseRenewed,
 		StartBound: s.Leases.Start.Std(), RenewBound: s.Leases.Renew.Std(), Log: inc.log,
 	})
 }
--- a/process/daemon/path.go
+++ b/process/daemon/path.go
@@ -62,7 +62,7 @@
 // recordSettled records in the store, for later owners of a slot pool, that the slots of
 // every earlier owner are accounted for.
 func (p *requestPath) recordSettled(ctx context.Context, c ownership.Claim) error {
-	return p.inc.owners.Remember(ctx, c, ownership.Memo{Settled: true})
+	return p.inc.owners.SaveMemo(ctx, c, ownership.Memo{EarlierFenced: true})
 }
 
 // services lists the slot pools as resources: one per declared service.
--- a/process/jobs/jobs.go
+++ b/process/jobs/jobs.go
@@ -77,7 +77,7 @@
 	countConfirmed chan struct{}
 }
 
-// Manager runs the shards that this daemon owns. It implements ownership.User
+// Manager runs the shards that this daemon owns. It implements ownership.Handler
 // for ownership.ShardPrefix.
 type Manager struct {
 	options     Options
@@ -156,7 +156,7 @@
 	return plan.Shard(n), nil
 }
 
-// Acquired implements ownership.User.
+// Acquired implements ownership.Handler.
 func (m *Manager) Acquired(_ context.Context, g ownership.Grant) {
 	n, err := shardOf(g.Resource)
 	if err != nil {
@@ -170,7 +170,7 @@
 	m.shards[n] = &ownedShard{shard: s, token: m.supervisor.Add(s)}
 }
 
-// Lost implements ownership.User.
+// Lost implements ownership.Handler.
 func (m *Manager) Lost(r ownership.Resource, epoch uint64) {
 	n, err := shardOf(r)
 	if err != nil {
@@ -194,7 +194,7 @@
 	_ = m.supervisor.Remove(run.token)
 }
 
-// Releasing implements ownership.User: it stops new starts, waits until the
+// Releasing implements ownership.Handler: it stops new starts, waits until the
 // progress is durable and stops the shard. On an error the shard keeps running.
 func (m *Manager) Releasing(ctx context.Context, r ownership.Resource) error {
 	n, err := shardOf(r)
--- a/process/ownership/claiming.go
+++ b/process/ownership/claiming.go
@@ -86,16 +86,16 @@
 	s.delays[r] = d
 }
 
-// transfer asks the user to prepare the release of a resource, then marks the claim
+// transfer asks the handler to prepare the release of a resource, then marks the claim
 // as released.
 //
 // For a planned transfer the claim is confirmed at the store first. Otherwise, in a
-// store outage, the user would stop serving a resource whose claim cannot be
+// store outage, the handler would stop serving a resource whose claim cannot be
 // released, so that it has no owner until the store is back, and the tasks of a
 // partition end when their lease expires. A daemon that leaves releases in any case.
 func (s *state) transfer(r Resource) {
 	c, ok := s.owned[r]
-	u, known := s.user(r)
+	h, known := s.handler(r)
 	if !ok || !known || s.inFlight[r] {
 		return
 	}
@@ -104,38 +104,38 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.m.o.ReleaseTimeout)
 		defer cancel()
-		err := s.m.prepareRelease(ctx, u, c, leaving)
+		err := s.m.prepareRelease(ctx, h, c, leaving)
 		s.m.send(func(s *state) { s.finishTransfer(c, err, leaving) })
 	}()
 }
 
-// prepareRelease confirms the claim at the store and calls User.Releasing. If the
-// store became unreachable meanwhile, a Keeper is told to resume. This leaves an
+// prepareRelease confirms the claim at the store and calls Handler.Releasing. If the
+// store became unreachable meanwhile, a Resumer is told to resume. This leaves an
 // outage that begins between the last read and the write of the release: the write
 // may have taken effect, and a later owner then does not fence this daemon, so the
 // resource must not be resumed in the same epoch.
-func (m *Manager) prepareRelease(ctx context.Context, u User, c Claim, leaving bool) error {
+func (m *Manager) prepareRelease(ctx context.Context, h Handler, c Claim, leaving bool) error {
 	if leaving {
-		return u.Releasing(ctx, c.Resource)
+		return h.Releasing(ctx, c.Resource)
 	}
 	if err := m.Confirm(ctx, c); err != nil {
 		return err
 	}
-	if err := u.Releasing(ctx, c.Resource); err != nil {
+	if err := h.Releasing(ctx, c.Resource); err != nil {
 		return err
 	}
-	k, ok := u.(Keeper)
+	k, ok := h.(Resumer)
 	if !ok {
 		return nil
 	}
 	if err := m.Confirm(ctx, c); err != nil {
-		k.Keep(c.Resource)
+		k.Resume(c.Resource)
 		return err
 	}
 	return nil
 }
 
-// finishTransfer releases the claim after the user has prepared for it. The parameter
+// finishTransfer releases the claim after the handler has prepared for it. The parameter
 // leaving is set if the transfer was started because this daemon leaves.
 func (s *state) finishTransfer(c Claim, err error, leaving bool) {
 	r := c.Resource
@@ -152,7 +152,7 @@
 		return
 	}
 	// Lost is called before the write: once the claim is released another daemon may
-	// act at once, and the user must have stopped by then.
+	// act at once, and the handler must have stopped by then.
 	s.loseIfOwned(r, "released for another owner")
 	go func() {
 		ctx, cancel := context.WithTimeout(s.ctx, s.m.o.ReleaseTimeout)
--- a/process/ownership/manager.go
+++ b/process/ownership/manager.go
@@ -22,19 +22,19 @@
 // Directory. Its state is confined to the goroutine of Serve; readers use published
 // snapshots.
 type Manager struct {
-	o     Options
-	log   zerolog.Logger
-	users []registration
+	o             Options
+	log           zerolog.Logger
+	registrations []registration
 
 	commands  chan func(*state)
 	done      chan struct{}
 	published atomic.Pointer[snapshot]
 }
 
-// registration is a prefix with its user.
+// registration is a prefix with its handler.
 type registration struct {
 	prefix    string
-	user      User
+	handler   Handler
 	resources func() []Resource
 }
 
@@ -45,7 +45,7 @@
 	changed chan struct{}
 }
 
-// New returns a manager. Call Register for each user, then Serve.
+// New returns a manager. Call Register for each handler, then Serve.
 func New(o Options) *Manager {
 	m := &Manager{
 		o:        o.withDefaults(),
@@ -57,11 +57,11 @@
 	return m
 }
 
-// Register adds a user for the resources of a prefix. The function resources returns
+// Register adds a handler for the resources of a prefix. The function resources returns
 // those that currently exist and is called from the manager's goroutine. Register
 // must be called before Serve.
-func (m *Manager) Register(prefix string, u User, resources func() []Resource) {
-	m.users = append(m.users, registration{prefix, u, resources})
+func (m *Manager) Register(prefix string, h Handler, resources func() []Resource) {
+	m.registrations = append(m.registrations, registration{prefix, h, resources})
 }
 
 // Serve runs the manager until ctx ends. Before it returns, it calls Lost for every
@@ -138,7 +138,7 @@
 
 // Authority implements Directory.
 func (m *Manager) Authority() (start, renew time.Duration) {
-	since := time.Since(m.o.Renewed())
+	since := time.Since(m.o.LastRenewal())
 	return m.o.StartBound - since, m.o.RenewBound - since
 }
 
@@ -177,12 +177,12 @@
 	return fmt.Errorf("claim of %s is held by %s in epoch %d: %w", c.Resource, current.Owner.ID, current.Epoch, ErrNotOwner)
 }
 
-// Remember stores a memo for the owners after c. A nil error means that every later
+// SaveMemo stores a memo for the owners after c. A nil error means that every later
 // owner receives it with its Grant.
-func (m *Manager) Remember(ctx context.Context, c Claim, memo Memo) error {
+func (m *Manager) SaveMemo(ctx context.Context, c Claim, memo Memo) error {
 	e, err := m.amend(ctx, c, func(c *record) {
 		c.Notes = memo.Notes
-		if memo.Settled {
+		if memo.EarlierFenced {
 			c.Earlier = nil
 		}
 	})
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -39,7 +39,7 @@
 	kept      []ownership.Resource
 }
 
-// member is one incarnation of a daemon; it implements ownership.User.
+// member is one incarnation of a daemon; it implements ownership.Handler.
 type member struct {
 	c       *cell
 	ref     peer.Ref
@@ -82,7 +82,7 @@
 	}
 	m.manager = ownership.New(ownership.Options{
 		View: m.view, Store: store.NewClient(c.kv, store.Options{}).Role(store.RoleClaims),
-		Renewed: m.renewed, Log: zerolog.Nop(),
+		LastRenewal: m.renewed, Log: zerolog.Nop(),
 	})
 	m.manager.Register(ownership.ShardPrefix, m, func() []ownership.Resource { return c.resources })
 	ctx, stop := context.WithCancel(c.ctx)
@@ -136,7 +136,7 @@
 	return nil
 }
 
-func (m *member) Keep(r ownership.Resource) {
+func (m *member) Resume(r ownership.Resource) {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
 	m.c.kept = append(m.c.kept, r)
--- a/process/ownership/options.go
+++ b/process/ownership/options.go
@@ -36,13 +36,13 @@
 type Options struct {
 	View  fleet.View
 	Store Store
-	// Renewed returns when the last successful renewal of this daemon's store
+	// LastRenewal returns when the last successful renewal of this daemon's store
 	// lease began, on the monotonic clock.
-	Renewed func() time.Time
-	// StartBound is how long after Renewed this daemon still starts new work. It
+	LastRenewal func() time.Time
+	// StartBound is how long after LastRenewal this daemon still starts new work. It
 	// must cover an outage of the store.
 	StartBound time.Duration
-	// RenewBound is how long after Renewed this daemon still renews running work;
+	// RenewBound is how long after LastRenewal this daemon still renews running work;
 	// not less than StartBound.
 	RenewBound time.Duration
 	// HoldDown is how long another member must be the assigned owner without
@@ -54,7 +54,7 @@
 	// Fallback is the delay, for each rank of a resource's ranking, before a member
 	// claims what the members ranked above it have left unclaimed.
 	Fallback time.Duration
-	// ReleaseTimeout bounds User.Releasing.
+	// ReleaseTimeout bounds Handler.Releasing.
 	ReleaseTimeout time.Duration
 	// Tick is the interval at which assignment and authority are checked.
 	Tick time.Duration
@@ -83,7 +83,7 @@
 	// maxTransfers is how many resources are transferred concurrently while the
 	// daemon stays; a leaving daemon transfers all at once.
 	maxTransfers = 2
-	// retryAfterRefusal is the pause after a user failed to prepare a release.
+	// retryAfterRefusal is the pause after a handler failed to prepare a release.
 	retryAfterRefusal = 5 * time.Second
 )
 
--- a/process/ownership/outage_test.go
+++ b/process/ownership/outage_test.go
@@ -26,7 +26,7 @@
 func TestOutageKeepsWhatWasToBeHandedOver(t *testing.T) {
 	// Guards against a partition without an owner in a store outage, whose tasks end when
 	// their lease expires: a member joins, the store goes down before the hold-down time
-	// ends, and the user stopped serving a resource before it was certain that the claim
+	// ends, and the handler stopped serving a resource before it was certain that the claim
 	// can be released.
 	inBubble(t, 2, 12, func(c *cell) {
 		c.eventually(10*time.Second, "all owned", c.allOwned)
@@ -42,7 +42,7 @@
 }
 
 func TestOutageDuringAHandoverKeepsTheResource(t *testing.T) {
-	// Guards against the same loss when the store goes down while the user prepares the
+	// Guards against the same loss when the store goes down while the handler prepares the
 	// release: the claim was confirmed only before that.
 	inBubble(t, 2, 12, func(c *cell) {
 		c.eventually(10*time.Second, "all owned", c.allOwned)
--- a/process/ownership/ownership.go
+++ b/process/ownership/ownership.go
@@ -5,7 +5,7 @@
 //
 // Guarantees: there is at most one claim per resource and epoch; epochs of a
 // resource only rise; a claim names one incarnation of a daemon. A claim does not
-// by itself stop an earlier owner: users of this package fence it where the work
+// by itself stop an earlier owner: handlers of this package fence it where the work
 // happens (at a worker, a log key, or the other daemons).
 package ownership
 
@@ -42,49 +42,49 @@
 	return c.Resource == o.Resource && c.Owner == o.Owner && c.Epoch == o.Epoch
 }
 
-// Grant is passed to a user when this daemon has become the owner of a resource.
+// Grant is passed to a handler when this daemon has become the owner of a resource.
 type Grant struct {
 	Claim
 	// Previous is the claim that this one replaced; a zero Epoch means none.
 	Previous Claim
-	// Earlier lists the owners of lower epochs, since the last owner that fenced all
-	// of its predecessors, that may still be active; see Memo.Settled.
-	Earlier []peer.Ref
+	// EarlierOwners lists the owners of lower epochs, since the last owner that fenced all
+	// of its predecessors, that may still be active; see Memo.EarlierFenced.
+	EarlierOwners []peer.Ref
 	// Notes are the latest Memo.Notes of an earlier owner.
 	Notes []string
 }
 
 // Memo is what an owner stores for its successors.
 type Memo struct {
-	// Settled is set if every earlier owner is fenced or has certainly stopped.
-	Settled bool
-	// Notes are strings of the user's own; they replace the previous ones.
+	// EarlierFenced is set if every earlier owner is fenced or has certainly stopped.
+	EarlierFenced bool
+	// Notes are strings of the handler's own; they replace the previous ones.
 	Notes []string
 }
 
-// User handles the resources of one prefix. Acquired and Lost are called from one
+// Handler handles the resources of one prefix. Acquired and Lost are called from one
 // goroutine, in order, and must return quickly; Releasing is called from another,
 // and Lost may be called while it runs.
-type User interface {
-	// Acquired starts the user's work on the resource. The user fences the
+type Handler interface {
+	// Acquired starts the handler's work on the resource. The handler fences the
 	// previous owner before it acts.
 	Acquired(ctx context.Context, g Grant)
 	// Lost is called when a higher epoch was seen, the authority expired, or after
-	// Releasing, before the claim is released; the user stops at once and drops
+	// Releasing, before the claim is released; the handler stops at once and drops
 	// its state.
 	Lost(r Resource, epoch uint64)
-	// Releasing asks the user to prepare the release of a resource: to accept
+	// Releasing asks the handler to prepare the release of a resource: to accept
 	// nothing new, make its state durable, and return when the claim may be
 	// released. The context bounds it.
 	Releasing(ctx context.Context, r Resource) error
 }
 
-// Keeper is a User that can resume a resource after Releasing has returned, unless
+// Resumer is a Handler that can resume a resource after Releasing has returned, unless
 // Lost was called.
-type Keeper interface {
-	User
-	// Keep cancels Releasing: the claim cannot be released now.
-	Keep(r Resource)
+type Resumer interface {
+	Handler
+	// Resume cancels Releasing: the claim cannot be released now.
+	Resume(r Resource)
 }
 
 // Directory returns the owners of resources according to the latest claims that this
--- a/process/ownership/ownershiptest/directory.go
+++ b/process/ownership/ownershiptest/directory.go
@@ -45,7 +45,7 @@
 	c.claims[r] = claim
 	c.notify()
 	return ownership.Grant{
-		Claim: claim, Previous: previous, Earlier: slices.Clone(c.earlier[r]), Notes: slices.Clone(c.notes[r]),
+		Claim: claim, Previous: previous, EarlierOwners: slices.Clone(c.earlier[r]), Notes: slices.Clone(c.notes[r]),
 	}
 }
 
@@ -177,15 +177,15 @@
 	return nil
 }
 
-// Remember stores a memo like Manager.Remember.
-func (d *Directory) Remember(ctx context.Context, c ownership.Claim, memo ownership.Memo) error {
+// SaveMemo stores a memo like Manager.SaveMemo.
+func (d *Directory) SaveMemo(ctx context.Context, c ownership.Claim, memo ownership.Memo) error {
 	if err := d.Confirm(ctx, c); err != nil {
 		return err
 	}
 	d.cell.mu.Lock()
 	defer d.cell.mu.Unlock()
 	d.cell.notes[c.Resource] = memo.Notes
-	if memo.Settled {
+	if memo.EarlierFenced {
 		delete(d.cell.earlier, c.Resource)
 	}
 	return nil
--- a/process/ownership/state.go
+++ b/process/ownership/state.go
@@ -24,7 +24,7 @@
 // record is the value of a resource's claim in the store.
 type record struct {
 	Claim
-	// Earlier is Grant.Earlier. Without it, when an owner fails before it has fenced
+	// Earlier is Grant.EarlierOwners. Without it, when an owner fails before it has fenced
 	// its predecessor, the next owner would not fence that predecessor, which may be
 	// suspended and later start work.
 	Earlier []peer.Ref `json:"earlier,omitempty"`
@@ -70,11 +70,11 @@
 	}
 }
 
-// user returns the user of the resource's prefix.
-func (s *state) user(r Resource) (User, bool) {
-	for _, reg := range s.m.users {
+// handler returns the handler of the resource's prefix.
+func (s *state) handler(r Resource) (Handler, bool) {
+	for _, reg := range s.m.registrations {
 		if strings.HasPrefix(string(r), reg.prefix) {
-			return reg.user, true
+			return reg.handler, true
 		}
 	}
 	return nil, false
@@ -156,14 +156,14 @@
 }
 
 func (s *state) acquire(e entry, previous Claim) {
-	u, ok := s.user(e.Resource)
+	h, ok := s.handler(e.Resource)
 	if _, mine := s.owned[e.Resource]; !ok || mine {
 		return
 	}
 	s.owned[e.Resource] = e.Claim
 	s.lostEpochs[e.Resource] = e.Epoch // must not be acquired a second time
 	s.m.log.Info().Str("resource", string(e.Resource)).Uint64("epoch", e.Epoch).Msg("acquired")
-	u.Acquired(s.ctx, Grant{Claim: e.Claim, Previous: previous, Earlier: e.Earlier, Notes: e.Notes})
+	h.Acquired(s.ctx, Grant{Claim: e.Claim, Previous: previous, EarlierOwners: e.Earlier, Notes: e.Notes})
 }
 
 // observe applies a claim reported by a peer or a worker.
@@ -179,8 +179,8 @@
 	s.lostEpochs[r] = max(s.lostEpochs[r], c.Epoch)
 	s.dirty = true
 	s.m.log.Warn().Str("resource", string(r)).Uint64("epoch", c.Epoch).Str("reason", reason).Msg("lost")
-	if u, ok := s.user(r); ok {
-		u.Lost(r, c.Epoch)
+	if h, ok := s.handler(r); ok {
+		h.Lost(r, c.Epoch)
 	}
 }
 
@@ -210,13 +210,13 @@
 		s.leaving = true
 	}
 	candidates := s.candidates()
-	for _, reg := range s.m.users {
+	for _, reg := range s.m.registrations {
 		listed := reg.resources()
 		resources := s.withClaimed(reg.prefix, listed)
 		targets := s.assign(reg.prefix, resources, candidates)
 		s.retire(reg.prefix, listed)
 		for _, r := range resources {
-			// A user that lists no resources, because it has not been able to read
+			// A handler that lists no resources, because it has not been able to read
 			// them yet, could not serve one.
 			mayClaim := start > 0 && self.State == fleet.Alive && len(listed) > 0 &&
 				time.Since(s.began) >= s.m.o.StartDelay
@@ -258,7 +258,7 @@
 }
 
 // withClaimed adds the resources that are claimed but no longer listed: they need an
-// owner until the user has agreed to their release.
+// owner until the handler has agreed to their release.
 func (s *state) withClaimed(prefix string, listed []Resource) []Resource {
 	all := slices.Clone(listed)
 	known := setOf(listed)
@@ -270,7 +270,7 @@
 	return all
 }
 
-// retire releases resources that are no longer listed, once the user agrees.
+// retire releases resources that are no longer listed, once the handler agrees.
 func (s *state) retire(prefix string, listed []Resource) {
 	if len(listed) == 0 {
 		return // nothing has been read yet
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -302,7 +302,7 @@
 
 func newEarlierOwners(g ownership.Grant) earlierOwners {
 	e := earlierOwners{unreleased: make(map[peer.Ref]bool), lastReleased: time.Now(), acquired: time.Now()}
-	for _, ref := range g.Earlier {
+	for _, ref := range g.EarlierOwners {
 		e.unreleased[ref] = true
 	}
 	return e
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -196,7 +196,7 @@
 	d.gate = &gate{Store: c.kv}
 	d.manager = ownership.New(ownership.Options{
 		View: d.view, Store: store.NewClient(d.gate, store.Options{}).Role(store.RoleClaims),
-		Renewed: d.lastRenewal, RenewBound: testRenewBound, Log: zerolog.Nop(),
+		LastRenewal: d.lastRenewal, RenewBound: testRenewBound, Log: zerolog.Nop(),
 	})
 	d.host = New(Options{
 		Racks: d.racks, Dialer: c.rack.Dialer(d.key()), Directory: d.manager, Claims: d.manager,
--- a/process/partition/host.go
+++ b/process/partition/host.go
@@ -15,7 +15,7 @@
 )
 
 // Host runs an owner for each partition that this daemon owns and serves the
-// methods of package plan. It implements ownership.User.
+// methods of package plan. It implements ownership.Handler.
 type Host struct {
 	o      Options
 	fences fences
@@ -109,7 +109,7 @@
 // Resources lists the partitions, for ownership.Manager.Register.
 func (h *Host) Resources() []ownership.Resource { return h.o.Racks.Resources() }
 
-// Acquired implements ownership.User.
+// Acquired implements ownership.Handler.
 func (h *Host) Acquired(ctx context.Context, g ownership.Grant) {
 	name := partitionOf(g.Resource)
 	o := newOwner(ctx, h, name, g)
@@ -127,7 +127,7 @@
 	go o.run()
 }
 
-// Lost implements ownership.User.
+// Lost implements ownership.Handler.
 func (h *Host) Lost(r ownership.Resource, epoch uint64) {
 	name := partitionOf(r)
 	h.mu.Lock()
@@ -141,7 +141,7 @@
 	}
 }
 
-// Releasing implements ownership.User: it refuses new plans, waits for calls to
+// Releasing implements ownership.Handler: it refuses new plans, waits for calls to
 // workers that are in flight, so that no start is sent after the claim is
 // released, and sends the events that are still queued.
 func (h *Host) Releasing(ctx context.Context, r ownership.Resource) error {
@@ -165,14 +165,14 @@
 	}
 }
 
-// Keep implements ownership.Keeper: the partition accepts plans again.
-func (h *Host) Keep(r ownership.Resource) {
+// Resume implements ownership.Resumer: the partition accepts plans again.
+func (h *Host) Resume(r ownership.Resource) {
 	if o, err := h.owner(partitionOf(r)); err == nil {
 		_, _ = call(context.Background(), o, o.cancelRelease) // fails when ownership was lost
 	}
 }
 
-var _ ownership.Keeper = (*Host)(nil)
+var _ ownership.Resumer = (*Host)(nil)
 
 // errTasksLeft refuses the release of a partition whose rack has left the VM
 // list: no successor would claim it while its tasks may still run.
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -37,10 +37,10 @@
 
 // updateMemo writes the memo to the store if the stored one is out of date.
 func (o *owner) updateMemo(now time.Time) {
-	if o.memoWriting || now.Before(o.memoRetry) || o.releasing || (o.memoIsCurrent() && !o.canSettle() && !o.limits.due(now)) {
+	if o.memoWriting || now.Before(o.memoRetry) || o.releasing || (o.memoIsCurrent() && !o.canMarkFenced() && !o.limits.due(now)) {
 		return
 	}
-	memo := ownership.Memo{Settled: o.settled || o.canSettle()}
+	memo := ownership.Memo{EarlierFenced: o.earlierFenced || o.canMarkFenced()}
 	for id := range o.nodes {
 		memo.Notes = append(memo.Notes, string(id))
 	}
@@ -53,21 +53,21 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(o.ctx, storeTimeout)
 		defer cancel()
-		err := o.h.o.Claims.Remember(ctx, o.claim, memo)
-		o.post(func() { o.memoWritten(memo.Settled, workers, limits, err) })
+		err := o.h.o.Claims.SaveMemo(ctx, o.claim, memo)
+		o.post(func() { o.memoWritten(memo.EarlierFenced, workers, limits, err) })
 	}()
 }
 
 // memoWritten records the outcome of a memo write. On success the stored memo
 // names workers and holds the limits up to seq limits.
-func (o *owner) memoWritten(settled bool, workers []string, limits uint64, err error) {
+func (o *owner) memoWritten(earlierFenced bool, workers []string, limits uint64, err error) {
 	o.memoWriting = false
 	if err != nil {
 		o.memoRetry = time.Now().Add(storeRetry)
 		o.log.Warn().Err(err).Msg("writing the partition memo to the store failed")
 		return
 	}
-	o.settled = settled
+	o.earlierFenced = earlierFenced
 	o.limits.markSaved(limits)
 	before := o.inMemo
 	o.inMemo = make(map[worker.ID]bool, len(workers))
@@ -94,10 +94,10 @@
 	return true
 }
 
-// canSettle reports whether the memo is to be marked as settled: no earlier
+// canMarkFenced reports whether the memo is to be marked with EarlierFenced: no earlier
 // owner can start tasks any more, and the stored memo does not say so yet.
-func (o *owner) canSettle() bool {
-	if o.settled || len(o.nodes) == 0 {
+func (o *owner) canMarkFenced() bool {
+	if o.earlierFenced || len(o.nodes) == 0 {
 		return false
 	}
 	for _, n := range o.nodes {
--- a/process/partition/options.go
+++ b/process/partition/options.go
@@ -33,8 +33,8 @@
 	// Epochs returns the epochs of the resources with a prefix, from a read of
 	// the store that begins after the call.
 	Epochs(ctx context.Context, prefix string) (map[ownership.Resource]uint64, error)
-	// Remember stores a memo for later owners.
-	Remember(ctx context.Context, c ownership.Claim, memo ownership.Memo) error
+	// SaveMemo stores a memo for later owners.
+	SaveMemo(ctx context.Context, c ownership.Claim, memo ownership.Memo) error
 }
 
 // Options configures a Host. Zero durations take the defaults.
--- a/process/partition/outage_test.go
+++ b/process/partition/outage_test.go
@@ -106,7 +106,7 @@
 		d := c.ready()
 		require.NoError(t, d.host.Releasing(c.ctx, resourceOf(testPartition)))
 		require.NotEqual(t, plan.Accepted, c.author.commit(d, step(1, workerID(0)))[0].Outcome)
-		d.host.Keep(resourceOf(testPartition))
+		d.host.Resume(resourceOf(testPartition))
 		require.Equal(t, plan.Accepted, c.author.commit(d, step(1, workerID(0)))[0].Outcome)
 	})
 }
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -54,7 +54,7 @@
 	confirmer          confirmer
 	earlierOwners      earlierOwners
 	releasing          bool
-	settled            bool               // no earlier owner can start tasks any more
+	earlierFenced      bool               // no earlier owner can start tasks any more
 	inMemo             map[worker.ID]bool // workers named by the stored memo
 	limits             serviceLimits
 	memoWriting        bool
@@ -85,7 +85,7 @@
 		outboxes:      make(map[plan.Shard]*outbox),
 		jobFailures:   make(jobFailures),
 		earlierOwners: newEarlierOwners(g),
-		settled:       len(g.Earlier) == 0,
+		earlierFenced: len(g.EarlierOwners) == 0,
 	}
 	o.state.init(name, g.Epoch)
 	o.loadMemo(g.Notes)
--- a/request/idem/manager.go
+++ b/request/idem/manager.go
@@ -31,7 +31,7 @@
 )
 
 // Manager is one daemon's part of the key table: the keys of the shards that it
-// owns. It implements Table and ownership.User for ownership.KeysPrefix.
+// owns. It implements Table and ownership.Handler for ownership.KeysPrefix.
 type Manager struct {
 	opts    Options
 	limiter *rate.Limiter
@@ -42,8 +42,8 @@
 }
 
 var (
-	_ Table          = (*Manager)(nil)
-	_ ownership.User = (*Manager)(nil)
+	_ Table             = (*Manager)(nil)
+	_ ownership.Handler = (*Manager)(nil)
 )
 
 // New returns a manager. It owns no shard until Acquired is called.
@@ -139,7 +139,7 @@
 	return nil, e.answer, nil
 }
 
-// Acquired implements ownership.User.
+// Acquired implements ownership.Handler.
 func (m *Manager) Acquired(ctx context.Context, g ownership.Grant) {
 	n, ok := shardOf(g.Resource)
 	if !ok {
@@ -152,7 +152,7 @@
 	go s.log.run()
 }
 
-// Lost implements ownership.User.
+// Lost implements ownership.Handler.
 func (m *Manager) Lost(r ownership.Resource, epoch uint64) {
 	n, ok := shardOf(r)
 	if !ok {
@@ -164,7 +164,7 @@
 	}
 }
 
-// Releasing implements ownership.User: it starts no new requests in the shard,
+// Releasing implements ownership.Handler: it starts no new requests in the shard,
 // waits for the running ones, and makes their outcomes durable. When that fails
 // this daemon keeps the claim and the shard, and starts requests again. If it
 // dropped the shard, no daemon would serve its keys, and retries of a request
--- a/request/slots/manager.go
+++ b/request/slots/manager.go
@@ -23,7 +23,7 @@
 const recentMemberWindow = 5 * time.Minute
 
 // Manager is one daemon's part in sharing the slots of all services: a holder for every service,
-// and a pool for each service that it owns. It implements Acquirer, and ownership.User for
+// and a pool for each service that it owns. It implements Acquirer, and ownership.Handler for
 // ownership.ServicePrefix, and receives plan.State.
 type Manager struct {
 	opts      Options
@@ -43,8 +43,8 @@
 }
 
 var (
-	_ Acquirer       = (*Manager)(nil)
-	_ ownership.User = (*Manager)(nil)
+	_ Acquirer          = (*Manager)(nil)
+	_ ownership.Handler = (*Manager)(nil)
 )
 
 // New returns a manager and registers its peer methods.
@@ -217,7 +217,7 @@
 	}
 }
 
-// Acquired implements ownership.User.
+// Acquired implements ownership.Handler.
 func (m *Manager) Acquired(_ context.Context, g ownership.Grant) {
 	service := strings.TrimPrefix(string(g.Resource), ownership.ServicePrefix)
 	p := newPool(m, service, g.Claim)
@@ -239,7 +239,7 @@
 	}
 }
 
-// Lost implements ownership.User. The credit records are kept for the next owner.
+// Lost implements ownership.Handler. The credit records are kept for the next owner.
 func (m *Manager) Lost(r ownership.Resource, epoch uint64) {
 	service := strings.TrimPrefix(string(r), ownership.ServicePrefix)
 	if p := m.pool(service); p != nil && p.epoch <= epoch {
@@ -247,7 +247,7 @@
 	}
 }
 
-// Releasing implements ownership.User.
+// Releasing implements ownership.Handler.
 func (m *Manager) Releasing(ctx context.Context, r ownership.Resource) error {
 	service := strings.TrimPrefix(string(r), ownership.ServicePrefix)
 	if p := m.pool(service); p != nil {
--- a/request/slots/takeover.go
+++ b/request/slots/takeover.go
@@ -43,7 +43,7 @@
 
 // beginTakeover blocks every slot, unless the pool never had an owner.
 func (p *pool) beginTakeover(g ownership.Grant) {
-	if g.Previous.Epoch == 0 && len(g.Earlier) == 0 {
+	if g.Previous.Epoch == 0 && len(g.EarlierOwners) == 0 {
 		return
 	}
 	now := time.Now()
@@ -52,7 +52,7 @@
 		answered: map[peer.Ref]bool{}, reported: map[peer.Ref]bool{}, unresolved: map[peer.Ref]bool{},
 	}
 	p.takeover = t
-	for _, owner := range g.Earlier {
+	for _, owner := range g.EarlierOwners {
 		t.unresolved[owner] = true
 	}
 	if g.Previous.Epoch == 0 {
