--- a/command/accounts/accounts.go
+++ b/command/accounts/accounts.go
@@ -85,7 +85,7 @@
 	fmt.Fprintln(w, "ACCOUNT\tWEIGHT\tCORES\tOF\tMEMORY\tOF\tUNCONFIRMED CORES\tWAITING CORES\tOVER ENTITLEMENT")
 	for _, r := range rows {
 		fmt.Fprintf(w, "%s\t%g\t%.1f\t%s\t%d\t%s\t%.1f\t%.1f\t%d\n", r.Account, r.Weight, cores(r.Held.MilliCPU), bound(r.Cap.MilliCPU, cores(r.Cap.MilliCPU)),
-			r.Held.MemoryMB, bound(r.Cap.MemoryMB, float64(r.Cap.MemoryMB)), cores(r.Unseen.MilliCPU), cores(r.Waits.MilliCPU), r.Beyond)
+			r.Held.MemoryMB, bound(r.Cap.MemoryMB, float64(r.Cap.MemoryMB)), cores(r.Unconfirmed.MilliCPU), cores(r.Waiting.MilliCPU), r.OverEntitlement)
 	}
 	return w.Flush()
 }
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -96,18 +96,18 @@
 }
 
 // handleReport handles a shard's report, and writes the next version if shares are to move.
-func (o *quotaOwner) handleReport(r quota.Report) quota.Answer {
+func (o *quotaOwner) handleReport(r quota.Report) quota.Reply {
 	o.mu.Lock()
 	defer o.mu.Unlock()
-	answer := o.balancer.Take(r)
+	reply := o.balancer.AddReport(r)
 	if o.now.Version == 0 || o.writing {
-		return answer
+		return reply
 	}
 	if next, changed := o.balancer.Plan(o.now); changed {
 		o.writing = true
 		go o.write(next)
 	}
-	return answer
+	return reply
 }
 
 // write writes a version. No other one is planned until it is confirmed to be in the store;
@@ -125,7 +125,7 @@
 	defer o.mu.Unlock()
 	o.now, o.writing = next, false
 	o.n.metrics.Add("shares_moved", 1)
-	o.n.log.Debug().Uint64("version", next.Version).Int("accounts", len(next.Moved)).Msg("shares of the accounts' caps moved")
+	o.n.log.Debug().Uint64("version", next.Version).Int("accounts", len(next.Overrides)).Msg("shares of the accounts' caps changed")
 }
 
 // serveQuota handles a shard's report if this daemon owns the shares.
@@ -144,7 +144,7 @@
 		return
 	}
 	if s.index == 0 {
-		o := &quotaOwner{n: n, term: t, balancer: quota.Balancer{Parts: shards}}
+		o := &quotaOwner{n: n, term: t, balancer: quota.Balancer{Shards: shards}}
 		o.read(ctx)
 		n.quotaOwner.Store(o)
 		context.AfterFunc(ctx, func() { n.quotaOwner.CompareAndSwap(o, nil) })
@@ -156,13 +156,13 @@
 		if err != nil {
 			return // the term is over
 		}
-		if answer, err := n.reportToOwner(ctx, report); err != nil {
+		if reply, err := n.reportToOwner(ctx, report); err != nil {
 			n.log.Debug().Err(err).Int("part", s.index).Msg("report to the owner of the shares failed")
 		} else {
-			asked = answer.Asked
+			asked = reply.Accounts
 		}
 		period := idleReportPeriod
-		if len(asked) > 0 || len(report.Uses) > 0 {
+		if len(asked) > 0 || len(report.Usages) > 0 {
 			period = reportPeriod
 		}
 		if sleep.For(ctx, period) != nil {
@@ -172,18 +172,18 @@
 }
 
 // reportToOwner sends a report to the leader of shard 0.
-func (n *Node) reportToOwner(ctx context.Context, r quota.Report) (answer quota.Answer, err error) {
+func (n *Node) reportToOwner(ctx context.Context, r quota.Report) (reply quota.Reply, err error) {
 	if o := n.quotaOwner.Load(); o != nil {
 		return o.handleReport(r), nil
 	}
 	leader, known := n.view().Leader()
 	if !known || leader.Member.Name == n.self.Name {
-		return answer, errNotOwner
+		return reply, errNotOwner
 	}
 	ctx, cancel := context.WithTimeout(ctx, reportTimeout)
 	defer cancel()
-	_, err = n.peers.CallAddr(ctx, leader.Member.Peer, methodQuota, r, &answer)
-	return answer, err
+	_, err = n.peers.CallAddr(ctx, leader.Member.Peer, methodQuota, r, &reply)
+	return reply, err
 }
 
 // followShares watches the shares in the store and passes each version to the host.
--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -20,7 +20,7 @@
 	e.now = now
 	e.accountsKnown = true
 	for _, a := range accounts.All() {
-		e.ledger.Account(a.Name).Set(a.Weight, sizeOf(a.Cap))
+		e.ledger.Account(a.Name).Configure(a.Weight, sizeOf(a.Cap))
 		e.fair.SetWeight(a.Name, a.Weight)
 	}
 	e.scheduled = false
@@ -37,16 +37,16 @@
 	e.scheduled = false
 }
 
-// QuotaReport returns what this shard uses and wants of the accounts asked for, and of those
-// with waiting work.
+// QuotaReport returns this shard's usage and waiting work, of the accounts asked for and of
+// those with waiting work.
 //
-// Obeyed is set only once every worker has answered this epoch, because workers then reject
+// Applied is set only once every worker has answered this epoch, because workers then reject
 // orders of earlier leaders, which may still act by older shares. Cordoned workers are not
 // waited for: nothing is started on them.
 func (e *Engine) QuotaReport(asked []string) quota.Report {
-	r := quota.Report{Part: e.o.Shard, Epoch: e.o.Epoch, Uses: e.ledger.Uses(asked)}
+	r := quota.Report{Shard: e.o.Shard, Epoch: e.o.Epoch, Usages: e.ledger.Usages(asked)}
 	if e.unresolvedUncordoned == 0 {
-		r.Obeyed = e.capShares
+		r.Applied = e.capShares
 	}
 	return r
 }
@@ -55,7 +55,7 @@
 func (e *Engine) AccountRows() []quota.Row {
 	rows := e.ledger.Rows()
 	for i := range rows {
-		rows[i].Beyond = e.fair.Beyond(rows[i].Account)
+		rows[i].OverEntitlement = e.fair.OverEntitlement(rows[i].Account)
 	}
 	return rows
 }
@@ -87,7 +87,7 @@
 
 // awaitsQuota records that a step waits for nothing but its account's quota.
 func (e *Engine) awaitsQuota(s *step) {
-	s.job.account.Want(s.charge(), len(s.pending), s.startsTogether())
+	s.job.account.AddWaiting(s.charge(), len(s.pending), s.startsTogether())
 	e.keepFree(s)
 	if s.overQuota {
 		return
@@ -173,7 +173,7 @@
 		e.countInherited(sums)
 		most, listed := e.unresolvedCapacity(), e.countListed()
 		for a, size := range sums {
-			sums[a] = size.Least(most.Add(listed[a]))
+			sums[a] = size.Min(most.Add(listed[a]))
 		}
 	}
 	if e.unresolved == 0 && !e.anyUntracked() {
@@ -182,7 +182,7 @@
 	for a, size := range e.endedHeld {
 		sums[a] = sums[a].Add(size)
 	}
-	e.ledger.Each(func(a *quota.Account) { a.SetUnseen(sums[a]) })
+	e.ledger.Each(func(a *quota.Account) { a.SetUnconfirmed(sums[a]) })
 	e.anyUnconfirmed = len(sums) > 0
 }
 
@@ -221,7 +221,7 @@
 	unlisted := 0
 	for _, w := range e.workerList {
 		size := sizeOf(w.Capacity)
-		largest = largest.Most(size)
+		largest = largest.Max(size)
 		switch {
 		case !w.inherited, w.cordoned && !w.unlisted:
 		case w.Capacity == (work.Resources{}):
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -248,7 +248,7 @@
 // since slow workers are usually full.
 func (e *Engine) askFor(s *step, n int) {
 	a := s.advice
-	n = s.job.account.Times(s.charge(), n)
+	n = s.job.account.FitCount(s.charge(), n)
 	if n <= 0 || !e.mayAsk(s) {
 		return
 	}
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -211,7 +211,7 @@
 		accepted: e.engineTime(spec.Accepted), start: e.engineTime(spec.StartAt), estimateRatio: e.estimateRatioOf(spec.Queue.Name), account: e.ledger.Account(spec.Account)}
 	e.jobs[id] = j
 	j.coreSeconds = spec.Work()
-	j.overEntitled = !e.fair.HandedIn(spec.Account, j.accepted)
+	j.overEntitled = !e.fair.Submitted(spec.Account, j.accepted)
 	if _, ok := e.cancels[id]; ok {
 		delete(e.cancels, id)
 		e.end(j, work.Cancelled, "cancelled before the submission was seen")
@@ -276,7 +276,7 @@
 	}
 	e.took(SpanComplete, j)
 	if n := len(j.occurrences); j.spec.Account != "" && n > 0 {
-		e.fair.Ended(j.spec.Account, e.now, j.coreSeconds, e.now <= j.occurrences[n-1].due)
+		e.fair.Completed(j.spec.Account, e.now, j.coreSeconds, e.now <= j.occurrences[n-1].due)
 	}
 	e.end(j, work.Completed, "every task is done")
 }
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -49,7 +49,7 @@
 	if j.spec.Account == "" {
 		return o.due
 	}
-	return e.fair.Turn(j.spec.Account, e.now, o.due, o.due-o.from, j.coreSeconds)
+	return e.fair.OrderTime(j.spec.Account, e.now, o.due, o.due-o.from, j.coreSeconds)
 }
 
 // rankOf returns the step's rank, by which steps are ordered first.
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -81,7 +81,7 @@
 	}
 	e.countProxies()
 	e.countUnconfirmed()
-	e.ledger.ClearWants()
+	e.ledger.ClearWaiting()
 	clear(e.keptFree)
 	var r round
 	for _, s := range steps {
--- a/process/dispatch/policy.go
+++ b/process/dispatch/policy.go
@@ -30,7 +30,7 @@
 	// matter for gangs that need advice on more workers than one call may name.
 	NoParallelAdvice bool `json:"no_parallel_advice,omitempty"`
 	// Shares is how accounts take turns; see package fair.
-	Shares fair.Way `json:"shares,omitempty"`
+	Shares fair.Policy `json:"shares,omitempty"`
 	// NoQuotaTurns lets small work use the part of its account's cap that a gang waits for. It
 	// matters for accounts that submit more than their caps allow to run.
 	NoQuotaTurns bool `json:"no_quota_turns,omitempty"`
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -83,12 +83,12 @@
 func (u *usage) note(now time.Duration, change quota.Size) {
 	u.peak, u.at = u.peakAt(now), now
 	u.held = u.held.Add(change)
-	u.peak = u.peak.Most(u.held)
+	u.peak = u.peak.Max(u.held)
 }
 
 func (u *usage) peakAt(now time.Duration) quota.Size {
 	left := math.Exp(-float64(now-u.at) / float64(headroomTime))
-	return u.held.Most(quota.Size{MilliCPU: int64(float64(u.peak.MilliCPU) * left), MemoryMB: int64(float64(u.peak.MemoryMB) * left),
+	return u.held.Max(quota.Size{MilliCPU: int64(float64(u.peak.MilliCPU) * left), MemoryMB: int64(float64(u.peak.MemoryMB) * left),
 		Accelerators: int64(float64(u.peak.Accelerators) * left)})
 }
 
@@ -111,14 +111,14 @@
 	if !a.Fits(size) {
 		return false
 	}
-	if a.Unbounded() {
+	if a.Unlimited() {
 		return true
 	}
 	spare := e.keptFree[a]
 	if e.o.Policy.QuotaHeadroom {
 		spare = spare.Add(e.headroom(s.job))
 	}
-	return a.FitsBeside(size, spare)
+	return a.FitsWithSpare(size, spare)
 }
 
 // keepFree keeps the room that a gang has waited for long free of the work after it, in this
@@ -128,5 +128,5 @@
 		return
 	}
 	a := s.job.account
-	e.keptFree[a] = e.keptFree[a].Most(s.charge().Times(s.startsTogether()))
+	e.keptFree[a] = e.keptFree[a].Max(s.charge().Times(s.startsTogether()))
 }
--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -20,28 +20,28 @@
 	"time"
 )
 
-// Way is the policy by which the jobs of different accounts are ordered.
-type Way string
+// Policy is the policy by which the jobs of different accounts are ordered.
+type Policy string
 
-// Ways. The zero value stands for DefaultWay.
+// Policies. The zero value stands for DefaultPolicy.
 const (
 	// Due orders jobs by due time alone, regardless of their account.
-	Due Way = "due"
+	Due Policy = "due"
 	// Dominant prefers accounts that use less than others relative to their weight.
-	Dominant Way = "dominant"
+	Dominant Policy = "dominant"
 	// Risk prefers accounts of which the largest share of recent work would be late if the
 	// job were late.
-	Risk Way = "risk"
+	Risk Policy = "risk"
 )
 
-// DefaultWay is the policy used for the zero value. It gives the best results of the three.
-const DefaultWay = Risk
+// DefaultPolicy is the policy used for the zero value. It gives the best results of the three.
+const DefaultPolicy = Risk
 
 // Check returns an error for an unknown policy.
-func (w Way) Check() error {
-	ways := []Way{"", Due, Dominant, Risk}
-	if !slices.Contains(ways, w) {
-		return fmt.Errorf("is %q; use %s, or leave it out", w, strings.Join([]string{string(Due), string(Dominant), string(Risk)}, ", "))
+func (p Policy) Check() error {
+	policies := []Policy{"", Due, Dominant, Risk}
+	if !slices.Contains(policies, p) {
+		return fmt.Errorf("is %q; use %s, or leave it out", p, strings.Join([]string{string(Due), string(Dominant), string(Risk)}, ", "))
 	}
 	return nil
 }
@@ -71,7 +71,7 @@
 
 // Book holds the submissions, recent work and usage of each account.
 type Book struct {
-	way      Way
+	policy   Policy
 	entitled Entitlement
 	accounts map[string]*account
 	// used is the recent usage of all accounts in core-seconds, weights the sum of their
@@ -97,14 +97,14 @@
 }
 
 // New returns a book without accounts.
-func New(way Way, e Entitlement) *Book {
-	if way == "" {
-		way = DefaultWay
+func New(policy Policy, e Entitlement) *Book {
+	if policy == "" {
+		policy = DefaultPolicy
 	}
 	if e.Share <= 0 {
 		e.Share = 1
 	}
-	return &Book{way: way, entitled: e, accounts: map[string]*account{}}
+	return &Book{policy: policy, entitled: e, accounts: map[string]*account{}}
 }
 
 func (b *Book) account(name string) *account {
@@ -127,9 +127,9 @@
 	a.weight = weight
 }
 
-// HandedIn records a submission and reports whether it is within the account's
+// Submitted records a submission and reports whether it is within the account's
 // entitlement. Jobs without an account always are.
-func (b *Book) HandedIn(name string, at time.Duration) bool {
+func (b *Book) Submitted(name string, at time.Duration) bool {
 	if name == "" || b.entitled.Window <= 0 {
 		return true
 	}
@@ -149,18 +149,18 @@
 	return true
 }
 
-// Beyond returns how many submissions of the account exceeded its entitlement.
-func (b *Book) Beyond(name string) uint64 {
+// OverEntitlement returns how many submissions of the account exceeded its entitlement.
+func (b *Book) OverEntitlement(name string) uint64 {
 	if a := b.accounts[name]; a != nil {
 		return a.over
 	}
 	return 0
 }
 
-// Ended records a completed job with its work in core-seconds and whether it was in time.
+// Completed records a completed job with its work in core-seconds and whether it was in time.
 // Only Risk uses it.
-func (b *Book) Ended(name string, at time.Duration, work float64, inTime bool) {
-	if b.way != Risk {
+func (b *Book) Completed(name string, at time.Duration, work float64, inTime bool) {
+	if b.policy != Risk {
 		return
 	}
 	a := b.account(name)
@@ -173,7 +173,7 @@
 
 // Used records core-seconds used by an account. Only Dominant uses it.
 func (b *Book) Used(name string, at time.Duration, coreSeconds float64) {
-	if b.way != Dominant {
+	if b.policy != Dominant {
 		return
 	}
 	a := b.account(name)
@@ -183,16 +183,16 @@
 
 func decay(d, over time.Duration) float64 { return math.Exp(-float64(max(d, 0)) / float64(over)) }
 
-// Turn returns the time by which a job is ordered among others of its priority: its due
+// OrderTime returns the time by which a job is ordered among others of its priority: its due
 // time, shifted by at most maxShift times its objective.
-func (b *Book) Turn(name string, now, due, objective time.Duration, work float64) time.Duration {
+func (b *Book) OrderTime(name string, now, due, objective time.Duration, work float64) time.Duration {
 	return due - time.Duration(maxShift*b.advance(name, now, work)*float64(objective))
 }
 
 // advance returns how far a job of the account is ordered ahead of its due time, from -1 to
 // 1 in units of maxShift objectives.
 func (b *Book) advance(name string, now time.Duration, work float64) float64 {
-	switch b.way {
+	switch b.policy {
 	case Dominant:
 		return b.dominantAdvance(name, now)
 	case Risk:
--- a/process/fair/fair_test.go
+++ b/process/fair/fair_test.go
@@ -9,35 +9,35 @@
 )
 
 func TestUnknownWayIsNamed(t *testing.T) {
-	for _, w := range []Way{"", Due, Dominant, Risk} {
-		require.NoError(t, w.Check())
+	for _, p := range []Policy{"", Due, Dominant, Risk} {
+		require.NoError(t, p.Check())
 	}
-	require.EqualError(t, Way("newest").Check(), `is "newest"; use due, dominant, risk, or leave it out`)
+	require.EqualError(t, Policy("newest").Check(), `is "newest"; use due, dominant, risk, or leave it out`)
 }
 
 func TestEntitlementIsUsedUpAndComesBack(t *testing.T) {
 	b := New(Due, Entitlement{Window: 5 * time.Second, Slack: 20})
 	b.SetWeight("north", 10)
 	for i := range 70 { // ten a second over five seconds, and twenty more
-		require.True(t, b.HandedIn("north", 0), "submission %d", i)
+		require.True(t, b.Submitted("north", 0), "submission %d", i)
 	}
-	require.False(t, b.HandedIn("north", 0))
-	require.Equal(t, uint64(1), b.Beyond("north"))
-	require.True(t, b.HandedIn("south", 0), "another account has its own entitlement")
-	require.Zero(t, b.Beyond("south"))
-	require.Zero(t, b.Beyond("nobody"))
+	require.False(t, b.Submitted("north", 0))
+	require.Equal(t, uint64(1), b.OverEntitlement("north"))
+	require.True(t, b.Submitted("south", 0), "another account has its own entitlement")
+	require.Zero(t, b.OverEntitlement("south"))
+	require.Zero(t, b.OverEntitlement("nobody"))
 	for i := range 10 {
-		require.True(t, b.HandedIn("north", time.Second), "submission %d a second later", i)
+		require.True(t, b.Submitted("north", time.Second), "submission %d a second later", i)
 	}
-	require.False(t, b.HandedIn("north", time.Second))
-	require.False(t, b.HandedIn("north", 500*time.Millisecond), "a submission with an earlier time adds no tokens")
+	require.False(t, b.Submitted("north", time.Second))
+	require.False(t, b.Submitted("north", 500*time.Millisecond), "a submission with an earlier time adds no tokens")
 }
 
 func TestWithoutWindowEverythingIsWithin(t *testing.T) {
 	b := New(Due, Entitlement{})
 	for range 1000 {
-		require.True(t, b.HandedIn("north", 0))
-		require.True(t, b.HandedIn("", 0))
+		require.True(t, b.Submitted("north", 0))
+		require.True(t, b.Submitted("", 0))
 	}
 }
 
@@ -57,11 +57,11 @@
 		var at, calm time.Duration
 		for range rapid.IntRange(1, 200).Draw(t, "hand-ins") {
 			at += time.Duration(rapid.IntRange(0, 300).Draw(t, "pause")) * time.Millisecond
-			if b.HandedIn("hot", at) {
+			if b.Submitted("hot", at) {
 				within = append(within, at)
 			}
 			calm += time.Duration(float64(time.Second) / rate)
-			require.True(t, b.HandedIn("calm", calm))
+			require.True(t, b.Submitted("calm", calm))
 		}
 		for i := range within {
 			for j := i; j < len(within); j++ {
@@ -79,13 +79,13 @@
 func TestAccountThatWouldLoseMostGoesFirst(t *testing.T) {
 	const now, due, objective = 10 * time.Second, 20 * time.Second, 10 * time.Second
 	b := New(Risk, Entitlement{})
-	b.Ended("large", now, 900, true)
-	b.Ended("small", now, 100, true)
-	small, large := b.Turn("small", now, due, objective, 100), b.Turn("large", now, due, objective, 100)
+	b.Completed("large", now, 900, true)
+	b.Completed("small", now, 100, true)
+	small, large := b.OrderTime("small", now, due, objective, 100), b.OrderTime("large", now, due, objective, 100)
 	require.InDelta(t, 17.5, small.Seconds(), 0.001, "half of its work: a quarter of the objective ahead")
 	require.InDelta(t, 19.5, large.Seconds(), 0.001, "a tenth of its work")
-	b.Ended("large", now, 900, false)
-	require.Less(t, b.Turn("large", now, due, objective, 100), small, "more than half of its recent work would be late by now")
+	b.Completed("large", now, 900, false)
+	require.Less(t, b.OrderTime("large", now, due, objective, 100), small, "more than half of its recent work would be late by now")
 }
 
 func TestAccountThatUsesLessThanItsShareGoesFirst(t *testing.T) {
@@ -95,11 +95,11 @@
 	b.SetWeight("south", 1)
 	b.Used("north", now, 100)
 	b.Used("south", now, 100)
-	require.Less(t, b.Turn("north", now, due, objective, 1), due, "a third of the other account's usage relative to its weight")
-	require.Greater(t, b.Turn("south", now, due, objective, 1), due)
+	require.Less(t, b.OrderTime("north", now, due, objective, 1), due, "a third of the other account's usage relative to its weight")
+	require.Greater(t, b.OrderTime("south", now, due, objective, 1), due)
 	later := now + 20*useDecay
 	b.Used("north", later, 100)
-	require.Less(t, b.Turn("south", later, due, objective, 1), b.Turn("north", later, due, objective, 1), "old usage has decayed")
+	require.Less(t, b.OrderTime("south", later, due, objective, 1), b.OrderTime("north", later, due, objective, 1), "old usage has decayed")
 }
 
 // TestTurnStaysNearTheTimeAJobIsDue checks that, however accounts behave, a job is
@@ -107,7 +107,7 @@
 // for ever.
 func TestTurnStaysNearTheTimeAJobIsDue(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		b := New(rapid.SampledFrom([]Way{Due, Dominant, Risk}).Draw(t, "way"), Entitlement{})
+		b := New(rapid.SampledFrom([]Policy{Due, Dominant, Risk}).Draw(t, "way"), Entitlement{})
 		names := []string{"a", "b", "c"}
 		var now time.Duration
 		for range rapid.IntRange(0, 60).Draw(t, "events") {
@@ -116,15 +116,15 @@
 			work := float64(rapid.IntRange(0, 5000).Draw(t, "work"))
 			switch rapid.IntRange(0, 2).Draw(t, "event") {
 			case 0:
-				b.Ended(name, now, work, rapid.Bool().Draw(t, "in time"))
+				b.Completed(name, now, work, rapid.Bool().Draw(t, "in time"))
 			case 1:
 				b.Used(name, now, work)
 			case 2:
 				b.SetWeight(name, float64(rapid.IntRange(-1, 50).Draw(t, "weight")))
 			}
 			const due, objective = time.Hour, 10 * time.Second
-			turn := b.Turn(name, now, due, objective, work)
-			require.LessOrEqual(t, (turn - due).Abs(), time.Duration(maxShift*float64(objective)))
+			orderTime := b.OrderTime(name, now, due, objective, work)
+			require.LessOrEqual(t, (orderTime - due).Abs(), time.Duration(maxShift*float64(objective)))
 		}
 	})
 }
--- a/process/jobs/reconcile.go
+++ b/process/jobs/reconcile.go
@@ -45,7 +45,7 @@
 func (st *state) applyTeams() {
 	for name, team := range st.config.Teams {
 		if st.mine(name) {
-			st.accounts.Account(name).Set(float64(team.Weight), quota.Size(team.Quota))
+			st.accounts.Account(name).Configure(float64(team.Weight), quota.Size(team.Quota))
 		}
 	}
 }
@@ -58,7 +58,7 @@
 func (st *state) removeUnusedTeams() {
 	st.accounts.Each(func(a *quota.Account) {
 		if st.config.Teams[a.Name] == nil {
-			st.accounts.Forget(a.Name)
+			st.accounts.Remove(a.Name)
 		}
 	})
 }
--- a/process/jobs/takeover.go
+++ b/process/jobs/takeover.go
@@ -167,7 +167,7 @@
 		if known && !size.IsZero() {
 			size = limit
 		}
-		st.accounts.Account(team).SetUnseen(quota.Size(size))
+		st.accounts.Account(team).SetUnconfirmed(quota.Size(size))
 	}
 }
 
--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -39,13 +39,13 @@
 	return Size{s.MilliCPU * int64(n), s.MemoryMB * int64(n), s.Accelerators * int64(n)}
 }
 
-// Least returns the element-wise minimum of s and t.
-func (s Size) Least(t Size) Size {
+// Min returns the element-wise minimum of s and t.
+func (s Size) Min(t Size) Size {
 	return Size{min(s.MilliCPU, t.MilliCPU), min(s.MemoryMB, t.MemoryMB), min(s.Accelerators, t.Accelerators)}
 }
 
-// Most returns the element-wise maximum of s and t.
-func (s Size) Most(t Size) Size {
+// Max returns the element-wise maximum of s and t.
+func (s Size) Max(t Size) Size {
 	return Size{max(s.MilliCPU, t.MilliCPU), max(s.MemoryMB, t.MemoryMB), max(s.Accelerators, t.Accelerators)}
 }
 
@@ -104,15 +104,15 @@
 	}
 }
 
-// Forget removes an account that holds nothing.
-func (l *Ledger) Forget(name string) {
+// Remove removes an account that holds nothing.
+func (l *Ledger) Remove(name string) {
 	if a := l.accounts[name]; a != nil && a.held == (Size{}) && a.unconfirmed == (Size{}) {
 		delete(l.accounts, name)
 	}
 }
 
-// Set sets the weight and the cap; a weight of 0 or less counts as 1.
-func (a *Account) Set(weight float64, limit Size) {
+// Configure sets the weight and the cap; a weight of 0 or less counts as 1.
+func (a *Account) Configure(weight float64, limit Size) {
 	if weight <= 0 {
 		weight = 1
 	}
@@ -128,16 +128,16 @@
 	}
 }
 
-// ClearWants resets the waiting work of all accounts.
-func (l *Ledger) ClearWants() {
+// ClearWaiting resets the waiting work of all accounts.
+func (l *Ledger) ClearWaiting() {
 	for _, a := range l.waiting {
 		a.waiting, a.largest = Size{}, Size{}
 	}
 	l.waiting = l.waiting[:0]
 }
 
-// Uses returns the usage of all accounts with waiting work and of the accounts asked for.
-func (l *Ledger) Uses(asked []string) []Usage {
+// Usages returns the usage of all accounts with waiting work and of the accounts asked for.
+func (l *Ledger) Usages(asked []string) []Usage {
 	var all []Usage
 	for _, a := range l.accounts {
 		if a.waiting != (Size{}) || slices.Contains(asked, a.Name) {
@@ -168,14 +168,14 @@
 	return most
 }
 
-// Want records that n tasks of a size wait for the limit, of which the given number has to
+// AddWaiting records that n tasks of a size wait for the limit, of which the given number has to
 // start together.
-func (a *Account) Want(size Size, n, together int) {
+func (a *Account) AddWaiting(size Size, n, together int) {
 	if a.waiting == (Size{}) && a.largest == (Size{}) {
 		a.ledger.waiting = append(a.ledger.waiting, a)
 	}
 	a.waiting = a.waiting.Add(size.Times(n))
-	a.largest = a.largest.Most(size.Times(together))
+	a.largest = a.largest.Max(size.Times(together))
 }
 
 // Fits reports whether size can be charged within the limit.
@@ -183,16 +183,16 @@
 	return a.within(a.held.Add(a.unconfirmed).Add(size), size, a.share)
 }
 
-// FitsBeside reports whether size can be charged and leaves enough of the limit for spare.
+// FitsWithSpare reports whether size can be charged and leaves enough of the limit for spare.
 // If the limit is too small for size and spare together even when nothing is held, spare is
 // ignored.
-func (a *Account) FitsBeside(size, spare Size) bool {
+func (a *Account) FitsWithSpare(size, spare Size) bool {
 	total := a.held.Add(a.unconfirmed).Add(size)
 	return a.within(total.Add(spare), size, a.share) || (a.within(total, size, a.share) && !a.within(size.Add(spare), size, a.share))
 }
 
-// Unbounded reports whether the account has no cap in any dimension.
-func (a *Account) Unbounded() bool { return a.cap == (Size{}) }
+// Unlimited reports whether the account has no cap in any dimension.
+func (a *Account) Unlimited() bool { return a.cap == (Size{}) }
 
 // Over reports whether the account exceeds its limit in a dimension that size uses.
 func (a *Account) Over(size Size) bool { return !a.within(a.held.Add(a.unconfirmed), size, a.share) }
@@ -200,8 +200,8 @@
 // CanEverFit reports whether size fits into the account's whole cap.
 func (a *Account) CanEverFit(size Size) bool { return a.within(size, size, FullShare) }
 
-// Times returns how many of n tasks of a size can be charged within the limit.
-func (a *Account) Times(size Size, n int) int {
+// FitCount returns how many of n tasks of a size can be charged within the limit.
+func (a *Account) FitCount(size Size, n int) int {
 	total := a.held.Add(a.unconfirmed)
 	for _, d := range [...][3]int64{{size.MilliCPU, total.MilliCPU, a.cap.MilliCPU}, {size.MemoryMB, total.MemoryMB, a.cap.MemoryMB},
 		{size.Accelerators, total.Accelerators, a.cap.Accelerators}} {
@@ -248,9 +248,9 @@
 // Refund releases what was charged or adopted.
 func (a *Account) Refund(size Size) { a.held = a.held.Sub(size) }
 
-// SetUnseen replaces the amount of work that may run for the account without having been
+// SetUnconfirmed replaces the amount of work that may run for the account without having been
 // reported.
-func (a *Account) SetUnseen(size Size) { a.unconfirmed = size }
+func (a *Account) SetUnconfirmed(size Size) { a.unconfirmed = size }
 
 // Held returns what the account holds, without unconfirmed work.
 func (a *Account) Held() Size { return a.held }
--- a/process/quota/quota_test.go
+++ b/process/quota/quota_test.go
@@ -26,7 +26,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		l, quota := NewLedger(), amount.Draw(rt, "quota")
 		a := l.Account("t")
-		a.Set(2, quota)
+		a.Configure(2, quota)
 		l.SetCapacity(Size{MilliCPU: 100, MemoryMB: 200})
 		var held []Size
 		sum := func(extra Size) (s Size) {
@@ -74,8 +74,8 @@
 			l := NewLedger()
 			l.SetShares(func(string) int64 { return share })
 			a := l.Account("t")
-			a.Set(1, Size{MilliCPU: whole})
-			n := a.Times(Size{MilliCPU: 1}, 1<<62)
+			a.Configure(1, Size{MilliCPU: whole})
+			n := a.FitCount(Size{MilliCPU: 1}, 1<<62)
 			require.NoError(rt, a.Charge(Size{MilliCPU: int64(n)}))
 			require.False(rt, a.Over(Size{MilliCPU: 1}))
 			if n > 0 || share == 0 {
@@ -89,14 +89,14 @@
 
 func TestUnconfirmedWorkCountsAsHeld(t *testing.T) {
 	a := NewLedger().Account("t")
-	a.Set(1, Size{MilliCPU: 10})
+	a.Configure(1, Size{MilliCPU: 10})
 	a.Adopt(Size{MilliCPU: 4, MemoryMB: 900})
-	a.SetUnseen(Size{MilliCPU: 5})
+	a.SetUnconfirmed(Size{MilliCPU: 5})
 	require.True(t, a.Fits(Size{MilliCPU: 1, MemoryMB: 5}), "no cap on memory")
 	require.False(t, a.Fits(Size{MilliCPU: 2}))
-	require.Equal(t, 1, a.Times(Size{MilliCPU: 1}, 3))
-	a.SetUnseen(Size{})
-	require.Equal(t, 3, a.Times(Size{MilliCPU: 2}, 3))
+	require.Equal(t, 1, a.FitCount(Size{MilliCPU: 1}, 3))
+	a.SetUnconfirmed(Size{})
+	require.Equal(t, 3, a.FitCount(Size{MilliCPU: 2}, 3))
 	require.True(t, a.CanEverFit(Size{MilliCPU: 10}))
 	require.False(t, a.CanEverFit(Size{MilliCPU: 11}))
 	a.Adopt(Size{MilliCPU: 7})
--- a/process/quota/row.go
+++ b/process/quota/row.go
@@ -7,16 +7,16 @@
 
 // Row is the state of an account as shown to operators.
 type Row struct {
-	Account string  `json:"account"`
-	Weight  float64 `json:"weight"`
-	Cap     Size    `json:"cap"`    // configured cap; a dimension of 0 is unlimited
-	Limit   Size    `json:"limit"`  // the share of the cap that this shard of the cell may use
-	Held    Size    `json:"held"`   // work that is known to run
-	Unseen  Size    `json:"unseen"` // work that an earlier leader may have started in addition
-	// Waits is work that only the limit keeps from starting.
-	Waits Size `json:"waits"`
-	// Beyond counts submissions in excess of the account's entitlement.
-	Beyond uint64 `json:"beyond"`
+	Account     string  `json:"account"`
+	Weight      float64 `json:"weight"`
+	Cap         Size    `json:"cap"`    // configured cap; a dimension of 0 is unlimited
+	Limit       Size    `json:"limit"`  // the share of the cap that this shard of the cell may use
+	Held        Size    `json:"held"`   // work that is known to run
+	Unconfirmed Size    `json:"unseen"` // work that an earlier leader may have started in addition
+	// Waiting is work that only the limit keeps from starting.
+	Waiting Size `json:"waits"`
+	// OverEntitlement counts submissions in excess of the account's entitlement.
+	OverEntitlement uint64 `json:"beyond"`
 }
 
 // MetricAccounts is the name of the metric that lists a daemon's rows.
@@ -32,7 +32,7 @@
 	rows := make([]Row, 0, len(l.accounts))
 	for _, a := range l.accounts {
 		if a.Name != "" {
-			rows = append(rows, Row{Account: a.Name, Weight: a.weight, Cap: a.cap, Limit: a.limit(), Held: a.held, Unseen: a.unconfirmed, Waits: a.waiting})
+			rows = append(rows, Row{Account: a.Name, Weight: a.weight, Cap: a.cap, Limit: a.limit(), Held: a.held, Unconfirmed: a.unconfirmed, Waiting: a.waiting})
 		}
 	}
 	if len(rows) > MaxRows {
@@ -49,7 +49,7 @@
 
 // Sum adds the row of the same account in another shard. Weight and Cap are those of r.
 func (r Row) Sum(other Row) Row {
-	r.Limit, r.Held, r.Unseen = r.Limit.Add(other.Limit), r.Held.Add(other.Held), r.Unseen.Add(other.Unseen)
-	r.Waits, r.Beyond = r.Waits.Add(other.Waits), r.Beyond+other.Beyond
+	r.Limit, r.Held, r.Unconfirmed = r.Limit.Add(other.Limit), r.Held.Add(other.Held), r.Unconfirmed.Add(other.Unconfirmed)
+	r.Waiting, r.OverEntitlement = r.Waiting.Add(other.Waiting), r.OverEntitlement+other.OverEntitlement
 	return r
 }
--- a/process/quota/shares.go
+++ b/process/quota/shares.go
@@ -17,8 +17,8 @@
 type Shares struct {
 	// Version increases with each change, starting at FirstVersion.
 	Version uint64 `cbor:"1,keyasint"`
-	// Moved holds the shares, indexed by shard, of accounts whose cap is not split evenly.
-	Moved map[string][]int64 `cbor:"2,keyasint,omitempty"`
+	// Overrides holds the shares, indexed by shard, of accounts whose cap is not split evenly.
+	Overrides map[string][]int64 `cbor:"2,keyasint,omitempty"`
 }
 
 // FirstVersion is the version before any change, in which every cap is split evenly.
@@ -26,8 +26,8 @@
 
 // Of returns a shard's share of an account's cap.
 func (s *Shares) Of(account string, shard, shards int) int64 {
-	if moved := s.Moved[account]; len(moved) == shards {
-		return moved[shard]
+	if overrides := s.Overrides[account]; len(overrides) == shards {
+		return overrides[shard]
 	}
 	return evenShare(shard, shards)
 }
@@ -55,51 +55,51 @@
 
 // Report is sent by a shard's leader to the owner of the shares.
 type Report struct {
-	Part  int    `cbor:"1,keyasint"`
+	Shard int    `cbor:"1,keyasint"`
 	Epoch uint64 `cbor:"2,keyasint"`
-	// Obeyed is the version that the shard applies. It is 0 until it is certain that no
+	// Applied is the version that the shard applies. It is 0 until it is certain that no
 	// earlier leader of the shard can still act on an older one.
-	Obeyed uint64  `cbor:"3,keyasint,omitempty"`
-	Uses   []Usage `cbor:"4,keyasint,omitempty"`
+	Applied uint64  `cbor:"3,keyasint,omitempty"`
+	Usages  []Usage `cbor:"4,keyasint,omitempty"`
 }
 
-// Answer lists the accounts that the shard's next report must include.
-type Answer struct {
-	Asked []string `cbor:"1,keyasint,omitempty"`
+// Reply lists the accounts that the shard's next report must include.
+type Reply struct {
+	Accounts []string `cbor:"1,keyasint,omitempty"`
 }
 
 const (
 	// minChange is the smallest change of a share that justifies a new version.
 	minChange = FullShare / 100
-	// maxMoved limits the accounts in a version. With 23 shards each takes some 80 bytes.
-	maxMoved = 2000
+	// maxOverrides limits the accounts in a version. With 23 shards each takes some 80 bytes.
+	maxOverrides = 2000
 )
 
 // Balancer computes new versions of the shares from the reports of all shards. It is used by
 // the owner of the shares.
 type Balancer struct {
-	Parts   int
+	Shards  int
 	reports map[int]Report
 }
 
-// Take records a shard's report. It returns the accounts that the shard must include in its
+// AddReport records a shard's report. It returns the accounts that the shard must include in its
 // next report: those with work that waits for a share in any shard.
-func (b *Balancer) Take(r Report) Answer {
+func (b *Balancer) AddReport(r Report) Reply {
 	if b.reports == nil {
 		b.reports = map[int]Report{}
 	}
-	if r.Part < 0 || r.Part >= b.Parts || r.Epoch < b.reports[r.Part].Epoch {
-		return Answer{}
+	if r.Shard < 0 || r.Shard >= b.Shards || r.Epoch < b.reports[r.Shard].Epoch {
+		return Reply{}
 	}
-	b.reports[r.Part] = r
-	return Answer{Asked: b.contended()}
+	b.reports[r.Shard] = r
+	return Reply{Accounts: b.contended()}
 }
 
 // contended returns the accounts with work that waits for a share.
 func (b *Balancer) contended() []string {
 	names := map[string]bool{}
 	for _, r := range b.reports {
-		for _, u := range r.Uses {
+		for _, u := range r.Usages {
 			if u.Waiting > 0 {
 				names[u.Account] = true
 			}
@@ -113,14 +113,14 @@
 // version, after every shard has applied this one and reported what it holds. What a shard
 // holds above its new share is not assigned to others until that work has ended.
 func (b *Balancer) Plan(current Shares) (Shares, bool) {
-	for shard := range b.Parts {
-		if r, reported := b.reports[shard]; !reported || r.Obeyed != current.Version {
+	for shard := range b.Shards {
+		if r, reported := b.reports[shard]; !reported || r.Applied != current.Version {
 			return Shares{}, false
 		}
 	}
-	next := Shares{Version: current.Version + 1, Moved: maps.Clone(current.Moved)}
-	if next.Moved == nil {
-		next.Moved = map[string][]int64{}
+	next := Shares{Version: current.Version + 1, Overrides: maps.Clone(current.Overrides)}
+	if next.Overrides == nil {
+		next.Overrides = map[string][]int64{}
 	}
 	changed := false
 	for _, account := range b.contended() {
@@ -129,8 +129,8 @@
 			continue // the next reports will include the account
 		}
 		shares := b.rebalance(&current, account, usages)
-		if shares != nil && (len(next.Moved[account]) > 0 || len(next.Moved) < maxMoved) {
-			next.Moved[account] = shares
+		if shares != nil && (len(next.Overrides[account]) > 0 || len(next.Overrides) < maxOverrides) {
+			next.Overrides[account] = shares
 			changed = true
 		}
 	}
@@ -140,13 +140,13 @@
 // usages returns the usage of an account in each shard, or false if a shard has not reported
 // it.
 func (b *Balancer) usages(account string) ([]Usage, bool) {
-	all := make([]Usage, b.Parts)
+	all := make([]Usage, b.Shards)
 	for shard := range all {
-		i := slices.IndexFunc(b.reports[shard].Uses, func(u Usage) bool { return u.Account == account })
+		i := slices.IndexFunc(b.reports[shard].Usages, func(u Usage) bool { return u.Account == account })
 		if i < 0 {
 			return nil, false
 		}
-		all[shard] = b.reports[shard].Uses[i]
+		all[shard] = b.reports[shard].Usages[i]
 	}
 	return all, true
 }
@@ -157,12 +157,12 @@
 	// free is what no shard may use under current or holds above its share.
 	free := int64(FullShare)
 	for shard, u := range usages {
-		free -= max(current.Of(account, shard, b.Parts), u.Held)
+		free -= max(current.Of(account, shard, b.Shards), u.Held)
 	}
-	shares := make([]int64, b.Parts)
+	shares := make([]int64, b.Shards)
 	change := int64(0)
 	for shard := range shares {
-		before := current.Of(account, shard, b.Parts)
+		before := current.Of(account, shard, b.Shards)
 		share := target[shard]
 		if share > before {
 			// A shard that already holds more than its share is raised to what it holds without
--- a/process/quota/shares_test.go
+++ b/process/quota/shares_test.go
@@ -18,12 +18,12 @@
 }
 
 // settle lets every shard apply the shares and report until no share changes any more.
-func settle(t *testing.T, shards int, shares *Shares, uses func(shard int, share int64) Usage) {
+func settle(t *testing.T, shards int, shares *Shares, usage func(shard int, share int64) Usage) {
 	t.Helper()
-	b := Balancer{Parts: shards}
+	b := Balancer{Shards: shards}
 	for range 20 {
 		for shard := range shards {
-			b.Take(Report{Part: shard, Epoch: 1, Obeyed: shares.Version, Uses: []Usage{uses(shard, shares.Of("t", shard, shards))}})
+			b.AddReport(Report{Shard: shard, Epoch: 1, Applied: shares.Version, Usages: []Usage{usage(shard, shares.Of("t", shard, shards))}})
 		}
 		next, changed := b.Plan(*shares)
 		if !changed {
@@ -64,22 +64,22 @@
 }
 
 func TestSharesMoveOnlyAfterEveryShardHasReported(t *testing.T) {
-	b := Balancer{Parts: 2}
-	wants := []Usage{{Account: "t", Held: 5000, Waiting: 3000}}
-	b.Take(Report{Part: 0, Epoch: 1, Obeyed: 4, Uses: wants})
+	b := Balancer{Shards: 2}
+	usages := []Usage{{Account: "t", Held: 5000, Waiting: 3000}}
+	b.AddReport(Report{Shard: 0, Epoch: 1, Applied: 4, Usages: usages})
 	_, changed := b.Plan(Shares{Version: 4})
 	require.False(t, changed, "shard 1 has not reported")
-	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 3, Uses: []Usage{{Account: "t"}}})
+	b.AddReport(Report{Shard: 1, Epoch: 3, Applied: 3, Usages: []Usage{{Account: "t"}}})
 	_, changed = b.Plan(Shares{Version: 4})
 	require.False(t, changed, "shard 1 may apply an older version")
-	answer := b.Take(Report{Part: 1, Epoch: 3, Obeyed: 4})
-	require.Equal(t, []string{"t"}, answer.Asked)
+	reply := b.AddReport(Report{Shard: 1, Epoch: 3, Applied: 4})
+	require.Equal(t, []string{"t"}, reply.Accounts)
 	_, changed = b.Plan(Shares{Version: 4})
 	require.False(t, changed, "shard 1 has not reported the account")
-	b.Take(Report{Part: 1, Epoch: 2, Obeyed: 4, Uses: []Usage{{Account: "t"}}})
+	b.AddReport(Report{Shard: 1, Epoch: 2, Applied: 4, Usages: []Usage{{Account: "t"}}})
 	_, changed = b.Plan(Shares{Version: 4})
 	require.False(t, changed, "reported by an earlier leader of shard 1")
-	b.Take(Report{Part: 1, Epoch: 3, Obeyed: 4, Uses: []Usage{{Account: "t", Held: 1000}}})
+	b.AddReport(Report{Shard: 1, Epoch: 3, Applied: 4, Usages: []Usage{{Account: "t", Held: 1000}}})
 	next, changed := b.Plan(Shares{Version: 4})
 	require.True(t, changed)
 	require.EqualValues(t, 5, next.Version)
@@ -103,7 +103,7 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		shards := rapid.IntRange(2, 4).Draw(rt, "parts")
 		versions := []Shares{{Version: FirstVersion}}
-		b := Balancer{Parts: shards}
+		b := Balancer{Shards: shards}
 		held := make([]int64, shards)
 		newest := make([]*leader, shards)
 		var acting []*leader // leaders that can start work, earlier ones included
@@ -128,20 +128,20 @@
 			case 4:
 				now.version = rapid.IntRange(now.version, len(versions)-1).Draw(rt, "hears")
 			case 5, 6:
-				r := Report{Part: shard, Epoch: uint64(now.epoch), Uses: []Usage{{Account: "t", Held: held[shard],
+				r := Report{Shard: shard, Epoch: uint64(now.epoch), Usages: []Usage{{Account: "t", Held: held[shard],
 					Waiting: rapid.Int64Range(0, FullShare).Draw(rt, "wanted"), Largest: rapid.Int64Range(0, FullShare).Draw(rt, "largest")}}}
 				alone := true // every earlier leader of the shard is fenced
 				for _, l := range acting {
 					alone = alone && (l == now || l.shard != shard || l.fenced)
 				}
 				if alone {
-					r.Obeyed = versions[now.version].Version
+					r.Applied = versions[now.version].Version
 				}
 				reports = append(reports, r)
 			case 7: // reports arrive, in any order
 				if len(reports) > 0 {
 					i := rapid.IntRange(0, len(reports)-1).Draw(rt, "report")
-					b.Take(reports[i])
+					b.AddReport(reports[i])
 					reports = append(reports[:i], reports[i+1:]...)
 				}
 				next, changed := b.Plan(versions[len(versions)-1])
@@ -154,7 +154,7 @@
 				acting = append(acting, newest[shard])
 			case 9:
 				if rapid.Bool().Draw(rt, "owner") {
-					b = Balancer{Parts: shards}
+					b = Balancer{Shards: shards}
 				}
 				for _, l := range acting {
 					l.fenced = l.fenced || l != newest[l.shard]
