--- a/command/why/why.go
+++ b/command/why/why.go
@@ -88,7 +88,7 @@
 		for _, t := range s.Suspects {
 			fmt.Fprintf(w, "SUSPECT\t%s.%d.%d.%d\n", x.Job, s.Occurrence, s.Step, t.Index)
 			for _, c := range t.Crashes {
-				fmt.Fprintf(w, "\trun %d on %s%s%s\n", c.Run, c.Worker, note(c.Sole, ", no run of another job had started there"), note(c.Open, ", still in flight or worker unreachable"))
+				fmt.Fprintf(w, "\trun %d on %s%s%s\n", c.Run, c.Worker, note(c.Sole, ", no run of another job had started there"), note(c.Undecided, ", still in flight or worker unreachable"))
 			}
 		}
 	}
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -164,7 +164,7 @@
 func (c *catalogs) check(ctx context.Context) {
 	for sleep.For(ctx, checkPeriod) == nil {
 		bounded, cancel := context.WithTimeout(ctx, catalogGrace)
-		next, err := c.source.Glance(bounded)
+		next, err := c.source.CurrentCached(bounded)
 		cancel()
 		if err != nil {
 			c.log.Debug().Err(err).Msg("configuration not read")
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -31,7 +31,7 @@
 	return s.next, 1, sleep.For(ctx, s.latency)
 }
 
-func (s *slowSource) Glance(ctx context.Context) (*work.Catalog, error) {
+func (s *slowSource) CurrentCached(ctx context.Context) (*work.Catalog, error) {
 	return s.next, sleep.For(ctx, s.latency)
 }
 
@@ -117,7 +117,7 @@
 	return &work.Catalog{Version: v}, store.Revision(v), nil
 }
 
-func (s *unresponsiveSource) Glance(ctx context.Context) (*work.Catalog, error) {
+func (s *unresponsiveSource) CurrentCached(ctx context.Context) (*work.Catalog, error) {
 	c, _, err := s.Current(ctx)
 	return c, err
 }
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -84,7 +84,7 @@
 	return &work.Catalog{Version: v}, store.Revision(v), s.delay(ctx)
 }
 
-func (s *laggingSource) Glance(ctx context.Context) (*work.Catalog, error) {
+func (s *laggingSource) CurrentCached(ctx context.Context) (*work.Catalog, error) {
 	c, _, err := s.Current(ctx)
 	return c, err
 }
--- a/process/cellnode/texts.go
+++ b/process/cellnode/texts.go
@@ -23,9 +23,9 @@
 
 // text returns the spec of a job: from memory, from the accepting daemon, or from the
 // store.
-func (s *shard) text(ctx context.Context, id work.JobID, home string) (string, error) {
+func (s *shard) text(ctx context.Context, id work.JobID, acceptedBy string) (string, error) {
 	n := s.n
-	if spec, err := n.relay.Text(ctx, id, home); err == nil {
+	if spec, err := n.relay.Text(ctx, id, acceptedBy); err == nil {
 		return spec, nil
 	}
 	return s.storedOnce(ctx, id)
@@ -70,7 +70,7 @@
 	if err != nil {
 		return "", err
 	}
-	if job.Apart {
+	if job.SpecStored {
 		return "", store.ErrNotFound // both keys are deleted together: the job has ended
 	}
 	return job.Spec, nil
--- a/process/cellnode/texts_test.go
+++ b/process/cellnode/texts_test.go
@@ -18,11 +18,11 @@
 func TestSpecIsReadFromTheStore(t *testing.T) {
 	m := kv.New()
 	s := &shard{store: m, n: &Node{storeTimeout: &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}}}
-	put := func(id work.JobID, apart bool, inside string) {
-		value, err := work.EncodeJob(&work.Job{Queue: work.Queue{Name: "q", Attempts: 1, Slack: 1}, Spec: inside, Apart: apart, Steps: []work.Step{{Count: 1}}})
+	put := func(id work.JobID, specStored bool, inside string) {
+		value, err := work.EncodeJob(&work.Job{Queue: work.Queue{Name: "q", Attempts: 1, Slack: 1}, Spec: inside, SpecStored: specStored, Steps: []work.Step{{Count: 1}}})
 		require.NoError(t, err)
 		txn := store.Txn{Writes: []store.Write{{Key: dispatch.KeySubmission(id), Value: value}}}
-		if apart && inside == "" {
+		if specStored && inside == "" {
 			txn.Writes = append(txn.Writes, store.Write{Key: dispatch.KeySpec(id), Value: []byte("kept apart")})
 		}
 		_, err = m.Commit(t.Context(), txn)
--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -42,14 +42,14 @@
 
 // Suspect reports whether the task may only be started where nothing else has just started.
 func (r Records) Suspect() bool {
-	return len(r) >= suspectLosses || slices.ContainsFunc(r, func(c work.Crash) bool { return c.Sole && !c.Open })
+	return len(r) >= suspectLosses || slices.ContainsFunc(r, func(c work.Crash) bool { return c.Sole && !c.Undecided })
 }
 
 // LimitReached reports whether the task is to be given up.
 func (r Records) LimitReached() bool {
 	losses, sole := 0, 0
 	for i := range r {
-		if r[i].Open {
+		if r[i].Undecided {
 			continue
 		}
 		losses++
@@ -69,13 +69,13 @@
 // Begin records a trial: a run of a suspect task that is about to start. sole means that
 // nothing else has just started on the worker.
 func (r *Records) Begin(run uint64, worker string, sole bool) {
-	r.add(work.Crash{Run: run, Worker: worker, Sole: sole, Open: true})
+	r.add(work.Crash{Run: run, Worker: worker, Sole: sole, Undecided: true})
 }
 
 // add appends a record; if there are too many it replaces the oldest open one.
 func (r *Records) add(c work.Crash) {
 	if len(*r) >= maxRecords {
-		if i := slices.IndexFunc(*r, func(x work.Crash) bool { return x.Open }); i >= 0 {
+		if i := slices.IndexFunc(*r, func(x work.Crash) bool { return x.Undecided }); i >= 0 {
 			*r = slices.Delete(*r, i, i+1)
 		}
 	}
@@ -87,12 +87,12 @@
 // flight to one incarnation and may have been started by the next one crashes at most one of
 // them.
 func (r *Records) AddLoss(run uint64, worker string, sole, ended bool) {
-	lost := work.Crash{Run: run, Worker: worker, Sole: sole, Open: !ended}
+	lost := work.Crash{Run: run, Worker: worker, Sole: sole, Undecided: !ended}
 	i := slices.IndexFunc(*r, func(c work.Crash) bool { return c.Run == run })
 	switch {
 	case i < 0:
 		r.add(lost)
-	case (*r)[i].Open || (*r)[i].Worker == worker:
+	case (*r)[i].Undecided || (*r)[i].Worker == worker:
 		(*r)[i] = lost
 	}
 }
@@ -104,8 +104,8 @@
 	changed := false
 	if ended {
 		for i := range *r {
-			if c := &(*r)[i]; c.Worker == worker && c.Open {
-				c.Open, changed = false, true
+			if c := &(*r)[i]; c.Worker == worker && c.Undecided {
+				c.Undecided, changed = false, true
 			}
 		}
 		return changed
@@ -119,11 +119,11 @@
 // whether there was one.
 func (r *Records) Drop(run uint64) bool {
 	before := len(*r)
-	*r = slices.DeleteFunc(*r, func(c work.Crash) bool { return c.Open && c.Run == run })
+	*r = slices.DeleteFunc(*r, func(c work.Crash) bool { return c.Undecided && c.Run == run })
 	return len(*r) != before
 }
 
 // OnTrial reports whether the run is an open trial, which may still crash its worker.
 func (r Records) OnTrial(run uint64) bool {
-	return slices.ContainsFunc(r, func(c work.Crash) bool { return c.Open && c.Run == run })
+	return slices.ContainsFunc(r, func(c work.Crash) bool { return c.Undecided && c.Run == run })
 }
--- a/process/crash/crash_test.go
+++ b/process/crash/crash_test.go
@@ -55,7 +55,7 @@
 		r.AddLoss(uint64(i+2), fmt.Sprint("w-", i+2), false, false)
 	}
 	require.Len(t, r, maxRecords)
-	require.False(t, r[0].Open, "a crash stays")
+	require.False(t, r[0].Undecided, "a crash stays")
 }
 
 // TestRecordsUnderAnyOrder compares the records with a plain list of what happened: in no
@@ -93,7 +93,7 @@
 			}
 		}
 		for _, c := range r {
-			require.Equal(t, crashed[c.Worker], !c.Open, "%+v", c)
+			require.Equal(t, crashed[c.Worker], !c.Undecided, "%+v", c)
 		}
 		if len(lost) == 0 {
 			require.False(t, r.LimitReached())
--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -244,11 +244,11 @@
 
 // noteEndedHeld records what an ended job was still running when its end was written.
 func (e *Engine) noteEndedHeld(p *work.Progress) {
-	if p.Held == (work.Resources{}) {
+	if p.InUse == (work.Resources{}) {
 		return
 	}
 	a := e.ledger.Account(p.Account)
-	e.endedHeld[a] = e.endedHeld[a].Add(sizeOf(p.Held))
+	e.endedHeld[a] = e.endedHeld[a].Add(sizeOf(p.InUse))
 }
 
 // held is what the runs of a job use of its account's cap.
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -207,7 +207,7 @@
 	require.NoError(t, err)
 	p, err := work.DecodeProgress(state)
 	require.NoError(t, err)
-	require.Equal(t, work.Resources{CPU: 4000, Memory: 400}, p.Held)
+	require.Equal(t, work.Resources{CPU: 4000, Memory: 400}, p.InUse)
 
 	next := successor(t, Saved{States: []store.Entry{{Key: KeyState(firstJob), Value: state, Revision: 3}}},
 		work.Account{Name: "north", Cap: work.Resources{CPU: 5000}})
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -43,7 +43,7 @@
 		size += p.Size()
 		n++
 	}
-	data, err := work.EncodeBundle(records)
+	data, err := work.EncodeBatch(records)
 	if err != nil {
 		e.violate("batch does not encode: "+err.Error(), work.TaskID{Job: e.dirty[0].id}, "")
 		return
@@ -128,7 +128,7 @@
 	var read []*batch
 	newest := map[*batch]int{} // jobs
 	for _, entry := range batches {
-		records, err := work.DecodeBundle(entry.Value)
+		records, err := work.DecodeBatch(entry.Value)
 		if err != nil {
 			errs = append(errs, fmt.Errorf("%s: %w", entry.Key, err))
 			continue
@@ -157,7 +157,7 @@
 	var found *work.Progress
 	var revision store.Revision
 	for _, entry := range batches {
-		records, err := work.DecodeBundle(entry.Value)
+		records, err := work.DecodeBatch(entry.Value)
 		if err != nil || entry.Revision < revision {
 			continue
 		}
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -115,7 +115,7 @@
 		return
 	}
 	e.stats.Done++
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return // a long-running task starts again however it ended
 	}
 	e.finish(s, completion.Task.Index)
@@ -155,7 +155,7 @@
 		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
 	}
 	t.avoidWorker(w.ID, e.now)
-	if t.done || !j.active() || s.spec.Lasting {
+	if t.done || !j.active() || s.spec.LongRunning {
 		return
 	}
 	failed := &t.failed
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -132,7 +132,7 @@
 // loadSuspect is suspectHarness before any worker has answered.
 func loadSuspect(t *testing.T, crashes []work.Crash, workers ...runner.WorkerID) *harness {
 	h := newHarness(t, 2, workers...)
-	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Crashes: crashes}}})
+	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Completions: []work.StepCompletions{{Crashes: crashes}}})
 	require.NoError(t, err)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
 	h.step(50 * time.Millisecond)
@@ -164,7 +164,7 @@
 				h.e.Committed(h.now, x.Stream)
 			case SendStart:
 				require.NotNil(t, recorded, "started before it was recorded")
-				require.Equal(t, work.Crash{Run: x.Start.Run, Worker: "w-a", Sole: true, Open: true}, recorded.Ends[0].Crashes[2])
+				require.Equal(t, work.Crash{Run: x.Start.Run, Worker: "w-a", Sole: true, Undecided: true}, recorded.Completions[0].Crashes[2])
 				return
 			}
 		}
@@ -175,7 +175,7 @@
 // TestTrialOfADeadLeaderCounts guards against a crash of the trial's worker that goes
 // uncounted because it happens between two leaders.
 func TestTrialOfADeadLeaderCounts(t *testing.T) {
-	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Open: true}}, "w-a")
+	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Undecided: true}}, "w-a")
 	state, known := h.e.State(testJob)
 	require.True(t, known)
 	require.Equal(t, work.Failed, state)
@@ -203,7 +203,7 @@
 	h.report(on, runner.Report{Clock: 20 * time.Second})
 	s := h.e.jobs[testJob].step(first[0].Start.Task)
 	require.Len(t, s.tasks[0].crashes, 3, "the two crashes, and the trial that runs")
-	require.NotContains(t, s.tasks[0].crashes, work.Crash{Run: first[0].Start.Run, Worker: string(on), Sole: true, Open: true})
+	require.NotContains(t, s.tasks[0].crashes, work.Crash{Run: first[0].Start.Run, Worker: string(on), Sole: true, Undecided: true})
 }
 
 // TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver guards against a healthy task that is given
@@ -369,7 +369,7 @@
 		h.step(500 * time.Millisecond)
 	}
 	crashes := func() crash.Records { return h.e.jobs[testJob].step(task).tasks[0].crashes }
-	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Open: true}}, crashes(), "its lease has expired")
+	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true, Undecided: true}}, crashes(), "its lease has expired")
 	h.resize("w-a", work.Resources{CPU: 4000, Memory: 4000})
 	h.e.Renewed(h.now, "w-a", runner.Report{}, runner.ErrRestarted)
 	require.Equal(t, crash.Records{{Run: 1, Worker: "w-a", Sole: true}}, crashes())
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -112,7 +112,7 @@
 	// the successor again. It must count once; otherwise the job is shown as failed though its
 	// task may still be tried. Completions are distinguished only by the number of their run.
 	h := newHarness(t, 2, "w-a")
-	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: []uint64{1}}}}}})
+	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Completions: []work.StepCompletions{{Failed: []work.TaskFailures{{Runs: []uint64{1}}}}}})
 	require.NoError(t, err)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
 	h.step(50 * time.Millisecond)
--- a/process/dispatch/estimate.go
+++ b/process/dispatch/estimate.go
@@ -32,7 +32,7 @@
 // learnRunTime updates, from a run that was done, how long runs of the queue and on the worker
 // take relative to their estimates.
 func (e *Engine) learnRunTime(w *worker, s *step, alloc *allocation) {
-	if s.spec.Estimate <= 0 || alloc.state != running || s.spec.Lasting {
+	if s.spec.Estimate <= 0 || alloc.state != running || s.spec.LongRunning {
 		return
 	}
 	took := float64(e.now-alloc.ackAt) / float64(s.spec.Estimate)
@@ -46,7 +46,7 @@
 	switch {
 	case alloc.state == stopping:
 		return stopRetry
-	case alloc.s.spec.Lasting:
+	case alloc.s.spec.LongRunning:
 		return forever
 	}
 	elapsed := e.now - alloc.sent
@@ -68,7 +68,7 @@
 	}
 	stalled := e.now - max(alloc.percentAt, alloc.ackAt)
 	bound := max(stallTimeout, e.estimate(alloc.s)/2)
-	if alloc.s.spec.Lasting {
+	if alloc.s.spec.LongRunning {
 		bound = stallTimeout // its estimate says nothing about how soon it serves
 	}
 	if stalled < bound || alloc.w.answered < alloc.percentAt+stallTimeout {
--- a/process/dispatch/job.go
+++ b/process/dispatch/job.go
@@ -199,21 +199,21 @@
 	if j.state.Final() {
 		p.Account = j.spec.Account
 		if j.state != work.Completed {
-			p.Held = j.held()
+			p.InUse = j.held()
 		}
 		return p
 	}
 	p.Before = j.doneBefore
 	for s := range j.steps() {
 		if e, any := s.completions(); any {
-			p.Ends = append(p.Ends, e)
+			p.Completions = append(p.Completions, e)
 		}
 	}
 	return p
 }
 
-func (s *step) completions() (work.StepEnds, bool) {
-	e := work.StepEnds{Occurrence: s.occurrence.number, Step: s.number, All: s.left == 0}
+func (s *step) completions() (work.StepCompletions, bool) {
+	e := work.StepCompletions{Occurrence: s.occurrence.number, Step: s.number, All: s.left == 0}
 	if e.All {
 		return e, true
 	}
@@ -223,7 +223,7 @@
 			e.Done = append(e.Done, i)
 		}
 		if len(t.failed) > 0 {
-			e.Failed = append(e.Failed, work.Fail{Index: i, Runs: t.failed})
+			e.Failed = append(e.Failed, work.TaskFailures{Index: i, Runs: t.failed})
 		}
 		for _, c := range t.crashes {
 			c.Index = i
@@ -231,7 +231,7 @@
 		}
 	}
 	if len(s.gang.failed) > 0 {
-		e.Failed = append(e.Failed, work.Fail{Runs: s.gang.failed})
+		e.Failed = append(e.Failed, work.TaskFailures{Runs: s.gang.failed})
 	}
 	return e, len(e.Done)+len(e.Failed)+len(e.Crashes) > 0
 }
@@ -250,7 +250,7 @@
 	j.prune()
 	j.doneBefore = max(j.doneBefore, p.Before)
 	j.nextDue = max(j.nextDue, j.doneBefore)
-	for _, e := range p.Ends {
+	for _, e := range p.Completions {
 		s := j.step(work.TaskID{Occurrence: e.Occurrence, Step: max(e.Step, 0)})
 		if s == nil {
 			continue
@@ -274,7 +274,7 @@
 	}
 }
 
-func (s *step) restoreFail(f work.Fail) {
+func (s *step) restoreFail(f work.TaskFailures) {
 	if s.spec.Gang {
 		s.gang.failed = f.Runs
 		return
--- a/process/dispatch/longrunning.go
+++ b/process/dispatch/longrunning.go
@@ -17,7 +17,7 @@
 const rankLongRunning = -1
 
 // serves reports whether the run is of a long-running task that is serving.
-func (a *allocation) serves() bool { return a.s.spec.Lasting && a.percent >= servingPercent }
+func (a *allocation) serves() bool { return a.s.spec.LongRunning && a.percent >= servingPercent }
 
 // noteServing counts a long-running task that starts to serve as a success of its worker: such
 // tasks never end as done, which is what counts for other work.
@@ -29,7 +29,7 @@
 
 // hasTarget reports whether the step's tasks are long-running and have a response time target,
 // which best-effort work beside them can spoil.
-func hasTarget(s *work.Step) bool { return s.Lasting && s.Target > 0 }
+func hasTarget(s *work.Step) bool { return s.LongRunning && s.Target > 0 }
 
 // hostsTarget reports whether a task with a response time target runs on the worker.
 func (w *worker) hostsTarget() bool {
@@ -49,7 +49,7 @@
 		return
 	}
 	for _, alloc := range sortedAllocs(w) {
-		if alloc.s.spec.Fills {
+		if alloc.s.spec.BestEffort {
 			e.stop(alloc, "best-effort work makes way for a task with a response time target")
 		}
 	}
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -16,7 +16,7 @@
 
 func longRunningTask() work.Step {
 	s := oneTask()
-	s.Lasting, s.Target = true, 50*time.Millisecond
+	s.LongRunning, s.Target = true, 50*time.Millisecond
 	return s
 }
 
@@ -125,7 +125,7 @@
 	// no processors, so that it fits on a worker with a serving task, and neither was
 	// considered when the other was placed.
 	fill := oneTask()
-	fill.Fills, fill.Count, fill.Size.CPU = true, 3, 4000
+	fill.BestEffort, fill.Count, fill.Size.CPU = true, 3, 4000
 	t.Run("best-effort work comes second", func(t *testing.T) {
 		h := newHarness(t, 1, "w-a", "w-b")
 		require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
@@ -184,7 +184,7 @@
 		j := drawJob(c.rng, c.rng.IntN(2) == 0)
 		j.Steps = j.Steps[:1]
 		s := &j.Steps[0]
-		s.Gang, s.Lasting, s.MayMiss = false, true, 1
+		s.Gang, s.LongRunning, s.MaxInterrupted = false, true, 1
 		services = append(services, c.submit(j))
 		time.Sleep(200 * time.Millisecond)
 	}
--- a/process/dispatch/occurrence.go
+++ b/process/dispatch/occurrence.go
@@ -126,7 +126,7 @@
 	for i := range j.spec.Steps {
 		j.sizes = append(j.sizes, sizeOf(j.spec.Steps[i].Size))
 	}
-	j.spec = &work.Job{Queue: j.spec.Queue, Account: j.spec.Account, Apart: j.spec.Apart}
+	j.spec = &work.Job{Queue: j.spec.Queue, Account: j.spec.Account, SpecStored: j.spec.SpecStored}
 }
 
 // mayOpen reports whether the job may have one more occurrence in memory. Each has all of its
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -107,7 +107,7 @@
 	h := newHarness(t, 2, "w-a")
 	two := oneTask()
 	two.Count = 2
-	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Before: 2, Ends: []work.StepEnds{
+	progress, err := work.EncodeProgress(&work.Progress{State: work.Running, Before: 2, Completions: []work.StepCompletions{
 		{Occurrence: 2, Done: []int{1}}, {Occurrence: 3, All: true}}})
 	require.NoError(t, err)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{timedEntry(t, 5, 0, 0, two)}, States: []store.Entry{{Key: KeyState(testJob), Value: progress}}}))
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -67,7 +67,7 @@
 // are too late to be of any value behind both: a late job keeps a fifth of its value until
 // lateFactor objectives have passed; one in time would lose four fifths at once.
 func (e *Engine) lateRank(s *step) int {
-	if s.spec.Lasting {
+	if s.spec.LongRunning {
 		return rankLongRunning
 	}
 	ends := e.now + e.estimate(s)
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -138,7 +138,7 @@
 	n := 1
 	if j.state.Final() && j.submitted {
 		n++
-		if j.spec.Apart {
+		if j.spec.SpecStored {
 			n++
 		}
 	}
@@ -184,7 +184,7 @@
 	c.Writes = append(c.Writes, store.Write{Key: KeyState(j.id), Value: data})
 	if j.state.Final() && j.submitted {
 		c.Deletes = append(c.Deletes, KeySubmission(j.id))
-		if j.spec.Apart {
+		if j.spec.SpecStored {
 			c.Deletes = append(c.Deletes, KeySpec(j.id))
 		}
 	}
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -96,7 +96,7 @@
 	s := newSlowStore(h, answer)
 	for i := range jobs {
 		id := work.JobID(fmt.Sprintf("%016x", i))
-		entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) { j.Spec, j.Apart = "", true })
+		entry := changed(t, jobEntry(t, 1, 2, oneTask()), func(j *work.Job) { j.Spec, j.SpecStored = "", true })
 		s.put(KeySubmission(id), entry.Value)
 		s.put(KeySpec(id), []byte("x"))
 	}
@@ -228,7 +228,7 @@
 	// A job that failed twice must not be tried as if it had failed once, whether its own key
 	// has older progress than a batch, or a batch older progress than its own key.
 	failedRuns := func(runs ...uint64) work.Progress {
-		return work.Progress{State: work.Running, Ends: []work.StepEnds{{Failed: []work.Fail{{Runs: runs}}}}}
+		return work.Progress{State: work.Running, Completions: []work.StepCompletions{{Failed: []work.TaskFailures{{Runs: runs}}}}}
 	}
 	once, twice := failedRuns(1), failedRuns(1, 2)
 	for _, inBatch := range []bool{true, false} {
@@ -238,7 +238,7 @@
 		}
 		state, err := work.EncodeProgress(&own)
 		require.NoError(t, err)
-		value, err := work.EncodeBundle([]work.JobProgress{{Job: testJob, Progress: batched}})
+		value, err := work.EncodeBatch([]work.JobProgress{{Job: testJob, Progress: batched}})
 		require.NoError(t, err)
 		revs := map[bool]store.Revision{true: 9, false: 8}
 		h := newHarness(t, 2)
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -139,10 +139,10 @@
 	}
 	if e.anyCapacity(s, need) {
 		e.placeTasks(s)
-	} else if len(s.spec.Labels) == 0 && !s.spec.Fills && len(r.full) < maxFullSizes {
+	} else if len(s.spec.Labels) == 0 && !s.spec.BestEffort && len(r.full) < maxFullSizes {
 		r.full = append(r.full, fullSize{service, need})
 	}
-	if s.spec.Lasting && len(s.pending) > 0 {
+	if s.spec.LongRunning && len(s.pending) > 0 {
 		e.reserveCapacity(s, r)
 	}
 }
@@ -188,7 +188,7 @@
 	if s.spec.Gang && w.probation {
 		return false // one member that fails there stops the whole gang
 	}
-	if s.spec.Fills && w.hostsTarget() {
+	if s.spec.BestEffort && w.hostsTarget() {
 		return false
 	}
 	if w.isolated.excludes(s, e.now) {
--- a/request/submit/admit.go
+++ b/request/submit/admit.go
@@ -43,7 +43,7 @@
 // Admit returns the account of a request for a queue by the key sent with it; "" for an open
 // queue without a known key. The error is a *verdict.Error with verdict NotRun.
 func Admit(c *work.Catalog, q *work.Queue, key string, s Standing) (string, error) {
-	account, found := c.Accounts.Keyed(key)
+	account, found := c.Accounts.ByKey(key)
 	switch {
 	case q.Open && !found:
 		return "", nil
--- a/request/submit/cancel.go
+++ b/request/submit/cancel.go
@@ -53,7 +53,7 @@
 	switch {
 	case err != nil:
 		return true, unavailable(CodeStore, err)
-	case !work.Owns(job.Account, account):
+	case !work.MayAccess(job.Account, account):
 		return true, refuseOtherAccount()
 	}
 	key := dispatch.KeyCancel(id)
@@ -84,7 +84,7 @@
 			return true, unavailable(CodeStore, err)
 		case p.State == work.Refused:
 			return true, ErrNoJob
-		case !work.Owns(p.Account, account):
+		case !work.MayAccess(p.Account, account):
 			return true, refuseOtherAccount()
 		}
 		return true, nil
--- a/request/submit/submission.go
+++ b/request/submit/submission.go
@@ -37,7 +37,7 @@
 
 func submissionOf(id work.JobID, j *work.Job, full []byte) (*submission, error) {
 	h := &submission{id: id, account: j.Account, full: full, value: full}
-	if !j.Apart {
+	if !j.SpecStored {
 		return h, nil
 	}
 	var err error
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -163,7 +163,7 @@
 
 // Submit accepts a job. The error is a *verdict.Error.
 func (s *Service) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
-	j.Epoch, j.Home, j.Apart = s.o.View.Epoch(), s.o.Peer, j.Spec != ""
+	j.Epoch, j.AcceptedBy, j.SpecStored = s.o.View.Epoch(), s.o.Peer, j.Spec != ""
 	h, err := newSubmission(id, j)
 	if err != nil {
 		return unavailable(CodeStore, err)
@@ -311,7 +311,7 @@
 	} else if first, err := work.DecodeJob(found.Value); err == nil {
 		owner = first.Account
 	}
-	if !work.Owns(owner, account) {
+	if !work.MayAccess(owner, account) {
 		return errOtherAccount
 	}
 	return nil
@@ -453,7 +453,7 @@
 			return 0, err
 		}
 	}
-	if !work.Owns(view.Account, account) {
+	if !work.MayAccess(view.Account, account) {
 		return 0, refuseOtherAccount()
 	}
 	return view.State, nil
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -280,7 +280,7 @@
 		m := kv.New()
 		s := newService(m)
 		require.NoError(t, s.Submit(t.Context(), id, testJob()))
-		value, err := work.EncodeBundle([]work.JobProgress{{Job: id, Progress: work.Progress{State: work.Completed}}})
+		value, err := work.EncodeBatch([]work.JobProgress{{Job: id, Progress: work.Progress{State: work.Completed}}})
 		require.NoError(t, err)
 		_, err = m.Put(t.Context(), dispatch.PrefixBatches+"x", value, 0, 0)
 		require.NoError(t, err)
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -122,7 +122,7 @@
 	f.checkStart(w, s, j)
 	step := &j.Steps[s.Task.Step]
 	b := f.o.Work(s.Task, s.Run, w.ID)
-	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, stuck: b.Still, longRunning: step.Lasting}
+	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, stuck: b.Still, longRunning: step.LongRunning}
 	r.timer = time.AfterFunc(time.Hour, func() {})
 	w.running[s.Task] = r
 	w.used = w.used.Add(r.need)
@@ -157,9 +157,9 @@
 	switch {
 	case h.running > 0:
 		f.violate("%s run %d on %s runs twice", s.Task, s.Run, w.ID)
-	case h.acked && !j.Steps[s.Task.Step].Lasting:
+	case h.acked && !j.Steps[s.Task.Step].LongRunning:
 		f.violate("%s run %d on %s starts after its completion was acknowledged", s.Task, s.Run, w.ID)
-	case f.o.Attempts > 0 && h.failures >= f.o.Attempts && !j.Steps[s.Task.Step].Gang && !j.Steps[s.Task.Step].Lasting:
+	case f.o.Attempts > 0 && h.failures >= f.o.Attempts && !j.Steps[s.Task.Step].Gang && !j.Steps[s.Task.Step].LongRunning:
 		f.violate("%s run %d starts after %d failures", s.Task, s.Run, h.failures)
 	case s.Task.Occurrence >= max(1, j.Repeat):
 		f.violate("%s starts, but the job has %d occurrences", s.Task, max(1, j.Repeat))
@@ -371,7 +371,7 @@
 		return
 	}
 	step := &f.jobs[r.task.Job].Steps[r.task.Step]
-	if missing := step.Count - f.serving(r.task.Job, r.task.Step); missing >= step.MayMiss {
+	if missing := step.Count - f.serving(r.task.Job, r.task.Step); missing >= step.MaxInterrupted {
 		f.excessStops++
 	}
 }
@@ -441,7 +441,7 @@
 	}
 	h := f.history(e.Task)
 	h.acked = true
-	if slices.Contains(h.superseded, e.Run) && at.After(w.expiredAt) && !f.jobs[e.Task.Job].Steps[e.Task.Step].Lasting {
+	if slices.Contains(h.superseded, e.Run) && at.After(w.expiredAt) && !f.jobs[e.Task.Job].Steps[e.Task.Step].LongRunning {
 		f.violate("%s run %d on %s: its completion is acknowledged after the task was started again", e.Task, e.Run, w.ID)
 	}
 }
--- a/version/work/account.go
+++ b/version/work/account.go
@@ -30,14 +30,14 @@
 // once published.
 type Accounts struct {
 	list  []Account
-	keyed map[KeyDigest]int
+	byKey map[KeyDigest]int
 }
 
 // NewAccounts indexes accounts. In case of ambiguity the account that is listed first
 // wins, and the error reports it without containing a key: the keys of a second account
 // of the same name count for the first; a key in two accounts belongs to the first.
 func NewAccounts(list []Account) (*Accounts, error) {
-	a := &Accounts{keyed: map[KeyDigest]int{}}
+	a := &Accounts{byKey: map[KeyDigest]int{}}
 	named := make(map[string]int, len(list))
 	var problems []error
 	for _, account := range list {
@@ -58,33 +58,33 @@
 			a.list = append(a.list, account)
 		}
 		for _, key := range account.Keys {
-			if other, taken := a.keyed[key]; taken && other != at {
+			if other, taken := a.byKey[key]; taken && other != at {
 				problems = append(problems, fmt.Errorf("accounts: %q has a key of %q, which keeps it; give each account keys of its own", account.Name, a.list[other].Name))
 				continue
 			}
-			a.keyed[key] = at
+			a.byKey[key] = at
 		}
 	}
 	return a, errors.Join(problems...)
 }
 
-// Keyed returns the account to which a key belongs. The key is looked up by its digest,
+// ByKey returns the account to which a key belongs. The key is looked up by its digest,
 // so that the duration reveals nothing about existing keys.
-func (a *Accounts) Keyed(key string) (*Account, bool) {
+func (a *Accounts) ByKey(key string) (*Account, bool) {
 	if a == nil || key == "" {
 		return nil, false
 	}
-	at, found := a.keyed[DigestKey(key)]
+	at, found := a.byKey[DigestKey(key)]
 	if !found {
 		return nil, false
 	}
 	return &a.list[at], true
 }
 
-// Owns reports whether callers of account may query and cancel a job that the account
+// MayAccess reports whether callers of account may query and cancel a job that the account
 // owner submitted. Callers of another account may not; a job that was submitted without
 // an account is open to all.
-func Owns(owner, account string) bool { return owner == "" || owner == account }
+func MayAccess(owner, account string) bool { return owner == "" || owner == account }
 
 // All lists the accounts in the order of the configuration; nil for none.
 func (a *Accounts) All() []Account {
--- a/version/work/account_test.go
+++ b/version/work/account_test.go
@@ -20,19 +20,19 @@
 	a, err := NewAccounts([]Account{{Name: "north", Weight: 5, Keys: digests("n1", "n2", "n1")}, {Name: "south", Keys: digests("s1")}, {Name: "mute"}})
 	require.NoError(t, err)
 	for key, name := range map[string]string{"n1": "north", "n2": "north", "s1": "south"} {
-		found, ok := a.Keyed(key)
+		found, ok := a.ByKey(key)
 		require.True(t, ok, key)
 		require.Equal(t, name, found.Name)
 	}
 	for _, key := range []string{"", "n", "n11", "S1", " s1"} {
-		_, ok := a.Keyed(key)
+		_, ok := a.ByKey(key)
 		require.False(t, ok, "%q belongs to no account", key)
 	}
 	mute := slices.IndexFunc(a.All(), func(x Account) bool { return x.Name == "mute" })
 	require.NotEqual(t, -1, mute, "an account without keys is kept, so that its jobs continue")
 	require.Empty(t, a.All()[mute].Keys)
 	var none *Accounts
-	_, ok := none.Keyed("n1")
+	_, ok := none.ByKey("n1")
 	require.False(t, ok)
 	require.Empty(t, none.All())
 }
@@ -58,7 +58,7 @@
 			a, err := NewAccounts(c.list)
 			require.ErrorContains(t, err, c.problem)
 			for key, want := range c.wantAccounts {
-				found, ok := a.Keyed(key)
+				found, ok := a.ByKey(key)
 				require.Equal(t, want != "", ok, key)
 				if ok {
 					require.Equal(t, want, found.Name)
@@ -91,7 +91,7 @@
 					}
 				}
 			}
-			got, ok := a.Keyed(key)
+			got, ok := a.ByKey(key)
 			require.Equal(rt, want != "", ok)
 			if ok {
 				require.Equal(rt, want, got.Name)
@@ -111,7 +111,7 @@
 	require.NoError(b, err)
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, ok := a.Keyed("key-777-aaaaaaaaaaaaaa"); !ok {
+		if _, ok := a.ByKey("key-777-aaaaaaaaaaaaaa"); !ok {
 			b.Fatal("not found")
 		}
 	}
--- a/version/work/catalogcode_test.go
+++ b/version/work/catalogcode_test.go
@@ -35,7 +35,7 @@
 	again, err := DecodeCatalog(data)
 	require.NoError(t, err)
 	require.Error(t, again.Problems)
-	found, ok := again.Accounts.Keyed("k")
+	found, ok := again.Accounts.ByKey("k")
 	require.True(t, ok)
 	require.Equal(t, "north", found.Name)
 }
--- a/version/work/fuzz_test.go
+++ b/version/work/fuzz_test.go
@@ -10,9 +10,9 @@
 // of a batch of job states: the result is an error, or records that survive another
 // encoding and decoding.
 func FuzzDecodeBundle(f *testing.F) {
-	good, err := EncodeBundle([]JobProgress{
+	good, err := EncodeBatch([]JobProgress{
 		{Job: "00000000000000aa", Progress: Progress{State: Completed}},
-		{Job: "00000000000000bb", Progress: Progress{State: Running, Ends: []StepEnds{{Done: []int{1}, Failed: []Fail{{Index: 2, Runs: []uint64{3}}}}}}},
+		{Job: "00000000000000bb", Progress: Progress{State: Running, Completions: []StepCompletions{{Done: []int{1}, Failed: []TaskFailures{{Index: 2, Runs: []uint64{3}}}}}}},
 	})
 	require.NoError(f, err)
 	f.Add(good)
@@ -21,13 +21,13 @@
 	f.Add([]byte{0x80})
 	f.Add([]byte(`[{"job":1}]`))
 	f.Fuzz(func(t *testing.T, data []byte) {
-		records, err := DecodeBundle(data)
+		records, err := DecodeBatch(data)
 		if err != nil {
 			return
 		}
-		again, err := EncodeBundle(records)
+		again, err := EncodeBatch(records)
 		require.NoError(t, err)
-		back, err := DecodeBundle(again)
+		back, err := DecodeBatch(again)
 		require.NoError(t, err)
 		require.Len(t, back, len(records))
 	})
--- a/version/work/source.go
+++ b/version/work/source.go
@@ -12,8 +12,8 @@
 	// Current returns the newest catalog and the revision to watch from, or
 	// store.ErrNotFound.
 	Current(ctx context.Context) (*Catalog, store.Revision, error)
-	// Glance is a cheaper Current whose result may be seconds old.
-	Glance(ctx context.Context) (*Catalog, error)
+	// CurrentCached is a cheaper Current whose result may be seconds old.
+	CurrentCached(ctx context.Context) (*Catalog, error)
 	// Watch waits up to wait for a catalog later than after; nil if none came.
 	Watch(ctx context.Context, after store.Revision, wait time.Duration) (*Catalog, store.Revision, error)
 }
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -74,14 +74,14 @@
 	Speculative bool `cbor:"10,keyasint,omitempty"`
 	// Checkpoints: a task that was stopped early continues from its last checkpoint.
 	Checkpoints bool `cbor:"11,keyasint,omitempty"`
-	// Lasting: the tasks are long-running. They run until the job is cancelled and are
+	// LongRunning: the tasks are long-running. They run until the job is cancelled and are
 	// restarted however they end.
-	Lasting bool `cbor:"12,keyasint,omitempty"`
-	// MayMiss is how many long-running tasks the system may have interrupted at a time.
-	MayMiss int `cbor:"13,keyasint,omitempty"`
-	// Fills: the tasks are best-effort. They use spare CPU, and the CPU that they request
+	LongRunning bool `cbor:"12,keyasint,omitempty"`
+	// MaxInterrupted is how many long-running tasks the system may have interrupted at a time.
+	MaxInterrupted int `cbor:"13,keyasint,omitempty"`
+	// BestEffort: the tasks are best-effort. They use spare CPU, and the CPU that they request
 	// is not counted.
-	Fills bool `cbor:"14,keyasint,omitempty"`
+	BestEffort bool `cbor:"14,keyasint,omitempty"`
 	// Image names what the tasks run; tasks of the same image behave alike.
 	Image string `cbor:"15,keyasint,omitempty"`
 	// Target is the bound on the response time of long-running tasks.
@@ -91,7 +91,7 @@
 // Need returns the resources that a task is charged with on its worker.
 func (s *Step) Need() Resources {
 	need := s.Size
-	if s.Fills {
+	if s.BestEffort {
 		need.CPU = 0
 	}
 	return need
@@ -164,13 +164,13 @@
 	Repeat   int           `cbor:"6,keyasint,omitempty"`
 	StartAt  int64         `cbor:"7,keyasint,omitempty"` // milliseconds since 1970
 	Interval time.Duration `cbor:"8,keyasint,omitempty"`
-	// Home is the peer address of the accepting daemon, which has the job's spec in
+	// AcceptedBy is the peer address of the accepting daemon, which has the job's spec in
 	// memory.
-	Home string `cbor:"9,keyasint,omitempty"`
+	AcceptedBy string `cbor:"9,keyasint,omitempty"`
 	// Account is the client account that submitted the job, "" for none.
 	Account string `cbor:"10,keyasint,omitempty"`
-	// Apart: the store holds the spec under a key of its own, and the job without it.
-	Apart bool `cbor:"11,keyasint,omitempty"`
+	// SpecStored: the store holds the spec under a key of its own, and the job without it.
+	SpecStored bool `cbor:"11,keyasint,omitempty"`
 }
 
 // WithoutSpec returns the job without its spec, for a scheduler that does not send the
@@ -333,21 +333,21 @@
 	return sum
 }
 
-// Chain returns the length of the job's critical path: the longest sum of estimated run
+// CriticalPath returns the length of the job's critical path: the longest sum of estimated run
 // times, and of the calls for advice, over steps that depend on each other.
-func (j *Job) Chain() time.Duration {
-	ends := make([]time.Duration, len(j.Steps))
+func (j *Job) CriticalPath() time.Duration {
+	finish := make([]time.Duration, len(j.Steps))
 	var longest time.Duration
 	for i := range j.Steps {
 		s := &j.Steps[i]
 		for _, a := range s.After {
-			ends[i] = max(ends[i], ends[a])
+			finish[i] = max(finish[i], finish[a])
 		}
-		ends[i] += s.Estimate
+		finish[i] += s.Estimate
 		if a := j.Queue.Advice; a != nil {
-			ends[i] += a.Cost(advisedWorkers)
+			finish[i] += a.Cost(advisedWorkers)
 		}
-		longest = max(longest, ends[i])
+		longest = max(longest, finish[i])
 	}
 	return longest
 }
@@ -358,7 +358,7 @@
 
 // Objective returns how long after its acceptance a job should be completed.
 func (j *Job) Objective() time.Duration {
-	return time.Duration(float64(j.Chain())*j.Queue.Slack) + j.Queue.Allowance
+	return time.Duration(float64(j.CriticalPath())*j.Queue.Slack) + j.Queue.Allowance
 }
 
 // EncodeJob returns the stored form of a job.
@@ -379,20 +379,20 @@
 	// Before: every occurrence with a lower number is done.
 	Before int `cbor:"3,keyasint,omitempty"`
 	// Account is the account of a job that has ended and whose stored submission was
-	// deleted, and Held the resources that its tasks still used when it ended.
+	// deleted, and InUse the resources that its tasks still used when it ended.
 	Account string    `cbor:"4,keyasint,omitempty"`
-	Held    Resources `cbor:"5,keyasint,omitempty"`
-	// Ends has one entry for each step of each occurrence with a completed or failed task.
-	Ends []StepEnds `cbor:"2,keyasint,omitempty"`
-}
-
-// StepEnds holds the completions and failures of one step's tasks.
-type StepEnds struct {
-	Occurrence int    `cbor:"1,keyasint,omitempty"`
-	Step       int    `cbor:"2,keyasint,omitempty"`
-	All        bool   `cbor:"3,keyasint,omitempty"` // every task is done
-	Done       []int  `cbor:"4,keyasint,omitempty"` // indexes, rising
-	Failed     []Fail `cbor:"5,keyasint,omitempty"`
+	InUse   Resources `cbor:"5,keyasint,omitempty"`
+	// Completions has one entry for each step of each occurrence with a completed or failed task.
+	Completions []StepCompletions `cbor:"2,keyasint,omitempty"`
+}
+
+// StepCompletions holds the completions and failures of one step's tasks.
+type StepCompletions struct {
+	Occurrence int            `cbor:"1,keyasint,omitempty"`
+	Step       int            `cbor:"2,keyasint,omitempty"`
+	All        bool           `cbor:"3,keyasint,omitempty"` // every task is done
+	Done       []int          `cbor:"4,keyasint,omitempty"` // indexes, rising
+	Failed     []TaskFailures `cbor:"5,keyasint,omitempty"`
 	// Crashes of workers under tasks that are not done.
 	Crashes []Crash `cbor:"6,keyasint,omitempty"`
 }
@@ -404,14 +404,14 @@
 	Worker string `cbor:"3,keyasint"` // the incarnation that ended
 	// Sole: no run of another job had started there as recently.
 	Sole bool `cbor:"4,keyasint,omitempty"`
-	// Open: whether it was a crash is not decided yet. The run is about to start or has
+	// Undecided: whether it was a crash is not decided yet. The run is about to start or has
 	// started, or was lost with a worker that may only be unreachable.
-	Open bool `cbor:"5,keyasint,omitempty"`
+	Undecided bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Fail holds the numbers of a task's failed runs. Numbers rather than a count, since the
+// TaskFailures holds the numbers of a task's failed runs. Numbers rather than a count, since the
 // completions of several runs may be reported in any order, and more than once.
-type Fail struct {
+type TaskFailures struct {
 	Index int      `cbor:"1,keyasint"`
 	Runs  []uint64 `cbor:"2,keyasint"`
 }
@@ -420,9 +420,9 @@
 func (p *Progress) Size() int {
 	const record, end, failure, crash = 32, 8, 8, 40
 	n := record
-	for i := range p.Ends {
-		n += end + 3*len(p.Ends[i].Done) + crash*len(p.Ends[i].Crashes)
-		for _, f := range p.Ends[i].Failed {
+	for i := range p.Completions {
+		n += end + 3*len(p.Completions[i].Done) + crash*len(p.Completions[i].Crashes)
+		for _, f := range p.Completions[i].Failed {
 			n += failure + 9*len(f.Runs)
 		}
 	}
@@ -435,11 +435,11 @@
 	Progress Progress `cbor:"2,keyasint"`
 }
 
-// EncodeBundle returns the stored form of a batch of job states.
-func EncodeBundle(all []JobProgress) ([]byte, error) { return peer.Marshal(all) }
+// EncodeBatch returns the stored form of a batch of job states.
+func EncodeBatch(all []JobProgress) ([]byte, error) { return peer.Marshal(all) }
 
-// DecodeBundle decodes the stored form of a batch of job states.
-func DecodeBundle(data []byte) ([]JobProgress, error) {
+// DecodeBatch decodes the stored form of a batch of job states.
+func DecodeBatch(data []byte) ([]JobProgress, error) {
 	var all []JobProgress
 	if err := peer.Unmarshal(data, &all); err != nil {
 		return nil, fmt.Errorf("work: stored batch of job states: %w", err)
