--- a/command/jobd/jobd.go
+++ b/command/jobd/jobd.go
@@ -97,7 +97,7 @@
 		Catalogs: platform.Catalogs{Store: kv}, Adviser: &platform.Adviser{Client: client, Address: s.Advice},
 		Log: log, Dropped: dropped, Traffic: meter,
 		Handler: func(p cellnode.Parts) http.Handler {
-			return &platform.Ingress{Jobs: p.Jobs, Catalog: p.Catalog, Standing: p.Standing, Closing: p.Closing, Observe: observe(log, p.Answered)}
+			return &platform.Ingress{Jobs: p.Jobs, Catalog: p.Catalog, Standing: p.ConfigStatus, Closing: p.Closing, Observe: observe(log, p.Answered)}
 		},
 	}
 }
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -190,9 +190,9 @@
 		n.catalogs = newCatalogs(nil, nil, zerolog.Nop())
 		n.catalogs.follow(n.o.Settings.Bounds)
 		n.catalogs.confirm(time.Now())
-		require.False(t, n.standing().Doubtful, bound)
+		require.False(t, n.configStatus().Unconfirmed, bound)
 		n.catalogs.started = n.catalogs.started.Add(-min(bound, unconfirmedAfter)) // as if that long ago
-		require.True(t, n.standing().Doubtful, bound)
+		require.True(t, n.configStatus().Unconfirmed, bound)
 		require.Less(t, n.catalogs.wait, bound, "a watch without changes returns before that")
 	}
 }
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -62,11 +62,11 @@
 	errOlder     = errors.New("cellnode: an older configuration is known here")
 )
 
-// standing reports how current this daemon's version of the configuration is.
-func (n *Node) standing() submit.Standing {
+// configStatus reports how current this daemon's version of the configuration is.
+func (n *Node) configStatus() submit.ConfigStatus {
 	b, age := n.o.Settings.Bounds, n.catalogs.age()
 	valid := b.KeysMS.Std()
-	return submit.Standing{Age: age, Doubtful: n.catalogs.unconfirmed(age), Expired: b.StrictKeys && age > valid-min(missedChangeTime, valid/keyConfirmations)}
+	return submit.ConfigStatus{Age: age, Unconfirmed: n.catalogs.unconfirmed(age), Expired: b.StrictKeys && age > valid-min(missedChangeTime, valid/keyConfirmations)}
 }
 
 // followPeers pulls the configuration from other daemons: periodically from neighbours, and
--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -165,7 +165,7 @@
 		http.Error(w, "query: field job is missing; name a job's id", http.StatusBadRequest)
 		return
 	}
-	x, err := submit.Parts{Of: n.shardOf}.Explain(r.Context(), work.JobID(id))
+	x, err := submit.Shards{Of: n.shardOf}.Explain(r.Context(), work.JobID(id))
 	switch {
 	case errors.Is(err, submit.ErrNoJob):
 		http.Error(w, "the leader knows no such job: it was never accepted, or ended long ago", http.StatusNotFound)
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -78,10 +78,10 @@
 
 // Parts is what the HTTP API for callers is built from.
 type Parts struct {
-	Jobs    submit.Parts
+	Jobs    submit.Shards
 	Catalog func() *work.Catalog
-	// Standing reports how current the catalog is.
-	Standing func() submit.Standing
+	// ConfigStatus reports how current the catalog is.
+	ConfigStatus func() submit.ConfigStatus
 	// Closing reports whether a planned stop has begun.
 	Closing func() bool
 	// Answered is to be called after each response.
@@ -157,7 +157,7 @@
 		return err
 	}
 	n.callers = &http.Server{
-		Handler:           n.o.Handler(Parts{Jobs: submit.Parts{Of: n.shardOf}, Catalog: n.catalogs.Current, Standing: n.standing, Closing: n.stopping.Load, Answered: n.Answered}),
+		Handler:           n.o.Handler(Parts{Jobs: submit.Shards{Of: n.shardOf}, Catalog: n.catalogs.Current, ConfigStatus: n.configStatus, Closing: n.stopping.Load, Answered: n.Answered}),
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
 	}
 	n.conns = graceful.Track(n.callers)
--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -47,21 +47,21 @@
 		Lease: n.memberLease(), Peers: n.peers, Primary: main, Suffix: suffix, LeadsAnother: func() bool { return n.leadsOther(index) },
 		LeadsElsewhere: func(name string) bool { return n.shardLedBy(name, index) }})
 	s.elector.Register(n.mux)
-	s.jobs = submit.New(submit.Options{Self: n.self.Name, Peer: n.self.Peer, Texts: texts{s}, Store: s.store, Patience: n.storeTimeout,
-		View: s.elector.View(), Peers: n.peers, Leading: s.host.Load, Log: log, Suffix: suffix, Stats: &n.submitted, Guards: s.guards})
+	s.jobs = submit.New(submit.Options{Self: n.self.Name, Peer: n.self.Peer, Specs: specCache{s}, Store: s.store, StoreTimeout: n.storeTimeout,
+		View: s.elector.View(), Peers: n.peers, Leading: s.host.Load, Log: log, Suffix: suffix, Stats: &n.submitted, Preconditions: s.preconditions})
 	s.jobs.Register(n.mux)
 	return s
 }
 
-// guards returns preconditions of a submission: the cell's layout must still be the one by
+// preconditions returns preconditions of a submission: the cell's layout must still be the one by
 // which the job was routed to this shard.
-func (s *shard) guards(id work.JobID) submit.Guards {
+func (s *shard) preconditions(id work.JobID) submit.Preconditions {
 	layout, _ := s.n.view().Layout()
 	key := lead.KeyLayout
 	if s.index > 0 {
 		key = store.Unprefixed(key)
 	}
-	return submit.Guards{Layout: store.Check{Key: key, Revision: layout.Revision}, Elsewhere: submit.ElsewhereThan(s.index, id)}
+	return submit.Preconditions{Layout: store.Check{Key: key, Revision: layout.Revision}, OtherShardKeys: submit.OtherShardKeysOf(s.index, id)}
 }
 
 // lead runs one term of this daemon as the shard's leader.
@@ -173,7 +173,7 @@
 
 var errNoLayout = errors.New("cellnode: the cell's layout is not known yet")
 
-// shardOf implements submit.Parts.Of.
+// shardOf implements submit.Shards.Of.
 func (n *Node) shardOf(id work.JobID) ([]*submit.Service, int, error) {
 	layout, known := n.view().Layout()
 	shards := n.shards()
--- a/process/cellnode/texts.go
+++ b/process/cellnode/specs.go
@@ -9,14 +9,14 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// texts is the interface of a shard's submit.Service to the relays, which cache job specs.
-type texts struct{ s *shard }
+// specCache is the interface of a shard's submit.Service to the relays, which cache job specs.
+type specCache struct{ s *shard }
 
-// Keep implements submit.Texts.
-func (t texts) Keep(id work.JobID, spec string) { t.s.n.relay.Keep(id, spec) }
+// CacheSpec implements submit.SpecCache.
+func (t specCache) CacheSpec(id work.JobID, spec string) { t.s.n.relay.Keep(id, spec) }
 
-// Carries implements submit.Texts.
-func (t texts) Carries() bool {
+// RelaysOrders implements submit.SpecCache.
+func (t specCache) RelaysOrders() bool {
 	orders := t.s.orders.Load()
 	return orders != nil && orders.Relaying()
 }
--- a/process/daemon/path.go
+++ b/process/daemon/path.go
@@ -31,7 +31,7 @@
 	outliers := outlier.New(outlier.Options{})
 	p.slots = slots.New(slots.Options{
 		Self: inc.self, Zone: s.Zone, Caller: inc.node, Registrar: inc.mux, Directory: inc.owners, Members: inc.fleet,
-		Log: inc.log, RequestLimit: slots.LimitsOf(inc.versions), AuthorityBound: s.Leases.Renew.Std(), Health: outliers,
+		Log: inc.log, RequestLimit: slots.RequestLimits(inc.versions), AuthorityBound: s.Leases.Renew.Std(), Health: outliers,
 		LeaseRenewed: inc.fleet.LeaseRenewed, LeaseFresh: s.Leases.Member.Std() * freshShare / 100,
 		Settle: p.recordSettled, CheckInvariants: inc.d.o.Violation != nil,
 	})
@@ -44,7 +44,7 @@
 		Self: inc.self.ID, Config: inc.versions, Ready: inc.ready, Slots: p.slots, Forwarder: p.forwarder, Keys: p.keys, Peers: p.peers,
 		Admission: admission.New(admission.Options{
 			CallerRate: s.Limits.CallerRequestsPerSecond, MaxQueue: s.Limits.MaxQueued,
-			Members: func() int { return len(inc.fleet.Members()) }, Short: p.slots.Short,
+			Members: func() int { return len(inc.fleet.Members()) }, Saturated: p.slots.Saturated,
 		}),
 		Outliers: outliers, OnLeaving: p.slots.MarkLeaving,
 		Observe: inc.d.metrics.burn.Observer(inc.versions), Log: inc.log, MaxBody: s.Limits.MaxBodyBytes,
--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -61,10 +61,10 @@
 	MaxCallers int
 	// Members returns how many daemons share a team's rate; nil means one.
 	Members func() int
-	// Short reports whether all slots of a service are in use. While it returns false, the
+	// Saturated reports whether all slots of a service are in use. While it returns false, the
 	// window is not reduced to keep the fair order: every admitted request gets a slot as soon
 	// as its grant has arrived. nil means that slots are always short.
-	Short func(service string) bool
+	Saturated func(service string) bool
 	// Window is the maximum number of requests of a service that wait in the slots' own order.
 	Window int
 	// MaxQueue limits the requests of a service that wait before the window.
@@ -144,9 +144,9 @@
 	return c.queue(r.Service).check(r, time.Now())
 }
 
-// ComeBack returns the delay after which a caller should retry whose request was refused, as not
+// RetryAfter returns the delay after which a caller should retry whose request was refused, as not
 // run, for a reason outside Enter: because no slot was granted, or the daemon is overloaded.
-func (c *Controller) ComeBack(service string) time.Duration {
+func (c *Controller) RetryAfter(service string) time.Duration {
 	q := c.queue(service)
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -215,17 +215,17 @@
 	}
 }
 
-// End is the outcome of a request.
-type End int
+// Outcome is the outcome of a request.
+type Outcome int
 
-// Outcomes of a request. Whole means that it was answered completely, Late that its deadline
-// passed while it ran, Unbegun that it had a slot and was not sent, because InTime returned
+// Outcomes of a request. Completed means that it was answered completely, Late that its deadline
+// passed while it ran, NotSent that it had a slot and was not sent, because InTime returned
 // false.
 const (
-	Other End = iota
-	Whole
+	Other Outcome = iota
+	Completed
 	Late
-	Unbegun
+	NotSent
 )
 
 // InTime reports whether a request that arrived at the given time, and has its slot, is likely
@@ -241,12 +241,12 @@
 }
 
 // Done records the outcome of the request.
-func (p *Pass) Done(end End) {
+func (p *Pass) Done(outcome Outcome) {
 	switch p.state {
 	case passWaiting:
 		p.queue.dropped()
 	case passStarted:
-		p.queue.served(p, end)
+		p.queue.served(p, outcome)
 	}
 	p.state = passDone
 }
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -55,8 +55,8 @@
 	if err != nil {
 		return err
 	}
-	end := Other
-	defer func() { pass.Done(end) }()
+	outcome := Other
+	defer func() { pass.Done(outcome) }()
 	select {
 	case s.slots <- struct{}{}:
 	case <-ctx.Done():
@@ -66,9 +66,9 @@
 	pass.Started()
 	time.Sleep(s.work)
 	<-s.slots
-	end = Late
+	outcome = Late
 	if time.Since(start) <= timeout {
-		end = Whole
+		outcome = Completed
 		s.mu.Lock()
 		s.served[team]++
 		s.mu.Unlock()
@@ -155,7 +155,7 @@
 // slots are idle: slow starts reduce the window, and a small window makes starts slow.
 func TestSlowGrantsHoldNothingBackWhileSlotsAreFree(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		s := newTestService(48, 5*time.Millisecond, Options{Short: func(string) bool { return false }})
+		s := newTestService(48, 5*time.Millisecond, Options{Saturated: func(string) bool { return false }})
 		s.grant = 200 * time.Millisecond // 48 slots serve 234 requests/s at this delay
 		var wg sync.WaitGroup
 		s.load(&wg, "a", 2000, 5*time.Millisecond, time.Second)
@@ -217,7 +217,7 @@
 					if s.starts {
 						pass.Started()
 					}
-					pass.Done(s.end)
+					pass.Done(s.outcome)
 				})
 				time.Sleep(s.gap)
 				synctest.Wait()
@@ -237,7 +237,7 @@
 	team                         string
 	deadline, timeout, work, gap time.Duration
 	starts                       bool
-	end                          End
+	outcome                      Outcome
 }
 
 func drawStep(t *rapid.T) step {
@@ -247,7 +247,7 @@
 	return step{
 		team: rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "team"), deadline: ms("deadline", 300),
 		timeout: ms("patience", 300), work: ms("work", 60), gap: ms("gap", 5),
-		starts: rapid.Bool().Draw(t, "starts"), end: End(rapid.IntRange(0, 2).Draw(t, "end")),
+		starts: rapid.Bool().Draw(t, "starts"), outcome: Outcome(rapid.IntRange(0, 2).Draw(t, "end")),
 	}
 }
 
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -115,7 +115,7 @@
 // daemon short of CPU time, few admitted requests mean slow starts, and slow starts a small
 // window: callers would be refused by the estimate while slots are idle.
 func (q *queue) window(now time.Time) int {
-	if q.opts.Short != nil && !q.opts.Short(q.service) {
+	if q.opts.Saturated != nil && !q.opts.Saturated(q.service) {
 		return q.opts.Window
 	}
 	return q.serviceRate.window(q.opts.Window, now)
@@ -261,21 +261,21 @@
 	q.admitNext(time.Now())
 }
 
-func (q *queue) served(p *Pass, end End) {
+func (q *queue) served(p *Pass, outcome Outcome) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	now := time.Now()
-	if end == Whole || end == Late {
+	if outcome == Completed || outcome == Late {
 		q.serviceTimes.observe(now.Sub(p.started), now)
 	}
-	if end == Whole {
+	if outcome == Completed {
 		q.serviceRate.served(now.Sub(p.started))
 	}
 	switch {
 	case !p.waited:
-	case end == Whole:
+	case outcome == Completed:
 		q.serviceRate.endedInTime()
-	case end == Late || end == Unbegun:
+	case outcome == Late || outcome == NotSent:
 		q.serviceRate.endedLate()
 	}
 }
--- a/request/admission/retryschedule_test.go
+++ b/request/admission/retryschedule_test.go
@@ -53,8 +53,8 @@
 			if err != nil {
 				return err
 			}
-			end := Other
-			defer func() { pass.Done(end) }()
+			outcome := Other
+			defer func() { pass.Done(outcome) }()
 			select {
 			case slots <- struct{}{}:
 			case <-ctx.Done():
@@ -63,8 +63,8 @@
 			defer func() { <-slots }()
 			pass.Started()
 			cpu.use(workCost)
-			if end = Whole; ctx.Err() != nil {
-				end = Late
+			if outcome = Completed; ctx.Err() != nil {
+				outcome = Late
 			}
 			return ctx.Err()
 		}
--- a/request/gateway/attempt.go
+++ b/request/gateway/attempt.go
@@ -36,12 +36,12 @@
 }
 
 // outcomeOf maps the error of the attempts to the outcome for admission.
-func outcomeOf(err error) admission.End {
+func outcomeOf(err error) admission.Outcome {
 	switch {
 	case err == nil:
-		return admission.Whole
+		return admission.Completed
 	case errors.Is(err, errNoTime):
-		return admission.Unbegun
+		return admission.NotSent
 	case errors.Is(err, errAnswered), verdict.As(err).Code == forward.CodeDeadline:
 		return admission.Late
 	default:
@@ -166,10 +166,10 @@
 		return false, err
 	}
 	pass.Started()
-	end := slots.Unknown
-	defer func() { slot.Release(end) }()
+	outcome := slots.Unknown
+	defer func() { slot.Release(outcome) }()
 	if !pass.InTime(c.start, c.deadline) {
-		end = slots.Ended
+		outcome = slots.Ended
 		return false, g.refuseTemporarily(c, forward.CodeDeadline, errNoTime)
 	}
 	endpoint := slot.Endpoint()
@@ -182,7 +182,7 @@
 		g.report(c, endpoint.Address, err, 0, out.Took())
 		c.count(err)
 		if verdict.Of(err) == verdict.NotRun {
-			end = slots.Ended
+			outcome = slots.Ended
 		}
 		return false, err
 	}
@@ -191,7 +191,7 @@
 	final, err = deliver(answer)
 	g.report(c, endpoint.Address, err, status, headerTime)
 	if answer.Whole() {
-		end = slots.Ended
+		outcome = slots.Ended
 	}
 	if err != nil && !errors.Is(err, errAnswered) {
 		c.count(err)
@@ -229,5 +229,5 @@
 // count adds a failed attempt to the call's attempts and verdict.
 func (c *call) count(err error) {
 	c.attempts++
-	c.tried = c.tried.Join(verdict.Of(err))
+	c.tried = c.tried.Combine(verdict.Of(err))
 }
--- a/request/gateway/call.go
+++ b/request/gateway/call.go
@@ -187,7 +187,7 @@
 	e := *verdict.As(err)
 	describeBody(&e)
 	if c.attempts > 0 {
-		e.Verdict = c.tried.Join(e.Verdict)
+		e.Verdict = c.tried.Combine(e.Verdict)
 	}
 	if c.reply.claim() {
 		c.reply.note(e.Status, e.Verdict, e.Code)
--- a/request/gateway/gateway_test.go
+++ b/request/gateway/gateway_test.go
@@ -82,11 +82,11 @@
 
 func (s *poolSlot) Endpoint() plan.Endpoint { return s.endpoint }
 
-func (s *poolSlot) Release(end slots.End) {
+func (s *poolSlot) Release(outcome slots.Outcome) {
 	s.once.Do(func() {
 		s.pool.mu.Lock()
 		defer s.pool.mu.Unlock()
-		if end == slots.Unknown {
+		if outcome == slots.Unknown {
 			s.pool.unknown = append(s.pool.unknown, s.endpoint)
 			if s.pool.returnUnknown > 0 {
 				time.AfterFunc(s.pool.returnUnknown, s.putBack)
--- a/request/gateway/keyed.go
+++ b/request/gateway/keyed.go
@@ -132,7 +132,7 @@
 	})
 	if err != nil && !errors.Is(err, errAnswered) {
 		e := *verdict.As(err)
-		e.Verdict = c.tried.Join(e.Verdict)
+		e.Verdict = c.tried.Combine(e.Verdict)
 		attempt.Fail(&e)
 	}
 	c.finish(final, err)
@@ -242,7 +242,7 @@
 // verdict covers this try only, so it is joined with that of earlier tries.
 func (c *call) deliverFromOwner(a *forward.Answer, v verdict.Verdict) {
 	if c.attempts > 0 {
-		v = c.tried.Join(v)
+		v = c.tried.Combine(v)
 	}
 	c.answerHeader(v)
 	c.reply.claim()
--- a/request/gateway/parse.go
+++ b/request/gateway/parse.go
@@ -57,7 +57,7 @@
 // time after which the service can be expected to have some.
 func (g *Gateway) refuseTemporarily(c *call, code string, err error) *verdict.Error {
 	e := refuse(http.StatusServiceUnavailable, code, err)
-	e.RetryAfterMillis = max(e.RetryAfterMillis, g.opts.Admission.ComeBack(c.service).Milliseconds())
+	e.RetryAfterMillis = max(e.RetryAfterMillis, g.opts.Admission.RetryAfter(c.service).Milliseconds())
 	return e
 }
 
--- a/request/slots/api.go
+++ b/request/slots/api.go
@@ -9,14 +9,14 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// End is the outcome of a request's use of a slot.
-type End int
+// Outcome is the outcome of a request's use of a slot.
+type Outcome int
 
 // Outcomes of a request. Ended frees the slot at once. Unknown keeps it in use until the
 // request's own time limit and a margin have passed, because the endpoint may still be working
 // on it.
 const (
-	Ended End = iota
+	Ended Outcome = iota
 	Unknown
 )
 
@@ -24,7 +24,7 @@
 type Slot interface {
 	Endpoint() plan.Endpoint
 	// Release returns the slot; only the first call has an effect.
-	Release(end End)
+	Release(outcome Outcome)
 }
 
 // Acquirer provides slots.
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -226,10 +226,10 @@
 func (h *holder) limit() time.Duration { return h.m.limits.of(h.service) }
 
 // release ends a request's use of c.
-func (h *holder) release(c *credit, end End) {
+func (h *holder) release(c *credit, outcome Outcome) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if end == Ended {
+	if outcome == Ended {
 		h.free(c)
 		return
 	}
@@ -416,4 +416,4 @@
 func (s *slot) Endpoint() plan.Endpoint { return s.c.endpoint }
 
 // Release implements Slot.
-func (s *slot) Release(end End) { s.once.Do(func() { s.h.release(s.c, end) }) }
+func (s *slot) Release(outcome Outcome) { s.once.Do(func() { s.h.release(s.c, outcome) }) }
--- a/request/slots/limits.go
+++ b/request/slots/limits.go
@@ -24,9 +24,9 @@
 // request timeout may last.
 func AttemptLimit(requestTimeout time.Duration) time.Duration { return AttemptFactor * requestTimeout }
 
-// LimitsOf returns a function for Options.RequestLimit: the AttemptLimit of the services'
+// RequestLimits returns a function for Options.RequestLimit: the AttemptLimit of the services'
 // request timeouts in the configuration in force.
-func LimitsOf(source spec.Source) func(service string) (time.Duration, bool) {
+func RequestLimits(source spec.Source) func(service string) (time.Duration, bool) {
 	return func(service string) (time.Duration, bool) {
 		job, ok := source.Current().Jobs[service]
 		if !ok || job.Service == nil {
--- a/request/slots/limits_test.go
+++ b/request/slots/limits_test.go
@@ -105,7 +105,7 @@
 // than it has slots: an attempt continues past its deadline, to learn its outcome, its daemon
 // fails, and the credit records allow for request_timeout only.
 func TestLimitsOfCoverAnAttemptPastItsDeadline(t *testing.T) {
-	of := LimitsOf(fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{
+	of := RequestLimits(fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{
 		testService: {Job: spec.Job{Service: &spec.ServiceSettings{RequestTimeout: spec.Duration(20 * time.Second)}}},
 		"default":   {Job: spec.Job{Service: &spec.ServiceSettings{}}},
 		"batch":     {},
--- a/request/slots/manager.go
+++ b/request/slots/manager.go
@@ -94,9 +94,9 @@
 	return h.acquire(ctx)
 }
 
-// Short reports whether requests wait here because all slots of the service are in use, over all
+// Saturated reports whether requests wait here because all slots of the service are in use, over all
 // daemons. The pool's last announcement of that can only be outdated while no request waits.
-func (m *Manager) Short(service string) bool {
+func (m *Manager) Saturated(service string) bool {
 	h := m.holder(service)
 	if h == nil {
 		return false
--- a/request/slots/options.go
+++ b/request/slots/options.go
@@ -45,7 +45,7 @@
 	Health Health
 	// RequestLimit returns the longest time that a request of the service may
 	// run, and false for an unknown service; nil means DefaultRequestLimit for
-	// every name. See LimitsOf.
+	// every name. See RequestLimits.
 	RequestLimit func(service string) (time.Duration, bool)
 
 	// LeaseRenewed returns the beginning of the last successful renewal of this
--- a/request/slots/slots_test.go
+++ b/request/slots/slots_test.go
@@ -54,13 +54,13 @@
 			clients.Go(func() { _, _ = c.request(d, 5*time.Second, 2*time.Second) })
 		}
 		time.Sleep(time.Second)
-		require.False(t, d.Short(testService), "no request waits")
+		require.False(t, d.Saturated(testService), "no request waits")
 		clients.Go(func() { _, _ = c.request(d, 5*time.Second, time.Second) })
 		time.Sleep(500 * time.Millisecond)
-		require.True(t, d.Short(testService))
+		require.True(t, d.Saturated(testService))
 		clients.Wait()
 		_, err := c.request(d, time.Second, time.Millisecond)
 		require.NoError(t, err)
-		require.False(t, d.Short(testService))
+		require.False(t, d.Saturated(testService))
 	})
 }
--- a/request/submit/admit.go
+++ b/request/submit/admit.go
@@ -27,29 +27,29 @@
 // configuration from another daemon.
 const unconfirmedRetryAfter = time.Second
 
-// Standing is how current a daemon's version of the configuration is. The zero value means that
+// ConfigStatus is how current a daemon's version of the configuration is. The zero value means that
 // it is up to date.
-type Standing struct {
+type ConfigStatus struct {
 	// Age is the time since the version was last confirmed to be the newest.
 	Age time.Duration
-	// Doubtful: the version has not been confirmed for longer than usual, so an unknown key or
+	// Unconfirmed: the version has not been confirmed for longer than usual, so an unknown key or
 	// queue may have been added since.
-	Doubtful bool
+	Unconfirmed bool
 	// Expired: the version has not been confirmed for longer than a revoked key may remain
 	// usable, and the deployment is configured to accept no key in that case.
 	Expired bool
 }
 
-// Admit returns the account of a request for a queue by the key sent with it; "" for an open
+// Authenticate returns the account of a request for a queue by the key sent with it; "" for an open
 // queue without a known key. The error is a *verdict.Error with verdict NotRun.
-func Admit(c *work.Catalog, q *work.Queue, key string, s Standing) (string, error) {
+func Authenticate(c *work.Catalog, q *work.Queue, key string, s ConfigStatus) (string, error) {
 	account, found := c.Accounts.ByKey(key)
 	switch {
 	case q.Open && !found:
 		return "", nil
 	case q.Open:
 		return account.Name, nil
-	case s.Expired, !found && key != "" && s.Doubtful:
+	case s.Expired, !found && key != "" && s.Unconfirmed:
 		return "", &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusServiceUnavailable, Code: CodeUnconfirmed, RetryAfterMillis: unconfirmedRetryAfter.Milliseconds(), Err: errUnconfirmed}
 	case !found:
 		return "", &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusUnauthorized, Code: CodeKey, Err: errKey}
--- a/request/submit/admit_test.go
+++ b/request/submit/admit_test.go
@@ -29,7 +29,7 @@
 		{what: "an unknown key on an open queue", key: "n2", open: true},
 		{what: "its key on an open queue", key: "n1", open: true, account: "north"},
 	} {
-		account, err := Admit(c, &work.Queue{Open: x.open}, x.key, Standing{})
+		account, err := Authenticate(c, &work.Queue{Open: x.open}, x.key, ConfigStatus{})
 		if !x.refused {
 			require.NoError(t, err, x.what)
 			require.Equal(t, x.account, account, x.what)
@@ -51,21 +51,21 @@
 	accounts, err := work.NewAccounts([]work.Account{{Name: "north", Keys: []work.KeyDigest{work.DigestKey("n1")}}})
 	require.NoError(t, err)
 	c := &work.Catalog{Accounts: accounts}
-	doubtful, expired := Standing{Doubtful: true}, Standing{Doubtful: true, Expired: true}
+	unconfirmed, expired := ConfigStatus{Unconfirmed: true}, ConfigStatus{Unconfirmed: true, Expired: true}
 	for _, x := range []struct {
 		what, key string
 		open      bool
-		standing  Standing
+		config    ConfigStatus
 		status    int // 0: admitted
 	}{
-		{"a known key, unconfirmed configuration", "n1", false, doubtful, 0},
-		{"an unknown key, unconfirmed configuration", "n2", false, doubtful, http.StatusServiceUnavailable},
-		{"no key, unconfirmed configuration", "", false, doubtful, http.StatusUnauthorized},
+		{"a known key, unconfirmed configuration", "n1", false, unconfirmed, 0},
+		{"an unknown key, unconfirmed configuration", "n2", false, unconfirmed, http.StatusServiceUnavailable},
+		{"no key, unconfirmed configuration", "", false, unconfirmed, http.StatusUnauthorized},
 		{"a known key, expired configuration", "n1", false, expired, http.StatusServiceUnavailable},
 		{"an unknown key, expired configuration", "n2", false, expired, http.StatusServiceUnavailable},
 		{"an open queue, expired configuration", "n2", true, expired, 0},
 	} {
-		_, err := Admit(c, &work.Queue{Open: x.open}, x.key, x.standing)
+		_, err := Authenticate(c, &work.Queue{Open: x.open}, x.key, x.config)
 		if x.status == 0 {
 			require.NoError(t, err, x.what)
 			continue
--- a/request/submit/cancel.go
+++ b/request/submit/cancel.go
@@ -32,7 +32,7 @@
 			}
 		}
 		_ = sleep.For(ctx, retryDelay) // the loop condition checks ctx
-		s.o.Patience.AwaitAnswer(ctx, cancelRetryDelay)
+		s.o.StoreTimeout.AwaitAnswer(ctx, cancelRetryDelay)
 	}
 	return unavailable(CodeStore, last)
 }
--- a/request/submit/hedge.go
+++ b/request/submit/hedge.go
@@ -33,7 +33,7 @@
 
 // forwardFirst reports whether another daemon is likely to write a job sooner than this one.
 func (s *Service) forwardFirst() bool {
-	return s.o.Patience.Failing() || time.Now().UnixNano() < s.forwardUntil.Load()
+	return s.o.StoreTimeout.Failing() || time.Now().UnixNano() < s.forwardUntil.Load()
 }
 
 // attempt is the outcome of one attempt.
@@ -58,7 +58,7 @@
 		// Not cancelled when another attempt has succeeded: its result shows the state of the
 		// store.
 		free := context.WithoutCancel(ctx)
-		results <- attempt{err: s.o.Patience.CallWithMinTimeout(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, h) })}
+		results <- attempt{err: s.o.StoreTimeout.CallWithMinTimeout(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, h) })}
 	}
 	others := func() {
 		accepted, uncertain := s.forward(ctx, h)
@@ -74,8 +74,8 @@
 	}
 	sent, answered := 1, 0
 	go own()
-	timeout := s.o.Patience.Timeout()
-	forwardTimer := time.NewTimer(min(max(minForwardDelay, forwardFactor*s.o.Patience.Average()), timeout))
+	timeout := s.o.StoreTimeout.Timeout()
+	forwardTimer := time.NewTimer(min(max(minForwardDelay, forwardFactor*s.o.StoreTimeout.Average()), timeout))
 	defer forwardTimer.Stop()
 	retryTimer := time.NewTimer(timeout)
 	defer retryTimer.Stop()
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -96,13 +96,13 @@
 	if h := s.o.Leading(); h != nil {
 		h.Offer(store.Entry{Key: o.Key, Value: o.Value})
 	}
-	return offerReply{OmitSpecs: s.o.Texts != nil && s.o.Texts.Carries()}, nil
+	return offerReply{OmitSpecs: s.o.Specs != nil && s.o.Specs.RelaysOrders()}, nil
 }
 
 // serveForward makes a single attempt, since the calling daemon can try others.
 func (s *Service) serveForward(ctx context.Context, o offer) (any, error) {
 	id := work.JobID(o.Key)
-	if s.o.Patience.Failing() {
+	if s.o.StoreTimeout.Failing() {
 		return forwardReply{}, nil // the store fails this daemon as well
 	}
 	h, err := decodeSubmission(id, o.Value)
@@ -110,7 +110,7 @@
 		s.o.Log.Warn().Err(err).Str("job", o.Key).Msg("cannot decode a forwarded job")
 		return forwardReply{}, nil
 	}
-	err = s.o.Patience.Call(ctx, func(ctx context.Context) error { return s.create(ctx, h) })
+	err = s.o.StoreTimeout.Call(ctx, func(ctx context.Context) error { return s.create(ctx, h) })
 	if err != nil {
 		return forwardReply{Uncertain: errors.Is(err, store.ErrUnknownOutcome)}, nil
 	}
--- a/request/submit/shards.go
+++ b/request/submit/shards.go
@@ -9,16 +9,16 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Parts serves the job requests of a cell that may be divided into shards. A job is in the shard
+// Shards serves the job requests of a cell that may be divided into shards. A job is in the shard
 // that its id maps to or, if it was submitted before the division, in shard 0.
-type Parts struct {
+type Shards struct {
 	// Of returns the services of all shards and the shard of a job; an error while the shard
 	// layout is unknown.
 	Of func(id work.JobID) (all []*Service, shard int, err error)
 }
 
 // Submit accepts a job. The error is a *verdict.Error.
-func (p Parts) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
+func (p Shards) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
 	all, shard, err := p.Of(id)
 	if err != nil {
 		return unavailable(CodeStore, err)
@@ -28,7 +28,7 @@
 
 // State returns the state of a job as it is shown to callers of the account, as Service.State
 // does.
-func (p Parts) State(ctx context.Context, id work.JobID, account string) (work.State, error) {
+func (p Shards) State(ctx context.Context, id work.JobID, account string) (work.State, error) {
 	all, shard, err := p.Of(id)
 	if err != nil {
 		return 0, unavailable(CodeStore, err)
@@ -41,7 +41,7 @@
 }
 
 // Cancel cancels a job, as Service.Cancel does.
-func (p Parts) Cancel(ctx context.Context, id work.JobID, account string) error {
+func (p Shards) Cancel(ctx context.Context, id work.JobID, account string) error {
 	all, shard, err := p.Of(id)
 	if err != nil {
 		return unavailable(CodeStore, err)
@@ -61,7 +61,7 @@
 }
 
 // Explain returns what delays a job, as Service.Explain does.
-func (p Parts) Explain(ctx context.Context, id work.JobID) (dispatch.Explanation, error) {
+func (p Shards) Explain(ctx context.Context, id work.JobID) (dispatch.Explanation, error) {
 	all, shard, err := p.Of(id)
 	if err != nil {
 		return dispatch.Explanation{}, err
@@ -74,7 +74,7 @@
 }
 
 // Pending returns the number of a queue's jobs that have not begun, over all shards.
-func (p Parts) Pending(ctx context.Context, queue string) (int, error) {
+func (p Shards) Pending(ctx context.Context, queue string) (int, error) {
 	all, _, err := p.Of("")
 	if err != nil {
 		return 0, unavailable(CodeLeader, err)
@@ -90,9 +90,9 @@
 	return sum, nil
 }
 
-// ElsewhereThan returns the keys under which a job of a shard other than 0 may exist in shard 0,
-// for the Guards of that shard.
-func ElsewhereThan(shard int, id work.JobID) []string {
+// OtherShardKeysOf returns the keys under which a job of a shard other than 0 may exist in shard 0,
+// for the Preconditions of that shard.
+func OtherShardKeysOf(shard int, id work.JobID) []string {
 	if shard == 0 {
 		return nil
 	}
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -19,7 +19,7 @@
 // shardedCell returns one daemon's job service for a cell of two shards. The daemon has read the
 // layout of the given revision; by it, all jobs but those submitted before the division belong
 // to the second shard.
-func shardedCell(m *kv.Memory, revision store.Revision) Parts {
+func shardedCell(m *kv.Memory, revision store.Revision) Shards {
 	service := func(shard int) *Service {
 		s := store.Transactor(m)
 		key := lead.KeyLayout
@@ -27,14 +27,14 @@
 			s, key = store.Prefixed{Transactor: m, Prefix: lead.ShardPrefix(shard)}, store.Unprefixed(key)
 		}
 		storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
-		return New(Options{Self: "a", Store: s, Patience: storeTimeout, View: lead.New(lead.Options{Store: s, StoreTimeout: storeTimeout}).View(),
+		return New(Options{Self: "a", Store: s, StoreTimeout: storeTimeout, View: lead.New(lead.Options{Store: s, StoreTimeout: storeTimeout}).View(),
 			Peers: noPeers{}, Log: zerolog.Nop(), Leading: func() *dispatch.Host { return nil },
-			Guards: func(id work.JobID) Guards {
-				return Guards{Layout: store.Check{Key: key, Revision: revision}, Elsewhere: ElsewhereThan(shard, id)}
+			Preconditions: func(id work.JobID) Preconditions {
+				return Preconditions{Layout: store.Check{Key: key, Revision: revision}, OtherShardKeys: OtherShardKeysOf(shard, id)}
 			}})
 	}
 	all := []*Service{service(0), service(1)}
-	return Parts{Of: func(work.JobID) ([]*Service, int, error) {
+	return Shards{Of: func(work.JobID) ([]*Service, int, error) {
 		if revision == 0 {
 			return all, 0, nil
 		}
@@ -88,7 +88,7 @@
 
 func TestUnknownLayoutIsNoAnswer(t *testing.T) {
 	// A daemon that has just started must not tell a caller that its job does not exist.
-	p := Parts{Of: func(work.JobID) ([]*Service, int, error) { return nil, 0, errLayoutChanged }}
+	p := Shards{Of: func(work.JobID) ([]*Service, int, error) { return nil, 0, errLayoutChanged }}
 	_, err := p.State(t.Context(), id, "")
 	require.NotErrorIs(t, err, ErrNoJob)
 	require.Equal(t, verdict.NotRun, verdict.Of(p.Submit(t.Context(), id, testJob())))
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -86,40 +86,40 @@
 
 // Options of a Service.
 type Options struct {
-	Self     string // member name of this daemon
-	Peer     string // address at which other daemons call it
-	Store    store.Transactor
-	Patience *store.AdaptiveTimeout
-	View     *lead.View
-	Peers    Caller
+	Self         string // member name of this daemon
+	Peer         string // address at which other daemons call it
+	Store        store.Transactor
+	StoreTimeout *store.AdaptiveTimeout
+	View         *lead.View
+	Peers        Caller
 	// Leading returns the host of this daemon's term, nil when it does not lead.
 	Leading func() *dispatch.Host
-	// Guards returns the checks of a submission beyond the job's own keys; nil for none.
-	Guards func(id work.JobID) Guards
+	// Preconditions returns the checks of a submission beyond the job's own keys; nil for none.
+	Preconditions func(id work.JobID) Preconditions
 	// Suffix is appended to the peer methods, to tell the shards of a cell apart.
 	Suffix string
 	// Stats are the counters to use; nil creates separate ones.
 	Stats *Stats
-	// Texts caches the specs of accepted jobs for the daemons that start their tasks; may be
+	// Specs caches the specs of accepted jobs for the daemons that start their tasks; may be
 	// nil.
-	Texts Texts
+	Specs SpecCache
 	Log   zerolog.Logger
 }
 
-// Guards are the preconditions of a submission beyond the job's own keys.
-type Guards struct {
+// Preconditions are the preconditions of a submission beyond the job's own keys.
+type Preconditions struct {
 	// Layout fails the submission if the shard layout has changed since it was read.
 	Layout store.Check
-	// Elsewhere lists the keys under which the job may have been submitted to another shard.
-	Elsewhere []string
+	// OtherShardKeys lists the keys under which the job may have been submitted to another shard.
+	OtherShardKeys []string
 }
 
-// Texts caches specs in memory.
-type Texts interface {
-	Keep(id work.JobID, spec string)
-	// Carries reports whether this daemon, as the leader, has other daemons deliver the specs to
+// SpecCache caches specs in memory.
+type SpecCache interface {
+	CacheSpec(id work.JobID, spec string)
+	// RelaysOrders reports whether this daemon, as the leader, has other daemons deliver the specs to
 	// the workers.
-	Carries() bool
+	RelaysOrders() bool
 }
 
 // Service handles the job requests of one daemon.
@@ -168,8 +168,8 @@
 	if err != nil {
 		return unavailable(CodeStore, err)
 	}
-	if s.o.Texts != nil {
-		s.o.Texts.Keep(id, j.Spec)
+	if s.o.Specs != nil {
+		s.o.Specs.CacheSpec(id, j.Spec)
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitBudget)
 	defer cancel()
@@ -234,9 +234,9 @@
 // was not accepted. Concurrent callers share one read.
 func (s *Service) reachable(ctx context.Context) error {
 	switch {
-	case !s.o.Patience.Failing():
+	case !s.o.StoreTimeout.Failing():
 		return nil
-	case s.o.Patience.RefusedWithin(refusalAge):
+	case s.o.StoreTimeout.RefusedWithin(refusalAge):
 		return errJustRefused
 	}
 	result := s.probes.DoChan("", func() (any, error) {
@@ -267,11 +267,11 @@
 		Checks: []store.Check{{Key: dispatch.KeySubmission(id)}, {Key: dispatch.KeyState(id)}},
 		Writes: h.writes(),
 	}
-	var guards Guards
-	if s.o.Guards != nil {
-		guards = s.o.Guards(id)
-		txn.Checks = append(txn.Checks, guards.Layout)
-		for _, key := range guards.Elsewhere {
+	var preconditions Preconditions
+	if s.o.Preconditions != nil {
+		preconditions = s.o.Preconditions(id)
+		txn.Checks = append(txn.Checks, preconditions.Layout)
+		for _, key := range preconditions.OtherShardKeys {
 			txn.Checks = append(txn.Checks, store.Check{Key: key})
 		}
 	}
@@ -280,14 +280,14 @@
 	if !errors.As(err, &conflict) {
 		return err
 	}
-	if guards.Layout.Key != "" {
-		if layout, _ := conflict.Find(guards.Layout.Key); layout.Revision != guards.Layout.Revision {
+	if preconditions.Layout.Key != "" {
+		if layout, _ := conflict.Find(preconditions.Layout.Key); layout.Revision != preconditions.Layout.Revision {
 			return errLayoutChanged
 		}
 	}
 	// The job was submitted before, possibly before the cell was divided into shards: the first
 	// submission stands.
-	for _, key := range slices.Concat(guards.Elsewhere, []string{dispatch.KeySubmission(id), dispatch.KeyState(id)}) {
+	for _, key := range slices.Concat(preconditions.OtherShardKeys, []string{dispatch.KeySubmission(id), dispatch.KeyState(id)}) {
 		if entry, exists := conflict.Find(key); exists {
 			return checkExisting(entry, h.account)
 		}
@@ -322,7 +322,7 @@
 
 // commit runs one transaction with a timeout.
 func (s *Service) commit(ctx context.Context, t store.Txn) error {
-	return s.o.Patience.Call(ctx, func(ctx context.Context) error {
+	return s.o.StoreTimeout.Call(ctx, func(ctx context.Context) error {
 		_, err := s.o.Store.Commit(ctx, t)
 		return err
 	})
@@ -331,7 +331,7 @@
 // get makes one read with a timeout; a missing key is not an error.
 func (s *Service) get(ctx context.Context, key string) (store.Entry, bool, error) {
 	var entry store.Entry
-	err := s.o.Patience.Call(ctx, func(ctx context.Context) (err error) {
+	err := s.o.StoreTimeout.Call(ctx, func(ctx context.Context) (err error) {
 		entry, err = s.o.Store.Get(ctx, key)
 		return err
 	})
@@ -514,7 +514,7 @@
 // key.
 func (s *Service) batched(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
 	var entries []store.Entry
-	err := s.o.Patience.Call(ctx, func(ctx context.Context) (err error) {
+	err := s.o.StoreTimeout.Call(ctx, func(ctx context.Context) (err error) {
 		entries, _, err = s.o.Store.List(ctx, dispatch.PrefixBatches)
 		return err
 	})
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -33,7 +33,7 @@
 func newService(s store.Transactor) *Service {
 	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	view := lead.New(lead.Options{Store: s, StoreTimeout: storeTimeout}).View()
-	return New(Options{Self: "a", Store: s, Patience: storeTimeout, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
+	return New(Options{Self: "a", Store: s, StoreTimeout: storeTimeout, View: view, Peers: noPeers{}, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
 
@@ -213,7 +213,7 @@
 	}
 	time.Sleep(3 * time.Second)
 	require.Len(t, view.Members(), 2)
-	return New(Options{Self: "a", Store: m, Patience: storeTimeout, View: view, Peers: peers, Log: zerolog.Nop(),
+	return New(Options{Self: "a", Store: m, StoreTimeout: storeTimeout, View: view, Peers: peers, Log: zerolog.Nop(),
 		Leading: func() *dispatch.Host { return nil }})
 }
 
--- a/request/verdict/body.go
+++ b/request/verdict/body.go
@@ -50,9 +50,9 @@
 	return err
 }
 
-// Join returns the verdict of a request after one more attempt: not run only
+// Combine returns the verdict of a request after one more attempt: not run only
 // when no attempt can have run, and ran once an attempt was answered.
-func (v Verdict) Join(next Verdict) Verdict {
+func (v Verdict) Combine(next Verdict) Verdict {
 	switch {
 	case v == Ran || next == Ran:
 		return Ran
--- a/version/work/fuzz_test.go
+++ b/version/work/fuzz_test.go
@@ -6,10 +6,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// FuzzDecodeBundle decodes what another writer, or a torn write, may have stored in place
+// FuzzDecodeBatch decodes what another writer, or a torn write, may have stored in place
 // of a batch of job states: the result is an error, or records that survive another
 // encoding and decoding.
-func FuzzDecodeBundle(f *testing.F) {
+func FuzzDecodeBatch(f *testing.F) {
 	good, err := EncodeBatch([]JobProgress{
 		{Job: "00000000000000aa", Progress: Progress{State: Completed}},
 		{Job: "00000000000000bb", Progress: Progress{State: Running, Completions: []StepCompletions{{Done: []int{1}, Failed: []TaskFailures{{Index: 2, Runs: []uint64{3}}}}}}},
