--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -72,8 +72,8 @@
 		return
 	}
 	members := func() []lead.Member { return shardMembers(n.view().Members(), layout, s.index) }
-	orders := relay.New(t.Context(), relay.Options{Direct: n.o.Runner, Dial: n.dialOrders, Part: s.index, Epoch: t.Epoch, Self: n.self,
-		Members: members, Text: s.text, Log: n.log}, &n.relayed)
+	orders := relay.New(t.Context(), relay.Options{Direct: n.o.Runner, Dial: n.dialOrders, Shard: s.index, Epoch: t.Epoch, Self: n.self,
+		Members: members, Spec: s.spec, Log: n.log}, &n.relayed)
 	s.orders.Store(orders)
 	defer s.orders.CompareAndSwap(orders, nil)
 	defer s.rows.Store(nil)
--- a/process/cellnode/specs.go
+++ b/process/cellnode/specs.go
@@ -13,7 +13,7 @@
 type specCache struct{ s *shard }
 
 // CacheSpec implements submit.SpecCache.
-func (t specCache) CacheSpec(id work.JobID, spec string) { t.s.n.relay.Keep(id, spec) }
+func (t specCache) CacheSpec(id work.JobID, spec string) { t.s.n.relay.CacheSpec(id, spec) }
 
 // RelaysOrders implements submit.SpecCache.
 func (t specCache) RelaysOrders() bool {
@@ -21,11 +21,11 @@
 	return orders != nil && orders.Relaying()
 }
 
-// text returns the spec of a job: from memory, from the accepting daemon, or from the
+// spec returns the spec of a job: from memory, from the accepting daemon, or from the
 // store.
-func (s *shard) text(ctx context.Context, id work.JobID, acceptedBy string) (string, error) {
+func (s *shard) spec(ctx context.Context, id work.JobID, acceptedBy string) (string, error) {
 	n := s.n
-	if spec, err := n.relay.Text(ctx, id, acceptedBy); err == nil {
+	if spec, err := n.relay.Spec(ctx, id, acceptedBy); err == nil {
 		return spec, nil
 	}
 	return s.storedOnce(ctx, id)
@@ -40,7 +40,7 @@
 		// Not cancelled with the first waiter, since others wait too; the store timeout bounds it.
 		spec, err := s.storedText(context.WithoutCancel(ctx), id)
 		if err == nil && s.n.relay != nil {
-			s.n.relay.Keep(id, spec)
+			s.n.relay.CacheSpec(id, spec)
 		}
 		return spec, err
 	})
--- a/process/relay/client.go
+++ b/process/relay/client.go
@@ -245,7 +245,7 @@
 
 // message returns a frame of orders with the specs that the relay could not get.
 func (r *Runner) message(batch []*pending) *orders {
-	m := &orders{Shard: r.o.Part, Epoch: r.o.Epoch, Orders: make([]order, len(batch))}
+	m := &orders{Shard: r.o.Shard, Epoch: r.o.Epoch, Orders: make([]order, len(batch))}
 	for i, p := range batch {
 		m.Orders[i] = p.order
 		if p.spec != nil {
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -170,8 +170,8 @@
 	}
 	c.orders = New(ctx, Options{Direct: c.workers["l"], Dial: c.dial, Epoch: 4, Self: c.members[0], Log: zerolog.Nop(),
 		Members: func() []lead.Member { return c.members },
-		Text: func(ctx context.Context, id work.JobID, owner string) (string, error) {
-			if spec, err := c.servers["l"].Text(ctx, id, owner); err == nil {
+		Spec: func(ctx context.Context, id work.JobID, owner string) (string, error) {
+			if spec, err := c.servers["l"].Spec(ctx, id, owner); err == nil {
 				return spec, nil
 			}
 			return c.stored, nil
@@ -257,7 +257,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 80
 		c := newCell(t, 0.1, "a", "b", "c", "home")
-		c.servers["home"].Keep("j", strings.Repeat("s", 4000))
+		c.servers["home"].CacheSpec("j", strings.Repeat("s", 4000))
 		c.renewAll(t, workers)
 		require.True(t, c.orders.Relaying())
 		leader, owner := c.sentBy("l"), c.sentBy("home")
@@ -300,7 +300,7 @@
 	// failed and until it is removed from the list of daemons.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c", "d")
-		c.servers["a"].Keep("j", "spec")
+		c.servers["a"].CacheSpec("j", "spec")
 		c.renewAll(t, 60)
 		c.makeUnresponsive("b")
 		began := time.Now()
@@ -500,7 +500,7 @@
 	// permanently.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c", "d")
-		c.servers["a"].Keep("j", "spec")
+		c.servers["a"].CacheSpec("j", "spec")
 		c.renewAll(t, 60)
 		c.makeUnresponsive("b")
 		for range 80 { // 20 s
@@ -521,7 +521,7 @@
 	// against its relay.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "a", "b", "c")
-		c.servers["a"].Keep("j", "spec")
+		c.servers["a"].CacheSpec("j", "spec")
 		c.renewAll(t, 60)
 		for _, name := range []string{"a", "b", "c"} {
 			c.makeUnresponsive(name)
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -50,13 +50,13 @@
 	Direct runner.Runner
 	// Dial opens a connection to the address where a daemon accepts orders.
 	Dial    func(ctx context.Context, addr string) (net.Conn, error)
-	Part    int // shard of the cell
+	Shard   int // shard of the cell
 	Epoch   uint64
 	Self    lead.Member
 	Members func() []lead.Member
-	// Text returns the spec of a job: from owner, the daemon that accepted it, or from the
+	// Spec returns the spec of a job: from owner, the daemon that accepted it, or from the
 	// store if owner is "".
-	Text func(ctx context.Context, id work.JobID, owner string) (string, error)
+	Spec func(ctx context.Context, id work.JobID, owner string) (string, error)
 	Log  zerolog.Logger
 }
 
@@ -138,7 +138,7 @@
 	if s.Spec != "" || s.AcceptedBy == "" {
 		return s.Spec, nil
 	}
-	spec, err := r.o.Text(ctx, s.Task.Job, s.AcceptedBy)
+	spec, err := r.o.Spec(ctx, s.Task.Job, s.AcceptedBy)
 	if err != nil {
 		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
@@ -218,7 +218,7 @@
 	if !errors.Is(err, errNoSpec) {
 		return x, err
 	}
-	spec, err := r.o.Text(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
+	spec, err := r.o.Spec(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
 	if err != nil {
 		return nil, fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err)
 	}
--- a/process/relay/server.go
+++ b/process/relay/server.go
@@ -75,13 +75,13 @@
 // Register registers the method by which relays ask for specs.
 func (s *Server) Register(r peer.Registrar) { s.specs.register(r) }
 
-// Keep caches the spec of a job that this daemon has accepted, for the daemons that start
+// CacheSpec caches the spec of a job that this daemon has accepted, for the daemons that start
 // its tasks.
-func (s *Server) Keep(id work.JobID, spec string) { s.specs.keep(id, spec) }
+func (s *Server) CacheSpec(id work.JobID, spec string) { s.specs.cacheSpec(id, spec) }
 
-// Text returns the spec of a job, from the cache or from owner, the daemon that accepted
+// Spec returns the spec of a job, from the cache or from owner, the daemon that accepted
 // the job. The error is that neither has it, or that ctx ended first.
-func (s *Server) Text(ctx context.Context, id work.JobID, owner string) (string, error) {
+func (s *Server) Spec(ctx context.Context, id work.JobID, owner string) (string, error) {
 	return s.specs.get(ctx, id, owner)
 }
 
@@ -177,7 +177,7 @@
 		return
 	}
 	for _, spec := range m.Specs {
-		c.s.specs.keep(spec.Job, spec.Spec)
+		c.s.specs.cacheSpec(spec.Job, spec.Spec)
 	}
 	c.send(relayFrame{Accepted: m.Number, Outcomes: c.out.take(false)})
 	for i := range m.Orders {
@@ -251,7 +251,7 @@
 	limit := time.Duration(specShare * float64(o.Budget) * float64(time.Millisecond))
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	spec, err := s.Text(bounded, o.Task.Job, o.Home)
+	spec, err := s.Spec(bounded, o.Task.Job, o.Home)
 	if err != nil && bounded.Err() != nil {
 		err = errSpecLate
 	}
--- a/process/relay/specs.go
+++ b/process/relay/specs.go
@@ -38,8 +38,8 @@
 	return &specCache{peers: peers, recent: map[work.JobID]string{}, down: map[string]time.Time{}}
 }
 
-// keep caches a spec.
-func (c *specCache) keep(id work.JobID, spec string) {
+// cacheSpec caches a spec.
+func (c *specCache) cacheSpec(id work.JobID, spec string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if len(c.recent) >= maxSpecs/2 {
@@ -76,7 +76,7 @@
 			return nil, err
 		}
 		if r.Known {
-			c.keep(id, r.Spec)
+			c.cacheSpec(id, r.Spec)
 		}
 		return r, nil
 	})
