--- a/command/ctl/ctl_test.go
+++ b/command/ctl/ctl_test.go
@@ -39,7 +39,7 @@
 }
 
 func (o *oneDaemon) Await(_ context.Context, a *versions.Applied) {
-	a.Members = []versions.MemberVersion{{Member: "d0", Version: a.Version, Heard: true}}
+	a.Members = []versions.MemberVersion{{Member: "d0", Version: a.Version, Known: true}}
 	if o.lags {
 		a.Lagging = a.Members
 	}
--- a/command/ctl/show.go
+++ b/command/ctl/show.go
@@ -145,7 +145,7 @@
 	for _, m := range members {
 		note := "in force"
 		switch {
-		case !m.Heard:
+		case !m.Known:
 			note = "NO REPORT"
 		case m.Version < version:
 			note = "LAGS"
--- a/process/admin/api/api.go
+++ b/process/admin/api/api.go
@@ -87,7 +87,7 @@
 	Zone    string `json:"zone"`
 	State   string `json:"state"`
 	Version uint64 `json:"version"`
-	Heard   bool   `json:"heard"`
+	Known   bool   `json:"heard"`
 }
 
 // Applied answers PathApply.
--- a/process/admin/files.go
+++ b/process/admin/files.go
@@ -106,7 +106,7 @@
 func Members(members []versions.MemberVersion) []api.Member {
 	out := make([]api.Member, 0, len(members))
 	for _, m := range members {
-		out = append(out, api.Member{ID: string(m.Member), Zone: m.Zone, State: string(m.State), Version: m.Version, Heard: m.Heard})
+		out = append(out, api.Member{ID: string(m.Member), Zone: m.Zone, State: string(m.State), Version: m.Version, Known: m.Known})
 	}
 	return out
 }
--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -61,11 +61,11 @@
 	caller, mux := peertest.NewNetwork(1).Node(self.Ref)
 	handle := store.NewClient(b.store, store.Options{Budget: store.Budget{Writes: 1e5, Reads: 1e5}}).Role(store.RoleVersions)
 	h := history.New(handle)
-	keeper := versions.New(versions.Options{Handle: handle, Caller: caller, Registrar: mux, Fleet: fleettest.NewView(self), History: h, Seed: 1})
+	replicator := versions.New(versions.Options{Handle: handle, Caller: caller, Registrar: mux, Fleet: fleettest.NewView(self), History: h, Seed: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
-	go func() { defer close(done); _ = keeper.Serve(ctx) }()
-	s := httptest.NewServer(New(Options{Authenticator: tokens, Applier: &versions.Applier{History: h, Keeper: keeper},
+	go func() { defer close(done); _ = replicator.Serve(ctx) }()
+	s := httptest.NewServer(New(Options{Authenticator: tokens, Applier: &versions.Applier{History: h, Replicator: replicator},
 		Explainer: fakeExplainer{}, Status: fakeStatus{}, Log: zerolog.New(b.audit)}))
 	t.Cleanup(func() { s.Close(); cancel(); <-done })
 	b.url = s.URL
--- a/process/cellnode/specs.go
+++ b/process/cellnode/specs.go
@@ -38,7 +38,7 @@
 func (s *shard) storedOnce(ctx context.Context, id work.JobID) (string, error) {
 	found := s.reads.DoChan(string(id), func() (any, error) {
 		// Not cancelled with the first waiter, since others wait too; the store timeout bounds it.
-		spec, err := s.storedText(context.WithoutCancel(ctx), id)
+		spec, err := s.storedSpec(context.WithoutCancel(ctx), id)
 		if err == nil && s.n.relay != nil {
 			s.n.relay.CacheSpec(id, spec)
 		}
@@ -53,9 +53,9 @@
 	}
 }
 
-// storedText reads the spec of a job from the store: under its own key, or inside the job
+// storedSpec reads the spec of a job from the store: under its own key, or inside the job
 // where a daemon of the previous release has accepted it.
-func (s *shard) storedText(ctx context.Context, id work.JobID) (string, error) {
+func (s *shard) storedSpec(ctx context.Context, id work.JobID) (string, error) {
 	entry, err := s.stored(ctx, dispatch.KeySpec(id))
 	if err == nil {
 		return string(entry.Value), nil
--- a/process/cellnode/specs_test.go
+++ b/process/cellnode/specs_test.go
@@ -29,14 +29,14 @@
 		require.NoError(t, err)
 	}
 	put("00000000000000aa", true, "")
-	spec, err := s.storedText(t.Context(), "00000000000000aa")
+	spec, err := s.storedSpec(t.Context(), "00000000000000aa")
 	require.NoError(t, err)
 	require.Equal(t, "kept apart", spec)
 	put("00000000000000bb", false, "inside")
-	spec, err = s.storedText(t.Context(), "00000000000000bb")
+	spec, err = s.storedSpec(t.Context(), "00000000000000bb")
 	require.NoError(t, err)
 	require.Equal(t, "inside", spec, "accepted by a daemon of the previous release")
-	_, err = s.storedText(t.Context(), "00000000000000cc")
+	_, err = s.storedSpec(t.Context(), "00000000000000cc")
 	require.ErrorIs(t, err, store.ErrNotFound)
 }
 
--- a/process/daemon/admin.go
+++ b/process/daemon/admin.go
@@ -38,7 +38,7 @@
 	mux.HandleFunc(varsPath, a.serveVars)
 	if inc.d.tokens != nil {
 		server := admin.New(admin.Options{
-			Authenticator: inc.d.tokens, Applier: &versions.Applier{History: inc.history, Keeper: inc.versions},
+			Authenticator: inc.d.tokens, Applier: &versions.Applier{History: inc.history, Replicator: inc.versions},
 			Explainer: a, Status: a, Reporter: inc.reporter(), Log: inc.log,
 		})
 		a.server = server.HTTPServer()
--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -48,7 +48,7 @@
 	owners   *ownership.Manager
 	racks    *partition.Racks
 	history  *history.History
-	versions *versions.Keeper
+	versions *versions.Replicator
 	work     *scheduling
 	path     *requestPath
 	admin    *adminServer
--- a/process/versions/applier.go
+++ b/process/versions/applier.go
@@ -9,8 +9,8 @@
 
 // Applier applies files and waits until they are in force on every daemon.
 type Applier struct {
-	History *history.History
-	Keeper  *Keeper
+	History    *history.History
+	Replicator *Replicator
 }
 
 // Applied is the result of an apply.
@@ -30,7 +30,7 @@
 	if err != nil {
 		return Applied{}, err
 	}
-	a.Keeper.offer(ctx, result.Snapshot)
+	a.Replicator.offer(ctx, result.Snapshot)
 	return Applied{Result: result}, nil
 }
 
@@ -54,18 +54,18 @@
 func (a *Applier) Await(ctx context.Context, applied *Applied) {
 	ctx, cancel := context.WithTimeout(ctx, PropagationLimit)
 	defer cancel()
-	applied.Members = a.Keeper.Await(ctx, applied.Version)
+	applied.Members = a.Replicator.Await(ctx, applied.Version)
 	applied.Lagging = Lagging(applied.Members, applied.Version)
 }
 
 // offer passes to the loop a snapshot that was just read from or written to the
 // store.
-func (k *Keeper) offer(ctx context.Context, s *history.Snapshot) {
+func (r *Replicator) offer(ctx context.Context, s *history.Snapshot) {
 	select {
-	case k.offers <- s:
+	case r.offers <- s:
 	case <-ctx.Done(): // the watch delivers it too
 	}
 }
 
 // InForce returns the version in force on this daemon.
-func (a *Applier) InForce() *history.Snapshot { return a.Keeper.Snapshot() }
+func (a *Applier) InForce() *history.Snapshot { return a.Replicator.Snapshot() }
--- a/process/versions/await.go
+++ b/process/versions/await.go
@@ -31,51 +31,51 @@
 	State  fleet.State   `json:"state"`
 	// Version is the latest version known to be in force there.
 	Version uint64 `json:"version"`
-	// Heard is false when nothing has been received from or about the member yet.
-	Heard bool `json:"heard"`
+	// Known is false when nothing has been received from or about the member yet.
+	Known bool `json:"heard"`
 }
 
 // InForce returns for each member the latest version known to be in force
 // there, 0 if nothing is known.
-func (k *Keeper) InForce() map[peer.MemberID]uint64 {
+func (r *Replicator) InForce() map[peer.MemberID]uint64 {
 	versions := make(map[peer.MemberID]uint64)
-	for _, m := range k.Members() {
+	for _, m := range r.Members() {
 		versions[m.Member] = m.Version
 	}
 	return versions
 }
 
 // Members returns what is known of each member, sorted by ID.
-func (k *Keeper) Members() []MemberVersion {
-	members := k.options.Fleet.Members()
-	k.observed.retain(members)
+func (r *Replicator) Members() []MemberVersion {
+	members := r.options.Fleet.Members()
+	r.observed.retain(members)
 	known := make([]MemberVersion, 0, len(members))
 	for _, m := range members {
-		known = append(known, k.memberVersion(m))
+		known = append(known, r.memberVersion(m))
 	}
 	return known
 }
 
-func (k *Keeper) memberVersion(m fleet.Member) MemberVersion {
+func (r *Replicator) memberVersion(m fleet.Member) MemberVersion {
 	v := MemberVersion{Member: m.ID, Zone: m.Zone, State: m.State}
-	if m.ID == k.options.Fleet.Self().ID {
-		v.Version, v.Heard = k.current.Load().Version, k.isLoaded()
+	if m.ID == r.options.Fleet.Self().ID {
+		v.Version, v.Known = r.current.Load().Version, r.isLoaded()
 		return v
 	}
-	s, ok := k.observed.of(m.Ref)
-	v.Version, v.Heard = s.Version, ok
+	s, ok := r.observed.of(m.Ref)
+	v.Version, v.Known = s.Version, ok
 	return v
 }
 
 // Await waits until every member has the version in force, or ctx ends, and
 // returns what is known of each then. Members below the version lag.
-func (k *Keeper) Await(ctx context.Context, version uint64) []MemberVersion {
+func (r *Replicator) Await(ctx context.Context, version uint64) []MemberVersion {
 	var waiting sync.WaitGroup
-	for _, m := range k.options.Fleet.Members() {
-		waiting.Go(func() { k.awaitMember(ctx, m, version) })
+	for _, m := range r.options.Fleet.Members() {
+		waiting.Go(func() { r.awaitMember(ctx, m, version) })
 	}
 	waiting.Wait()
-	return k.Members()
+	return r.Members()
 }
 
 // Lagging returns those of members that do not have the version in force.
@@ -84,32 +84,32 @@
 }
 
 // awaitMember waits for one member.
-func (k *Keeper) awaitMember(ctx context.Context, m fleet.Member, version uint64) {
-	if m.ID == k.options.Fleet.Self().ID {
-		k.awaitSelf(ctx, version)
+func (r *Replicator) awaitMember(ctx context.Context, m fleet.Member, version uint64) {
+	if m.ID == r.options.Fleet.Self().ID {
+		r.awaitSelf(ctx, version)
 		return
 	}
-	for ctx.Err() == nil && !k.options.Fleet.HasEnded(m.Ref) {
-		if s, ok := k.observed.of(m.Ref); ok && s.Version >= version {
+	for ctx.Err() == nil && !r.options.Fleet.HasEnded(m.Ref) {
+		if s, ok := r.observed.of(m.Ref); ok && s.Version >= version {
 			return
 		}
 		callCtx, cancel := context.WithTimeout(ctx, awaitWait+gossipTimeout)
 		var reply Gossip
-		err := k.options.Caller.Call(callCtx, m.Ref, MethodAwait, Await{Version: version, WaitMillis: awaitWait.Milliseconds()}, &reply)
+		err := r.options.Caller.Call(callCtx, m.Ref, MethodAwait, Await{Version: version, WaitMillis: awaitWait.Milliseconds()}, &reply)
 		cancel()
 		if err != nil {
 			_ = sleep.For(ctx, awaitPause) // the loop checks ctx
 			continue
 		}
-		k.merge(m.Ref, reply)
+		r.merge(m.Ref, reply)
 	}
 }
 
 // awaitSelf waits until the version is in force here.
-func (k *Keeper) awaitSelf(ctx context.Context, version uint64) {
+func (r *Replicator) awaitSelf(ctx context.Context, version uint64) {
 	for {
-		changed := k.Changed()
-		if k.current.Load().Version >= version {
+		changed := r.Changed()
+		if r.current.Load().Version >= version {
 			return
 		}
 		select {
@@ -122,7 +122,7 @@
 
 // serveAwait handles MethodAwait: it answers once the version is in force here, or
 // after the requested wait.
-func (k *Keeper) serveAwait(ctx context.Context, _ peer.Ref, payload []byte) (any, error) {
+func (r *Replicator) serveAwait(ctx context.Context, _ peer.Ref, payload []byte) (any, error) {
 	var request Await
 	if err := peer.Unmarshal(payload, &request); err != nil {
 		return nil, err
@@ -130,28 +130,28 @@
 	wait := min(max(time.Duration(request.WaitMillis)*time.Millisecond, 0), maxAwait)
 	ctx, cancel := context.WithTimeout(ctx, wait)
 	defer cancel()
-	k.awaitSelf(ctx, request.Version)
-	return k.gossip(true), nil
+	r.awaitSelf(ctx, request.Version)
+	return r.gossip(true), nil
 }
 
 // Survey asks every member for its version and returns the answers, sorted by
 // member, with what was known before of those that did not answer.
-func (k *Keeper) Survey(ctx context.Context) []MemberVersion {
-	self := k.options.Fleet.Self().ID
+func (r *Replicator) Survey(ctx context.Context) []MemberVersion {
+	self := r.options.Fleet.Self().ID
 	limit := make(chan struct{}, surveyCalls)
 	var asking sync.WaitGroup
-	for _, m := range k.options.Fleet.Members() {
+	for _, m := range r.options.Fleet.Members() {
 		if m.ID == self {
 			continue
 		}
 		limit <- struct{}{}
 		asking.Go(func() {
 			defer func() { <-limit }()
-			k.exchange(ctx, m.Ref, true)
+			r.exchange(ctx, m.Ref, true)
 		})
 	}
 	asking.Wait()
-	members := k.Members()
+	members := r.Members()
 	slices.SortFunc(members, func(a, b MemberVersion) int { return strings.Compare(string(a.Member), string(b.Member)) })
 	return members
 }
--- a/process/versions/cell_test.go
+++ b/process/versions/cell_test.go
@@ -22,13 +22,13 @@
 
 // daemon is the part of a daemon that this package provides.
 type daemon struct {
-	id      peer.MemberID
-	applier *Applier
-	keeper  *Keeper
-	view    *fleettest.View
-	store   *meteredStore
-	stop    context.CancelFunc
-	stopped chan struct{}
+	id         peer.MemberID
+	applier    *Applier
+	replicator *Replicator
+	view       *fleettest.View
+	store      *meteredStore
+	stop       context.CancelFunc
+	stopped    chan struct{}
 	// highest is the highest version that was seen in force.
 	highest uint64
 }
@@ -82,13 +82,13 @@
 	c.seed++
 	d.id, d.highest = self.ID, 0
 	d.view = fleettest.NewView(self, others...)
-	d.keeper = New(Options{Handle: handle, Caller: caller, Registrar: mux, Fleet: d.view, History: h, Seed: c.seed})
-	d.applier = &Applier{History: h, Keeper: d.keeper}
+	d.replicator = New(Options{Handle: handle, Caller: caller, Registrar: mux, Fleet: d.view, History: h, Seed: c.seed})
+	d.applier = &Applier{History: h, Replicator: d.replicator}
 	ctx, cancel := context.WithCancel(context.Background())
 	d.stop, d.stopped = cancel, make(chan struct{})
 	go func() {
 		defer close(d.stopped)
-		_ = d.keeper.Serve(ctx)
+		_ = d.replicator.Serve(ctx)
 	}()
 }
 
@@ -113,9 +113,9 @@
 // invariant.
 func (c *cell) check() {
 	for _, d := range c.daemons {
-		version := d.keeper.Current().Version
+		version := d.replicator.Current().Version
 		require.GreaterOrEqual(c.t, version, d.highest, "%s reverted", d.id)
-		require.Zero(c.t, d.keeper.metrics.invariant.Value())
+		require.Zero(c.t, d.replicator.metrics.invariant.Value())
 		d.highest = version
 	}
 }
@@ -124,7 +124,7 @@
 func (c *cell) behind(version uint64) int {
 	n := 0
 	for _, d := range c.daemons {
-		if d.keeper.Current().Version < version {
+		if d.replicator.Current().Version < version {
 			n++
 		}
 	}
@@ -172,13 +172,13 @@
 		c.kv.SetFaults(kv.Faults{Down: true})
 		c.replace(3)
 		select {
-		case <-c.daemons[3].keeper.Loaded():
+		case <-c.daemons[3].replicator.Loaded():
 			t.Fatal("loaded before any configuration was received")
 		default:
 		}
 		time.Sleep(2 * time.Second)
-		assert.Equal(t, uint64(20), c.daemons[3].keeper.Current().Version)
-		assert.True(t, spec.SameContent(c.daemons[0].keeper.Current(), c.daemons[3].keeper.Current()))
+		assert.Equal(t, uint64(20), c.daemons[3].replicator.Current().Version)
+		assert.True(t, spec.SameContent(c.daemons[0].replicator.Current(), c.daemons[3].replicator.Current()))
 		c.check()
 	})
 }
--- a/process/versions/chunk.go
+++ b/process/versions/chunk.go
@@ -118,23 +118,23 @@
 // chunkSources looks up chunks on this daemon first and then tries one remote
 // source after the other; chunks received are kept until the fetch is finished.
 type chunkSources struct {
-	keeper *Keeper
-	remote []history.Chunks
+	replicator *Replicator
+	remote     []history.Chunks
 }
 
 // Chunk implements history.Chunks.
 func (c chunkSources) Chunk(ctx context.Context, hash history.Hash) ([]byte, error) {
-	if data, err := c.keeper.chunks.Chunk(ctx, hash); err == nil {
+	if data, err := c.replicator.chunks.Chunk(ctx, hash); err == nil {
 		return data, nil
 	}
-	if data, err := c.keeper.pending.Chunk(ctx, hash); err == nil {
+	if data, err := c.replicator.pending.Chunk(ctx, hash); err == nil {
 		return data, nil
 	}
 	err := history.ErrNoChunk
 	for _, s := range c.remote {
 		var data []byte
 		if data, err = s.Chunk(ctx, hash); err == nil {
-			if err = c.keeper.pending.put(hash, data); err == nil {
+			if err = c.replicator.pending.put(hash, data); err == nil {
 				return data, nil
 			}
 		}
@@ -145,8 +145,8 @@
 // peerChunks requests chunks from peers: from first (if set), then from
 // maxPeerSources random ones.
 type peerChunks struct {
-	keeper *Keeper
-	first  peer.Ref
+	replicator *Replicator
+	first      peer.Ref
 }
 
 // Chunk implements history.Chunks.
@@ -156,8 +156,8 @@
 		from = append(from, c.first)
 	}
 	err := history.ErrNoChunk
-	for _, ref := range append(from, c.keeper.pick(maxPeerSources)...) {
-		chunks, callErr := c.keeper.askChunks(ctx, ref, []history.Hash{hash})
+	for _, ref := range append(from, c.replicator.pick(maxPeerSources)...) {
+		chunks, callErr := c.replicator.askChunks(ctx, ref, []history.Hash{hash})
 		if callErr != nil {
 			err = callErr
 			continue
@@ -173,32 +173,32 @@
 const maxHashes = 256
 
 // askChunks requests some chunks from a peer, which may send fewer.
-func (k *Keeper) askChunks(ctx context.Context, from peer.Ref, hashes []history.Hash) ([]Chunk, error) {
+func (r *Replicator) askChunks(ctx context.Context, from peer.Ref, hashes []history.Hash) ([]Chunk, error) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var reply ChunkReply
-	err := k.options.Caller.Call(ctx, from, MethodChunk, ChunkRequest{Hashes: hashes[:min(len(hashes), maxHashes)]}, &reply)
+	err := r.options.Caller.Call(ctx, from, MethodChunk, ChunkRequest{Hashes: hashes[:min(len(hashes), maxHashes)]}, &reply)
 	return reply.Chunks, err
 }
 
 // prefetch requests the chunks that are missing for an update from the peer that
 // has it, many per call, until the peer sends no more.
-func (k *Keeper) prefetch(ctx context.Context, from peer.Ref, missing []history.Hash) {
+func (r *Replicator) prefetch(ctx context.Context, from peer.Ref, missing []history.Hash) {
 	for {
 		missing = slices.DeleteFunc(missing, func(hash history.Hash) bool {
-			_, inForce := k.chunks.Chunk(ctx, hash)
-			_, fetched := k.pending.Chunk(ctx, hash)
+			_, inForce := r.chunks.Chunk(ctx, hash)
+			_, fetched := r.pending.Chunk(ctx, hash)
 			return inForce == nil || fetched == nil
 		})
 		if len(missing) == 0 {
 			return
 		}
-		chunks, err := k.askChunks(ctx, from, missing)
+		chunks, err := r.askChunks(ctx, from, missing)
 		if err != nil || len(chunks) == 0 {
 			return // the rest is fetched one by one, from other sources too
 		}
 		for _, c := range chunks {
-			if k.pending.put(c.Hash, c.Data) != nil {
+			if r.pending.put(c.Hash, c.Data) != nil {
 				return
 			}
 		}
@@ -206,7 +206,7 @@
 }
 
 // serveChunk handles MethodChunk.
-func (k *Keeper) serveChunk(ctx context.Context, _ peer.Ref, payload []byte) (any, error) {
+func (r *Replicator) serveChunk(ctx context.Context, _ peer.Ref, payload []byte) (any, error) {
 	var request ChunkRequest
 	if err := peer.Unmarshal(payload, &request); err != nil {
 		return nil, err
@@ -214,7 +214,7 @@
 	var reply ChunkReply
 	budget := maxInline
 	for _, hash := range request.Hashes {
-		data, err := k.chunks.Chunk(ctx, hash)
+		data, err := r.chunks.Chunk(ctx, hash)
 		if err != nil {
 			continue
 		}
--- a/process/versions/fetch.go
+++ b/process/versions/fetch.go
@@ -32,10 +32,10 @@
 
 // fetch returns the snapshot of a later version from the first source that
 // delivers it completely.
-func (k *Keeper) fetch(ctx context.Context, have *history.Snapshot, sources []source) (*history.Snapshot, error) {
+func (r *Replicator) fetch(ctx context.Context, have *history.Snapshot, sources []source) (*history.Snapshot, error) {
 	var failures []error
 	for _, s := range sources {
-		next, err := k.fetchFrom(ctx, have, s)
+		next, err := r.fetchFrom(ctx, have, s)
 		if err == nil {
 			return next, nil
 		}
@@ -44,7 +44,7 @@
 	return nil, errors.Join(failures...)
 }
 
-func (k *Keeper) fetchFrom(ctx context.Context, have *history.Snapshot, s source) (*history.Snapshot, error) {
+func (r *Replicator) fetchFrom(ctx context.Context, have *history.Snapshot, s source) (*history.Snapshot, error) {
 	ctx, cancel := context.WithTimeout(ctx, fetchTimeout)
 	defer cancel()
 	update, chunks, err := s.update(ctx, have)
@@ -59,43 +59,43 @@
 
 // storeSource delivers the version of a head that was read from the store.
 type storeSource struct {
-	keeper *Keeper
-	head   *history.Head
+	replicator *Replicator
+	head       *history.Head
 }
 
 func (s storeSource) String() string { return "store" }
 
 func (s storeSource) update(ctx context.Context, have *history.Snapshot) (history.Update, history.Chunks, error) {
-	s.keeper.metrics.fromStore.Add(1)
-	chunks := chunkSources{keeper: s.keeper, remote: []history.Chunks{
-		history.StoreChunks{Handle: s.keeper.options.Handle}, peerChunks{keeper: s.keeper}}}
+	s.replicator.metrics.fromStore.Add(1)
+	chunks := chunkSources{replicator: s.replicator, remote: []history.Chunks{
+		history.StoreChunks{Handle: s.replicator.options.Handle}, peerChunks{replicator: s.replicator}}}
 	u, err := have.UpdateFrom(ctx, s.head, chunks)
 	return u, chunks, err
 }
 
 // peerSource delivers the version that a peer has in force.
 type peerSource struct {
-	keeper *Keeper
-	from   peer.Ref
+	replicator *Replicator
+	from       peer.Ref
 }
 
 func (s peerSource) String() string { return "peer " + string(s.from.ID) }
 
 func (s peerSource) update(ctx context.Context, have *history.Snapshot) (history.Update, history.Chunks, error) {
-	s.keeper.metrics.fromPeers.Add(1)
+	s.replicator.metrics.fromPeers.Add(1)
 	pulled, err := s.pull(ctx, have.Version)
 	if err != nil {
-		s.keeper.observed.drop(s.from)
+		s.replicator.observed.drop(s.from)
 		return history.Update{}, nil, err
 	}
 	for _, c := range pulled.Chunks {
-		if err := s.keeper.pending.put(c.Hash, c.Data); err != nil {
+		if err := s.replicator.pending.put(c.Hash, c.Data); err != nil {
 			return history.Update{}, nil, err
 		}
 	}
-	s.keeper.prefetch(ctx, s.from, have.Missing(pulled.Update))
-	chunks := chunkSources{keeper: s.keeper, remote: []history.Chunks{
-		peerChunks{keeper: s.keeper, first: s.from}, history.StoreChunks{Handle: s.keeper.options.Handle}}}
+	s.replicator.prefetch(ctx, s.from, have.Missing(pulled.Update))
+	chunks := chunkSources{replicator: s.replicator, remote: []history.Chunks{
+		peerChunks{replicator: s.replicator, first: s.from}, history.StoreChunks{Handle: s.replicator.options.Handle}}}
 	return pulled.Update, chunks, nil
 }
 
@@ -104,17 +104,17 @@
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	var pulled Pulled
-	err := s.keeper.options.Caller.Call(ctx, s.from, MethodPull, Pull{Have: have}, &pulled)
+	err := s.replicator.options.Caller.Call(ctx, s.from, MethodPull, Pull{Have: have}, &pulled)
 	return pulled, err
 }
 
 // servePull handles MethodPull.
-func (k *Keeper) servePull(_ context.Context, _ peer.Ref, payload []byte) (any, error) {
+func (r *Replicator) servePull(_ context.Context, _ peer.Ref, payload []byte) (any, error) {
 	var request Pull
 	if err := peer.Unmarshal(payload, &request); err != nil {
 		return nil, err
 	}
-	s := k.current.Load()
+	s := r.current.Load()
 	reply := Pulled{Update: s.Since(request.Have)}
 	budget := maxInline
 	for _, change := range reply.Update.Changes {
--- a/process/versions/fresh_test.go
+++ b/process/versions/fresh_test.go
@@ -28,7 +28,7 @@
 		}
 		within := func(limit time.Duration) {
 			begun := time.Now()
-			for c.daemons[2].keeper.Current().Version < files {
+			for c.daemons[2].replicator.Current().Version < files {
 				require.Less(t, time.Since(begun), limit)
 				time.Sleep(100 * time.Millisecond)
 			}
--- a/process/versions/fuzz_test.go
+++ b/process/versions/fuzz_test.go
@@ -22,14 +22,14 @@
 	}
 	self := fleet.Member{Ref: peer.Ref{ID: "d0", Incarnation: 1}}
 	caller, mux := peertest.NewNetwork(1).Node(self.Ref)
-	k := New(Options{Caller: caller, Registrar: mux, Fleet: fleettest.NewView(self), Seed: 1})
+	r := New(Options{Caller: caller, Registrar: mux, Fleet: fleettest.NewView(self), Seed: 1})
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel() // an await ends at once
 	f.Fuzz(func(t *testing.T, data []byte) {
-		for _, h := range []peer.Handler{k.serveGossip, k.servePull, k.serveChunk, k.serveAwait} {
+		for _, h := range []peer.Handler{r.serveGossip, r.servePull, r.serveChunk, r.serveAwait} {
 			_, _ = h(ctx, peer.Ref{ID: "d1", Incarnation: 1}, data)
 		}
-		if k.Current().Version != 0 {
+		if r.Current().Version != 0 {
 			t.Fatal("a message alone put a version into force")
 		}
 	})
--- a/process/versions/loop.go
+++ b/process/versions/loop.go
@@ -25,10 +25,10 @@
 	storeDelayPerMember = time.Millisecond
 )
 
-// loop is the control state of a Keeper; one goroutine runs it. At most one
+// loop is the control state of a Replicator; one goroutine runs it. At most one
 // fetch runs at a time.
 type loop struct {
-	keeper     *Keeper
+	replicator *Replicator
 	ctx        context.Context
 	running    *sync.WaitGroup
 	head       *history.Head // the latest read from the store
@@ -53,11 +53,11 @@
 		select {
 		case <-l.ctx.Done():
 			return l.ctx.Err()
-		case head := <-l.keeper.heads:
+		case head := <-l.replicator.heads:
 			l.onHead(head)
-		case s := <-l.keeper.offers:
+		case s := <-l.replicator.offers:
 			l.install(s)
-		case <-l.keeper.wake:
+		case <-l.replicator.wake:
 			l.onPeerUpdate()
 		case <-l.retry.C:
 			l.backingOff = false
@@ -72,16 +72,16 @@
 
 // onHead handles a head read from the store.
 func (l *loop) onHead(head *history.Head) {
-	l.keeper.storeVersion.Store(head.Version)
+	l.replicator.storeVersion.Store(head.Version)
 	l.head = head
 	if head.Version == 0 {
-		l.keeper.setLoaded()
+		l.replicator.setLoaded()
 	}
 	// A daemon without a configuration does not wait, and a wait is not extended
 	// when the head changes again.
-	if l.keeper.isLoaded() && !l.storeDelayed {
+	if l.replicator.isLoaded() && !l.storeDelayed {
 		l.storeDelayed = true
-		l.storeDelay.Reset(l.keeper.upTo(storeDelayPerMember * time.Duration(len(l.keeper.options.Fleet.Members()))))
+		l.storeDelay.Reset(l.replicator.upTo(storeDelayPerMember * time.Duration(len(l.replicator.options.Fleet.Members()))))
 	}
 	l.skipBackoff()
 }
@@ -89,8 +89,8 @@
 // onPeerUpdate handles news from a peer, which may have a later version, or
 // report that there is none yet.
 func (l *loop) onPeerUpdate() {
-	if l.keeper.observed.anyLoaded() && l.keeper.observed.highest() == 0 {
-		l.keeper.setLoaded()
+	if l.replicator.observed.anyLoaded() && l.replicator.observed.highest() == 0 {
+		l.replicator.setLoaded()
 	}
 	l.skipBackoff()
 }
@@ -107,14 +107,14 @@
 	if l.fetching || l.backingOff {
 		return
 	}
-	have := l.keeper.current.Load()
+	have := l.replicator.current.Load()
 	sources := l.sources(have.Version)
 	if len(sources) == 0 {
 		return
 	}
 	l.fetching = true
 	l.running.Go(func() {
-		next, err := l.keeper.fetch(l.ctx, have, sources)
+		next, err := l.replicator.fetch(l.ctx, have, sources)
 		l.next = next
 		l.fetched <- err
 	})
@@ -125,14 +125,14 @@
 // whose request rates grow more slowly than the fleet.
 func (l *loop) sources(have uint64) []source {
 	var sources []source
-	best := l.keeper.observed.later(have, maxPeerSources)
+	best := l.replicator.observed.later(have, maxPeerSources)
 	for _, s := range best {
-		sources = append(sources, peerSource{keeper: l.keeper, from: s.Member})
+		sources = append(sources, peerSource{replicator: l.replicator, from: s.Member})
 	}
 	if l.storeDelayed || l.head == nil || l.head.Version <= have {
 		return sources
 	}
-	fromStore := storeSource{keeper: l.keeper, head: l.head}
+	fromStore := storeSource{replicator: l.replicator, head: l.head}
 	if len(best) == 0 || best[0].Version < l.head.Version {
 		return append([]source{fromStore}, sources...)
 	}
@@ -147,23 +147,23 @@
 		l.install(l.next)
 		return
 	}
-	l.keeper.metrics.failures.Add(1)
-	l.keeper.options.Log.Warn().Err(err).Msg("fetching a later configuration failed; retrying")
+	l.replicator.metrics.failures.Add(1)
+	l.replicator.options.Log.Warn().Err(err).Msg("fetching a later configuration failed; retrying")
 	l.backingOff = true
 	l.retry.Reset(pause.NextBackOff())
 }
 
 // install puts a snapshot into force unless a later one already is.
 func (l *loop) install(s *history.Snapshot) {
-	if s.Version > l.keeper.current.Load().Version {
-		l.keeper.publish(s)
+	if s.Version > l.replicator.current.Load().Version {
+		l.replicator.publish(s)
 		l.announce()
 	}
 }
 
 // announce sends the number of the version now in force to a few peers.
 func (l *loop) announce() {
-	for _, to := range l.keeper.pick(l.keeper.options.Fanout) {
-		l.running.Go(func() { l.keeper.exchange(l.ctx, to, true) })
+	for _, to := range l.replicator.pick(l.replicator.options.Fanout) {
+		l.running.Go(func() { l.replicator.exchange(l.ctx, to, true) })
 	}
 }
--- a/process/versions/measure_test.go
+++ b/process/versions/measure_test.go
@@ -92,10 +92,10 @@
 
 // watch records when each version comes into force on d.
 func (m *measurement) watch(ctx context.Context, d *daemon, applied *sync.Map) {
-	seen := d.keeper.Current().Version
+	seen := d.replicator.Current().Version
 	for ctx.Err() == nil {
-		changed := d.keeper.Changed()
-		for now := d.keeper.Current().Version; seen < now; {
+		changed := d.replicator.Changed()
+		for now := d.replicator.Current().Version; seen < now; {
 			seen++
 			if at, ok := applied.Load(seen); ok {
 				m.mu.Lock()
@@ -121,7 +121,7 @@
 	for range n {
 		time.Sleep(changeInterval/2 + time.Duration(random.Int64N(int64(changeInterval))))
 		d := m.cell.daemons[0]
-		base := d.keeper.Current().Version
+		base := d.replicator.Current().Version
 		applied.Store(base+1, time.Now())
 		_, err := d.applier.Apply(ctx, teamFile(random.IntN(20), random), base, history.By{Author: "operator@example"})
 		require.NoError(m.cell.t, err)
--- a/process/versions/metrics.go
+++ b/process/versions/metrics.go
@@ -2,7 +2,7 @@
 
 import "expvar"
 
-// metrics of one Keeper.
+// metrics of one Replicator.
 type metrics struct {
 	vars                          *expvar.Map
 	version, fromStore, fromPeers *expvar.Int
@@ -28,4 +28,4 @@
 }
 
 // Vars returns the metrics for publication.
-func (k *Keeper) Vars() *expvar.Map { return k.metrics.vars }
+func (r *Replicator) Vars() *expvar.Map { return r.metrics.vars }
--- a/process/versions/random_test.go
+++ b/process/versions/random_test.go
@@ -51,10 +51,10 @@
 	require.NoError(t, err)
 	require.GreaterOrEqual(t, latest.Version, applied)
 	for _, d := range c.daemons {
-		require.Equal(t, latest.Version, d.keeper.Current().Version, "%s stays behind", d.id)
-		require.True(t, spec.SameContent(latest.Config, d.keeper.Current()), "%s has other content", d.id)
+		require.Equal(t, latest.Version, d.replicator.Current().Version, "%s stays behind", d.id)
+		require.True(t, spec.SameContent(latest.Config, d.replicator.Current()), "%s has other content", d.id)
 	}
-	require.Empty(t, Lagging(c.daemons[1].keeper.Survey(context.Background()), latest.Version))
+	require.Empty(t, Lagging(c.daemons[1].replicator.Survey(context.Background()), latest.Version))
 }
 
 // step makes one random change and returns the version applied, if any.
@@ -92,7 +92,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), 2*time.Second)
 	defer cancel()
 	name, count := fmt.Sprintf("f%d", random.IntN(5)), 1+random.IntN(1000)
-	base := d.keeper.Current().Version
+	base := d.replicator.Current().Version
 	file := fileOf(name, count)
 	if random.IntN(6) == 0 {
 		file = &spec.File{Name: name}
--- a/process/versions/keeper.go
+++ b/process/versions/replicator.go
@@ -36,7 +36,7 @@
 	DefaultFanout         = 3
 )
 
-// Options configure a Keeper.
+// Options configure a Replicator.
 type Options struct {
 	// Handle is the access to the store in the versions role.
 	Handle *store.Handle
@@ -57,8 +57,8 @@
 	Seed uint64
 }
 
-// Keeper implements spec.Source. It is safe for concurrent use.
-type Keeper struct {
+// Replicator implements spec.Source. It is safe for concurrent use.
+type Replicator struct {
 	options      Options
 	current      atomic.Pointer[history.Snapshot]
 	chunks       chunkIndex
@@ -76,17 +76,17 @@
 	random  *rand.Rand
 }
 
-var _ spec.Source = (*Keeper)(nil)
+var _ spec.Source = (*Replicator)(nil)
 
-// New returns a Keeper at version 0 and registers its peer methods. It receives
+// New returns a Replicator at version 0 and registers its peer methods. It receives
 // versions only while Serve runs.
-func New(o Options) *Keeper {
+func New(o Options) *Replicator {
 	o.GossipInterval = cmp.Or(o.GossipInterval, DefaultGossipInterval)
 	o.Fanout = cmp.Or(o.Fanout, DefaultFanout)
 	if o.Seed == 0 {
 		o.Seed = rand.Uint64()
 	}
-	k := &Keeper{
+	r := &Replicator{
 		options: o,
 		loaded:  make(chan struct{}),
 		changed: make(chan struct{}),
@@ -95,34 +95,34 @@
 		wake:    make(chan struct{}, 1),
 		random:  rand.New(rand.NewPCG(o.Seed, 0)),
 	}
-	k.current.Store(history.Empty())
-	k.metrics.init()
-	k.register(o.Registrar)
-	return k
+	r.current.Store(history.Empty())
+	r.metrics.init()
+	r.register(o.Registrar)
+	return r
 }
 
 // Current implements spec.Source.
-func (k *Keeper) Current() *spec.Config { return k.current.Load().Config }
+func (r *Replicator) Current() *spec.Config { return r.current.Load().Config }
 
 // Snapshot returns the version in force with the content of its files.
-func (k *Keeper) Snapshot() *history.Snapshot { return k.current.Load() }
+func (r *Replicator) Snapshot() *history.Snapshot { return r.current.Load() }
 
 // Changed implements spec.Source. A caller that takes the channel before it
 // calls Current misses no version.
-func (k *Keeper) Changed() <-chan struct{} {
-	k.mu.Lock()
-	defer k.mu.Unlock()
-	return k.changed
+func (r *Replicator) Changed() <-chan struct{} {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	return r.changed
 }
 
 // Loaded returns a channel that is closed once the configuration is known. Until
 // then Current is the empty configuration; a daemon that acted on it would
 // treat every job as cancelled.
-func (k *Keeper) Loaded() <-chan struct{} { return k.loaded }
+func (r *Replicator) Loaded() <-chan struct{} { return r.loaded }
 
-func (k *Keeper) isLoaded() bool {
+func (r *Replicator) isLoaded() bool {
 	select {
-	case <-k.loaded:
+	case <-r.loaded:
 		return true
 	default:
 		return false
@@ -133,28 +133,28 @@
 // may be later for a moment, when a peer delivered it first. If the store's version
 // stays lower, the store was reset to an earlier state and accepts no applies until
 // it is restored.
-func (k *Keeper) StoreVersion() uint64 { return k.storeVersion.Load() }
+func (r *Replicator) StoreVersion() uint64 { return r.storeVersion.Load() }
 
 // Serve follows the store and the peers until ctx ends. It implements
 // suture.Service.
-func (k *Keeper) Serve(ctx context.Context) error {
+func (r *Replicator) Serve(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var running sync.WaitGroup
 	defer running.Wait()
 	defer cancel()
-	running.Go(func() { k.follow(ctx) })
-	running.Go(func() { k.gossipLoop(ctx) })
-	l := &loop{keeper: k, ctx: ctx, running: &running, fetched: make(chan error, 1)}
+	running.Go(func() { r.follow(ctx) })
+	running.Go(func() { r.gossipLoop(ctx) })
+	l := &loop{replicator: r, ctx: ctx, running: &running, fetched: make(chan error, 1)}
 	return l.run()
 }
 
 // follow watches the head in the store and passes it to the loop.
-func (k *Keeper) follow(ctx context.Context) {
-	_ = k.options.Handle.Follow(ctx, history.KeyHead, func(items []store.Item, _ []string, reset bool) {
+func (r *Replicator) follow(ctx context.Context) {
+	_ = r.options.Handle.Follow(ctx, history.KeyHead, func(items []store.Item, _ []string, reset bool) {
 		head, err := headOf(items)
 		if err != nil {
-			k.metrics.refused.Add(1)
-			k.options.Log.Error().Err(err).Msg("configuration head in the store can not be decoded")
+			r.metrics.refused.Add(1)
+			r.options.Log.Error().Err(err).Msg("configuration head in the store can not be decoded")
 			return
 		}
 		if head == nil && reset {
@@ -164,7 +164,7 @@
 			return
 		}
 		select {
-		case k.heads <- head:
+		case r.heads <- head:
 		case <-ctx.Done():
 		}
 	})
@@ -184,41 +184,41 @@
 var errNothingNew = errors.New("versions: source has no later version")
 
 // publish puts a version into force.
-func (k *Keeper) publish(s *history.Snapshot) {
-	before := k.current.Load()
+func (r *Replicator) publish(s *history.Snapshot) {
+	before := r.current.Load()
 	if s.Version <= before.Version {
 		// Only the loop publishes, and Advance refuses what is not later.
-		k.metrics.invariant.Add(1)
-		k.options.Log.Error().Uint64("version", s.Version).Uint64("in_force", before.Version).
+		r.metrics.invariant.Add(1)
+		r.options.Log.Error().Uint64("version", s.Version).Uint64("in_force", before.Version).
 			Msg("invariant violated: attempt to put into force a version that is not later")
 		return
 	}
-	k.chunks.replace(before, s)
-	k.pending.clear()
-	k.current.Store(s)
-	k.metrics.version.Set(int64(s.Version))
-	k.setLoaded()
-	if k.options.History != nil {
-		k.options.History.Learn(s)
+	r.chunks.replace(before, s)
+	r.pending.clear()
+	r.current.Store(s)
+	r.metrics.version.Set(int64(s.Version))
+	r.setLoaded()
+	if r.options.History != nil {
+		r.options.History.Offer(s)
 	}
-	k.mu.Lock()
-	close(k.changed)
-	k.changed = make(chan struct{})
-	k.mu.Unlock()
-	k.options.Log.Info().Uint64("version", s.Version).Int("jobs", len(s.Config.Jobs)).Msg("configuration in force")
+	r.mu.Lock()
+	close(r.changed)
+	r.changed = make(chan struct{})
+	r.mu.Unlock()
+	r.options.Log.Info().Uint64("version", s.Version).Int("jobs", len(s.Config.Jobs)).Msg("configuration in force")
 }
 
 // setLoaded is called by the loop only.
-func (k *Keeper) setLoaded() {
-	if !k.isLoaded() {
-		close(k.loaded)
+func (r *Replicator) setLoaded() {
+	if !r.isLoaded() {
+		close(r.loaded)
 	}
 }
 
 // notify wakes the loop after a message from a peer.
-func (k *Keeper) notify() {
+func (r *Replicator) notify() {
 	select {
-	case k.wake <- struct{}{}:
+	case r.wake <- struct{}{}:
 	default:
 	}
 }
--- a/version/history/apply.go
+++ b/version/history/apply.go
@@ -159,7 +159,7 @@
 	if err != nil {
 		return Result{}, fmt.Errorf("history: applied version %d can not be read: %w", next.Version, err)
 	}
-	a.history.Learn(snapshot)
+	a.history.Offer(snapshot)
 	if next.IndexVersion > s.head.IndexVersion {
 		a.history.announceRotation(s.head)
 	}
--- a/version/history/history.go
+++ b/version/history/history.go
@@ -74,9 +74,9 @@
 	return h
 }
 
-// Learn passes to the History a snapshot that was fetched elsewhere, so that it
+// Offer passes to the History a snapshot that was fetched elsewhere, so that it
 // need not fetch the same content itself.
-func (h *History) Learn(s *Snapshot) {
+func (h *History) Offer(s *Snapshot) {
 	for {
 		known := h.known.Load()
 		if s.Version <= known.Version || h.known.CompareAndSwap(known, s) {
@@ -146,7 +146,7 @@
 	if s.snapshot, err = s.snapshot.Advance(ctx, update, h.source); err != nil {
 		return nil, err
 	}
-	h.Learn(s.snapshot)
+	h.Offer(s.snapshot)
 	return s, nil
 }
 
--- a/version/history/readback_test.go
+++ b/version/history/readback_test.go
@@ -129,7 +129,7 @@
 	h := newHistory(reader)
 	reader.after = func() {
 		reader.after = nil
-		h.Learn(mustApply(t, other, fileOf("b", 1), 1).Snapshot)
+		h.Offer(mustApply(t, other, fileOf("b", 1), 1).Snapshot)
 	}
 	assert.Equal(t, uint64(3), mustApply(t, h, fileOf("c", 1), 0).Version)
 }
