--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -93,7 +93,7 @@
 	rng := rand.New(rand.NewPCG(seed, 3))
 	c := &cell{t: t, policy: policy, kv: kv.NewSeeded(seed), jobs: map[work.JobID]*work.Job{}, rng: rng, advice: &adviser{members: map[string]*sync.Mutex{}, share: 0.5}}
 	draw := rand.New(rand.NewPCG(seed, 5))
-	c.fleet = epochworker.New(epochworker.Options{Seed: seed, Lease: testLease, Gang: 3 * time.Second, Stop: 200 * time.Millisecond,
+	c.fleet = epochworker.New(epochworker.Options{Seed: seed, Lease: testLease, GangTimeout: 3 * time.Second, StopDelay: 200 * time.Millisecond,
 		Delay: time.Millisecond, Attempts: 4,
 		Work: func(task work.TaskID, _ uint64, _ runner.WorkerID) epochworker.Behaviour { return behave(draw, task) }})
 	for i := range workers {
@@ -109,7 +109,7 @@
 // restartingCell returns a cell of workers that restart after a crash, as the options say.
 func restartingCell(t *testing.T, workers, daemons int, o epochworker.Options) *cell {
 	c := newTestCell(t, o.Seed, 0, 0, usualBehaviour(0))
-	o.Lease, o.Gang, o.Stop, o.Delay, o.Attempts = testLease, 3*time.Second, 200*time.Millisecond, time.Millisecond, 4
+	o.Lease, o.GangTimeout, o.StopDelay, o.Delay, o.Attempts = testLease, 3*time.Second, 200*time.Millisecond, time.Millisecond, 4
 	c.fleet = epochworker.New(o)
 	for i := range workers {
 		id := runner.WorkerID(fmt.Sprintf("w-%02d", i))
@@ -197,7 +197,7 @@
 	for _, n := range c.nodes {
 		j.Epoch = max(j.Epoch, n.elector.View().Epoch())
 	}
-	c.fleet.Know(id, j)
+	c.fleet.AddJob(id, j)
 	value, err := work.EncodeJob(j)
 	require.NoError(c.t, err)
 	c.write(store.Txn{Checks: []store.Check{{Key: KeySubmission(id)}, {Key: KeyState(id)}}, Writes: []store.Write{{Key: KeySubmission(id), Value: value}}})
@@ -285,7 +285,7 @@
 			require.Equal(t, work.Completed, c.state(id), "%s", id)
 		}
 		c.stop()
-		require.Empty(t, c.fleet.Broken())
+		require.Empty(t, c.fleet.Violations())
 		require.Empty(t, c.broken)
 	})
 }
@@ -342,8 +342,8 @@
 		c.fleet.SetFaults(epochworker.Faults{Late: 0.1, LoseAnswers: 0.05})
 		later(func() { c.fleet.SetFaults(epochworker.Faults{}) })
 	case 6:
-		c.fleet.Cut(id, true)
-		later(func() { c.fleet.Cut(id, false) })
+		c.fleet.SetDisconnected(id, true)
+		later(func() { c.fleet.SetDisconnected(id, false) })
 	case 7:
 		c.fleet.Crash(id)
 	case 8:
@@ -449,6 +449,6 @@
 	}
 	assert.Zero(t, c.fleet.Running())
 	c.stop()
-	assert.Empty(t, c.fleet.Broken())
+	assert.Empty(t, c.fleet.Violations())
 	assert.Empty(t, c.broken)
 }
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -89,7 +89,7 @@
 	time.Sleep(90 * time.Second)
 	c.checkGivenUp()
 	c.stop()
-	require.Empty(t, c.fleet.Broken())
+	require.Empty(t, c.fleet.Violations())
 	require.Empty(t, c.broken)
 }
 
@@ -347,7 +347,7 @@
 	require.Empty(t, began, "never given up")
 	c.checkGivenUp()
 	c.stop()
-	require.Empty(t, c.fleet.Broken())
+	require.Empty(t, c.fleet.Violations())
 	require.Empty(t, c.broken)
 	t.Logf("%d workers crashed by %d jobs, the slowest given up after %v", c.fleet.Crashes(), len(c.order)/60, slowest)
 }
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -50,10 +50,10 @@
 	c.fleet.SetFaults(epochworker.Faults{})
 	time.Sleep(2 * time.Minute)
 	c.stop()
-	require.Empty(t, c.fleet.Broken())
+	require.Empty(t, c.fleet.Violations())
 	require.Empty(t, c.broken)
 	for _, id := range c.order {
-		if crash.LimitReached(c.fleet.MostDeaths(id), 1) {
+		if crash.LimitReached(c.fleet.MaxSuspectCrashes(id), 1) {
 			continue // as many workers crashed under a task of it as are allowed
 		}
 		require.Equal(t, work.Completed, c.state(id), "%s: %v", id, c.fleet.NotDone(id))
@@ -81,7 +81,7 @@
 	for renews := before; renews == before; _, renews = c.fleet.Counts() {
 		time.Sleep(time.Millisecond)
 	}
-	c.fleet.Cut(crashes, true) // a renewal has just been sent, and waits for a completion
+	c.fleet.SetDisconnected(crashes, true) // a renewal has just been sent, and waits for a completion
 	c.fleet.Crash(crashes)
 	time.Sleep(700 * time.Millisecond)
 	c.submit(tasks())
@@ -89,7 +89,7 @@
 	c.addWorker(runner.IncarnationID("w-b", 1), "w-b", "r") // where they may start again
 	time.Sleep(time.Minute)
 	c.stop()
-	require.Empty(t, c.fleet.Broken())
+	require.Empty(t, c.fleet.Violations())
 	require.Empty(t, c.broken)
 	for _, id := range c.order {
 		require.Equal(t, work.Completed, c.state(id), "%s: %v", id, c.fleet.NotDone(id))
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -195,14 +195,14 @@
 	c.kv.SetFaults(kv.Faults{})
 	time.Sleep(time.Minute)
 	for _, id := range services {
-		require.GreaterOrEqual(t, c.fleet.AtWork(id), c.jobs[id].Steps[0].Count-1, "%s", id) // the first task may fail just now
+		require.GreaterOrEqual(t, c.fleet.Serving(id), c.jobs[id].Steps[0].Count-1, "%s", id) // the first task may fail just now
 		require.False(t, c.state(id).Final(), "%s", id)
 		c.cancelJob(id)
 	}
 	time.Sleep(20 * time.Second)
 	require.Zero(t, c.fleet.Running())
 	c.stop()
-	require.Empty(t, c.fleet.Broken())
-	require.Zero(t, c.fleet.AwayEnds())
+	require.Empty(t, c.fleet.Violations())
+	require.Zero(t, c.fleet.ExcessStops())
 	require.Empty(t, c.broken)
 }
--- a/request/gateway/cell_test.go
+++ b/request/gateway/cell_test.go
@@ -173,7 +173,7 @@
 		require.NoError(t, r.err)
 		require.Equal(t, http.StatusOK, r.status, "%s", r.body)
 		require.Equal(t, "ran", r.verdict())
-		require.Equal(t, string(endpoint.Answer("deed-7", []byte("deed 7"))), string(r.body))
+		require.Equal(t, string(endpoint.ResponseBody("deed-7", []byte("deed 7"))), string(r.body))
 	}
 	require.Equal(t, 1, c.runs("deed-7"))
 
@@ -205,7 +205,7 @@
 				case r.err != nil || r.verdict() == "not-run":
 					time.Sleep(10 * time.Millisecond) // the caller's retry, at another daemon
 					continue
-				case r.status == http.StatusOK && string(r.body) == string(endpoint.Answer(key, []byte(key))):
+				case r.status == http.StatusOK && string(r.body) == string(endpoint.ResponseBody(key, []byte(key))):
 					whole.Add(1)
 				case r.verdict() == "may-have-run":
 					unknown.Add(1)
--- a/request/gateway/gateway_test.go
+++ b/request/gateway/gateway_test.go
@@ -190,7 +190,7 @@
 	require.NoError(t, r.err)
 	require.Equal(t, http.StatusOK, r.status)
 	require.Equal(t, "ran", r.verdict())
-	require.Equal(t, string(endpoint.Answer("k1", []byte("plot 7"))), string(r.body))
+	require.Equal(t, string(endpoint.ResponseBody("k1", []byte("plot 7"))), string(r.body))
 	require.Equal(t, 1, e.Runs("k1"))
 	require.Eventually(t, func() bool { return g.InFlight() == 0 }, 10*time.Second, time.Millisecond)
 	require.Contains(t, logged.String(), r.header.Get(verdict.RequestIDHeader))
@@ -203,7 +203,7 @@
 
 	trailer := do(t, "POST", url+"/report?trailer=1", "k3", "x")
 	require.NoError(t, trailer.err)
-	require.Equal(t, string(endpoint.Answer("k3", []byte("x"))), string(trailer.body))
+	require.Equal(t, string(endpoint.ResponseBody("k3", []byte("x"))), string(trailer.body))
 }
 
 func TestBadInputIsRefusedAsNotRun(t *testing.T) {
--- a/request/gateway/random_test.go
+++ b/request/gateway/random_test.go
@@ -94,7 +94,7 @@
 	v := resp.Header.Get("Fennel-Verdict")
 	whole := err == nil && resp.StatusCode == http.StatusOK
 	o.event("%s: status %d, verdict %q, code %q, error %v", url, resp.StatusCode, v, resp.Header.Get(verdict.CodeHeader), err)
-	if whole && (v != "ran" || string(data) != string(endpoint.Answer(o.key, []byte(o.body)))) {
+	if whole && (v != "ran" || string(data) != string(endpoint.ResponseBody(o.key, []byte(o.body)))) {
 		t.Errorf("%s got a foreign or partial answer: %s, %.80q", o.key, v, data)
 	}
 	if err == nil && v == "" {
--- a/request/gateway/scenario_test.go
+++ b/request/gateway/scenario_test.go
@@ -66,7 +66,7 @@
 	<-release
 	r := do(t, "POST", url, "next", "")
 	require.Equal(t, http.StatusOK, r.status)
-	require.Equal(t, string(endpoint.Answer("next", nil)), string(r.body))
+	require.Equal(t, string(endpoint.ResponseBody("next", nil)), string(r.body))
 	require.Empty(t, p.unknown)
 	require.Equal(t, 1, e.Report().PeakRunning)
 }
@@ -295,7 +295,7 @@
 	big := strings.Repeat("x", 1<<20)
 	r := do(t, "POST", url, "big", big)
 	require.Equal(t, http.StatusOK, r.status)
-	require.Equal(t, string(endpoint.Answer("big", []byte(big))), string(r.body))
+	require.Equal(t, string(endpoint.ResponseBody("big", []byte(big))), string(r.body))
 	// A body of unknown length that exceeds the limit results in an error.
 	req, err := http.NewRequestWithContext(t.Context(), "POST", url, io.MultiReader(strings.NewReader(big), strings.NewReader("x")))
 	require.NoError(t, err)
--- a/standin/callers/callers.go
+++ b/standin/callers/callers.go
@@ -238,7 +238,7 @@
 		out.AllNotRun = false
 	}
 	if res.StatusCode == http.StatusOK {
-		out.Whole = bytes.Equal(got, endpoint.Answer(c.key, body))
+		out.Whole = bytes.Equal(got, endpoint.ResponseBody(c.key, body))
 		out.Foreign = !out.Whole
 		return 0, false
 	}
--- a/standin/cell/cell_test.go
+++ b/standin/cell/cell_test.go
@@ -63,7 +63,7 @@
 		require.NoError(t, res.Body.Close())
 		require.Equal(t, http.StatusOK, res.StatusCode, string(body))
 		require.Equal(t, verdict.Ran.String(), res.Header.Get(verdict.Header))
-		require.Equal(t, string(endpoint.Answer(key, []byte("dwelling "+key))), string(body))
+		require.Equal(t, string(endpoint.ResponseBody(key, []byte("dwelling "+key))), string(body))
 	}
 	report := c.Platform.FullReport()
 	require.Empty(t, report.Tasks.Violations)
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -13,9 +13,9 @@
 // chunkSize is the size of the writes of a large response, in bytes.
 const chunkSize = 32 << 10
 
-// Answer returns the body of an endpoint's response to a request with this key and
+// ResponseBody returns the body of an endpoint's response to a request with this key and
 // body.
-func Answer(key string, body []byte) []byte {
+func ResponseBody(key string, body []byte) []byte {
 	return append(fmt.Appendf(nil, "%s %016x\n", key, xxhash.Sum64(body)), body...)
 }
 
@@ -97,7 +97,7 @@
 		e.fill(w, r, key, size, kind)
 		return
 	}
-	out := Answer(key, body)
+	out := ResponseBody(key, body)
 	if r.URL.Query().Get("trailer") == "" {
 		w.Header().Set("Content-Length", strconv.Itoa(len(out)))
 	}
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -122,7 +122,7 @@
 	f.checkStart(w, s, j)
 	step := &j.Steps[s.Task.Step]
 	b := f.o.Work(s.Task, s.Run, w.ID)
-	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, stuck: b.Still, longRunning: step.LongRunning}
+	r := &run{task: s.Task, number: s.Run, need: step.Need(), takes: b.Takes, fails: b.Fails, stuck: b.Stuck, longRunning: step.LongRunning}
 	r.timer = time.AfterFunc(time.Hour, func() {})
 	w.running[s.Task] = r
 	w.used = w.used.Add(r.need)
@@ -213,7 +213,7 @@
 func (f *Fleet) joinGang(w *worker, r *run, step *work.Step) {
 	members := f.members(r)
 	if len(members) < step.Count {
-		r.gangTimer = time.AfterFunc(f.o.Gang, func() {
+		r.gangTimer = time.AfterFunc(f.o.GangTimeout, func() {
 			f.mu.Lock()
 			defer f.mu.Unlock()
 			if r.began.IsZero() {
@@ -353,7 +353,7 @@
 	f.checkDisruption(r)
 	r.stopping = true
 	r.timer.Stop()
-	r.timer = time.AfterFunc(f.o.Stop, func() {
+	r.timer = time.AfterFunc(f.o.StopDelay, func() {
 		f.mu.Lock()
 		defer f.mu.Unlock()
 		f.end(w, r, runner.Stopped)
--- a/standin/epochworker/fleet.go
+++ b/standin/epochworker/fleet.go
@@ -24,8 +24,8 @@
 type Behaviour struct {
 	Takes time.Duration // run time; a long-running task serves until then
 	Fails bool
-	// Still makes the run stuck: it makes no progress and never ends.
-	Still bool
+	// Stuck makes the run stuck: it makes no progress and never ends.
+	Stuck bool
 	// Crashes is how long after the start of the run its worker crashes; 0 means never.
 	Crashes time.Duration
 }
@@ -38,10 +38,10 @@
 
 // Options of a Fleet.
 type Options struct {
-	Seed  uint64
-	Lease time.Duration // the longest that workers accept
-	Gang  time.Duration // how long a task waits for the rest of its gang
-	Stop  time.Duration // how long a stop takes
+	Seed        uint64
+	Lease       time.Duration // the longest that workers accept
+	GangTimeout time.Duration // how long a task waits for the rest of its gang
+	StopDelay   time.Duration // how long a stop takes
 	// Delay is the latency of each call.
 	Delay time.Duration
 	// Work returns the behaviour of a run.
@@ -174,8 +174,8 @@
 		seen: map[work.TaskID]*history{}, started: map[work.JobID]bool{}, cancelled: map[work.JobID]time.Time{}, rev: 1, changed: make(chan struct{}), epoch: time.Now()}
 }
 
-// Know registers a job, of whose steps the fleet needs the sizes and gangs.
-func (f *Fleet) Know(id work.JobID, j *work.Job) {
+// AddJob registers a job, of whose steps the fleet needs the sizes and gangs.
+func (f *Fleet) AddJob(id work.JobID, j *work.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.jobs[id] = j
@@ -273,10 +273,10 @@
 	return f.history(t).crashes
 }
 
-// MostDeaths returns the greatest number of worker crashes of which a single task of a job
+// MaxSuspectCrashes returns the greatest number of worker crashes of which a single task of a job
 // can be suspected. That includes crashes of workers at which the task had been ordered but
 // had not started, or had ended without an acknowledgement.
-func (f *Fleet) MostDeaths(id work.JobID) (most int) {
+func (f *Fleet) MaxSuspectCrashes(id work.JobID) (most int) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	for t, h := range f.seen {
@@ -335,8 +335,8 @@
 	next := w.Worker
 	next.ID = runner.WorkerID(fmt.Sprintf("life-%d", f.restarts))
 	if f.o.SameName {
-		name, born := w.ID.Incarnation()
-		next.ID = runner.IncarnationID(name, born+1)
+		name, started := w.ID.Incarnation()
+		next.ID = runner.IncarnationID(name, started+1)
 	}
 	w.next = f.newWorker(next)
 	if f.o.SameName {
@@ -377,8 +377,8 @@
 	return most
 }
 
-// Cut disconnects a worker, or reconnects it.
-func (f *Fleet) Cut(id runner.WorkerID, disconnected bool) {
+// SetDisconnected disconnects a worker, or reconnects it.
+func (f *Fleet) SetDisconnected(id runner.WorkerID, disconnected bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.workers[id].disconnected = disconnected
@@ -391,8 +391,8 @@
 	f.faults = x
 }
 
-// Broken returns the violations of guarantees.
-func (f *Fleet) Broken() []string {
+// Violations returns the violations of guarantees.
+func (f *Fleet) Violations() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return slices.Clone(f.violations)
@@ -405,23 +405,23 @@
 	return f.starts, f.renews
 }
 
-// Begun reports whether any task of a job has started.
-func (f *Fleet) Begun(id work.JobID) bool {
+// Started reports whether any task of a job has started.
+func (f *Fleet) Started(id work.JobID) bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.started[id]
 }
 
-// AwayEnds returns how often an order stopped a serving long-running task although as many
+// ExcessStops returns how often an order stopped a serving long-running task although as many
 // other tasks of its step as may be missing did not serve.
-func (f *Fleet) AwayEnds() int {
+func (f *Fleet) ExcessStops() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.excessStops
 }
 
-// AtWork returns how many long-running tasks of a job serve.
-func (f *Fleet) AtWork(id work.JobID) int {
+// Serving returns how many long-running tasks of a job serve.
+func (f *Fleet) Serving(id work.JobID) int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	n := 0
--- a/standin/epochworker/fleet_test.go
+++ b/standin/epochworker/fleet_test.go
@@ -15,9 +15,9 @@
 const id = work.JobID("00000000000000aa")
 
 func twoWorkers(steps ...work.Step) *Fleet {
-	f := New(Options{Seed: 1, Lease: 6 * time.Second, Gang: 3 * time.Second, Stop: 100 * time.Millisecond, Delay: time.Millisecond, Attempts: 1,
+	f := New(Options{Seed: 1, Lease: 6 * time.Second, GangTimeout: 3 * time.Second, StopDelay: 100 * time.Millisecond, Delay: time.Millisecond, Attempts: 1,
 		Work: func(work.TaskID, uint64, runner.WorkerID) Behaviour { return Behaviour{Takes: time.Second} }})
-	f.Know(id, &work.Job{Steps: steps})
+	f.AddJob(id, &work.Job{Steps: steps})
 	for _, w := range []runner.WorkerID{"a", "b"} {
 		f.Add(runner.Worker{Ref: runner.Ref{ID: w}, Capacity: work.Resources{CPU: 1000}})
 	}
@@ -69,7 +69,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				f := twoWorkers(small, after)
 				violate(t, f)
-				require.NotEmpty(t, f.Broken())
+				require.NotEmpty(t, f.Violations())
 				time.Sleep(time.Minute)
 			})
 		})
@@ -85,6 +85,6 @@
 		_, err := f.Renew(t.Context(), runner.Ref{ID: "a"}, runner.Renewal{Epoch: 2})
 		require.NoError(t, err)
 		require.ErrorIs(t, order(t, f, "a", task, 6), runner.ErrFenced)
-		require.Empty(t, f.Broken())
+		require.Empty(t, f.Violations())
 	})
 }
