--- a/command/jobd/jobd.go
+++ b/command/jobd/jobd.go
@@ -96,15 +96,15 @@
 		Settings: s, Store: kv, Runner: platform.NewWorkers(client), Directory: platform.Directory{Store: kv},
 		Catalogs: platform.Catalogs{Store: kv}, Adviser: &platform.Adviser{Client: client, Address: s.Advice},
 		Log: log, Dropped: dropped, Traffic: meter,
-		Handler: func(p cellnode.Parts) http.Handler {
-			return &platform.Ingress{Jobs: p.Jobs, Catalog: p.Catalog, Standing: p.ConfigStatus, Closing: p.Closing, Observe: observe(log, p.Answered)}
+		Handler: func(deps cellnode.HandlerDeps) http.Handler {
+			return &platform.Ingress{Jobs: deps.Jobs, Catalog: deps.Catalog, ConfigStatus: deps.ConfigStatus, Closing: deps.Closing, Observe: observe(log, deps.Answered)}
 		},
 	}
 }
 
 // observe logs each request that is not a successful read.
-func observe(log zerolog.Logger, answered func(string, int, time.Duration)) func(platform.Observed) {
-	return func(o platform.Observed) {
+func observe(log zerolog.Logger, answered func(string, int, time.Duration)) func(platform.AnsweredRequest) {
+	return func(o platform.AnsweredRequest) {
 		answered(o.Method, o.Status, o.Took)
 		if o.Method == http.MethodGet && o.Status == http.StatusOK {
 			return
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -67,7 +67,7 @@
 	Catalogs  work.Source
 	Adviser   runner.Adviser
 	// Handler builds the HTTP API for callers.
-	Handler func(p Parts) http.Handler
+	Handler func(deps HandlerDeps) http.Handler
 	Log     zerolog.Logger
 	// Traffic counts the calls of the adapters; the daemon counts its calls to
 	// other daemons there as well. May be nil.
@@ -76,8 +76,8 @@
 	Dropped func() int64
 }
 
-// Parts is what the HTTP API for callers is built from.
-type Parts struct {
+// HandlerDeps is what the HTTP API for callers is built from.
+type HandlerDeps struct {
 	Jobs    submit.Shards
 	Catalog func() *work.Catalog
 	// ConfigStatus reports how current the catalog is.
@@ -157,7 +157,7 @@
 		return err
 	}
 	n.callers = &http.Server{
-		Handler:           n.o.Handler(Parts{Jobs: submit.Shards{Of: n.shardOf}, Catalog: n.catalogs.Current, ConfigStatus: n.configStatus, Closing: n.stopping.Load, Answered: n.Answered}),
+		Handler:           n.o.Handler(HandlerDeps{Jobs: submit.Shards{Of: n.shardOf}, Catalog: n.catalogs.Current, ConfigStatus: n.configStatus, Closing: n.stopping.Load, Answered: n.Answered}),
 		ReadHeaderTimeout: headerTimeout, IdleTimeout: idleTimeout, MaxHeaderBytes: maxHeader,
 	}
 	n.conns = graceful.Track(n.callers)
--- a/process/cellview/merge.go
+++ b/process/cellview/merge.go
@@ -38,7 +38,7 @@
 }
 
 func (m *merger) completeWorker(w *plan.WorkerState, now time.Time) bool {
-	if w.Gone {
+	if w.Removed {
 		delete(m.workers, w.ID)
 		return true
 	}
--- a/process/cellview/merge_test.go
+++ b/process/cellview/merge_test.go
@@ -66,7 +66,7 @@
 	later := plan.State{Workers: []plan.WorkerState{{ID: "w", Partial: true}}}
 	require.True(t, m.complete(&later, now.Add(2*time.Second)))
 	require.EqualValues(t, 2500, later.Workers[0].Tasks[0].StartedMillis)
-	removed := plan.State{Workers: []plan.WorkerState{{ID: "w", Gone: true}}}
+	removed := plan.State{Workers: []plan.WorkerState{{ID: "w", Removed: true}}}
 	require.True(t, m.complete(&removed, now))
 	require.False(t, m.complete(&plan.State{Workers: []plan.WorkerState{{ID: "w", Partial: true}}}, now))
 }
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -124,7 +124,7 @@
 	request := plan.Reserve{
 		Partition: p.name, Author: st.author(), Reservation: try.reservation, Seq: st.shard.seq.Add(1),
 		TTLMillis: st.o.Tuning.GangReservationTTL.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
-		MayRebind: true, Kept: st.keptWorkers(try.job, p),
+		MayRebind: true, NoRebind: st.keptWorkers(try.job, p),
 	}
 	for i, a := range attempts {
 		request.Steps[i] = step(a)
--- a/process/jobs/local_test.go
+++ b/process/jobs/local_test.go
@@ -19,7 +19,7 @@
 		c.await(10*time.Second, "done", func() bool { return c.succeeded("b") == 1 })
 		distance := func(partition string) (distance float64) {
 			require.NoError(t, d.manager.shard(0).call(ctx, func(st *state) {
-				distance = st.round.planner.View().Home[snapshot.LaneOf(partition)]
+				distance = st.round.planner.View().Affinity[snapshot.HashPartition(partition)]
 			}))
 			return distance
 		}
--- a/process/jobs/partition_test.go
+++ b/process/jobs/partition_test.go
@@ -158,7 +158,7 @@
 		}
 	}
 	if !s.Start.Size.Fits(p.free(w)) {
-		return plan.NoRoom
+		return plan.NoCapacity
 	}
 	t := &fakeTask{step: *s, shard: shard, worker: w}
 	t.event = plan.Event{Task: ref.Task, Attempt: ref.Attempt, Worker: w.id, State: worker.Running}
@@ -248,7 +248,7 @@
 		result.Steps[i].Worker = p.rebindReserved(r, &r.Steps[i])
 		w := p.c.workers[r.Steps[i].Worker]
 		if w == nil || w.dead || w.unreachable || !r.Steps[i].Start.Size.Fits(p.free(w)) {
-			result.Steps[i].Outcome = plan.NoRoom
+			result.Steps[i].Outcome = plan.NoCapacity
 			delete(p.reservations, r.Reservation)
 			break
 		}
@@ -329,7 +329,7 @@
 			continue
 		}
 		state := plan.WorkerState{ID: w.id, Zone: w.zone, Rack: p.name, Capacity: w.capacity,
-			Reserved: w.capacity.Sub(p.free(w)), Gone: w.dead}
+			Reserved: w.capacity.Sub(p.free(w)), Removed: w.dead}
 		if w.unreachable {
 			state.Unusable = "unreachable"
 		}
--- a/process/jobs/protect.go
+++ b/process/jobs/protect.go
@@ -153,21 +153,21 @@
 	if s := st.round.protected; s != nil && s.own == j {
 		return nil
 	}
-	return st.round.kept[p.name]
+	return st.round.noRebind[p.name]
 }
 
 // setProtected makes the planner of this shard keep capacity for a gang, and
 // excludes its workers from rebinding by partition owners; nil keeps none.
 func (st *state) setProtected(shadow *sched.Shadow) {
 	st.round.planner.Protect(shadow)
-	st.round.kept = nil
+	st.round.noRebind = nil
 	if shadow == nil {
 		return
 	}
-	st.round.kept = map[string][]worker.ID{}
+	st.round.noRebind = map[string][]worker.ID{}
 	for _, id := range shadow.IDs() {
 		if w := st.round.planner.View().Lookup(id); w != nil {
-			st.round.kept[w.Partition] = append(st.round.kept[w.Partition], id)
+			st.round.noRebind[w.Partition] = append(st.round.noRebind[w.Partition], id)
 		}
 	}
 }
--- a/process/jobs/rebind_test.go
+++ b/process/jobs/rebind_test.go
@@ -18,7 +18,7 @@
 // no capacity, and at random.
 func (p *fakePartition) startOrRebind(r *plan.Plan, s plan.Step) plan.StepResult {
 	moves := r.MayRebind && len(s.Victims) == 0
-	result := plan.StepResult{Outcome: plan.NoRoom}
+	result := plan.StepResult{Outcome: plan.NoCapacity}
 	if !moves || p.c.rng.IntN(5) > 0 {
 		result.Outcome = p.start(r.Author.Shard, &s)
 	}
@@ -27,7 +27,7 @@
 	}
 	first := s.Worker
 	for _, id := range p.workerIDs() {
-		if id == first || slices.Contains(r.Kept, id) || slices.Contains(s.Avoid, id) {
+		if id == first || slices.Contains(r.NoRebind, id) || slices.Contains(s.Avoid, id) {
 			continue
 		}
 		s.Worker = id
@@ -63,7 +63,7 @@
 		return ""
 	}
 	for _, id := range p.workerIDs() {
-		if takes(id) && !slices.Contains(r.Kept, id) {
+		if takes(id) && !slices.Contains(r.NoRebind, id) {
 			s.Worker = id
 			return id
 		}
@@ -173,16 +173,16 @@
 		c.apply(nil, batch("b", "a", 60, 30*time.Second))
 		c.await(10*time.Second, "busy", func() bool { return c.runningTasks("b") == 60 })
 		c.apply(nil, batch("b", "a", 60, 30*time.Second), gang)
-		kept := map[string][]worker.ID{}
+		noRebind := map[string][]worker.ID{}
 		c.await(10*time.Second, "kept", func() bool {
 			_ = d.manager.shard(0).call(ctx, func(st *state) {
-				for name, ids := range st.round.kept {
-					kept[name] = ids
+				for name, ids := range st.round.noRebind {
+					noRebind[name] = ids
 				}
 			})
-			return len(kept) > 0
+			return len(noRebind) > 0
 		})
-		for name, ids := range kept {
+		for name, ids := range noRebind {
 			for _, id := range ids {
 				require.Equal(t, name, c.workers[id].partition)
 			}
@@ -193,7 +193,7 @@
 }
 
 // keptWorkersOf returns the workers that shard 0 still keeps for a gang.
-func (d *daemon) keptWorkersOf(ctx context.Context) (kept map[string][]worker.ID) {
-	_ = d.manager.shard(0).call(ctx, func(st *state) { kept = st.round.kept })
-	return kept
+func (d *daemon) keptWorkersOf(ctx context.Context) (noRebind map[string][]worker.ID) {
+	_ = d.manager.shard(0).call(ctx, func(st *state) { noRebind = st.round.noRebind })
+	return noRebind
 }
--- a/process/jobs/reconcile.go
+++ b/process/jobs/reconcile.go
@@ -130,7 +130,7 @@
 		}
 	}
 	if st.config.Jobs[j.key.Job] == nil {
-		st.learner.Forget(j.key.Job)
+		st.learner.Remove(j.key.Job)
 	}
 	st.o.Metrics.Cancelled.Add(1)
 	st.afterEnd(j)
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -35,8 +35,8 @@
 	blocked map[worker.ID]string
 	// localPartitions lists the partitions that this daemon owns, sorted.
 	localPartitions []string
-	// kept lists, by partition, the workers with capacity kept for protected.
-	kept map[string][]worker.ID
+	// noRebind lists, by partition, the workers with capacity kept for protected.
+	noRebind map[string][]worker.ID
 }
 
 // decide makes at most SliceLimit decisions.
--- a/process/jobs/send.go
+++ b/process/jobs/send.go
@@ -91,7 +91,7 @@
 	request := plan.Plan{
 		Partition: p.name, Author: st.author(), Seq: st.shard.seq.Add(1),
 		Reservation: attempts[0].reservation, Steps: make([]plan.Step, len(attempts)),
-		MayRebind: attempts[0].reservation == "", Kept: st.round.kept[p.name],
+		MayRebind: attempts[0].reservation == "", NoRebind: st.round.noRebind[p.name],
 	}
 	for i, a := range attempts {
 		request.Steps[i] = step(a)
@@ -202,7 +202,7 @@
 		// The partition holds another attempt of the task, unknown to this owner.
 		a.phase = uncertain
 		p.unconfirmed, p.nextFence = true, time.Time{}
-	case plan.NoWorker, plan.NoRoom:
+	case plan.NoWorker, plan.NoCapacity:
 		st.recordRefusal(a.worker)
 		st.revertStart(a, reasonOf(r))
 	default: // Stale, NotOwner, NotFenced
--- a/process/partition/capacity_test.go
+++ b/process/partition/capacity_test.go
@@ -32,7 +32,7 @@
 		time.Sleep(10 * time.Second)
 		require.Equal(t, small, c.workerState(d, workerID(0)).Capacity)
 		require.Equal(t, plan.Accepted, c.author.commit(d, step(1, workerID(0)))[0].Outcome)
-		require.Equal(t, plan.NoRoom, c.author.commit(d, step(2, workerID(0)))[0].Outcome)
+		require.Equal(t, plan.NoCapacity, c.author.commit(d, step(2, workerID(0)))[0].Outcome)
 		c.vms.resize(string(workerID(0)), large)
 		time.Sleep(10 * time.Second)
 		require.Equal(t, plan.Accepted, c.author.commit(d, step(2, workerID(0)))[0].Outcome)
@@ -53,6 +53,6 @@
 		c.rack.Cut(d.key(), workerID(0), false)
 		time.Sleep(30 * time.Second)
 		require.Len(t, c.rack.Running(workerID(0)), 2, "running tasks are kept")
-		require.Equal(t, plan.NoRoom, c.author.commit(d, step(3, workerID(0)))[0].Outcome)
+		require.Equal(t, plan.NoCapacity, c.author.commit(d, step(3, workerID(0)))[0].Outcome)
 	})
 }
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -149,7 +149,7 @@
 		return reject(plan.NoWorker, reason)
 	}
 	if reason := o.violates(n, step); reason != "" {
-		return reject(plan.NoRoom, reason)
+		return reject(plan.NoCapacity, reason)
 	}
 	return plan.StepResult{}
 }
@@ -186,14 +186,14 @@
 func (o *owner) reserveCapacity(n *node, t *task, step *plan.Step) plan.StepResult {
 	size := t.start.Size
 	if reason := n.overshoot.refuses(n, size); reason != "" {
-		return reject(plan.NoRoom, reason)
+		return reject(plan.NoCapacity, reason)
 	}
 	err := o.ledger.Reserve(n.id, t.holder(), size)
 	if err == nil {
 		return plan.StepResult{}
 	}
-	if !errors.Is(err, ledger.ErrNoRoom) || len(step.Victims) == 0 {
-		return reject(plan.NoRoom, err.Error())
+	if !errors.Is(err, ledger.ErrNoCapacity) || len(step.Victims) == 0 {
+		return reject(plan.NoCapacity, err.Error())
 	}
 	return o.preempt(n, t, step.Victims)
 }
@@ -239,7 +239,7 @@
 	o.dropReservation(req.Reservation)
 	for i := range result.Steps {
 		if result.Steps[i].Outcome == plan.Accepted {
-			result.Steps[i] = reject(plan.NoRoom, "another task of the reservation does not fit")
+			result.Steps[i] = reject(plan.NoCapacity, "another task of the reservation does not fit")
 		}
 	}
 	o.countRefused(&result)
@@ -260,7 +260,7 @@
 	if !req.MayRebind {
 		return refused
 	}
-	if n = o.alternative(step, req.Kept); n == nil || o.reserveOn(n, req.Reservation, r, step).Outcome != "" {
+	if n = o.alternative(step, req.NoRebind); n == nil || o.reserveOn(n, req.Reservation, r, step).Outcome != "" {
 		return refused
 	}
 	o.h.o.Metrics.Rebound.Add(1)
@@ -270,7 +270,7 @@
 // reserveOn reserves a step's capacity on a worker.
 func (o *owner) reserveOn(n *node, id string, r *reservation, step *plan.Step) plan.StepResult {
 	if err := o.ledger.Reserve(n.id, r.key(id, step.Start.Task), step.Start.Size); err != nil {
-		return reject(plan.NoRoom, err.Error())
+		return reject(plan.NoCapacity, err.Error())
 	}
 	held := *step
 	held.Worker = n.id
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -21,7 +21,7 @@
 	if !p.MayRebind || p.Reservation != "" {
 		return nil
 	}
-	n := o.alternative(step, p.Kept)
+	n := o.alternative(step, p.NoRebind)
 	if n == nil {
 		return nil
 	}
@@ -35,12 +35,12 @@
 
 // alternative returns the best worker for a step other than the named one, or
 // nil for a step with victims or if no worker has enough free capacity.
-func (o *owner) alternative(step *plan.Step, kept []worker.ID) *node {
+func (o *owner) alternative(step *plan.Step, noRebind []worker.ID) *node {
 	if len(step.Victims) > 0 {
 		return nil
 	}
 	ask := askOf(step)
-	nodes, candidates := o.candidates(step, &ask, kept)
+	nodes, candidates := o.candidates(step, &ask, noRebind)
 	first := o.nodes[step.Worker]
 	best := rebind.Choose(&ask, first != nil && first.capacity.Accelerators > 0, candidates)
 	if best == rebind.None {
@@ -57,7 +57,7 @@
 }
 
 // candidates lists the usable workers of the partition for rebind.Choose.
-func (o *owner) candidates(step *plan.Step, ask *snapshot.Ask, kept []worker.ID) ([]*node, []rebind.Candidate) {
+func (o *owner) candidates(step *plan.Step, ask *snapshot.Ask, noRebind []worker.ID) ([]*node, []rebind.Candidate) {
 	nodes := make([]*node, 0, len(o.nodes))
 	list := make([]rebind.Candidate, 0, len(o.nodes))
 	for _, n := range o.nodes {
@@ -67,10 +67,10 @@
 		capacity, _ := o.ledger.Capacity(n.id)
 		tasks := n.tasksOf(step.Start.Task.Job) + o.reservedFor(step.Start.Task.Job, n.id)
 		limit := step.Constraints.MaxPerWorker
-		closed := limit > 0 && tasks >= limit || slices.Contains(kept, n.id) || o.ineligibleAlternative(n, step, ask)
+		closed := limit > 0 && tasks >= limit || slices.Contains(noRebind, n.id) || o.ineligibleAlternative(n, step, ask)
 		nodes = append(nodes, n)
 		list = append(list, rebind.Candidate{
-			ID: n.id, Capacity: capacity, Free: capacity.Sub(o.ledger.Held(n.id)), Tasks: tasks, Closed: closed,
+			ID: n.id, Capacity: capacity, Free: capacity.Sub(o.ledger.Held(n.id)), Tasks: tasks, Excluded: closed,
 		})
 	}
 	return nodes, list
--- a/process/partition/rebind_test.go
+++ b/process/partition/rebind_test.go
@@ -16,11 +16,11 @@
 )
 
 // commitRebinding commits steps that may be rebound.
-func (a *author) commitRebinding(d *daemon, kept []worker.ID, steps ...plan.Step) []plan.StepResult {
+func (a *author) commitRebinding(d *daemon, noRebind []worker.ID, steps ...plan.Step) []plan.StepResult {
 	a.seq++
 	var result plan.Result
 	require.NoError(a.c.t, a.call(d, plan.MethodCommit, plan.Plan{
-		Partition: testPartition, Author: a.authorship(), Seq: a.seq, Steps: steps, MayRebind: true, Kept: kept,
+		Partition: testPartition, Author: a.authorship(), Seq: a.seq, Steps: steps, MayRebind: true, NoRebind: noRebind,
 	}, &result))
 	return result.Steps
 }
@@ -38,7 +38,7 @@
 	inBubble(t, 1, 3, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, fullWorker(0, workerID(0)))
-		require.Equal(t, plan.NoRoom, c.author.commit(d, fullWorker(1, workerID(0)))[0].Outcome, "not without MayRebind")
+		require.Equal(t, plan.NoCapacity, c.author.commit(d, fullWorker(1, workerID(0)))[0].Outcome, "not without MayRebind")
 		r := c.author.commitRebinding(d, []worker.ID{workerID(1)}, fullWorker(1, workerID(0)))
 		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(2)}, r[0], "capacity withheld by the author is not used")
 		c.eventually(5*time.Second, "runs there", func() bool {
@@ -46,7 +46,7 @@
 		})
 		avoiding := fullWorker(2, workerID(0))
 		avoiding.Avoid = []worker.ID{workerID(1)}
-		require.Equal(t, plan.NoRoom, c.author.commitRebinding(d, nil, avoiding)[0].Outcome, "not where it failed")
+		require.Equal(t, plan.NoCapacity, c.author.commitRebinding(d, nil, avoiding)[0].Outcome, "not where it failed")
 		c.rack.SetDown(workerID(0), true)
 		c.eventually(10*time.Second, "unusable", func() bool { return c.workerState(d, workerID(0)).Unusable != "" })
 		require.Equal(t, plan.StepResult{Outcome: plan.Accepted, Worker: workerID(1)}, c.author.commitRebinding(d, nil, step(3, workerID(0)))[0])
@@ -125,7 +125,7 @@
 	if id, ok := place(&ask); ok {
 		return plan.StepResult{Outcome: plan.Accepted, Worker: id}
 	}
-	return plan.StepResult{Outcome: plan.NoRoom}
+	return plan.StepResult{Outcome: plan.NoCapacity}
 }
 
 func TestReservationMovesWithinTheRack(t *testing.T) {
--- a/process/partition/removed_test.go
+++ b/process/partition/removed_test.go
@@ -25,7 +25,7 @@
 	require.False(t, late.Full)
 	require.Len(t, late.Workers, 1)
 	require.Equal(t, worker.ID("worker-last"), late.Workers[0].ID)
-	require.True(t, late.Workers[0].Gone)
+	require.True(t, late.Workers[0].Removed)
 
 	oldest := o.stateSince(o.state.removedSince)
 	require.False(t, oldest.Full)
@@ -43,6 +43,6 @@
 	o.nodes[n.id] = n
 	s := o.stateSince(before)
 	require.Len(t, s.Workers, 1)
-	require.False(t, s.Workers[0].Gone)
+	require.False(t, s.Workers[0].Removed)
 	require.False(t, s.Workers[0].Partial)
 }
--- a/process/partition/state.go
+++ b/process/partition/state.go
@@ -123,7 +123,7 @@
 	for _, d := range p.removed {
 		if since != 0 && d.at > since && o.nodes[d.id] == nil && !listed[d.id] {
 			listed[d.id] = true
-			s.Workers = append(s.Workers, plan.WorkerState{ID: d.id, Gone: true})
+			s.Workers = append(s.Workers, plan.WorkerState{ID: d.id, Removed: true})
 		}
 	}
 	slices.SortFunc(s.Workers, func(a, b plan.WorkerState) int { return strings.Compare(string(a.ID), string(b.ID)) })
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -145,14 +145,14 @@
 			continue // its capacity is free already
 		}
 		if reason := mayPreempt(n, t, v); reason != "" {
-			return reject(plan.NoRoom, reason)
+			return reject(plan.NoCapacity, reason)
 		}
 		t.victims[ref] = true
 		size, _ := o.ledger.Holds(n.id, v.holder())
 		free = free.Add(size)
 	}
 	if len(t.victims) == 0 || !t.start.Size.Fits(free) {
-		return reject(plan.NoRoom, "the victims do not make enough room")
+		return reject(plan.NoCapacity, "the victims do not make enough room")
 	}
 	t.enter(waiting)
 	t.workerID = n.id
--- a/process/partition/worker_test.go
+++ b/process/partition/worker_test.go
@@ -155,7 +155,7 @@
 		})
 		same := step(10, workerID(0))
 		same.Victims = []worker.Ref{ref(2)}
-		require.Equal(t, plan.NoRoom, c.author.commit(d, same)[0].Outcome, "equal class")
+		require.Equal(t, plan.NoCapacity, c.author.commit(d, same)[0].Outcome, "equal class")
 	})
 }
 
@@ -234,7 +234,7 @@
 		first := reserve("a", big(1, workerID(0)), big(2, workerID(1)))
 		require.Equal(t, plan.Accepted, first.Steps[0].Outcome)
 		second := reserve("b", step(3, workerID(0)), big(4, workerID(1)))
-		require.Equal(t, plan.NoRoom, second.Steps[0].Outcome, "all or nothing")
+		require.Equal(t, plan.NoCapacity, second.Steps[0].Outcome, "all or nothing")
 		require.Equal(t, small.Times(3), c.workerState(d, workerID(0)).Reserved)
 		c.author.seq++
 		var r plan.Result
--- a/process/plan/plan.go
+++ b/process/plan/plan.go
@@ -69,9 +69,9 @@
 	// run on any worker of the partition. A plan on a reservation is never
 	// rebound.
 	MayRebind bool `cbor:"6,keyasint,omitempty"`
-	// Kept lists workers that no step is rebound to, because the author keeps
+	// NoRebind lists workers that no step is rebound to, because the author keeps
 	// their capacity for other tasks.
-	Kept []worker.ID `cbor:"7,keyasint,omitempty"`
+	NoRebind []worker.ID `cbor:"7,keyasint,omitempty"`
 }
 
 // Outcome of one step.
@@ -80,13 +80,13 @@
 // Outcomes. Accepted means that the partition's owner has reserved the capacity
 // and will start the task; what becomes of it is reported with Events.
 const (
-	Accepted  Outcome = "accepted"
-	NoRoom    Outcome = "no_room"    // no capacity according to the current ledger
-	NoWorker  Outcome = "no_worker"  // worker removed, draining, unreachable or quarantined
-	Duplicate Outcome = "duplicate"  // the task already runs or is starting here
-	Stale     Outcome = "stale"      // the author's epoch is not the newest
-	NotOwner  Outcome = "not_owner"  // this daemon does not own the partition
-	NotFenced Outcome = "not_fenced" // the takeover is still in progress
+	Accepted   Outcome = "accepted"
+	NoCapacity Outcome = "no_room"    // no capacity according to the current ledger
+	NoWorker   Outcome = "no_worker"  // worker removed, draining, unreachable or quarantined
+	Duplicate  Outcome = "duplicate"  // the task already runs or is starting here
+	Stale      Outcome = "stale"      // the author's epoch is not the newest
+	NotOwner   Outcome = "not_owner"  // this daemon does not own the partition
+	NotFenced  Outcome = "not_fenced" // the takeover is still in progress
 )
 
 // StepResult is the result of one step of a Plan or Reserve.
@@ -116,10 +116,10 @@
 	TTLMillis   int64      `cbor:"5,keyasint"`
 	// Seq is as in Plan.
 	Seq uint64 `cbor:"6,keyasint,omitempty"`
-	// MayRebind and Kept are as in Plan. The plan that uses the reservation
+	// MayRebind and NoRebind are as in Plan. The plan that uses the reservation
 	// must name the workers given in the result of this call.
 	MayRebind bool        `cbor:"7,keyasint,omitempty"`
-	Kept      []worker.ID `cbor:"8,keyasint,omitempty"`
+	NoRebind  []worker.ID `cbor:"8,keyasint,omitempty"`
 }
 
 // ReleaseReservation releases reserved capacity.
@@ -239,8 +239,8 @@
 	Unusable string `cbor:"6,keyasint,omitempty"`
 	// Tasks lists the tasks that run or start here; in a delta only for changed
 	// workers.
-	Tasks []RunningTask `cbor:"7,keyasint,omitempty"`
-	Gone  bool          `cbor:"8,keyasint,omitempty"`
+	Tasks   []RunningTask `cbor:"7,keyasint,omitempty"`
+	Removed bool          `cbor:"8,keyasint,omitempty"`
 	// Partial is set on the wire when Tasks lists only the changed tasks and
 	// Ended the removed ones. Package cellview completes such a state before it
 	// reaches a sink. At peak load a worker changes with every report, and
--- a/process/sched/batch/batch.go
+++ b/process/sched/batch/batch.go
@@ -69,7 +69,7 @@
 	if !e.Fits(&s.ask.Size) {
 		return true
 	}
-	rating := s.rater.Packing(e, &s.ref) + score.Locality(s.view.Home, e.Partition)
+	rating := s.rater.Packing(e, &s.ref) + score.Locality(s.view.Affinity, e.Partition)
 	if rating < s.score {
 		if !filter.Pass(s.filters, s.view, s.ask, e.Worker) {
 			return true // ruled out by a filter, so not part of the sample
--- a/process/sched/conflict_test.go
+++ b/process/sched/conflict_test.go
@@ -94,7 +94,7 @@
 	for i := range c.truth.Workers {
 		if w := &c.truth.Workers[i]; w.Rack == first.Rack {
 			candidates = append(candidates, rebind.Candidate{
-				ID: w.ID, Capacity: w.Capacity, Free: w.Capacity.Sub(w.Reserved), Closed: !c.truth.Fits(a, w),
+				ID: w.ID, Capacity: w.Capacity, Free: w.Capacity.Sub(w.Reserved), Excluded: !c.truth.Fits(a, w),
 			})
 		}
 	}
--- a/process/sched/differential_test.go
+++ b/process/sched/differential_test.go
@@ -65,7 +65,7 @@
 func (p *pair) prefer(scheduler string, partitions []string) {
 	p.planner.Prefer(scheduler, partitions)
 	affinity := snapshot.NewAffinity(scheduler, partitions)
-	p.naive.Locality = func(w *plan.WorkerState) float64 { return score.Locality(affinity, snapshot.LaneOf(w.Rack)) }
+	p.naive.Locality = func(w *plan.WorkerState) float64 { return score.Locality(affinity, snapshot.HashPartition(w.Rack)) }
 }
 
 // decide places an ask with both and compares feasibility and score.
--- a/process/sched/ledger/ledger.go
+++ b/process/sched/ledger/ledger.go
@@ -14,10 +14,10 @@
 
 // Errors of Reserve. Test with errors.Is.
 var (
-	ErrNoRoom   = errors.New("ledger: not enough free capacity")
-	ErrNoWorker = errors.New("ledger: worker not known")
-	ErrHeld     = errors.New("ledger: holder already holds a reservation")
-	ErrSize     = errors.New("ledger: size is zero or negative")
+	ErrNoCapacity = errors.New("ledger: not enough free capacity")
+	ErrNoWorker   = errors.New("ledger: worker not known")
+	ErrHeld       = errors.New("ledger: holder already holds a reservation")
+	ErrSize       = errors.New("ledger: size is zero or negative")
 )
 
 // account is the state of one worker.
@@ -62,21 +62,21 @@
 }
 
 // Reserve reserves size on a worker for a holder, for example a task ID. On error,
-// which wraps ErrNoRoom, ErrNoWorker, ErrHeld or ErrSize, nothing has changed.
+// which wraps ErrNoCapacity, ErrNoWorker, ErrHeld or ErrSize, nothing has changed.
 func (l *Ledger) Reserve(id worker.ID, holder string, size spec.Resources) error {
 	if err := l.reservable(id, holder, size); err != nil {
 		return err
 	}
 	a := l.accounts[id]
 	if !size.Fits(a.capacity.Sub(a.held)) {
-		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoRoom, id, a.capacity.Sub(a.held), size)
+		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoCapacity, id, a.capacity.Sub(a.held), size)
 	}
 	a.add(holder, size)
 	return nil
 }
 
 // Adopt counts a task that already runs on a worker, as listed in the worker's own
-// inventory after a takeover. It never fails with ErrNoRoom: the task runs, and if
+// inventory after a takeover. It never fails with ErrNoCapacity: the task runs, and if
 // it were not counted, more tasks would be started beside it. Check reports workers
 // on which more is held than their capacity.
 func (l *Ledger) Adopt(id worker.ID, holder string, size spec.Resources) error {
--- a/process/sched/ledger/ledger_test.go
+++ b/process/sched/ledger/ledger_test.go
@@ -20,7 +20,7 @@
 	l := New()
 	l.SetWorker("w", spec.Resources{MilliCPU: 1000, MemoryMB: 10, Accelerators: 1})
 	require.NoError(t, l.Reserve("w", "a", cpu(600)))
-	require.ErrorIs(t, l.Reserve("w", "b", cpu(500)), ErrNoRoom)
+	require.ErrorIs(t, l.Reserve("w", "b", cpu(500)), ErrNoCapacity)
 	require.ErrorIs(t, l.Reserve("w", "a", cpu(1)), ErrHeld)
 	require.ErrorIs(t, l.Reserve("x", "a", cpu(1)), ErrNoWorker)
 	require.ErrorIs(t, l.Reserve("w", "c", spec.Resources{}), ErrSize)
@@ -42,7 +42,7 @@
 	l.RemoveWorker("w")
 	require.ErrorIs(t, l.Reserve("w", "b", cpu(100)), ErrNoWorker)
 	l.SetWorker("w", cpu(1000))
-	require.ErrorIs(t, l.Reserve("w", "b", cpu(300)), ErrNoRoom)
+	require.ErrorIs(t, l.Reserve("w", "b", cpu(300)), ErrNoCapacity)
 	require.True(t, l.Free("w", "a"))
 	l.RemoveWorker("w")
 	require.Empty(t, l.accounts)
@@ -57,7 +57,7 @@
 	l.SetWorker("w", cpu(1000))
 	require.NoError(t, l.Adopt("w", "a", cpu(1200)))
 	require.ErrorIs(t, l.Check(), ErrInvariant)
-	require.ErrorIs(t, l.Reserve("w", "b", cpu(1)), ErrNoRoom)
+	require.ErrorIs(t, l.Reserve("w", "b", cpu(1)), ErrNoCapacity)
 }
 
 func TestAgainstPlainSums(t *testing.T) {
--- a/process/sched/naive/naive.go
+++ b/process/sched/naive/naive.go
@@ -37,7 +37,7 @@
 func (s *Scheduler) Fits(a *snapshot.Ask, w *plan.WorkerState) bool {
 	c := &a.Constraints
 	switch {
-	case w.Unusable != "", w.Gone:
+	case w.Unusable != "", w.Removed:
 		return false
 	case len(c.Zones) > 0 && !slices.Contains(c.Zones, w.Zone):
 		return false
--- a/process/sched/planner.go
+++ b/process/sched/planner.go
@@ -43,7 +43,7 @@
 	p.base, p.view = snap, snap.View()
 	p.failures = map[failureKey]Decision{}
 	p.applyShadow()
-	p.view.Home = p.affinity
+	p.view.Affinity = p.affinity
 	p.applyBlocked()
 	p.inFlight.apply(p.view)
 }
@@ -167,7 +167,7 @@
 	if scheduler != "" {
 		p.affinity = snapshot.NewAffinity(scheduler, partitions)
 	}
-	p.view.Home = p.affinity
+	p.view.Affinity = p.affinity
 }
 
 // InFlight returns the number of assumptions that no snapshot shows yet.
--- a/process/sched/planner_test.go
+++ b/process/sched/planner_test.go
@@ -50,7 +50,7 @@
 	c.Apply(state("p", 1, 1, true, workerState("a", "z", "r", res(1000, 1000), spec.Resources{})))
 	before := c.Snapshot()
 	c.Apply(state("p", 1, 2, false, workerState("b", "z", "r", res(1000, 1000), spec.Resources{})))
-	c.Apply(state("p", 1, 3, false, plan.WorkerState{ID: "a", Gone: true}))
+	c.Apply(state("p", 1, 3, false, plan.WorkerState{ID: "a", Removed: true}))
 	require.Equal(t, 1, before.Len())
 	require.NotNil(t, before.Lookup("a"))
 	after := c.Snapshot()
--- a/process/sched/rebind/rebind.go
+++ b/process/sched/rebind/rebind.go
@@ -26,9 +26,9 @@
 	Free     spec.Resources
 	// Tasks counts the tasks of the ask's job on the worker.
 	Tasks int
-	// Closed is set if the worker cannot take the task although it is usable. It
+	// Excluded is set if the worker cannot take the task although it is usable. It
 	// still counts towards the demand in the rack.
-	Closed bool
+	Excluded bool
 }
 
 // None is returned by Choose if no candidate can take the task.
@@ -44,7 +44,7 @@
 	best, found := None, rating{}
 	for i := range candidates {
 		c := &candidates[i]
-		if c.Closed || !a.Size.Fits(c.Free) || slices.Contains(a.Avoid, c.ID) {
+		if c.Excluded || !a.Size.Fits(c.Free) || slices.Contains(a.Avoid, c.ID) {
 			continue
 		}
 		if !accelerators && a.Size.Accelerators == 0 && c.Capacity.Accelerators > 0 {
--- a/process/sched/rebind/rebind_test.go
+++ b/process/sched/rebind/rebind_test.go
@@ -71,7 +71,7 @@
 			}
 		}
 		limit := a.Constraints.MaxPerWorker
-		c.Closed = w.ID == first || limit > 0 && c.Tasks >= limit
+		c.Excluded = w.ID == first || limit > 0 && c.Tasks >= limit
 		list = append(list, c)
 	}
 	return list
--- a/process/sched/snapshot/affinity.go
+++ b/process/sched/snapshot/affinity.go
@@ -9,8 +9,10 @@
 // PartitionHashes is the number of partition hashes.
 const PartitionHashes = 256
 
-// LaneOf returns the hash of a partition.
-func LaneOf(partition string) PartitionHash { return PartitionHash(xxhash.Sum64String(partition)) }
+// HashPartition returns the hash of a partition.
+func HashPartition(partition string) PartitionHash {
+	return PartitionHash(xxhash.Sum64String(partition))
+}
 
 // Affinity is the distance of each partition from a scheduler: 0 for the preferred
 // partitions, and from 0.5 to 1 for the others. The order of the others differs
@@ -30,7 +32,7 @@
 		a[hash] = minDistance + (1-minDistance)*fraction(mixed)
 	}
 	for _, p := range partitions {
-		a[LaneOf(p)] = 0
+		a[HashPartition(p)] = 0
 	}
 	return a
 }
--- a/process/sched/snapshot/cache.go
+++ b/process/sched/snapshot/cache.go
@@ -83,7 +83,7 @@
 	}
 	for i := range s.Workers {
 		w := &s.Workers[i]
-		if w.Gone {
+		if w.Removed {
 			c.drop(s.Partition, members, w.ID)
 			continue
 		}
@@ -139,7 +139,7 @@
 	record := &Worker{
 		ID: w.ID, Zone: w.Zone, Rack: w.Rack, Partition: partition,
 		Capacity: w.Capacity, Reserved: w.Reserved, Unusable: w.Unusable,
-		partitionHash: LaneOf(partition),
+		partitionHash: HashPartition(partition),
 	}
 	if len(w.Tasks) > 0 {
 		record.Tasks = make([]Task, len(w.Tasks))
--- a/process/sched/snapshot/snapshot_test.go
+++ b/process/sched/snapshot/snapshot_test.go
@@ -49,7 +49,7 @@
 		}
 		w := plan.WorkerState{
 			ID: worker.ID(fmt.Sprint("w", partition, "-", i)), Zone: "z", Rack: fmt.Sprint("r", r.IntN(2)),
-			Capacity: spec.Resources{MilliCPU: 100, MemoryMB: 100}, Gone: r.IntN(20) == 0,
+			Capacity: spec.Resources{MilliCPU: 100, MemoryMB: 100}, Removed: r.IntN(20) == 0,
 		}
 		for range r.IntN(3) {
 			w.Reserved = w.Reserved.Add(spec.Resources{MilliCPU: 40, MemoryMB: 40})
--- a/process/sched/snapshot/view.go
+++ b/process/sched/snapshot/view.go
@@ -15,9 +15,9 @@
 	// Withheld, when set, returns the capacity of a worker that is withheld from
 	// an ask on behalf of a waiting gang; see package gang.
 	Withheld func(a *Ask, id worker.ID) spec.Resources
-	// Home, when set, gives the partitions in which independent tasks are placed
+	// Affinity, when set, gives the partitions in which independent tasks are placed
 	// first.
-	Home *Affinity
+	Affinity *Affinity
 }
 
 // Change is an assumed change of one worker: tasks that start, and then attempts
--- a/process/sched/usage/usage.go
+++ b/process/sched/usage/usage.go
@@ -81,8 +81,8 @@
 	h.runTime = runTime
 }
 
-// Forget removes a job that is no longer declared.
-func (l *Learner) Forget(job string) { delete(l.jobs, job) }
+// Remove removes a job that is no longer declared.
+func (l *Learner) Remove(job string) { delete(l.jobs, job) }
 
 // Observe records a report of the recent usage of a running task.
 func (l *Learner) Observe(ref worker.Ref, used spec.Resources) {
