--- a/process/daemon/export_test.go
+++ b/process/daemon/export_test.go
@@ -2,8 +2,8 @@
 
 import "context"
 
-// FailPart adds a component that panics to the current incarnation.
-func (d *Daemon) FailPart() { d.incarnation.Load().add(serviceFunc(panics)) }
+// FailComponent adds a component that panics to the current incarnation.
+func (d *Daemon) FailComponent() { d.incarnation.Load().add(serviceFunc(panics)) }
 
 // Incarnation returns the number of the current incarnation, 0 when there is none.
 func (d *Daemon) Incarnation() uint64 {
--- a/process/daemon/incarnation_test.go
+++ b/process/daemon/incarnation_test.go
@@ -75,7 +75,7 @@
 	c := startDesk(ctx, t)
 	e := c.Entries()[0]
 	before := e.Incarnation()
-	e.FailPart()
+	e.FailComponent()
 	require.Eventually(t, func() bool { return e.Incarnation() > before }, testLimit, testPoll)
 	require.Eventually(t, func() bool { return answers(ctx, e.Daemon) }, testLimit, testPoll)
 	require.Empty(t, c.Violations())
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -100,7 +100,7 @@
 	for _, s := range h.starts() {
 		require.Equal(t, first.Start.Run, s.Start.Run, "the same run again, no new one")
 	}
-	// A known completion frees room for one.
+	// A known completion frees capacity for one.
 	var other SendStart
 	for _, s := range starts[1:] {
 		if s.Start.Task.Job == firstJob {
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -16,7 +16,7 @@
 // write carries grows with what has accumulated while the store was answering.
 //
 // Of several records of a job, the one with the highest revision counts; a job has one write
-// in flight at a time. Jobs are moved from batches to their own keys when a write has room,
+// in flight at a time. Jobs are moved from batches to their own keys when a write has space,
 // and a batch from which all jobs have moved is removed.
 
 // maxBatch is the size of a batch in bytes: it takes a fraction of a second on a link of 10
@@ -58,8 +58,8 @@
 	e.stats.Bundles++
 }
 
-// addUnbatched moves jobs out of batches as far as the write has room, the oldest first, and
-// returns the room that is left.
+// addUnbatched moves jobs out of batches as far as the write has space, the oldest first, and
+// returns the space that is left.
 func (e *Engine) addUnbatched(ws *writeSet, c *SendCommit, room int) int {
 	kept := e.unbatch[:0]
 	for _, j := range e.unbatch {
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -158,7 +158,7 @@
 }
 
 // addJobs moves queued jobs into the write set, either those that have ended or the others,
-// and returns the room that is left.
+// and returns the space that is left.
 func (e *Engine) addJobs(ws *writeSet, c *SendCommit, room int, final bool) int {
 	kept := e.dirty[:0]
 	for _, j := range e.dirty {
--- a/process/dispatch/policy.go
+++ b/process/dispatch/policy.go
@@ -34,7 +34,7 @@
 	// NoQuotaTurns lets small work use the part of its account's cap that a gang waits for. It
 	// matters for accounts that submit more than their caps allow to run.
 	NoQuotaTurns bool `json:"no_quota_turns,omitempty"`
-	// QuotaHeadroom keeps room in an account's cap for its queues of higher priority. It
+	// QuotaHeadroom keeps some of an account's cap free for its queues of higher priority. It
 	// matters for accounts whose quick work is more important than their gangs.
 	QuotaHeadroom bool `json:"quota_headroom,omitempty"`
 	// FirstCome starts jobs in the order of their submission and reserves nothing: a baseline.
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -18,10 +18,11 @@
 // There are two rules, both within one account, so that no other account gains or loses by
 // them:
 //   - turns: a gang that has waited for turnAfter, and that its account's cap blocks, keeps
-//     the room that it needs free of the work after it. Without the wait the rule costs more
-//     than it gains, because the cap is half empty each time a gang waits for the last of its
-//     room (mean value over four days and two seeds 0.721 with both rules, 0.753 as it is);
-//   - headroom, if the policy asks for it: work leaves room in the cap for the queues of higher
+//     the part of the cap that it needs free of the work after it. Without the wait the rule
+//     costs more than it gains, because the cap is half empty each time a gang waits for the
+//     last of it (mean value over four days and two seeds 0.721 with both rules, 0.753 as it
+//     is);
+//   - headroom, if the policy asks for it: work leaves some of the cap to the queues of higher
 //     priority, as much as these used recently. It serves quick work better and long work worse
 //     (0.740).
 
@@ -104,8 +105,8 @@
 	return sum
 }
 
-// mayUse reports whether the step's account may have size more of it running, given the room
-// that it has to leave free.
+// mayUse reports whether the step's account may have size more of it running, given the part
+// of the cap that it has to leave free.
 func (e *Engine) mayUse(s *step, size quota.Size) bool {
 	a := s.job.account
 	if !a.Fits(size) {
@@ -121,8 +122,8 @@
 	return a.FitsWithSpare(size, spare)
 }
 
-// keepFree keeps the room that a gang has waited for long free of the work after it, in this
-// round.
+// keepFree keeps the part of the cap that a gang has waited for long free of the work after
+// it, in this round.
 func (e *Engine) keepFree(s *step) {
 	if e.o.Policy.NoQuotaTurns || !s.spec.Gang || e.now-s.openedAt < turnAfter {
 		return
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -213,7 +213,7 @@
 	return true
 }
 
-// fitsQuota reports whether the team's quota has room for size. A size that
+// fitsQuota reports whether the team's quota has capacity for size. A size that
 // exceeds the whole quota makes the job infeasible.
 func (st *state) fitsQuota(e *queue.Entry[*job], size spec.Resources) bool {
 	j := e.Value
--- a/process/lead/claim.go
+++ b/process/lead/claim.go
@@ -22,7 +22,7 @@
 	case <-ctx.Done():
 		return
 	}
-	if e.current() != nil || alone && e.busy() {
+	if e.current() != nil || alone && e.leadsAnother() {
 		return
 	}
 	e.claiming.Store(true)
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -118,7 +118,7 @@
 	e.lease.Store(0)
 }
 
-func (e *Elector) busy() bool { return e.o.LeadsAnother != nil && e.o.LeadsAnother() }
+func (e *Elector) leadsAnother() bool { return e.o.LeadsAnother != nil && e.o.LeadsAnother() }
 
 // Leads reports whether this daemon leads, or is about to.
 func (e *Elector) Leads() bool { return e.current() != nil || e.claiming.Load() }
@@ -363,7 +363,7 @@
 	if e.view.hasBetterCandidate(e.o.Self) && sleep.For(ctx, deferDelay) != nil {
 		return
 	}
-	busy := e.busy()
+	busy := e.leadsAnother()
 	if busy && !e.deferToOthers(ctx) {
 		return
 	}
--- a/process/lead/lead_test.go
+++ b/process/lead/lead_test.go
@@ -113,7 +113,7 @@
 func TestLeaderSurvivesAnOutageInWhichLeasesLapse(t *testing.T) {
 	// Guards against a change of the leader with each store outage while all daemons are
 	// running: the store is down for longer than a member's lease, which expires, so the
-	// leader record is gone when the store is back.
+	// leader record is no longer there when the store is back.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		a, b := start(m, "a", 1), start(m, "b", 1)
--- a/process/lead/shards.go
+++ b/process/lead/shards.go
@@ -15,17 +15,17 @@
 // second later. A daemon that leads a shard and claimed another one at once would then lead
 // two shards, next to daemons that lead none, until it exits.
 const (
-	// busyDelay is the additional delay before a daemon that leads a shard claims another
+	// leadsAnotherDelay is the additional delay before a daemon that leads a shard claims another
 	// one. It waits up to busyRounds times while a daemon that leads none answers.
-	busyDelay  = time.Second
-	busyRounds = 3
+	leadsAnotherDelay = time.Second
+	busyRounds        = 3
 )
 
 // deferToOthers leaves a vacancy to daemons that lead no shard for a while. It returns
 // false if ctx has ended.
 func (e *Elector) deferToOthers(ctx context.Context) bool {
 	for range busyRounds {
-		if sleep.For(ctx, busyDelay) != nil {
+		if sleep.For(ctx, leadsAnotherDelay) != nil {
 			return false
 		}
 		if _, vacant := e.view.vacant(e.o.Self); !vacant || !e.otherCanLead(ctx) {
--- a/process/lead/shards_test.go
+++ b/process/lead/shards_test.go
@@ -22,8 +22,8 @@
 		m := kv.New()
 		var first sync.WaitGroup // both electors call LeadsAnother before either claims
 		first.Add(2)
-		var mainNow, partNow atomic.Pointer[daemon]
-		busy := func(other *atomic.Pointer[daemon]) func() bool {
+		var primaryNow, shardNow atomic.Pointer[daemon]
+		leadsAnother := func(other *atomic.Pointer[daemon]) func() bool {
 			var once sync.Once
 			return func() bool {
 				d := other.Load()
@@ -33,14 +33,14 @@
 			}
 		}
 		self := Member{Name: "a", Peer: "a", Cores: 1}
-		primary := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), LeadsAnother: busy(&partNow)})
-		mainNow.Store(primary)
+		primary := startWith(Options{Self: self, Store: m, Log: zerolog.Nop(), LeadsAnother: leadsAnother(&shardNow)})
+		primaryNow.Store(primary)
 		shard := startWith(Options{Self: self, Store: store.Prefixed{Transactor: m, Prefix: ShardPrefix(1)}, Log: zerolog.Nop(),
-			Primary: primary.e, LeadsAnother: busy(&mainNow)})
-		partNow.Store(shard)
-		time.Sleep(busyDelay / 2)
+			Primary: primary.e, LeadsAnother: leadsAnother(&primaryNow)})
+		shardNow.Store(shard)
+		time.Sleep(leadsAnotherDelay / 2)
 		require.Len(t, leading(primary, shard), 1)
-		time.Sleep(2 * busyDelay)
+		time.Sleep(2 * leadsAnotherDelay)
 		require.Len(t, leading(primary, shard), 2, "there is no other daemon")
 		shard.stop()
 		primary.stop()
@@ -62,8 +62,8 @@
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				m, n := kv.New(), newNetwork()
-				elect := func(name string, primary *Elector, busy func() bool) *daemon {
-					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Primary: primary, LeadsAnother: busy, Peers: testPeer{n, name}}
+				elect := func(name string, primary *Elector, leadsAnother func() bool) *daemon {
+					o := Options{Self: Member{Name: name, Peer: name, Cores: 1}, Store: m, Log: zerolog.Nop(), Primary: primary, LeadsAnother: leadsAnother, Peers: testPeer{n, name}}
 					if primary != nil {
 						o.Store, o.Suffix = store.Prefixed{Transactor: m, Prefix: ShardPrefix(1)}, ".1"
 					}
@@ -86,7 +86,7 @@
 				time.Sleep(c.late)
 				bShard := elect("b", b.e, b.e.Leads)
 				bShard.e.Register(muxB)
-				time.Sleep((busyRounds + 1) * busyDelay)
+				time.Sleep((busyRounds + 1) * leadsAnotherDelay)
 				require.Len(t, leading(aShard, bShard), 1)
 				require.Equal(t, c.own, aShard.term() != nil)
 				for _, d := range []*daemon{aShard, bShard, a, b} {
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -140,7 +140,7 @@
 	for sleep.For(ctx, pingPause) == nil {
 		leader, recordRev, ok := e.view.holder()
 		rank, eligible := e.rank(leader.Member)
-		if !ok || !eligible || leader.Member.same(e.o.Self) || e.stopping.Load() || e.view.Epoch() > leader.Epoch || e.busy() {
+		if !ok || !eligible || leader.Member.same(e.o.Self) || e.stopping.Load() || e.view.Epoch() > leader.Epoch || e.leadsAnother() {
 			d.missed = 0
 			continue
 		}
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -183,7 +183,7 @@
 	})
 }
 
-// kill stops a member without Leave; the others see that it is gone.
+// kill stops a member without Leave; the others see that it has ended.
 func (c *cell) kill(m *member) {
 	m.stop()
 	synctest.Wait() // until it has lost its resources
@@ -253,7 +253,7 @@
 
 func TestSuspicionMovesNothing(t *testing.T) {
 	// Guards against partitions that flap on a bad network, when members are repeatedly
-	// suspected and refute it: if a suspect counted as gone, or without a hold-down time.
+	// suspected and refute it: if a suspect counted as ended, or without a hold-down time.
 	inBubble(t, 4, 20, func(c *cell) {
 		c.eventually(10*time.Second, "all owned", c.allOwned)
 		for i := range 60 {
@@ -316,7 +316,7 @@
 					m.stop()
 					dead[e.Member] = false
 					c.start(e.Member, m.ref.Incarnation+1)
-				case 2: // falsely considered gone: it keeps running
+				case 2: // falsely considered ended: it keeps running
 					for _, other := range c.members {
 						if other != m {
 							other.view.SetEnded(m.ref)
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -133,7 +133,7 @@
 	return nil
 }
 
-// preempt stops the victims on the worker to make room for t. The start of t is
+// preempt stops the victims on the worker to free capacity for t. The start of t is
 // sent once the worker has confirmed the stop of the last victim.
 func (o *owner) preempt(n *node, t *task, victims []worker.Ref) plan.StepResult {
 	capacity, _ := o.ledger.Capacity(n.id)
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -142,11 +142,11 @@
 	codeDone code = iota
 	codeUnknown
 	codeFenced
-	codeGone
-	codeOld
-	codeLate
-	codeNoRoom
-	codeTicket
+	codeRestarted
+	codeStaleRun
+	codeLeaseExpired
+	codeNoCapacity
+	codeInvalidTicket
 	codeUnhealthy
 	codeNoConnection
 	codeBadOrder
@@ -168,8 +168,8 @@
 
 // codeErrors pairs codes with the errors of package runner.
 var codeErrors = map[code]error{
-	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeGone: runner.ErrRestarted, codeOld: runner.ErrStaleRun,
-	codeLate: runner.ErrLeaseExpired, codeNoRoom: runner.ErrNoCapacity, codeTicket: runner.ErrInvalidTicket, codeUnhealthy: runner.ErrUnhealthy,
+	codeUnknown: runner.ErrUnknown, codeFenced: runner.ErrFenced, codeRestarted: runner.ErrRestarted, codeStaleRun: runner.ErrStaleRun,
+	codeLeaseExpired: runner.ErrLeaseExpired, codeNoCapacity: runner.ErrNoCapacity, codeInvalidTicket: runner.ErrInvalidTicket, codeUnhealthy: runner.ErrUnhealthy,
 	codeNoConnection: runner.ErrNoConnection, codeBadOrder: runner.ErrBadOrder, codeNoSpec: errNoSpec, codeSpecLate: errSpecLate, codeLost: errLost,
 }
 
@@ -204,7 +204,7 @@
 	switch {
 	case o.Code == codeDone:
 		return nil
-	case o.Code == codeGone && o.incarnation != "":
+	case o.Code == codeRestarted && o.incarnation != "":
 		return &runner.IncarnationError{ID: o.incarnation, Report: o.report()}
 	}
 	kind, known := codeErrors[o.Code]
--- a/process/sched/snapshot/affinity.go
+++ b/process/sched/snapshot/affinity.go
@@ -10,9 +10,7 @@
 const PartitionHashes = 256
 
 // HashPartition returns the hash of a partition.
-func HashPartition(partition string) PartitionHash {
-	return PartitionHash(xxhash.Sum64String(partition))
-}
+func HashPartition(name string) PartitionHash { return PartitionHash(xxhash.Sum64String(name)) }
 
 // Affinity is the distance of each partition from a scheduler: 0 for the preferred
 // partitions, and from 0.5 to 1 for the others. The order of the others differs
