--- a/process/lead/shards.go
+++ b/process/lead/shards.go
@@ -16,15 +16,15 @@
 // two shards, next to daemons that lead none, until it exits.
 const (
 	// leadsAnotherDelay is the additional delay before a daemon that leads a shard claims another
-	// one. It waits up to busyRounds times while a daemon that leads none answers.
-	leadsAnotherDelay = time.Second
-	busyRounds        = 3
+	// one. It waits up to leadsAnotherRounds times while a daemon that leads none answers.
+	leadsAnotherDelay  = time.Second
+	leadsAnotherRounds = 3
 )
 
 // deferToOthers leaves a vacancy to daemons that lead no shard for a while. It returns
 // false if ctx has ended.
 func (e *Elector) deferToOthers(ctx context.Context) bool {
-	for range busyRounds {
+	for range leadsAnotherRounds {
 		if sleep.For(ctx, leadsAnotherDelay) != nil {
 			return false
 		}
--- a/process/lead/shards_test.go
+++ b/process/lead/shards_test.go
@@ -86,7 +86,7 @@
 				time.Sleep(c.late)
 				bShard := elect("b", b.e, b.e.Leads)
 				bShard.e.Register(muxB)
-				time.Sleep((busyRounds + 1) * leadsAnotherDelay)
+				time.Sleep((leadsAnotherRounds + 1) * leadsAnotherDelay)
 				require.Len(t, leading(aShard, bShard), 1)
 				require.Equal(t, c.own, aShard.term() != nil)
 				for _, d := range []*daemon{aShard, bShard, a, b} {
