--- a/command/bench/drive_test.go
+++ b/command/bench/drive_test.go
@@ -10,20 +10,20 @@
 
 	"github.com/stretchr/testify/require"
 
-	"fennelshunt.example/fennelshunt/process/capacity"
+	"fennelshunt.example/fennelshunt/process/procusage"
 )
 
 func TestCostCountsBothWaysAndNamesTheLimits(t *testing.T) {
-	c := Cost{Rate: capacity.Rate{
+	c := Cost{Rate: procusage.Rate{
 		Core: 0.04, RSSBytes: 100 << 20,
-		Sent:     map[capacity.Kind]float64{capacity.Peers: 3000, capacity.Workers: 2000},
-		Received: map[capacity.Kind]float64{capacity.Workers: 2500, capacity.Store: 1000},
+		Sent:     map[procusage.Kind]float64{procusage.Peers: 3000, procusage.Workers: 2000},
+		Received: map[procusage.Kind]float64{procusage.Workers: 2500, procusage.Store: 1000},
 	}}
 	require.InDelta(t, 2*3000+2000+2500+1000, c.bytes(), 1e-9)
 	require.Equal(t, "core", c.over())
-	c.Core, c.Sent[capacity.Peers], c.RSSBytes = 0.01, 9000, 129<<20
+	c.Core, c.Sent[procusage.Peers], c.RSSBytes = 0.01, 9000, 129<<20
 	require.Equal(t, "memory,bytes", c.over())
-	c.Sent[capacity.Peers], c.RSSBytes = 0, 1
+	c.Sent[procusage.Peers], c.RSSBytes = 0, 1
 	require.Equal(t, "-", c.over())
 }
 
@@ -68,7 +68,7 @@
 	phase := func(cores ...float64) Phase {
 		p := Phase{Seconds: 1}
 		for _, c := range cores {
-			p.Daemons = append(p.Daemons, Cost{Rate: capacity.Rate{Core: c, RSSBytes: 1, Sent: map[capacity.Kind]float64{}}})
+			p.Daemons = append(p.Daemons, Cost{Rate: procusage.Rate{Core: c, RSSBytes: 1, Sent: map[procusage.Kind]float64{}}})
 		}
 		return p
 	}
--- a/command/bench/drivephase.go
+++ b/command/bench/drivephase.go
@@ -13,7 +13,7 @@
 	"github.com/schollz/progressbar/v3"
 	"golang.org/x/sync/errgroup"
 
-	"fennelshunt.example/fennelshunt/process/capacity"
+	"fennelshunt.example/fennelshunt/process/procusage"
 	"fennelshunt.example/fennelshunt/standin/platform"
 )
 
@@ -22,8 +22,8 @@
 
 // vars are the metrics of a daemon that the tool reads.
 type vars struct {
-	Process *capacity.Usage `json:"process"`
-	Owned   map[string]int  `json:"owned"`
+	Process *procusage.Usage `json:"process"`
+	Owned   map[string]int   `json:"owned"`
 }
 
 var errNoUsage = errors.New("the daemon's metrics have no process counters; is it an older release?")
@@ -101,7 +101,7 @@
 	took := after.at.Sub(before.at)
 	p := Phase{Seconds: took.Seconds()}
 	for i := range after.daemons {
-		rate, ok := capacity.RateBetween(*before.daemons[i].Process, *after.daemons[i].Process, took)
+		rate, ok := procusage.RateBetween(*before.daemons[i].Process, *after.daemons[i].Process, took)
 		if !ok {
 			return p, fmt.Errorf("daemon %s restarted during the measurement", d.o.Admins[i])
 		}
--- a/command/bench/drivereport.go
+++ b/command/bench/drivereport.go
@@ -7,7 +7,7 @@
 	"strings"
 	"text/tabwriter"
 
-	"fennelshunt.example/fennelshunt/process/capacity"
+	"fennelshunt.example/fennelshunt/process/procusage"
 	"fennelshunt.example/fennelshunt/standin/callers"
 )
 
@@ -22,14 +22,14 @@
 type Cost struct {
 	Address string         `json:"address"`
 	Owned   map[string]int `json:"owned"`
-	capacity.Rate
+	procusage.Rate
 }
 
 // bytes returns the control bytes per second, sent and received. Bytes received from
 // peers are assumed to equal those sent to them, which holds over the whole fleet.
 func (c Cost) bytes() float64 {
-	sum := c.Sent[capacity.Peers]
-	for _, k := range capacity.Kinds() {
+	sum := c.Sent[procusage.Peers]
+	for _, k := range procusage.Kinds() {
 		sum += c.Sent[k] + c.Received[k]
 	}
 	return sum
@@ -70,13 +70,13 @@
 	fmt.Fprintf(w, "%s, %.0f s: %.1f task starts/s, store %.1f reads/s %.1f writes/s\n", name, p.Seconds, p.Starts, p.StoreReads, p.StoreWrites)
 	t := tabwriter.NewWriter(w, 0, 4, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprint(t, "daemon\towned\t% of a core\tRSS MB\t")
-	for _, k := range capacity.Kinds() {
+	for _, k := range procusage.Kinds() {
 		fmt.Fprintf(t, "%s B/s\t", k)
 	}
 	fmt.Fprint(t, "all B/s\tover\t\n")
 	for _, c := range p.Daemons {
 		fmt.Fprintf(t, "%s\t%s\t%.2f\t%.1f\t", c.Address, owned(c.Owned), 100*c.Core, float64(c.RSSBytes)/1e6)
-		for _, k := range capacity.Kinds() {
+		for _, k := range procusage.Kinds() {
 			fmt.Fprintf(t, "%.0f+%.0f\t", c.Sent[k], c.Received[k])
 		}
 		fmt.Fprintf(t, "%.0f\t%s\t\n", c.bytes(), c.over())
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -21,7 +21,7 @@
 	"fennelshunt.example/fennelshunt/internal/sleep"
 	"fennelshunt.example/fennelshunt/process/admin"
 	"fennelshunt.example/fennelshunt/process/burn"
-	"fennelshunt.example/fennelshunt/process/capacity"
+	"fennelshunt.example/fennelshunt/process/procusage"
 	"fennelshunt.example/fennelshunt/process/settings"
 )
 
@@ -59,7 +59,7 @@
 	tokens      admin.Authenticator
 	listen      listeners
 	metrics     metrics
-	meter       *capacity.Meter
+	meter       *procusage.Meter
 	incarnation atomic.Pointer[incarnation]
 	// stopping is set by Stop: no further incarnation starts.
 	stopping atomic.Bool
@@ -75,7 +75,7 @@
 // New loads the keys and opens the TCP listeners; Close releases them if Serve
 // is never called.
 func New(o Options) (*Daemon, error) {
-	d := &Daemon{o: o, log: o.Log.With().Str("daemon", o.Settings.Name).Logger(), ready: make(chan struct{}), meter: capacity.NewMeter()}
+	d := &Daemon{o: o, log: o.Log.With().Str("daemon", o.Settings.Name).Logger(), ready: make(chan struct{}), meter: procusage.NewMeter()}
 	d.metrics.burn = burn.New(burn.Options{})
 	if err := d.loadKeys(); err != nil {
 		return nil, err
--- a/process/daemon/platform.go
+++ b/process/daemon/platform.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 	"fennelshunt.example/fennelshunt/connection/vmlist"
 	"fennelshunt.example/fennelshunt/connection/worker"
-	"fennelshunt.example/fennelshunt/process/capacity"
+	"fennelshunt.example/fennelshunt/process/procusage"
 )
 
 // Bounds of the connections to the platform.
@@ -28,17 +28,17 @@
 func (d *Daemon) completePlatform() {
 	p := d.o.Settings.Platform
 	if d.o.Store == nil {
-		d.o.Store = store.NewHTTP(p.Store, &http.Client{Transport: d.transport(capacity.Store, storeIdleConns)})
+		d.o.Store = store.NewHTTP(p.Store, &http.Client{Transport: d.transport(procusage.Store, storeIdleConns)})
 	}
 	if d.o.VMs == nil {
-		d.o.VMs = vmlist.NewHTTP(p.VMList, &http.Client{Transport: d.transport(capacity.VMList, platformIdleConns), Timeout: platformTimeout})
+		d.o.VMs = vmlist.NewHTTP(p.VMList, &http.Client{Transport: d.transport(procusage.VMList, platformIdleConns), Timeout: platformTimeout})
 	}
 	if d.o.Workers == nil {
-		d.o.Workers = worker.NewHTTPDialer(&http.Client{Transport: d.transport(capacity.Workers, platformIdleConns), Timeout: platformTimeout})
+		d.o.Workers = worker.NewHTTPDialer(&http.Client{Transport: d.transport(procusage.Workers, platformIdleConns), Timeout: platformTimeout})
 	}
 }
 
-func (d *Daemon) transport(k capacity.Kind, idle int) *http.Transport {
+func (d *Daemon) transport(k procusage.Kind, idle int) *http.Transport {
 	return &http.Transport{
 		DialContext:         d.meter.Dial(k, &net.Dialer{Timeout: platformDialTimeout}),
 		MaxIdleConnsPerHost: idle, IdleConnTimeout: platformIdleTimeout,
--- a/process/daemon/vars.go
+++ b/process/daemon/vars.go
@@ -8,8 +8,8 @@
 	"strings"
 	"unicode"
 
-	"fennelshunt.example/fennelshunt/process/capacity"
 	"fennelshunt.example/fennelshunt/process/ownership"
+	"fennelshunt.example/fennelshunt/process/procusage"
 )
 
 // serveVars serves the metrics in expvar's format.
@@ -20,7 +20,7 @@
 	m.Set("versions", a.inc.versions.Vars())
 	a.inc.d.metrics.burn.Publish(&m)
 	m.Set("owned", expvar.Func(a.owned))
-	m.Set(capacity.VarsKey, expvar.Func(func() any { return a.inc.d.meter.Usage() }))
+	m.Set(procusage.VarsKey, expvar.Func(func() any { return a.inc.d.meter.Usage() }))
 	a.inc.d.metrics.jobs.AddTo(&m)
 	m.Set("partition", countersOf(&a.inc.d.metrics.partition))
 	m.Set("slots", countersOf(a.inc.path.slots.Counters()))
--- a/process/capacity/call_test.go
+++ b/process/procusage/call_test.go
@@ -1,4 +1,4 @@
-package capacity_test
+package procusage_test
 
 import (
 	"context"
@@ -12,15 +12,15 @@
 
 	"fennelshunt.example/fennelshunt/connection/keys"
 	"fennelshunt.example/fennelshunt/connection/peer"
-	"fennelshunt.example/fennelshunt/process/capacity"
 	"fennelshunt.example/fennelshunt/process/plan"
+	"fennelshunt.example/fennelshunt/process/procusage"
 )
 
 // meteredNode starts a peer node on loopback and returns it with its meter.
-func meteredNode(b *testing.B, id peer.MemberID, k *keys.Keys, mux *peer.Mux) (*peer.Node, *capacity.Meter) {
+func meteredNode(b *testing.B, id peer.MemberID, k *keys.Keys, mux *peer.Mux) (*peer.Node, *procusage.Meter) {
 	socket, err := net.ListenUDP("udp", &net.UDPAddr{IP: net.IPv4(127, 0, 0, 1)})
 	require.NoError(b, err)
-	m := capacity.NewMeter()
+	m := procusage.NewMeter()
 	n, err := peer.NewNode(m.UDP(socket), peer.Ref{ID: id, Incarnation: 1}, k.PeerConfig(), mux, zerolog.Nop())
 	require.NoError(b, err)
 	ctx, cancel := context.WithCancel(context.Background())
@@ -75,7 +75,7 @@
 		require.Len(b, got.Workers, len(answer.Workers))
 	}
 	sent := func() int64 {
-		return ownerMeter.Usage().Traffic[capacity.Peers].Sent + viewerMeter.Usage().Traffic[capacity.Peers].Sent
+		return ownerMeter.Usage().Traffic[procusage.Peers].Sent + viewerMeter.Usage().Traffic[procusage.Peers].Sent
 	}
 	call() // establishes the connection
 	time.Sleep(time.Second)
--- a/process/capacity/meter.go
+++ b/process/procusage/meter.go
@@ -1,8 +1,8 @@
-// Package capacity measures the resources that a daemon's process uses for
+// Package procusage measures the resources that a daemon's process uses for
 // control work: CPU time, memory, and network bytes by kind of remote side.
 // Callers' requests are not control work: their connections are not counted,
 // though CPU time and memory include them.
-package capacity
+package procusage
 
 import (
 	"context"
--- a/process/capacity/meter_test.go
+++ b/process/procusage/meter_test.go
@@ -1,4 +1,4 @@
-package capacity
+package procusage
 
 import (
 	"encoding/json"
--- a/process/capacity/model_test.go
+++ b/process/procusage/model_test.go
@@ -1,4 +1,4 @@
-package capacity_test
+package procusage_test
 
 import (
 	"fmt"
