--- a/process/dispatch/health_test.go
+++ b/process/dispatch/health_test.go
@@ -67,7 +67,7 @@
 	require.Equal(t, 2*time.Minute+2*quarantineMin, h.quarantinedUntil)
 }
 
-func TestWorkerThatFailsFewOfItsRunsIsNotSetAside(t *testing.T) {
+func TestWorkerThatFailsFewOfItsRunsIsNotQuarantined(t *testing.T) {
 	var h health
 	for i := range 100 {
 		require.False(t, h.noteFailure(0, work.JobID(fmt.Sprint(i))))
--- a/process/dispatch/quotaorder_test.go
+++ b/process/dispatch/quotaorder_test.go
@@ -16,7 +16,7 @@
 	return changed(t, e, func(j *work.Job) { j.Queue.Priority = priority })
 }
 
-func TestQuickWorkFindsRoomUnderItsAccountsCap(t *testing.T) {
+func TestQuickWorkFitsUnderItsAccountsCap(t *testing.T) {
 	// An account's quick jobs waited for seconds beside idle workers: it submits quick jobs
 	// all the time, and a burst of long tasks of a queue of lower priority; together they need
 	// more than its cap, and the long tasks took all of the cap that became free.
--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestDeadLeaderIsReplacedAtOnceAfterACalmTime(t *testing.T) {
+func TestFailedLeaderIsReplacedAtOnceAfterTheTakeoverWindow(t *testing.T) {
 	// Guards against a long wait for a dead leader after a period of overloaded leaders.
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell("a", "b", "c", "d", "e")
--- a/process/ownership/outage_test.go
+++ b/process/ownership/outage_test.go
@@ -23,7 +23,7 @@
 	return total
 }
 
-func TestOutageKeepsWhatWasToBeHandedOver(t *testing.T) {
+func TestOutageKeepsWhatWasToBeTransferred(t *testing.T) {
 	// Guards against a partition without an owner in a store outage, whose tasks end when
 	// their lease expires: a member joins, the store goes down before the hold-down time
 	// ends, and the handler stopped serving a resource before it was certain that the claim
--- a/request/slots/limits_test.go
+++ b/request/slots/limits_test.go
@@ -101,10 +101,10 @@
 	}
 }
 
-// TestLimitsOfCoverAnAttemptPastItsDeadline guards against an instance that runs more requests
+// TestRequestLimitsCoverAnAttemptPastItsDeadline guards against an instance that runs more requests
 // than it has slots: an attempt continues past its deadline, to learn its outcome, its daemon
 // fails, and the credit records allow for request_timeout only.
-func TestLimitsOfCoverAnAttemptPastItsDeadline(t *testing.T) {
+func TestRequestLimitsCoverAnAttemptPastItsDeadline(t *testing.T) {
 	of := RequestLimits(fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{
 		testService: {Job: spec.Job{Service: &spec.ServiceSettings{RequestTimeout: spec.Duration(20 * time.Second)}}},
 		"default":   {Job: spec.Job{Service: &spec.ServiceSettings{}}},
