--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -67,7 +67,7 @@
 			w.names = w.others(removed)
 		}
 		took = w.untilReplaced(next)
-		t.Logf("replaced after %v when calm", took)
+		t.Logf("replaced after %v once the takeover window has passed", took)
 		require.Less(t, took, 700*time.Millisecond)
 		w.stop()
 	})
