--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -21,8 +21,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Limits of crashes. A task may be started twice more after a third worker has crashed under
-// it.
+// Limits of crashes. At most two starts of a task are allowed after a third worker has crashed
+// under it.
 const (
 	// Window is how soon after its start a task crashes its worker, if it does.
 	Window = 500 * time.Millisecond
@@ -60,8 +60,8 @@
 	return LimitReached(losses, sole)
 }
 
-// LimitReached reports whether a task is to be given up after its runs were suspected of
-// crashing losses workers. For sole of these crashes no run of another job was suspected.
+// LimitReached reports whether a task is to be given up whose runs were suspected in that many
+// crashes of workers (losses), in some of them (sole) without a run of another job.
 func LimitReached(losses, sole int) bool {
 	return losses >= maxLosses || (losses >= soleLosses && sole > 0)
 }
--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -72,7 +72,8 @@
 // best-effort work, which books no processors on its worker.
 func (s *step) charge() quota.Size { return sizeOf(s.spec.Size) }
 
-// startsTogether is the least number of the step's tasks that can start.
+// startsTogether is the smallest number of the step's tasks that can start: all of a gang's,
+// else one.
 func (s *step) startsTogether() int {
 	if s.spec.Gang {
 		return s.spec.Count
@@ -80,7 +81,7 @@
 	return 1
 }
 
-// withinQuota reports whether the step's account may have more of it running.
+// withinQuota reports whether the quota of the step's account allows a start of the step now.
 func (e *Engine) withinQuota(s *step) bool {
 	return e.mayUse(s, s.charge().Times(s.startsTogether()))
 }
@@ -94,7 +95,7 @@
 	}
 	s.overQuota = true
 	e.stats.OverQuota++
-	e.decide(Decision{What: "waits for its account's quota", Task: s.id(), Why: s.job.spec.Account})
+	e.decide(Decision{What: "step waits for its account's quota", Task: s.id(), Why: s.job.spec.Account})
 }
 
 // book charges a run to its worker and its account.
@@ -162,8 +163,8 @@
 // them; and the runs that were being stopped of jobs that had ended.
 //
 // Otherwise, if a leader fails while an account is at its cap, its successor sees the
-// account's runs only as the workers answer, takes the account to use nothing, and starts its
-// waiting work beside them.
+// account's runs only as the workers answer, assumes that the account uses nothing, and starts
+// its waiting work beside them.
 func (e *Engine) countUnconfirmed() {
 	if e.unresolved == 0 && len(e.endedHeld) == 0 && !e.anyUnconfirmed {
 		return
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -224,6 +224,8 @@
 	return n
 }
 
+// usableProxy reports whether a proxy is idle, and none of its calls has failed within
+// adviceGrace.
 func (e *Engine) usableProxy(proxy *adviceProxy) bool {
 	return proxy.busy == nil && (proxy.failed == 0 || e.now-proxy.failed >= adviceGrace)
 }
@@ -320,8 +322,8 @@
 	return initialGoodShare
 }
 
-// retryAdvice gives up calls that were not answered in time.
-func (e *Engine) retryAdvice() {
+// expireAdviceCalls gives up calls that were not answered in time.
+func (e *Engine) expireAdviceCalls() {
 	for _, proxy := range e.proxies {
 		if proxy.busy != nil && e.now > proxy.until {
 			e.adviceFailed(proxy)
@@ -347,7 +349,7 @@
 		return // timed out before
 	}
 	if err != nil {
-		e.decide(Decision{What: "advice failed", Task: id, Why: member + ": " + err.Error(), Age: now - proxy.sent})
+		e.decide(Decision{What: "advice call failed", Task: id, Why: member + ": " + err.Error(), Age: now - proxy.sent})
 		e.adviceFailed(proxy)
 		return
 	}
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -60,23 +60,23 @@
 
 // addUnbatched moves jobs out of batches as far as the write has space, the oldest first, and
 // returns the space that is left.
-func (e *Engine) addUnbatched(ws *writeSet, c *SendCommit, room int) int {
+func (e *Engine) addUnbatched(ws *writeSet, c *SendCommit, space int) int {
 	kept := e.unbatch[:0]
 	for _, j := range e.unbatch {
 		switch {
 		case j.batch == nil:
 			j.unbatching = false
-		case j.writing || j.dirty || room < j.keys():
+		case j.writing || j.dirty || space < j.keys():
 			kept = append(kept, j)
 		default:
-			room -= j.keys()
+			space -= j.keys()
 			e.addJob(ws, c, j)
 			kept = append(kept, j) // until the write is answered
 		}
 	}
 	clear(e.unbatch[len(kept):])
 	e.unbatch = kept
-	return room
+	return space
 }
 
 // moveTo records where a job's newest progress is: in a batch or, for nil, under the job's own
@@ -126,7 +126,7 @@
 		take(stored{job: jobOfState(entry.Key), progress: p, revision: entry.Revision})
 	}
 	var read []*batch
-	newest := map[*batch]int{} // jobs
+	newest := map[*batch]int{} // jobs whose newest progress is in the batch
 	for _, entry := range batches {
 		records, err := work.DecodeBatch(entry.Value)
 		if err != nil {
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -132,7 +132,7 @@
 	for _, n := range s.next {
 		e.open(n)
 	}
-	e.settle(j)
+	e.completeIfDone(j)
 }
 
 // finish marks a task done, and stops another run of it.
@@ -148,7 +148,7 @@
 	e.decide(Decision{What: "failed", Task: completion.Task, Run: completion.Run, Worker: w.ID})
 	e.stats.Failed++
 	if alloc != nil && alloc.serves() {
-		return // a task that reached serving fails by itself, not because of its worker
+		return // a task that has served fails for a reason of its own, not because of its worker
 	}
 	if alloc != nil && j.countsAgainst(w.ID) && w.noteFailure(e.now, j.id) {
 		e.stats.Aside++
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -77,9 +77,8 @@
 func (w *worker) noteAlive(at time.Duration) { w.aliveAt = max(w.aliveAt, at) }
 
 // startAnswered records that the worker was running when a start was sent that it has
-// answered. Runs that are past the crash window by then are cleared at once: no renewal may
-// follow before the worker crashes, and a successor takes an open trial for the cause of the
-// crash.
+// answered. Runs that are past the crash window by then are cleared at once: if the worker
+// crashes before its next renewal, a successor would take an open trial for the cause.
 func (e *Engine) startAnswered(alloc *allocation) {
 	alloc.w.noteAlive(alloc.sent)
 	e.settleCrashes(alloc.w, false)
@@ -135,7 +134,7 @@
 		e.noteCrashRecord(w.ID, x.Task)
 		e.markDirty(s.job, false)
 		e.stats.Suspected++
-		e.decide(Decision{What: "may have crashed its worker", Task: x.Task, Run: x.Run, Worker: w.ID,
+		e.decide(Decision{What: "task may have crashed its worker", Task: x.Task, Run: x.Run, Worker: w.ID,
 			Why: fmt.Sprintf("sole=%v ended=%v suspects=%d records=%d", x.Sole, ended, len(suspects), len(t.crashes)), Age: e.now - w.answered})
 	}
 	return suspects
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -43,7 +43,7 @@
 }
 
 // TestTasksThatCrashTheirWorkersAreGivenUp guards against a task that crashes one worker after
-// another without limit, and the healthy work beside it.
+// another without limit, and with them ends the healthy work that runs there.
 func TestTasksThatCrashTheirWorkersAreGivenUp(t *testing.T) {
 	for _, gang := range []bool{false, true} {
 		for seed := range uint64(4) {
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -52,7 +52,7 @@
 	usages    map[usageKey]*usage
 	// priorities lists, in rising order, those at which an account has run anything.
 	priorities     map[*quota.Account][]int
-	keptFree       map[*quota.Account]quota.Size // reserved in this round
+	keptFree       map[*quota.Account]quota.Size // part of the cap kept free in this round, see keepFree
 	anyUnconfirmed bool                          // an account is charged for runs that no worker has reported yet
 
 	// tasksByCrash holds, by worker, the tasks with crash records of that worker; crashedAt,
@@ -75,7 +75,7 @@
 	removals       []string
 	writes         [lead.WriteStreams]*writeSet // in flight, by write stream
 	writtenAt      time.Duration                // when the last one was sent
-	unbatch        []*job                       // whose newest progress is in a batch
+	unbatch        []*job                       // to be moved out of batches, see addUnbatched
 	batchSeq       uint64
 	fleetChanged   bool
 	cordonsChanged bool // the list of cordoned workers has to be written
@@ -94,6 +94,12 @@
 
 // Stats holds the counters of an engine.
 type Stats struct {
+	// Resent counts unanswered starts that were sent again, Done, Failed and Back the
+	// completions of runs that were done, failed, or ended otherwise, so that their tasks start
+	// again; Adopted the runs of earlier epochs that were taken over, and Orphans the
+	// unexpected runs that were stopped. Bundles counts batches of job states, Aside
+	// quarantines of workers, Moved runs that were stopped because they made no progress, and
+	// Holds gang reservations.
 	Starts, Resent, Stops, Done, Failed, Back, Lost, Adopted, Orphans uint64
 	Commits, Bundles, Violations, Advised, Aside, Moved, Holds        uint64
 	// Gone counts workers whose incarnation ended or that left; LostWithWorker counts the runs
@@ -158,7 +164,7 @@
 		for s := range j.steps() {
 			e.open(s)
 		}
-		e.settle(j)
+		e.completeIfDone(j)
 	}
 	return errors.Join(errs...)
 }
@@ -264,9 +270,9 @@
 	e.markDirty(j, true)
 }
 
-// settle completes a job whose occurrences have all come due and are done. Long-running tasks
+// completeIfDone completes a job whose occurrences have all come due and are done. Long-running tasks
 // are never done.
-func (e *Engine) settle(j *job) {
+func (e *Engine) completeIfDone(j *job) {
 	if !j.active() {
 		return
 	}
@@ -337,7 +343,7 @@
 		e.tickWorker(w)
 	}
 	e.openTimed()
-	e.retryAdvice()
+	e.expireAdviceCalls()
 	e.expireGangReservations()
 	e.stopPartialGangs()
 	e.expireLateStarts()
@@ -395,7 +401,8 @@
 // prunePause is the time between two runs of pruneJobs.
 const prunePause = 2 * time.Second
 
-// took reports the time since a job's acceptance, unless an earlier epoch may have started it.
+// took reports the time since a job's acceptance, unless the job is timed or an earlier epoch
+// may have started it.
 func (e *Engine) took(what Span, j *job) {
 	if e.o.Took != nil && !j.inherited && j.spec.Repeat == 0 {
 		e.o.Took(what, j.spec.Queue.Name, j.spec.Account, max(e.now-j.accepted, 0))
--- a/process/dispatch/estimate.go
+++ b/process/dispatch/estimate.go
@@ -41,7 +41,7 @@
 	*s.job.estimateRatio = mean + (min(took, 5)-mean)*runTimeDecay/4
 }
 
-// remaining estimates how long a run goes on.
+// remaining estimates how much longer a run takes.
 func (e *Engine) remaining(alloc *allocation) time.Duration {
 	switch {
 	case alloc.state == stopping:
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -126,9 +126,9 @@
 	w.unlisted, w.mayRun, w.inheritedSuspects = false, nil, nil
 }
 
-// accountedFor reports whether it is known of each inherited task of the step whether it runs:
-// every worker that an earlier epoch used and that is not cordoned has answered or has
-// certainly ended. What the cordoned ones may run is in mayRun.
+// accountedFor reports whether it is known which inherited tasks of the step are running: every
+// worker that an earlier epoch used and that is not cordoned has answered or has certainly
+// ended. What the cordoned ones may run is in mayRun.
 func (e *Engine) accountedFor(s *step) bool {
 	if e.unresolvedUncordoned > 0 || (e.cordonedUnlisted > 0 && s.job.revision <= e.fleetRevision) {
 		return false
--- a/process/dispatch/gang.go
+++ b/process/dispatch/gang.go
@@ -17,8 +17,8 @@
 	// refreshAhead is kept between the end of a call for tickets and the expiry of the tickets
 	// that have to be valid together with the new ones.
 	refreshAhead = 200 * time.Millisecond
-	// ticketSpare is for how many times the needed slots a gang asks for tickets: other steps
-	// may take some during the call.
+	// ticketSpare is the factor by which a gang requests tickets for more slots than it needs:
+	// other steps may take some during the call.
 	ticketSpare = 1.4
 )
 
@@ -218,8 +218,9 @@
 	}
 }
 
-// askAhead requests tickets for reserved slots most of which are free, so that the tickets
-// arrive when the last slot becomes free; the free ones are reserved for the gang meanwhile.
+// askAhead requests tickets for a gang's reserved slots once most of these are free, so that
+// the tickets arrive when the last slot becomes free; the free ones are reserved for the gang
+// meanwhile.
 //
 // A gang that needs half of the workers it is allowed and asked only once its last slot is
 // free would keep all slots empty for the duration of a call.
--- a/process/dispatch/gangreserve.go
+++ b/process/dispatch/gangreserve.go
@@ -16,8 +16,8 @@
 // duration of the call.
 
 const (
-	// gangReserveSpare is how many times the needed slots are reserved: a worker may drain or
-	// stop answering during the call.
+	// gangReserveSpare is the factor by which more slots are reserved than the gang needs: a
+	// worker may drain or stop answering during the call.
 	gangReserveSpare = 1.05
 	// gangReserveGrace is added to the duration of a call, for the way to the daemon that
 	// makes it and back, and a round of placement.
@@ -44,7 +44,7 @@
 
 // reserveGang reserves capacity for a gang on workers with a ticket that outlasts the call,
 // and on those that the call is going to name. It returns false, and reserves nothing, if
-// there has to be capacity for all tasks and is not.
+// a.reserve is reserveAll and there is not enough capacity for all tasks.
 func (e *Engine) reserveGang(s *step, a *advice, cost time.Duration) bool {
 	need, limit := s.spec.Need(), s.perWorker(s.spec.Count)
 	want := int(float64(s.spec.Count) * gangReserveSpare)
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -30,9 +30,11 @@
 	// or two; and each watch costs one call however many events it returns.
 	jobsPause    = 250 * time.Millisecond
 	workersPause = 200 * time.Millisecond
-	watchWait    = 2 * time.Second
-	watchGrace   = 700 * time.Millisecond
-	errorPause   = 100 * time.Millisecond
+	// watchWait is how long a watch waits for a change, and watchGrace how much later it may be
+	// answered.
+	watchWait  = 2 * time.Second
+	watchGrace = 700 * time.Millisecond
+	errorPause = 100 * time.Millisecond
 	// stopTimeout is how long a stop may go without an answer.
 	stopTimeout    = 300 * time.Millisecond
 	maxStopTimeout = time.Second
@@ -140,7 +142,7 @@
 			h.o.Log.Info().Int("accepted", len(saved.Accepted)).Int("states", len(saved.States)).Int("bundles", len(saved.Batches)).Dur("took_ms", time.Since(began)).Msg("state loaded")
 			return rev, nil
 		}
-		h.o.Log.Warn().Err(err).Msg("state not loaded yet")
+		h.o.Log.Warn().Err(err).Msg("state not read from the store; reading again")
 		if err := sleep.For(ctx, errorPause); err != nil {
 			return 0, err
 		}
@@ -168,7 +170,7 @@
 		if !errors.Is(err, store.ErrPresumedLost) {
 			return entries, rev, err
 		}
-		h.o.Log.Info().Str("prefix", prefix).Msg("response was lost, reading again")
+		h.o.Log.Info().Str("prefix", prefix).Msg("response to a listing was lost; reading again")
 	}
 }
 
@@ -381,7 +383,7 @@
 	err := h.term.Commit(ctx, x.Stream, x.Writes, x.Deletes)
 	if err != nil {
 		if ctx.Err() == nil {
-			h.o.Log.Error().Err(err).Msg("progress not written, ending the term")
+			h.o.Log.Error().Err(err).Msg("progress not written; ending the term")
 			h.term.End(err)
 		}
 		return
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -16,9 +16,9 @@
 // maxOrderDelay is how long after it was sent an unanswered order may still be carried out.
 const maxOrderDelay = 12 * time.Second
 
-// noteIncarnation handles the sight of an incarnation, and removes an earlier one of the same
-// name. It reports whether the incarnation is older than the latest known one, or succeeds an
-// earlier one.
+// noteIncarnation records that an incarnation has been seen, and removes an earlier one of the
+// same name. It reports whether the incarnation is older than the latest known one, or succeeds
+// an earlier one.
 func (e *Engine) noteIncarnation(id runner.WorkerID) (older, next bool) {
 	name, startTime := id.Incarnation()
 	if startTime == 0 {
@@ -87,7 +87,8 @@
 
 // mayStartLate reports whether a start order of the run may still be, or may have been,
 // carried out by the next incarnation under its worker's name. If that incarnation has been
-// seen, an answer to the start does not say which of the two gave it.
+// seen, an answer to the start does not say which of the two gave it; only a report of the
+// earlier one that lists the run does.
 func (e *Engine) mayStartLate(alloc *allocation) bool {
 	name, startTime := alloc.w.ID.Incarnation()
 	followed := e.latestStarts[name] != startTime
@@ -102,9 +103,9 @@
 	e.lateStarts[name] = append(e.lateStarts[name], alloc)
 }
 
-// takeLateStarts books on a worker that has answered the runs that it may have started from
-// orders to an earlier incarnation, and stops them: the answer to the stop says whether the
-// run can still start.
+// takeLateStarts is called when a worker has answered. It books on the worker the runs that it
+// may have started from orders to an earlier incarnation, and stops them: the answer to the
+// stop says whether the run can still start.
 func (e *Engine) takeLateStarts(w *worker) {
 	if len(e.lateStarts) == 0 {
 		return
--- a/process/dispatch/job.go
+++ b/process/dispatch/job.go
@@ -55,23 +55,23 @@
 
 // step is one step of a job.
 type step struct {
-	job        *job
-	occurrence *occurrence
-	number     int
-	spec       *work.Step
-	after      []*step // steps that this one follows
-	next       []*step // steps that follow this one
-	tasks      []task
-	pending    []int // indexes of the tasks to start, in order
-	left       int   // tasks that are not done
-	opened     bool  // listed as ready
-	openedAt   time.Duration
-	rank       int           // lateness rank, as of the last round of placement
-	turn       time.Duration // orders it within its rank and priority
-	turnUntil  time.Duration // when turn is computed again
-	overQuota  bool          // it has waited for its account's quota
-	waitsFor   waitCause
-	waitSince  time.Duration
+	job            *job
+	occurrence     *occurrence
+	number         int
+	spec           *work.Step
+	after          []*step // steps that this one follows
+	next           []*step // steps that follow this one
+	tasks          []task
+	pending        []int // indexes of the tasks to start, in order
+	left           int   // tasks that are not done
+	opened         bool  // listed as ready
+	openedAt       time.Duration
+	rank           int           // lateness rank, as of the last round of placement
+	orderTime      time.Duration // orders it within its rank and priority
+	orderTimeUntil time.Duration // when orderTime is computed again
+	overQuota      bool          // it has waited for its account's quota
+	waitsFor       waitCause
+	waitSince      time.Duration
 	// reservedAt is when capacity was last reserved for the step.
 	reservedAt time.Duration
 
--- a/process/dispatch/longrunning.go
+++ b/process/dispatch/longrunning.go
@@ -7,8 +7,8 @@
 )
 
 // Long-running tasks run until their job is cancelled, and start again however they end. The
-// engine never stops one that is serving, so that the number of tasks that a step may miss is
-// left to failures that the engine does not cause.
+// engine never stops one that is serving: the interruptions that a step allows
+// (work.Step.MaxInterrupted) are left to failures that the engine does not cause.
 
 // servingPercent is the progress of a long-running task that serves.
 const servingPercent = 100
@@ -43,7 +43,7 @@
 
 // stopBestEffort stops the best-effort work on a worker before a task with a response time
 // target starts there. Best-effort work uses the processors' shared resources and would make
-// that task answer too late, and nothing here slows it down, since it books no processors.
+// that task answer too late, and nothing else limits it, since it books no processors.
 func (e *Engine) stopBestEffort(w *worker, s *step) {
 	if !hasTarget(s.spec) {
 		return
--- a/process/dispatch/occurrence.go
+++ b/process/dispatch/occurrence.go
@@ -115,8 +115,8 @@
 
 // trim drops everything of a job whose end is stored except what is needed to answer queries
 // of its state and to charge runs of it that are still reported. It waits until none of its
-// runs uses a worker's resources and none can be unreported. The text and the tasks of a job
-// are some kilobytes.
+// runs uses a worker's resources and none can be unreported. The spec and the tasks of a job
+// take some kilobytes.
 func (e *Engine) trim(j *job) {
 	if j.trimmed || (j.inherited && e.unresolved > 0) || slices.ContainsFunc(j.occurrences, func(o *occurrence) bool { return !o.idle() }) {
 		return
@@ -129,8 +129,8 @@
 	j.spec = &work.Job{Queue: j.spec.Queue, Account: j.spec.Account, SpecStored: j.spec.SpecStored}
 }
 
-// mayOpen reports whether the job may have one more occurrence in memory. Each has all of its
-// tasks; the bound is that of the tasks of one occurrence.
+// mayOpen reports whether the job may have one more occurrence in memory. Each is kept with all
+// of its tasks; together they may have as many tasks as one occurrence may have.
 func (j *job) mayOpen() bool {
 	return len(j.occurrences) == 0 || (len(j.occurrences)+1)*j.spec.Tasks() <= work.MaxTasks
 }
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -7,7 +7,7 @@
 )
 
 // The order in which waiting steps are served: by rank, then by their queue's priority, then
-// by their turn.
+// by their order time.
 
 // waiting returns the steps with tasks to start, in the order in which they are served: those
 // that can still end within their objective first, and among these by the queue's priority and
@@ -25,8 +25,8 @@
 	e.ready = kept
 	for _, st := range kept {
 		st.rank = e.rankOf(st)
-		if e.now >= st.turnUntil {
-			st.turn, st.turnUntil = e.turnOf(st), e.now+turnPeriod
+		if e.now >= st.orderTimeUntil {
+			st.orderTime, st.orderTimeUntil = e.orderTimeOf(st), e.now+orderTimePeriod
 		}
 	}
 	slices.SortStableFunc(e.ready, compareSteps) // nearly sorted from the previous round
@@ -36,15 +36,16 @@
 func compareSteps(a, b *step) int {
 	x, y := a.job, b.job
 	return cmp.Or(cmp.Compare(a.rank, b.rank), cmp.Compare(x.spec.Queue.Priority, y.spec.Queue.Priority),
-		cmp.Compare(a.turn, b.turn), cmp.Compare(x.id, y.id))
+		cmp.Compare(a.orderTime, b.orderTime), cmp.Compare(x.id, y.id))
 }
 
-// turnPeriod is how long a computed turn is kept: the loss of an account changes over tens of
-// seconds, and a round over 500 steps of 1,200 accounts takes a tenth less time.
-const turnPeriod = 250 * time.Millisecond
+// orderTimePeriod is how long a computed order time is kept: the share of an account's work
+// that is late changes over tens of seconds, and a round over 500 steps of 1,200 accounts takes
+// a tenth less time than if each round computed the order times.
+const orderTimePeriod = 250 * time.Millisecond
 
-// turnOf returns the step's turn, by which it is ordered within its rank and priority.
-func (e *Engine) turnOf(s *step) time.Duration {
+// orderTimeOf returns the time by which the step is ordered within its rank and priority.
+func (e *Engine) orderTimeOf(s *step) time.Duration {
 	o, j := s.occurrence, s.job
 	if j.spec.Account == "" {
 		return o.due
--- a/process/dispatch/persist.go
+++ b/process/dispatch/persist.go
@@ -109,21 +109,21 @@
 func (e *Engine) write(stream int) {
 	ws := &writeSet{}
 	c := SendCommit{Stream: stream}
-	room := e.o.Policy.WriteKeys
+	space := e.o.Policy.WriteKeys
 	if e.fleetDirty() && stream == fleetStream {
-		room -= e.addFleet(ws, &c)
+		space -= e.addFleet(ws, &c)
 	}
-	batched := !e.o.Policy.NoBatches && e.dirtySize() > room
+	batched := !e.o.Policy.NoBatches && e.dirtySize() > space
 	if batched {
-		room--
+		space--
 	}
-	room = e.addJobs(ws, &c, room, true)
-	room = e.addJobs(ws, &c, room, false)
+	space = e.addJobs(ws, &c, space, true)
+	space = e.addJobs(ws, &c, space, false)
 	if batched {
 		e.addBatch(ws, &c)
 	}
-	room = e.addUnbatched(ws, &c, room)
-	n := min(room, len(e.removals))
+	space = e.addUnbatched(ws, &c, space)
+	n := min(space, len(e.removals))
 	c.Deletes = append(c.Deletes, e.removals[:n]...)
 	e.removals = e.removals[n:]
 	e.writes[stream] = ws
@@ -159,19 +159,19 @@
 
 // addJobs moves queued jobs into the write set, either those that have ended or the others,
 // and returns the space that is left.
-func (e *Engine) addJobs(ws *writeSet, c *SendCommit, room int, final bool) int {
+func (e *Engine) addJobs(ws *writeSet, c *SendCommit, space int, final bool) int {
 	kept := e.dirty[:0]
 	for _, j := range e.dirty {
-		if j.state.Final() != final || room < j.keys() {
+		if j.state.Final() != final || space < j.keys() {
 			kept = append(kept, j)
 			continue
 		}
-		room -= j.keys()
+		space -= j.keys()
 		e.addJob(ws, c, j)
 	}
 	clear(e.dirty[len(kept):])
 	e.dirty = kept
-	return room
+	return space
 }
 
 // addJob writes a job under its own key.
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -109,8 +109,8 @@
 	return h, s, starts
 }
 
-// endsOf reports completions of starts, numbered from first+1 on.
-func endsOf(first int, outcome runner.Outcome, starts ...SendStart) runner.Report {
+// completionsOf reports completions of starts, numbered from first+1 on.
+func completionsOf(first int, outcome runner.Outcome, starts ...SendStart) runner.Report {
 	var r runner.Report
 	for i, x := range starts {
 		r.Ended = append(r.Ended, runner.Completion{Number: int64(first + i + 1), Task: x.Start.Task, Run: x.Start.Run, Outcome: outcome})
@@ -130,7 +130,7 @@
 		for i := 0; len(ended) > 0 || i < ticks; i++ {
 			if i < ticks {
 				some := starts[i*perTick : (i+1)*perTick]
-				h.e.Renewed(h.now, "w-a", endsOf(i*perTick, runner.Done, some...), nil)
+				h.e.Renewed(h.now, "w-a", completionsOf(i*perTick, runner.Done, some...), nil)
 				for _, x := range some {
 					ended[x.Start.Task.Job] = h.now
 				}
@@ -164,7 +164,7 @@
 		h, s, starts := runningJobs(t, jobs, Policy{WriteStreams: streams}, 0)
 		before := s.writes
 		for i := range jobs {
-			h.e.Renewed(h.now, "w-a", endsOf(i, runner.Done, starts[i]), nil)
+			h.e.Renewed(h.now, "w-a", completionsOf(i, runner.Done, starts[i]), nil)
 			s.step()
 			require.LessOrEqual(t, len(s.inFlight), 1)
 		}
@@ -177,7 +177,7 @@
 	// Batches must not accumulate in the store, nor submissions of ended jobs remain.
 	const jobs = 150
 	h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
-	h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, starts...), nil)
+	h.e.Renewed(h.now, "w-a", completionsOf(0, runner.Done, starts...), nil)
 	s.run(400 * time.Millisecond)
 	require.NotEmpty(t, s.withPrefix(PrefixBatches), "a batch has what did not fit under separate keys")
 	for _, x := range starts {
@@ -200,8 +200,8 @@
 	for _, later := range []time.Duration{400 * time.Millisecond, 800 * time.Millisecond} {
 		h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
 		done, failed := starts[:jobs/2], starts[jobs/2:]
-		h.e.Renewed(h.now, "w-a", endsOf(0, runner.Done, done...), nil)
-		h.e.Renewed(h.now, "w-a", endsOf(jobs/2, runner.Failed, failed...), nil)
+		h.e.Renewed(h.now, "w-a", completionsOf(0, runner.Done, done...), nil)
+		h.e.Renewed(h.now, "w-a", completionsOf(jobs/2, runner.Failed, failed...), nil)
 		s.run(later)
 		require.NotEmpty(t, s.withPrefix(PrefixBatches))
 		next := newHarness(t, 2)
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -205,10 +205,11 @@
 	return n
 }
 
-// liveOn returns the step's runs on a worker.
+// liveOn returns the number of the step's runs on a worker. Only steps with a MaxPerWorker need
+// it; for others it is 0.
 func (s *step) liveOn(w *worker) int {
 	if s.spec.MaxPerWorker == 0 {
-		return 0 // not needed
+		return 0
 	}
 	n := 0
 	for _, alloc := range w.allocs {
--- a/process/dispatch/policy.go
+++ b/process/dispatch/policy.go
@@ -12,16 +12,17 @@
 // benefit of each can be measured by changing a settings file. The zero value of a field
 // stands for its default.
 type Policy struct {
-	// WriteStreams is how many writes to the store may be in flight at once, 1 to lead.WriteStreams.
-	// It matters with a store that answers slowly.
+	// WriteStreams is how many writes to the store may be in flight at once, 1 to
+	// lead.WriteStreams. It matters with a store that answers slowly.
 	WriteStreams int `json:"write_chains,omitempty"`
 	// NoBatches keeps each job's progress under its own key, however many jobs wait to be
 	// written. Batches matter with a slow store and bursts of jobs.
 	NoBatches bool `json:"no_bundles,omitempty"`
 	// WriteKeys is how many keys one write may change, minWriteKeys to lead.MaxCommit.
 	WriteKeys int `json:"write_keys,omitempty"`
-	// NoGangReservations turns off gang reservations: other steps may use the capacity of a gang while
-	// its tickets are requested. Reservations matter with many wide gangs and slow advice.
+	// NoGangReservations turns off gang reservations: other steps may use the capacity of a
+	// gang while its tickets are requested. Reservations matter with many wide gangs and slow
+	// advice.
 	NoGangReservations bool `json:"no_holds,omitempty"`
 	// NoPacking lets small tasks go where most capacity is free. Packing matters with many
 	// wide gangs and slow advice.
@@ -29,7 +30,7 @@
 	// NoParallelAdvice requests advice for a gang by one call after the other. Parallel calls
 	// matter for gangs that need advice on more workers than one call may name.
 	NoParallelAdvice bool `json:"no_parallel_advice,omitempty"`
-	// Shares is how accounts take turns; see package fair.
+	// Shares is the policy by which the jobs of different accounts are ordered; see package fair.
 	Shares fair.Policy `json:"shares,omitempty"`
 	// NoQuotaTurns lets small work use the part of its account's cap that a gang waits for. It
 	// matters for accounts that submit more than their caps allow to run.
@@ -44,7 +45,8 @@
 	ReservedShare int `json:"reserved_share,omitempty"`
 }
 
-// minWriteKeys is the list of workers, a batch and the keys of one cancelled job.
+// minWriteKeys is the number of keys of a batch and of one cancelled job with a stored spec. In a
+// write that has the lists of workers as well, such a job goes into the batch.
 const minWriteKeys = 5
 
 // Check returns an error for each field that is out of its bounds.
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -105,8 +105,8 @@
 	return sum
 }
 
-// mayUse reports whether the step's account may have size more of it running, given the part
-// of the cap that it has to leave free.
+// mayUse reports whether the step's account may use size in addition to what it uses, given the
+// part of the cap that it has to leave free for other work.
 func (e *Engine) mayUse(s *step, size quota.Size) bool {
 	a := s.job.account
 	if !a.Fits(size) {
--- a/process/dispatch/reserve.go
+++ b/process/dispatch/reserve.go
@@ -26,7 +26,7 @@
 }
 
 // hasReserved reports whether a step's reservation of an earlier round is still there: it was
-// made after all were last cleared.
+// made after the last clearReservations.
 func (e *Engine) hasReserved(s *step) bool {
 	return s.reservedAt > 0 && s.reservedAt >= e.planAt-planPeriod
 }
--- a/process/dispatch/responsetimes.go
+++ b/process/dispatch/responsetimes.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// responseTimes tracks the average round trip of calls to workers, to set their timeouts.
+// responseTimes tracks the average round trip of start orders, to set the timeouts of all calls
+// to workers.
 //
 // When the link or the processor of the leader or of a relay is saturated, calls queue up.
 // With fixed timeouts a call would be abandoned just before its answer and sent again, which
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -10,10 +10,10 @@
 
 // Limits of orders to workers.
 const (
-	// StartTimeout is the longest that a start goes without an answer; a worker answers in a
-	// few milliseconds.
+	// StartTimeout is the longest timeout of a start while workers answer at their usual speed,
+	// which is in a few milliseconds.
 	StartTimeout = 350 * time.Millisecond
-	maxStarts    = 3
+	maxStarts    = 3 // attempts of a start
 	// stopRetry is between stop orders that were not answered.
 	stopRetry = 300 * time.Millisecond
 	// runBits is the number of bits of a run number that count the runs of a task within one
--- a/process/dispatch/types.go
+++ b/process/dispatch/types.go
@@ -47,7 +47,7 @@
 // maxStartTimeout is the limit of startTimeout when answers are slow.
 func (b Bounds) maxStartTimeout() time.Duration { return max(b.startTimeout(), b.Gang/(2*maxStarts)) }
 
-// Options of an Engine.
+// Options are the options of an Engine.
 type Options struct {
 	Epoch  uint64
 	Bounds Bounds
--- a/process/dispatch/wait.go
+++ b/process/dispatch/wait.go
@@ -12,7 +12,7 @@
 const (
 	waitNothing  waitCause = iota
 	waitTakeover           // it is not known yet what an earlier leader started
-	waitMembers            // runs of its gang are being stopped
+	waitMembers            // runs of its gang have not ended yet
 	waitQuota              // quota of its account
 	waitAdvice             // an answer of the advice service
 	waitCapacity           // capacity on workers that may run it
@@ -46,8 +46,8 @@
 	s.waitsFor, s.waitSince = now, e.now
 }
 
-// causeOf returns the cause that a step waits for which was tried and still has tasks to
-// start.
+// causeOf returns what a step waits for that this round has tried to place and that still has
+// tasks to start.
 func (e *Engine) causeOf(s *step) waitCause {
 	switch a := e.adviceOf(s); {
 	case len(s.pending) == 0:
--- a/process/fair/fair_test.go
+++ b/process/fair/fair_test.go
@@ -8,7 +8,7 @@
 	"pgregory.net/rapid"
 )
 
-func TestUnknownWayIsNamed(t *testing.T) {
+func TestUnknownPolicyIsNamed(t *testing.T) {
 	for _, p := range []Policy{"", Due, Dominant, Risk} {
 		require.NoError(t, p.Check())
 	}
@@ -102,10 +102,10 @@
 	require.Less(t, b.OrderTime("south", later, due, objective, 1), b.OrderTime("north", later, due, objective, 1), "old usage has decayed")
 }
 
-// TestTurnStaysNearTheTimeAJobIsDue checks that, however accounts behave, a job is
+// TestOrderTimeStaysNearTheDueTime checks that, however accounts behave, a job is
 // ordered at most maxShift of its objective after its due time, so that no job waits
 // for ever.
-func TestTurnStaysNearTheTimeAJobIsDue(t *testing.T) {
+func TestOrderTimeStaysNearTheDueTime(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := New(rapid.SampledFrom([]Policy{Due, Dominant, Risk}).Draw(t, "way"), Entitlement{})
 		names := []string{"a", "b", "c"}
--- a/process/plan/plan.go
+++ b/process/plan/plan.go
@@ -74,7 +74,7 @@
 	NoRebind []worker.ID `cbor:"7,keyasint,omitempty"`
 }
 
-// Outcome of one step.
+// Outcome is the outcome of one step.
 type Outcome string
 
 // Outcomes. Accepted means that the partition's owner has reserved the capacity
@@ -148,7 +148,7 @@
 	DrainMillis int64        `cbor:"5,keyasint,omitempty"`
 }
 
-// Ack confirms that the results are durable in the shard's progress, so that the
+// Ack confirms that the results of tasks are durable in the shard's progress, so that the
 // workers may drop them.
 type Ack struct {
 	Partition string       `cbor:"1,keyasint"`
