--- a/process/jobs/check.go
+++ b/process/jobs/check.go
@@ -12,7 +12,8 @@
 const (
 	// checkInterval is the time between two checks of the whole state.
 	checkInterval = 10 * time.Second
-	// checkLimit bounds the jobs that one check may visit.
+	// checkLimit is the number of jobs above which the check is skipped, as its
+	// cost is proportional to their number.
 	checkLimit = 20_000
 )
 
--- a/process/jobs/events.go
+++ b/process/jobs/events.go
@@ -384,8 +384,9 @@
 }
 
 // requeueLost starts a task again whose worker was lost. After the loss of a
-// rack, batch work is requeued over a few seconds (LossSpread), so that services
-// and urgent work, which are requeued at once, find the partition owners idle.
+// rack, batch work below class High is requeued over a few seconds (LossSpread),
+// so that services, gangs and urgent work, which are requeued at once, find the
+// partition owners idle.
 func (st *state) requeueLost(a *attempt) {
 	if a.job.class.Rank() >= spec.High.Rank() || a.job.spec.Kind == spec.Gang {
 		st.makeReady(a.job, a.index, time.Now())
--- a/process/jobs/faults_test.go
+++ b/process/jobs/faults_test.go
@@ -35,7 +35,7 @@
 	jobs         []spec.Job
 	teams        []spec.Team
 	serial       int
-	dead         int
+	removed      int // workers
 }
 
 var faultKinds = map[string]func(w *faultCell, arg int){
@@ -86,8 +86,8 @@
 		w.startPartition(w.ctx, names[arg%len(names)])
 	},
 	"worker dies": func(w *faultCell, arg int) {
-		if w.dead < 4 {
-			w.dead++
+		if w.removed < 4 {
+			w.removed++
 			w.killWorker(w.workerAt(arg))
 		}
 	},
@@ -130,7 +130,7 @@
 	defer w.mu.Unlock()
 	var ids []worker.ID
 	for id, wk := range w.workers {
-		if !wk.dead {
+		if !wk.removed {
 			ids = append(ids, id)
 		}
 	}
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -124,7 +124,7 @@
 	request := plan.Reserve{
 		Partition: p.name, Author: st.author(), Reservation: try.reservation, Seq: st.shard.seq.Add(1),
 		TTLMillis: st.o.Tuning.GangReservationTTL.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
-		MayRebind: true, NoRebind: st.keptWorkers(try.job, p),
+		MayRebind: true, NoRebind: st.withheldWorkers(try.job, p),
 	}
 	for i, a := range attempts {
 		request.Steps[i] = step(a)
@@ -186,7 +186,7 @@
 		st.callOwner(p.owner, plan.MethodRelease, &release, nil, func(*state, error) {})
 	}
 	j.tries++
-	j.nextTry = time.Now().Add(st.gangPause(j))
+	j.nextTry = time.Now().Add(st.gangRetryDelay(j))
 	for _, a := range try.attempts {
 		if j.live[a.index] == a {
 			st.revertStart(a, reason)
@@ -195,11 +195,13 @@
 	st.o.Metrics.GangRetries.Add(1)
 }
 
-// pauseHalvingAge is the age at which a gang's retry delay is halved.
-const pauseHalvingAge = 10 * time.Second
+// delayHalvingAge is the age at which a gang's retry delay is halved.
+const delayHalvingAge = 10 * time.Second
 
-func (st *state) gangPause(j *job) time.Duration {
-	age := float64(time.Since(j.arrived)) / float64(pauseHalvingAge)
+// gangRetryDelay returns a random delay whose mean grows from GangRetry with each
+// failed attempt, up to eight times GangRetry, and decreases with the gang's age.
+func (st *state) gangRetryDelay(j *job) time.Duration {
+	age := float64(time.Since(j.arrived)) / float64(delayHalvingAge)
 	mean := float64(st.o.Tuning.GangRetry) * float64(min(j.tries, 8)) / (1 + age)
 	return time.Duration(mean * (0.5 + rand.Float64()))
 }
--- a/process/jobs/idle_test.go
+++ b/process/jobs/idle_test.go
@@ -16,7 +16,7 @@
 
 // TestShardWithoutWorkersSeldomWakes guards against an idle daemon of a cell without
 // workers using CPU time. While a job waits and no worker exists, a round ends with its
-// decisions still due, and the next one must not begin after the minimum gap.
+// decisions still due, and the next one must not begin as soon as RoundGap has passed.
 func TestShardWithoutWorkersSeldomWakes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/process/jobs/job.go
+++ b/process/jobs/job.go
@@ -79,7 +79,8 @@
 	arrived time.Time
 	// requeued holds the time at which a task became ready again.
 	requeued map[uint32]time.Time
-	// restarts counts the attempts of a task that ended in this epoch.
+	// restarts holds, by task, the number of attempt numbers that are used up in
+	// this incarnation of the shard; see consume.
 	restarts map[uint32]int
 	// avoid holds the workers on which a task failed before.
 	avoid map[uint32][]worker.ID
@@ -89,7 +90,7 @@
 	// a partition.
 	adopted bool
 	// wait is the reason why the job's next task is not started, infeasible the
-	// reason why no worker can ever run it.
+	// reason why it can never start on the current workers or within the quota.
 	wait       string
 	rejections []sched.Rejection
 	infeasible string
@@ -99,8 +100,9 @@
 	nextTry time.Time
 	tries   int
 	failing bool // guards failGang against recursion
-	// consecutiveFailures lengthens the retry delay of a job whose tasks fail
-	// on every worker.
+	// consecutiveFailures counts the failures since the last success of any
+	// task. It lengthens the retry delay of a job whose tasks fail on every
+	// worker.
 	consecutiveFailures int
 	// size is what the next task reserves and runTime its expected run time,
 	// both learned at sizedAt.
@@ -130,8 +132,8 @@
 }
 
 // shape returns the scheduling equivalence class of the job's tasks. Services,
-// gangs and spread jobs have one of their own, because the placement of their
-// tasks depends on where their other tasks run.
+// gangs and jobs with a spread or a limit per worker have one of their own,
+// because the placement of their tasks depends on where their other tasks run.
 func (j *job) shape() queue.Shape {
 	s := queue.Shape{Size: j.size, Kind: j.spec.Kind, Constraints: constraintsKey(&j.spec.Constraints)}
 	if j.spec.Kind != spec.Batch || j.spec.Constraints.MaxPerWorker > 0 || j.spec.Constraints.Spread != "" {
@@ -193,7 +195,7 @@
 	return !j.service() && j.record.FinishedCount() == j.spec.Count && len(j.live) == 0
 }
 
-// waitingSets returns the sets of waiting tasks, those that start first first.
+// waitingSets returns the sets of waiting tasks in the order in which they start.
 func (j *job) waitingSets() []*roaring.Bitmap {
 	return []*roaring.Bitmap{j.ready, j.delayed, j.blocked}
 }
--- a/process/jobs/jobs.go
+++ b/process/jobs/jobs.go
@@ -234,11 +234,11 @@
 	if s == nil {
 		return nil, &peer.RemoteError{Code: CodeNotOwner, Message: "shard not owned here"}
 	}
-	taken := false
-	if err := s.call(ctx, func(st *state) { taken = st.applyEvents(&events) }); err != nil {
+	applied := false
+	if err := s.call(ctx, func(st *state) { applied = st.applyEvents(&events) }); err != nil {
 		return nil, err
 	}
-	if !taken {
+	if !applied {
 		return nil, &peer.RemoteError{Code: CodeBusy, Message: "a list of the partition's tasks is on its way"}
 	}
 	return nil, nil
--- a/process/jobs/metrics.go
+++ b/process/jobs/metrics.go
@@ -14,20 +14,22 @@
 
 // Metrics counts what the shards of a daemon do. The zero value is ready.
 type Metrics struct {
-	Plans, Steps           expvar.Int // sent
-	Started, Refused       expvar.Int // steps by result
-	Rebound                expvar.Int // steps started on another worker than planned
-	LostAnswers            expvar.Int // plans with an unknown outcome
-	Finished, Failed, Lost expvar.Int // completions of tasks
+	Plans, Steps     expvar.Int // sent
+	Started, Refused expvar.Int // steps accepted; starts that certainly did not happen
+	Rebound          expvar.Int // steps started on another worker than planned
+	LostAnswers      expvar.Int // plans with an unknown outcome
+	// Finished counts tasks with a final outcome, Failed and Lost the failed and
+	// lost attempts, except those of services and non-idempotent tasks.
+	Finished, Failed, Lost expvar.Int
 	// CrashedWorkers counts tasks that failed for good because their workers
 	// crashed repeatedly after their start.
 	CrashedWorkers expvar.Int
-	Unknown        expvar.Int // tasks that may have run
-	Adopted        expvar.Int
+	Unknown        expvar.Int // non-idempotent tasks that may have run before a takeover
+	Adopted        expvar.Int // attempts of previous owners
 	Cancelled      expvar.Int // jobs
-	GangRetries    expvar.Int
-	Writes         expvar.Int
-	Violations     expvar.Int
+	GangRetries    expvar.Int // reservation attempts that failed
+	Writes         expvar.Int // of progress
+	Violations     expvar.Int // of invariants
 	ShardsDiffer   expvar.Int // 1 while no shard is served: see shardCountCheck
 
 	mu    sync.Mutex // guards waits
--- a/process/jobs/partition.go
+++ b/process/jobs/partition.go
@@ -148,7 +148,7 @@
 // applyFenceReply applies a partition's list of its tasks.
 func (st *state) applyFenceReply(p *partition, owner ownership.Claim, reply *plan.FenceReply) {
 	if owner.Epoch < st.commit.partitions[p.name] {
-		return // a previous owner of the shard used a later owner of the partition
+		return // a previous owner of the shard may have sent plans to a later owner of the partition
 	}
 	p.fencedEpoch, p.unconfirmed = owner.Epoch, false
 	st.recordPartitionEpoch(p)
--- a/process/jobs/partition_test.go
+++ b/process/jobs/partition_test.go
@@ -19,7 +19,7 @@
 	partition, zone string
 	capacity        spec.Resources
 	tasks           map[worker.Ref]*fakeTask
-	dead            bool
+	removed         bool
 	unreachable     bool // by partition owners: neither fenced nor listed
 }
 
@@ -143,7 +143,7 @@
 
 func (p *fakePartition) start(shard plan.Shard, s *plan.Step) plan.Outcome {
 	w := p.c.workers[s.Worker]
-	if w == nil || w.dead || w.unreachable {
+	if w == nil || w.removed || w.unreachable {
 		return plan.NoWorker
 	}
 	ref := worker.Ref{Task: s.Start.Task, Attempt: s.Start.Attempt}
@@ -247,7 +247,7 @@
 	for i := range r.Steps {
 		result.Steps[i].Worker = p.rebindReserved(r, &r.Steps[i])
 		w := p.c.workers[r.Steps[i].Worker]
-		if w == nil || w.dead || w.unreachable || !r.Steps[i].Start.Size.Fits(p.free(w)) {
+		if w == nil || w.removed || w.unreachable || !r.Steps[i].Start.Size.Fits(p.free(w)) {
 			result.Steps[i].Outcome = plan.NoCapacity
 			delete(p.reservations, r.Reservation)
 			break
@@ -329,7 +329,7 @@
 			continue
 		}
 		state := plan.WorkerState{ID: w.id, Zone: w.zone, Rack: p.name, Capacity: w.capacity,
-			Reserved: w.capacity.Sub(p.free(w)), Removed: w.dead}
+			Reserved: w.capacity.Sub(p.free(w)), Removed: w.removed}
 		if w.unreachable {
 			state.Unusable = "unreachable"
 		}
@@ -349,7 +349,7 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	w := c.workers[id]
-	w.dead = true
+	w.removed = true
 	for _, t := range w.tasks {
 		if t.ended() {
 			t.event.Lost, t.sent = true, false
--- a/process/jobs/progress/file.go
+++ b/process/jobs/progress/file.go
@@ -361,11 +361,11 @@
 func (f *File) writeSplit(ctx context.Context, before int) error {
 	for i := range f.jobs {
 		key := pageKey(f.head.Shard, f.head.Pages, i)
-		left, rev, err := f.read(ctx, key) // of an earlier, unfinished split
+		leftover, rev, err := f.read(ctx, key) // page of an earlier, unfinished split
 		if err != nil {
 			return err
 		}
-		if left.Head.Epoch > f.head.Epoch {
+		if leftover.Head.Epoch > f.head.Epoch {
 			return ErrSuperseded
 		}
 		f.revs[i] = rev
--- a/process/jobs/protect.go
+++ b/process/jobs/protect.go
@@ -23,15 +23,15 @@
 }
 
 // gangShadow is a waiting gang, or a waiting batch task as a gang of one, that
-// capacity may be kept free for. Its planned start is the shadow time of
-// backfill scheduling.
+// capacity may be kept free for. The time at which planShadow expects it to fit
+// is the shadow time of backfill scheduling.
 type gangShadow struct {
 	need GangNeed
 	own  *job // nil for a gang of another shard
 	// since orders gangs: the one that has waited longest is protected.
 	since    time.Time
-	planned  time.Time
-	lastSeen time.Time
+	planned  time.Time // when planShadow last ran for it
+	lastSeen time.Time // when it was last proposed
 }
 
 const (
@@ -41,8 +41,8 @@
 	needExpiry = 10 * time.Second
 )
 
-// offerGang proposes a gang of this shard that could not be placed for
-// protection. Capacity is kept free for the longest-waiting gang, since otherwise
+// offerGang proposes for protection a gang of this shard that could not be
+// placed. Capacity is kept free for the longest-waiting gang, since otherwise
 // small tasks would take all capacity as it is freed and a large gang would never
 // start. Protecting one gang at a time is enough for each to start eventually,
 // and costs small tasks no more than the capacity of that gang.
@@ -58,9 +58,9 @@
 // it.
 const protectAfter = 5 * time.Second
 
-// offerTask proposes a batch task that has waited for protectAfter for
-// protection. Otherwise smaller tasks could take all capacity as it is freed and
-// a large task would never start. Gangs take precedence over single tasks, as
+// offerTask proposes for protection a batch task that has waited for at least
+// protectAfter. Otherwise smaller tasks could take all capacity as it is freed
+// and a large task would never start. Gangs take precedence over single tasks, as
 // they are harder to place.
 func (st *state) offerTask(j *job, now time.Time) {
 	index, ok := j.next()
@@ -132,8 +132,8 @@
 	}
 }
 
-// planShadow finds the earliest time at which the protected gang fits, and keeps
-// the capacity of the workers that it would use then.
+// planShadow finds the earliest time at which the protected gang fits, and
+// withholds the capacity of the workers that it would use then.
 func (st *state) planShadow(now time.Time) {
 	s := st.round.protected
 	s.planned = now
@@ -147,17 +147,19 @@
 	}
 }
 
-// keptWorkers lists the workers of a partition that the tasks of a job must not be
-// rebound to: those with protected capacity, unless the job itself is protected.
-func (st *state) keptWorkers(j *job, p *partition) []worker.ID {
+// withheldWorkers lists the workers of a partition that the tasks of a job must
+// not be rebound to: those with protected capacity, unless the job itself is
+// protected.
+func (st *state) withheldWorkers(j *job, p *partition) []worker.ID {
 	if s := st.round.protected; s != nil && s.own == j {
 		return nil
 	}
 	return st.round.noRebind[p.name]
 }
 
-// setProtected makes the planner of this shard keep capacity for a gang, and
-// excludes its workers from rebinding by partition owners; nil keeps none.
+// setProtected makes the planner of this shard withhold the capacity of the
+// shadow's workers from other tasks, and excludes these workers from rebinding
+// by partition owners. With nil, nothing is withheld.
 func (st *state) setProtected(shadow *sched.Shadow) {
 	st.round.planner.Protect(shadow)
 	st.round.noRebind = nil
--- a/process/jobs/queue/queue.go
+++ b/process/jobs/queue/queue.go
@@ -16,7 +16,7 @@
 // classes is the number of classes, see spec.Class.Rank.
 const classes = 4
 
-// degree is that of the B-trees.
+// degree is the degree of the B-trees.
 const degree = 8
 
 // Shape identifies tasks that fit on the same workers.
@@ -50,8 +50,8 @@
 	team    *teamQueue[V]
 }
 
-func (l *shapeQueue[V]) head() *Entry[V] {
-	e, _ := l.entries.Min()
+func (s *shapeQueue[V]) head() *Entry[V] {
+	e, _ := s.entries.Min()
 	return e
 }
 
@@ -122,28 +122,28 @@
 }
 
 func (t *teamQueue[V]) add(e *Entry[V]) {
-	l := t.shapeQueues[e.Shape]
-	if l == nil {
-		l = &shapeQueue[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
-		t.shapeQueues[e.Shape] = l
+	s := t.shapeQueues[e.Shape]
+	if s == nil {
+		s = &shapeQueue[V]{shape: e.Shape, team: t, entries: btree.NewG(degree, earlier[V])}
+		t.shapeQueues[e.Shape] = s
 	} else {
-		t.order.Delete(l)
+		t.order.Delete(s)
 	}
-	l.entries.ReplaceOrInsert(e)
-	e.parent = l
-	t.order.ReplaceOrInsert(l)
+	s.entries.ReplaceOrInsert(e)
+	e.parent = s
+	t.order.ReplaceOrInsert(s)
 }
 
 func (t *teamQueue[V]) remove(e *Entry[V]) {
-	l := e.parent
-	t.order.Delete(l)
-	l.entries.Delete(e)
+	s := e.parent
+	t.order.Delete(s)
+	s.entries.Delete(e)
 	e.parent = nil
-	if l.entries.Len() == 0 {
-		delete(t.shapeQueues, l.shape)
+	if s.entries.Len() == 0 {
+		delete(t.shapeQueues, s.shape)
 		return
 	}
-	t.order.ReplaceOrInsert(l)
+	t.order.ReplaceOrInsert(s)
 }
 
 func earlier[V any](a, b *Entry[V]) bool { return a.Arrival < b.Arrival }
@@ -202,11 +202,11 @@
 // first returns the earliest entry of the team that is not skipped.
 func (r *Round[V]) first(t *teamQueue[V]) *Entry[V] {
 	var found *Entry[V]
-	t.order.Ascend(func(l *shapeQueue[V]) bool {
-		if r.skipped[l] || r.shapes[l.shape] {
+	t.order.Ascend(func(s *shapeQueue[V]) bool {
+		if r.skipped[s] || r.shapes[s.shape] {
 			return true
 		}
-		found = l.head()
+		found = s.head()
 		return false
 	})
 	return found
--- a/process/jobs/rebind_test.go
+++ b/process/jobs/rebind_test.go
@@ -57,7 +57,7 @@
 func (p *fakePartition) rebindReserved(r *plan.Reserve, s *plan.Step) worker.ID {
 	takes := func(id worker.ID) bool {
 		w := p.c.workers[id]
-		return w != nil && !w.dead && !w.unreachable && s.Start.Size.Fits(p.free(w))
+		return w != nil && !w.removed && !w.unreachable && s.Start.Size.Fits(p.free(w))
 	}
 	if !r.MayRebind || takes(s.Worker) {
 		return ""
@@ -162,8 +162,9 @@
 	})
 }
 
-// TestPlansNameTheWorkersKeptForAGang checks that plans list the workers kept for a
-// gang, since a partition owner that rebinds does not have the gang.
+// TestPlansNameTheWorkersKeptForAGang checks that plans list the workers whose capacity
+// is withheld for a gang, because a partition owner that rebinds a step has no record of
+// the gang.
 func TestPlansNameTheWorkersKeptForAGang(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		d := c.startDaemon(ctx, "d1")
@@ -188,12 +189,12 @@
 			}
 		}
 		c.await(2*time.Minute, "gang done", func() bool { return c.succeeded("g") == 60 })
-		require.Empty(t, d.keptWorkersOf(ctx))
+		require.Empty(t, d.withheldWorkersOf(ctx))
 	})
 }
 
-// keptWorkersOf returns the workers that shard 0 still keeps for a gang.
-func (d *daemon) keptWorkersOf(ctx context.Context) (noRebind map[string][]worker.ID) {
+// withheldWorkersOf returns the workers whose capacity shard 0 still withholds for a gang.
+func (d *daemon) withheldWorkersOf(ctx context.Context) (noRebind map[string][]worker.ID) {
 	_ = d.manager.shard(0).call(ctx, func(st *state) { noRebind = st.round.noRebind })
 	return noRebind
 }
--- a/process/jobs/report.go
+++ b/process/jobs/report.go
@@ -43,7 +43,7 @@
 	TaskRunning  TaskState = "running"
 	TaskStopping TaskState = "stopping"
 	TaskDone     TaskState = "done"
-	TaskFailed   TaskState = "failed"       // used up its retries
+	TaskFailed   TaskState = "failed"       // used up its retries, or crashed its workers repeatedly
 	TaskUnknown  TaskState = "may_have_run" // not started again
 )
 
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -35,7 +35,8 @@
 	blocked map[worker.ID]string
 	// localPartitions lists the partitions that this daemon owns, sorted.
 	localPartitions []string
-	// noRebind lists, by partition, the workers with capacity kept for protected.
+	// noRebind lists, by partition, the workers whose capacity is withheld for
+	// protected.
 	noRebind map[string][]worker.ID
 }
 
@@ -102,10 +103,10 @@
 	return true
 }
 
-// wastedShare is the minimum ratio between the time from one round to the next
-// and the time that a round spends on decisions that place nothing: at most one
-// part in wastedShare of a core is spent on them. When many tasks wait and no
-// capacity is freed, rounds become less frequent.
+// wastedShare limits the CPU time of decisions that place nothing to about
+// 1/wastedShare of a core: after a round that spent d on them, the next one
+// begins at least wastedShare*d, but no later than RoundInterval, after its start.
+// When many tasks wait and no capacity is freed, rounds become less frequent.
 const wastedShare = 50
 
 // nextRound returns when the next round may begin. Urgent tasks are not delayed.
@@ -231,8 +232,9 @@
 }
 
 // withinStartRate reports whether a start is within the start rate of the shard.
-// Urgent work and services are never limited: after the loss of a rack they start
-// first, and the rest follows at a rate that the partition owners can process.
+// Work of class High, the default of services, and above is never limited: after
+// the loss of a rack it starts first, and the rest follows at a rate that the
+// partition owners can process.
 func (st *state) withinStartRate(j *job, now time.Time) bool {
 	if j.class.Rank() >= spec.High.Rank() || st.limiter.TokensAt(now) >= 1 {
 		return true
--- a/process/jobs/shardcount.go
+++ b/process/jobs/shardcount.go
@@ -33,21 +33,21 @@
 }
 
 // Serve implements suture.Service; it ends when the numbers agree.
-func (l *shardCountCheck) Serve(ctx context.Context) error {
+func (c *shardCountCheck) Serve(ctx context.Context) error {
 	for {
 		pause := shardCountRecheckInterval
-		stored, err := l.storedShardCount(ctx)
+		stored, err := c.storedShardCount(ctx)
 		switch {
 		case err != nil:
-			l.manager.options.Log.Warn().Err(err).Msg("cannot read the cell's number of shards")
+			c.manager.options.Log.Warn().Err(err).Msg("reading the cell's number of shards failed; no shard is claimed until it succeeds")
 			pause = shardCountRetryInterval
-		case stored == l.manager.options.Shards:
-			l.manager.options.Metrics.ShardsDiffer.Set(0)
-			l.manager.confirmShardCount()
+		case stored == c.manager.options.Shards:
+			c.manager.options.Metrics.ShardsDiffer.Set(0)
+			c.manager.confirmShardCount()
 			return suture.ErrDoNotRestart
 		default:
-			l.manager.options.Metrics.ShardsDiffer.Set(1)
-			l.manager.options.Log.Error().Int("shards", l.manager.options.Shards).Int("cell", stored).
+			c.manager.options.Metrics.ShardsDiffer.Set(1)
+			c.manager.options.Log.Error().Int("shards", c.manager.options.Shards).Int("cell", stored).
 				Msg("setting shards differs from the cell's number of shards; this daemon claims no shard")
 		}
 		select {
@@ -60,12 +60,12 @@
 
 // storedShardCount returns the number of shards of the cell, which is this daemon's
 // when none is stored yet.
-func (l *shardCountCheck) storedShardCount(ctx context.Context) (int, error) {
-	s, own := l.manager.options.Store, l.manager.options.Shards
+func (c *shardCountCheck) storedShardCount(ctx context.Context) (int, error) {
+	s, own := c.manager.options.Store, c.manager.options.Shards
 	item, err := s.Get(ctx, shardsKey)
 	if errors.Is(err, store.ErrNotFound) {
 		_, err = s.Swap(ctx, shardsKey, []byte(strconv.Itoa(own)), 0, 0)
-		return own, err // also on a conflict: another daemon was first
+		return own, err // a conflict is an error: another daemon was first, and the next read returns its number
 	}
 	if err != nil {
 		return 0, err
--- a/process/jobs/shares.go
+++ b/process/jobs/shares.go
@@ -112,8 +112,8 @@
 }
 
 // yields reports whether a team leaves usable capacity to teams of other shards
-// because it holds more than its fair share. Urgent work and services do not
-// yield.
+// because it holds more than its fair share. Work of class High, the default of
+// services, and above does not yield.
 func (st *state) yields(e *queue.Entry[*job], now time.Time) bool {
 	j, o := e.Value, &st.others
 	if !o.waiting || j.class.Rank() >= spec.High.Rank() || st.accounts.Share(st.account(j)) <= o.level {
--- a/process/partition/calls.go
+++ b/process/partition/calls.go
@@ -131,7 +131,7 @@
 		return
 	}
 	if n.failures == 0 {
-		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("call to worker failed")
+		o.log.Warn().Err(err).Str("worker", string(n.id)).Msg("call to worker failed; it accepts no new tasks until a call succeeds")
 		o.markChanged(n)
 	}
 	n.failures++
--- a/process/partition/commit.go
+++ b/process/partition/commit.go
@@ -23,7 +23,7 @@
 	maxReservationTTL     = time.Minute
 )
 
-// key is the ledger's holder of one reserved step.
+// key returns the name under which the ledger records one reserved step.
 func (r *reservation) key(id string, task spec.TaskID) string {
 	return "reserved/" + id + "/" + task.String()
 }
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -285,13 +285,13 @@
 			o.post(func() { o.stepDown(confirmErr) })
 		}
 	}()
-	o.log.Error().Err(err).Str("worker", string(n.id)).Msg("worker has seen a higher epoch")
+	o.log.Error().Err(err).Str("worker", string(n.id)).Msg("worker has seen a higher epoch; no tasks start in the partition until its workers are fenced again")
 }
 
 // earlierOwners tracks the previous owners of the partition until each is known
-// to act no more: it released the claim, its VM left the VM list, or its daemon
-// runs as a newer incarnation. A member that merely does not respond may still
-// act.
+// to act no more: it released the claim, it is this daemon itself, its VM left
+// the VM list, or its daemon runs as a newer incarnation. A member that merely
+// does not respond may still act.
 type earlierOwners struct {
 	unreleased   map[peer.Ref]bool
 	lastReleased time.Time // when the last one was removed from unreleased
--- a/process/partition/harness_test.go
+++ b/process/partition/harness_test.go
@@ -266,8 +266,8 @@
 	c.rack.Resume(d.key())
 }
 
-// owner returns the daemon that owns the test partition and assumes that it
-// holds the claim, or nil.
+// owner returns the daemon that runs the test partition's owner and holds the
+// claim according to its own records, or nil.
 func (c *cell) owner() *daemon {
 	for _, d := range c.daemons {
 		if _, err := d.host.owner(testPartition); err == nil {
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -64,7 +64,7 @@
 	o.memoWriting = false
 	if err != nil {
 		o.memoRetry = time.Now().Add(storeRetry)
-		o.log.Warn().Err(err).Msg("writing the partition memo to the store failed")
+		o.log.Warn().Err(err).Msg("writing the partition memo to the store failed; workers that the stored memo does not name accept no tasks")
 		return
 	}
 	o.earlierFenced = earlierFenced
--- a/process/partition/options.go
+++ b/process/partition/options.go
@@ -137,8 +137,8 @@
 	return d + time.Duration(float64(d)*driftShare) + driftMargin
 }
 
-// syncInterval keeps the heartbeats of a daemon below heartbeatBudget, which is
-// part of the 13 KB/s allowed for all control traffic.
+// Size of a heartbeat and budget for all heartbeats of a daemon, see syncInterval.
+// The budget is part of the 13 KB/s allowed for all control traffic.
 const (
 	heartbeatBytes  = 600  // one Sync without changes, both ways, with HTTP headers
 	heartbeatBudget = 6000 // bytes per second
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -219,7 +219,7 @@
 		o.post(func() {
 			o.shardEpochsReading = false
 			if err != nil {
-				o.log.Warn().Err(err).Msg("reading shard epochs from the store failed")
+				o.log.Warn().Err(err).Msg("reading shard epochs from the store failed; the partition accepts no plans until it succeeds")
 				o.shardEpochsRetry = time.Now().Add(storeRetry)
 				return
 			}
@@ -266,7 +266,7 @@
 		if !listed[id] && !n.unlisted && o.h.o.Racks.VMRemoved(string(id)) {
 			n.unlisted = true
 			n.fenced = false
-			o.log.Warn().Str("worker", string(id)).Msg("worker left the VM list")
+			o.log.Warn().Str("worker", string(id)).Msg("worker left the VM list; its tasks count as lost once their lease has expired")
 			o.markChanged(n)
 		}
 	}
--- a/process/partition/racks.go
+++ b/process/partition/racks.go
@@ -71,7 +71,7 @@
 func (r *Racks) Serve(ctx context.Context) error {
 	for {
 		if err := r.Refresh(ctx); err != nil && ctx.Err() == nil {
-			r.log.Warn().Err(err).Msg("reading the VM list failed")
+			r.log.Warn().Err(err).Msg("reading the VM list failed; the last list stays in use")
 		}
 		select {
 		case <-ctx.Done():
--- a/process/partition/racks_test.go
+++ b/process/partition/racks_test.go
@@ -36,7 +36,7 @@
 	}{
 		{"first", all, nil, []string{"a-1", "a-2"}, false},
 		{"failed", nil, errors.New("down"), []string{"a-1", "a-2"}, false},
-		{"cut short", all[:2], nil, []string{"a-1"}, false},
+		{"read truncated", all[:2], nil, []string{"a-1"}, false},
 		{"complete again", all, nil, []string{"a-1", "a-2"}, false},
 		{"left", all[:2], nil, []string{"a-1"}, false},
 		{"left, second reading", all[:2], nil, []string{"a-1"}, true},
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -67,10 +67,10 @@
 		capacity, _ := o.ledger.Capacity(n.id)
 		tasks := n.tasksOf(step.Start.Task.Job) + o.reservedFor(step.Start.Task.Job, n.id)
 		limit := step.Constraints.MaxPerWorker
-		closed := limit > 0 && tasks >= limit || slices.Contains(noRebind, n.id) || o.ineligibleAlternative(n, step, ask)
+		excluded := limit > 0 && tasks >= limit || slices.Contains(noRebind, n.id) || o.ineligibleAlternative(n, step, ask)
 		nodes = append(nodes, n)
 		list = append(list, rebind.Candidate{
-			ID: n.id, Capacity: capacity, Free: capacity.Sub(o.ledger.Held(n.id)), Tasks: tasks, Excluded: closed,
+			ID: n.id, Capacity: capacity, Free: capacity.Sub(o.ledger.Held(n.id)), Tasks: tasks, Excluded: excluded,
 		})
 	}
 	return nodes, list
--- a/process/partition/reports.go
+++ b/process/partition/reports.go
@@ -100,7 +100,7 @@
 	}
 	if other := o.live[ref.Task]; other != nil {
 		o.h.o.Metrics.DoubleRuns.Add(1)
-		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task found running twice")
+		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task found running twice; the attempt found last is stopped")
 		t.stopWanted = true
 	} else {
 		o.live[ref.Task] = t
--- a/process/partition/state.go
+++ b/process/partition/state.go
@@ -14,8 +14,9 @@
 )
 
 const (
-	// flushInterval batches changes of workers. Changes of endpoints are
-	// published at once, because callers' requests are routed by them.
+	// flushInterval is the minimum time between two publications of changes of
+	// workers, so that they are batched. Changes of endpoints are published at
+	// once, because callers' requests are routed by them.
 	flushInterval = 200 * time.Millisecond
 	// maxStateWait bounds one long poll.
 	maxStateWait = 30 * time.Second
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -93,7 +93,7 @@
 // startDraining ends the work on a VM that is leaving.
 func (o *owner) startDraining(n *node) {
 	n.draining = true
-	o.log.Info().Str("worker", string(n.id)).Msg("VM is leaving")
+	o.log.Info().Str("worker", string(n.id)).Msg("VM is leaving; draining its tasks")
 	o.markChanged(n)
 	for _, t := range n.tasks {
 		if t.phase == queued || t.phase == waiting {
--- a/process/procusage/model_test.go
+++ b/process/procusage/model_test.go
@@ -99,7 +99,7 @@
 		c.views = callB * (polled + polledBy)
 		c.viewsBusy = sumB * 2 * (s.pollShare*s.starts + polledBy*ownStarts)
 		c.plans = planB * (s.starts/s.shards + ownStarts)
-		c.idleCPU, c.busyCPU = 0, 0 // not modelled
+		c.idleCPU, c.busyCPU = 0, 0 // no measurements of the CPU time of such polls
 	}
 	return c
 }
@@ -128,8 +128,8 @@
 			k.heartbeats, k.list, k.views, k.fleet, k.versions, k.store, k.idle(), k.idleCPU, k.viewsBusy, k.plans, k.agents, k.busy(), k.busyCPU)
 		require.Equal(t, c.idleFits, k.idle() <= limitB, "%s %d: idle bytes", c.name, c.daemons)
 		require.Equal(t, c.peakFits, k.busy() <= limitB, "%s %d: peak bytes", c.name, c.daemons)
-		require.Equal(t, c.idleCPUFits, k.idleCPU <= limitCPU, "%s %d: idle processor", c.name, c.daemons)
-		require.Equal(t, c.peakCPUFits, k.busyCPU <= limitCPU, "%s %d: peak processor", c.name, c.daemons)
+		require.Equal(t, c.idleCPUFits, k.idleCPU <= limitCPU, "%s %d: idle CPU", c.name, c.daemons)
+		require.Equal(t, c.peakCPUFits, k.busyCPU <= limitCPU, "%s %d: peak CPU", c.name, c.daemons)
 	}
 	_ = w.Flush() // writes to memory, cannot fail
 	t.Log("\n" + out.String())
