--- a/process/fleet/evict.go
+++ b/process/fleet/evict.go
@@ -67,7 +67,7 @@
 	p := prober{fleet: f, target: ref, timeout: timeout}
 	if _, err := p.ping(callCtx); err != nil {
 		if err := f.recordEviction(callCtx, &result); err != nil {
-			f.options.Log.Debug().Err(err).Str("member", string(ref.ID)).Msg("eviction not recorded")
+			f.options.Log.Debug().Err(err).Str("member", string(ref.ID)).Msg("eviction not recorded; trying again later")
 		}
 	}
 	// An error of post means that the loop has ended.
@@ -160,7 +160,7 @@
 func (f *Fleet) deleteRecords(ctx context.Context, old []staleRecord) {
 	for _, record := range old {
 		if err := f.options.Store.Delete(ctx, record.key, record.revision); err != nil {
-			f.options.Log.Debug().Err(err).Str("key", record.key).Msg("incarnation record not deleted")
+			f.options.Log.Debug().Err(err).Str("key", record.key).Msg("record of an ended incarnation not deleted; trying again later")
 			return
 		}
 	}
--- a/process/fleet/follow.go
+++ b/process/fleet/follow.go
@@ -59,7 +59,7 @@
 	}
 	record, err := decodeIncarnation(item.Data)
 	if err != nil {
-		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("incarnation record cannot be decoded")
+		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("incarnation record cannot be decoded and is ignored")
 		return
 	}
 	l.records[id] = storedRecord{record: record, revision: item.Revision}
@@ -71,7 +71,7 @@
 func (l *loop) storeAlive(id peer.MemberID, item store.Item) {
 	m, err := decodeMember(item.Data)
 	if err != nil || m.ID != id {
-		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("member record cannot be decoded")
+		l.options.Log.Error().Err(err).Str("key", item.Key).Msg("member record cannot be decoded and is ignored")
 		return
 	}
 	l.merge(delta{ID: id, Incarnation: m.Incarnation, Info: infoOf(m)}, false)
--- a/process/fleet/handler.go
+++ b/process/fleet/handler.go
@@ -41,7 +41,7 @@
 	}
 	answer := ack{Deltas: l.gossip.take(l.table, p.from.ID, len(l.fleet.Members())), Digest: l.table.digest}
 	if e := l.table.entries[p.from.ID]; e.Incarnation == p.from.Incarnation && e.Ended != NotEnded {
-		// The sender's incarnation has ended and it must be told at once.
+		// The sender's incarnation has ended and it must be notified at once.
 		answer.Deltas = append(answer.Deltas, delta{ID: e.ID, Incarnation: e.Incarnation, Ended: e.Ended})
 	}
 	p.ack <- answer
@@ -54,7 +54,7 @@
 		return nil, err
 	}
 	if m, ok := f.Lookup(request.Target.ID); !ok || m.Ref != request.Target || m.State == Suspect {
-		return pingViaAck{}, nil // not worth the cost of a handshake
+		return pingViaAck{}, nil // unknown, replaced or suspected: not worth the cost of a handshake
 	}
 	limit := min(time.Duration(request.Budget)*time.Millisecond, maxViaBudget)
 	ctx, cancel := context.WithTimeout(ctx, limit)
--- a/process/fleet/incarnation.go
+++ b/process/fleet/incarnation.go
@@ -99,7 +99,7 @@
 // confirm updates the incarnation record for a registration. It fails with an
 // *EvictedError if the incarnation has ended, or if another process has claimed the
 // same or a later one.
-func (l Incarnation) confirm(cur []byte, exists bool) ([]byte, error) {
+func (i Incarnation) confirm(cur []byte, exists bool) ([]byte, error) {
 	var rec incarnationRecord
 	if exists {
 		var err error
@@ -107,15 +107,15 @@
 			return nil, err
 		}
 	}
-	self := l.Ref.Incarnation
+	self := i.Ref.Incarnation
 	switch {
-	case rec.Incarnation > self, rec.Incarnation == self && rec.Owner != l.owner && rec.Owner != "":
+	case rec.Incarnation > self, rec.Incarnation == self && rec.Owner != i.owner && rec.Owner != "":
 		return nil, &EvictedError{Cause: Replaced, Floor: rec.Incarnation}
 	case rec.Ended >= self:
 		return nil, &EvictedError{Cause: rec.Cause, Floor: rec.Ended}
 	}
 	rec.endEarlier(self)
-	rec.Incarnation, rec.Owner = self, l.owner
+	rec.Incarnation, rec.Owner = self, i.owner
 	rec.Registrations++
 	rec.ChangedAt = time.Now().Unix()
 	return peer.Marshal(rec)
--- a/process/fleet/options.go
+++ b/process/fleet/options.go
@@ -34,7 +34,7 @@
 	// answer.
 	helpers = 3
 	// endedHistory bounds the number of ended incarnations that are kept, and endedFor
-	// their age; both cover two days at the current rate of replacements.
+	// their age; both cover at least two days at the current rate of replacements.
 	endedHistory = 8192
 	endedFor     = 48 * time.Hour
 )
--- a/process/fleet/probe.go
+++ b/process/fleet/probe.go
@@ -43,7 +43,8 @@
 
 // isolated reports whether this daemon has received nothing from peers or the store for a
 // while. It is then most likely cut off itself, and suspecting the others would only cause
-// needless messages when it is back. In a fleet of two this cannot be distinguished.
+// needless messages when it is back. In a fleet of two, being cut off cannot be distinguished
+// from a failure of the only other member, so isolated returns false.
 func (l *loop) isolated() bool {
 	return len(l.fleet.Members()) > 2 &&
 		time.Since(l.lastContact) > isolatedAfter*l.options.Period &&
@@ -188,7 +189,7 @@
 		return
 	}
 	l.fleet.stats.Suspicions.Add(1)
-	l.options.Log.Info().Str("member", string(target.ID)).Msg("member suspected")
+	l.options.Log.Info().Str("member", string(target.ID)).Msg("member suspected: probes failed")
 	d := e.delta
 	d.Flags |= flagSuspect
 	l.merge(d, true)
--- a/process/fleet/register.go
+++ b/process/fleet/register.go
@@ -70,7 +70,7 @@
 			retry = firstRegisterRetry
 			outgrown = r.keepRenewed(ctx, g)
 		} else {
-			r.failed(err, "registration failed")
+			r.failed(err, "registration in the store failed; trying again")
 		}
 		if err := sleep.For(ctx, jittered(retry)); err != nil {
 			return err
@@ -160,10 +160,10 @@
 			r.current.Store(&renewed)
 			r.fleet.stats.Renewals.Add(1)
 		case errors.Is(err, store.ErrLeaseLost):
-			r.failed(err, "store lease lost")
+			r.failed(err, "store lease lost; registering again")
 			return 0
 		default:
-			r.failed(err, "store lease not renewed")
+			r.failed(err, "store lease not renewed; trying again")
 		}
 		if err == nil && float64(r.fleet.leaseTTL()) > outgrownBy*float64(g.ttl) {
 			return g.lease
--- a/process/fleet/sync.go
+++ b/process/fleet/sync.go
@@ -11,8 +11,8 @@
 const (
 	// syncTimeout bounds one fetch of a member list.
 	syncTimeout = 3 * time.Second
-	// disagreementTimeout is how long the members of all peers must have differed before this
-	// daemon fetches a list; differences due to deltas in transit are resolved sooner.
+	// disagreementTimeout is how long no peer may have had the same members as this daemon
+	// before it fetches a list; differences due to deltas in transit are resolved sooner.
 	disagreementTimeout = 5 * time.Second
 	// syncInterval is the minimum time between fetches for that reason, and
 	// infoInterval between fetches for the addresses of an incarnation.
--- a/process/fleet/table.go
+++ b/process/fleet/table.go
@@ -14,7 +14,7 @@
 type entry struct {
 	delta
 	// registered is set if the alive key of this incarnation was in the store
-	// according to its latest answer.
+	// according to the latest read or event.
 	registered bool
 	// suspectSince and endedAt are times of this daemon's clock.
 	suspectSince time.Time
--- a/process/fleet/vms.go
+++ b/process/fleet/vms.go
@@ -46,7 +46,7 @@
 	defer cancel()
 	vms, err := f.options.VMs.List(listCtx)
 	if err != nil {
-		f.options.Log.Debug().Err(err).Msg("VM list not read")
+		f.options.Log.Debug().Err(err).Msg("reading the VM list failed")
 		return
 	}
 	// An error of post means that the loop has ended.
--- a/process/lead/detector.go
+++ b/process/lead/detector.go
@@ -13,7 +13,7 @@
 // and 85 workers, replacing leaders at once led to 13 leaders in 45 s, and nothing was
 // served. Recent takeovers therefore raise the number of missed pings that is tolerated.
 //
-// A leader that is dead, or cannot reach the store, loses its lease, which bounds
+// A leader that has failed, or cannot reach the store, loses its lease, which bounds
 // every delay here.
 const (
 	// takeoverWindow is how long a takeover raises the number of missed pings that is
--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -121,10 +121,10 @@
 			if taken {
 				last = now
 			}
-			p := d.missedLimit(Member{}, Member{})
-			require.GreaterOrEqual(t, p, pingsMissed)
-			require.LessOrEqual(t, p, pingsMissed<<maxDoublings)
-			require.Equal(t, !last.IsZero() && now.Sub(last) <= takeoverWindow, p > pingsMissed)
+			limit := d.missedLimit(Member{}, Member{})
+			require.GreaterOrEqual(t, limit, pingsMissed)
+			require.LessOrEqual(t, limit, pingsMissed<<maxDoublings)
+			require.Equal(t, !last.IsZero() && now.Sub(last) <= takeoverWindow, limit > pingsMissed)
 		}
 	})
 }
--- a/process/lead/record.go
+++ b/process/lead/record.go
@@ -101,11 +101,11 @@
 }
 
 func decodeTermRecord(e store.Entry) (termRecord, error) {
-	var l termRecord
-	if err := peer.Unmarshal(e.Value, &l); err != nil {
-		return l, fmt.Errorf("lead: decode term record: %w", err)
+	var r termRecord
+	if err := peer.Unmarshal(e.Value, &r); err != nil {
+		return r, fmt.Errorf("lead: decode term record: %w", err)
 	}
-	return l, nil
+	return r, nil
 }
 
 func memberName(key string) (string, bool) { return strings.CutPrefix(key, prefixMember) }
--- a/process/lead/term.go
+++ b/process/lead/term.go
@@ -114,26 +114,26 @@
 
 var errReleased = errors.New("lead: released")
 
-func (t *Term) commit(ctx context.Context, c *stream, txn store.Txn) error {
-	if err := c.sem.Acquire(ctx, 1); err != nil {
+func (t *Term) commit(ctx context.Context, s *stream, txn store.Txn) error {
+	if err := s.sem.Acquire(ctx, 1); err != nil {
 		return err
 	}
-	defer c.sem.Release(1)
+	defer s.sem.Release(1)
 	// An abandoned write may still take effect. Its own sequence number distinguishes it
 	// from later writes.
 	next := termRecord{Epoch: t.Epoch, Term: t.id, Sequence: t.nextSequence.Add(1), Holder: t.holder.Name}
 	base := len(txn.Checks)
-	txn.Checks = append(txn.Checks, store.Check{Key: c.key, Revision: c.revision}, store.Check{Key: keyClaim, Revision: t.claimRev})
-	txn.Writes = append(txn.Writes, store.Write{Key: c.key, Value: encode(next)})
+	txn.Checks = append(txn.Checks, store.Check{Key: s.key, Revision: s.revision}, store.Check{Key: keyClaim, Revision: t.claimRev})
+	txn.Writes = append(txn.Writes, store.Write{Key: s.key, Value: encode(next)})
 	for pause := retryPause; ; pause = min(2*pause, retryPauseMax) {
 		began := time.Now()
-		rev, err := t.try(ctx, c, txn, next)
+		rev, err := t.try(ctx, s, txn, next)
 		switch {
 		case err == nil:
-			c.revision = rev
+			s.revision = rev
 			return nil
 		case errors.Is(err, errStreamAdvanced):
-			c.revision = rev
+			s.revision = rev
 			txn.Checks[base].Revision = rev
 			continue
 		case errors.Is(err, ErrDeposed):
@@ -162,7 +162,7 @@
 
 // try sends the transaction once. All tries of one write carry the same checks,
 // so that at most one takes effect.
-func (t *Term) try(ctx context.Context, c *stream, txn store.Txn, next termRecord) (store.Revision, error) {
+func (t *Term) try(ctx context.Context, s *stream, txn store.Txn, next termRecord) (store.Revision, error) {
 	var rev store.Revision
 	err := t.timeout.Call(ctx, func(ctx context.Context) (err error) {
 		rev, err = t.store.Commit(ctx, txn)
@@ -178,7 +178,7 @@
 	if err := t.stillClaimed(conflict); err != nil {
 		return 0, err
 	}
-	entry, found := conflict.Find(c.key)
+	entry, found := conflict.Find(s.key)
 	if found {
 		now, err := decodeTermRecord(entry)
 		if err != nil {
@@ -188,7 +188,7 @@
 			return entry.Revision, nil // an earlier try, whose response was lost
 		}
 	}
-	if entry.Revision == c.revision {
+	if entry.Revision == s.revision {
 		return 0, errRecordExists // both revisions are 0 for a stream without records
 	}
 	return entry.Revision, errStreamAdvanced
@@ -200,7 +200,7 @@
 func (t *Term) stillClaimed(conflict *store.ConflictError) error {
 	entry, found := conflict.Find(keyClaim)
 	if !found {
-		return fmt.Errorf("%w: the claim is gone", ErrDeposed)
+		return fmt.Errorf("%w: the claim no longer exists", ErrDeposed)
 	}
 	now, err := decodeTermRecord(entry)
 	if err != nil {
--- a/process/lead/view.go
+++ b/process/lead/view.go
@@ -207,12 +207,12 @@
 
 func (v *View) set(e store.Entry) {
 	if e.Key == keyClaimCopy {
-		l, err := decodeTermRecord(e)
+		r, err := decodeTermRecord(e)
 		if err != nil {
 			v.logUnreadable(e.Key, err)
 			return
 		}
-		v.claim, v.claimRev = l, e.Revision
+		v.claim, v.claimRev = r, e.Revision
 		return
 	}
 	if e.Key == KeyLayout {
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -92,7 +92,7 @@
 
 func (g *gatedStore) refuse() error {
 	if g.rejecting.Load() {
-		return fmt.Errorf("turned away: %w", store.ErrOverBudget)
+		return fmt.Errorf("rejected: %w", store.ErrOverBudget)
 	}
 	return nil
 }
--- a/process/ownership/claiming.go
+++ b/process/ownership/claiming.go
@@ -78,7 +78,7 @@
 		return
 	}
 	if !errors.Is(err, store.ErrConflict) {
-		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("claim failed")
+		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("claim not written; trying again after a pause")
 	}
 	d := s.delays[r]
 	d.delay = min(max(2*d.delay, s.m.o.Tick), maxRetryDelay)
@@ -110,10 +110,10 @@
 }
 
 // prepareRelease confirms the claim at the store and calls Handler.Releasing. If the
-// store became unreachable meanwhile, a Resumer is told to resume. This leaves an
-// outage that begins between the last read and the write of the release: the write
-// may have taken effect, and a later owner then does not fence this daemon, so the
-// resource must not be resumed in the same epoch.
+// store became unreachable meanwhile, it calls Resume of a Resumer. An outage that begins
+// between the last read and the write of the release is not covered: the write may have
+// taken effect, and a later owner then does not fence this daemon, so the resource must
+// not be resumed in the same epoch.
 func (m *Manager) prepareRelease(ctx context.Context, h Handler, c Claim, leaving bool) error {
 	if leaving {
 		return h.Releasing(ctx, c.Resource)
@@ -146,7 +146,7 @@
 		return
 	}
 	if err != nil && !leaving {
-		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("resource not released")
+		s.m.log.Warn().Err(err).Str("resource", string(r)).Msg("resource not released; it stays with this daemon for now")
 		delete(s.inFlight, r)
 		s.delays[r] = retry{after: time.Now().Add(retryAfterRefusal)}
 		return
--- a/process/ownership/manager.go
+++ b/process/ownership/manager.go
@@ -99,7 +99,7 @@
 			m.send(func(s *state) { s.applyItems(items, deleted, reset) })
 		})
 		if err != nil && ctx.Err() == nil {
-			m.log.Warn().Err(err).Msg("watch of claims failed")
+			m.log.Warn().Err(err).Msg("watch of claims failed; watching again after a pause")
 		}
 		_ = sleep.For(ctx, delay) // the loop checks ctx
 	}
@@ -152,8 +152,8 @@
 }
 
 // Confirm reads the claim from the store, with a read that begins after the call,
-// and returns nil if it is still c. ErrNotOwner means that the claim was superseded
-// or released; after any other error this is unknown.
+// and returns nil if it is still c. ErrNotOwner means that the claim was superseded,
+// released or deleted; after any other error this is unknown.
 //
 // A check before an action is not sufficient, since the process may be suspended
 // between the two. Callers use Confirm after an action that a later owner reverts,
@@ -161,7 +161,7 @@
 func (m *Manager) Confirm(ctx context.Context, c Claim) error {
 	item, err := m.o.Store.Get(ctx, keyPrefix+string(c.Resource))
 	if errors.Is(err, store.ErrNotFound) {
-		return fmt.Errorf("claim of %s is gone: %w", c.Resource, ErrNotOwner)
+		return fmt.Errorf("claim of %s no longer exists: %w", c.Resource, ErrNotOwner)
 	}
 	if err != nil {
 		return fmt.Errorf("confirm claim of %s: %w", c.Resource, err)
--- a/process/ownership/options.go
+++ b/process/ownership/options.go
@@ -18,7 +18,7 @@
 
 // Errors of this package, for errors.Is.
 var (
-	// ErrNotOwner means that the store names another owner or a higher epoch.
+	// ErrNotOwner means that the claim in the store was superseded, released or deleted.
 	ErrNotOwner = errors.New("ownership: the claim was taken over")
 	// ErrStopped means that the manager has stopped.
 	ErrStopped = errors.New("ownership: manager stopped")
--- a/process/ownership/protocol_model_test.go
+++ b/process/ownership/protocol_model_test.go
@@ -158,7 +158,7 @@
 	case n < 395:
 		m.sync(o, w)
 	default:
-		m.settle(o)
+		m.recordFenced(o)
 	}
 	m.check()
 }
--- a/process/ownership/protocol_test.go
+++ b/process/ownership/protocol_test.go
@@ -212,8 +212,8 @@
 	}
 }
 
-// settle records in the store that every earlier owner is fenced or accounted for.
-func (m *model) settle(o int) {
+// recordFenced records in the store that every earlier owner is fenced or accounted for.
+func (m *model) recordFenced(o int) {
 	owner := m.owners[o]
 	if owner.epoch == 0 || !m.confirmed(o, owner.epoch) {
 		return
--- a/process/ownership/state.go
+++ b/process/ownership/state.go
@@ -85,8 +85,8 @@
 func (s *state) applyItems(items []store.Item, deleted []string, reset bool) {
 	if reset {
 		for r, e := range s.claims {
-			absent := func(item store.Item) bool { return item.Key == keyPrefix+string(r) }
-			if e.revision != 0 && !slices.ContainsFunc(items, absent) {
+			isClaim := func(item store.Item) bool { return item.Key == keyPrefix+string(r) }
+			if e.revision != 0 && !slices.ContainsFunc(items, isClaim) {
 				s.removed(r)
 			}
 		}
@@ -94,7 +94,7 @@
 	for _, item := range items {
 		c, err := decodeClaim(item)
 		if err != nil {
-			s.m.log.Error().Err(err).Msg("claim cannot be decoded")
+			s.m.log.Error().Err(err).Msg("claim cannot be decoded and is ignored")
 			continue
 		}
 		s.apply(entry{record: c, revision: item.Revision})
@@ -162,7 +162,7 @@
 	}
 	s.owned[e.Resource] = e.Claim
 	s.lostEpochs[e.Resource] = e.Epoch // must not be acquired a second time
-	s.m.log.Info().Str("resource", string(e.Resource)).Uint64("epoch", e.Epoch).Msg("acquired")
+	s.m.log.Info().Str("resource", string(e.Resource)).Uint64("epoch", e.Epoch).Msg("resource acquired")
 	h.Acquired(s.ctx, Grant{Claim: e.Claim, Previous: previous, EarlierOwners: e.Earlier, Notes: e.Notes})
 }
 
@@ -178,7 +178,7 @@
 	delete(s.misplaced, r)
 	s.lostEpochs[r] = max(s.lostEpochs[r], c.Epoch)
 	s.dirty = true
-	s.m.log.Warn().Str("resource", string(r)).Uint64("epoch", c.Epoch).Str("reason", reason).Msg("lost")
+	s.m.log.Warn().Str("resource", string(r)).Uint64("epoch", c.Epoch).Str("reason", reason).Msg("resource lost")
 	if h, ok := s.handler(r); ok {
 		h.Lost(r, c.Epoch)
 	}
--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -168,8 +168,8 @@
 	return most
 }
 
-// AddWaiting records that n tasks of a size wait for the limit, of which the given number has to
-// start together.
+// AddWaiting records that n tasks of a size wait for the limit; together is how many of them
+// have to start at the same time.
 func (a *Account) AddWaiting(size Size, n, together int) {
 	if a.waiting == (Size{}) && a.largest == (Size{}) {
 		a.ledger.waiting = append(a.ledger.waiting, a)
--- a/process/relay/client.go
+++ b/process/relay/client.go
@@ -255,7 +255,8 @@
 	return m
 }
 
-// takeDown takes a relay out of use for a while; all orders that wait for it are lost.
+// takeDown takes a relay out of use for a while. All orders that wait for it count as lost
+// and are issued again.
 func (r *Runner) takeDown(c *relayClient, why error) {
 	r.mu.Lock()
 	now := time.Now()
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -160,7 +160,7 @@
 )
 
 // errNoSpec means that the relay does not have the spec of the order's job.
-var errNoSpec = errors.New("relay: the job's spec is not known there")
+var errNoSpec = errors.New("relay: the relay does not have the job's spec")
 
 // errSpecLate means that the spec did not reach the relay within the order's budget. It
 // arrives in time for the next try.
--- a/process/sched/learning_test.go
+++ b/process/sched/learning_test.go
@@ -38,8 +38,8 @@
 
 func scaleBy(v int64, f float64, limit int64) int64 { return min(int64(float64(v)*f), limit) }
 
-// vary returns the usage of one task: that of the job up to a quarter more or less,
-// and for one task in fifty up to half more.
+// vary returns the usage of one task: that of the job plus or minus up to a quarter, and
+// for one task in fifty plus up to half.
 func (j *misdeclared) vary(r *rand.Rand) spec.Resources {
 	f := 0.75 + 0.5*r.Float64()
 	if r.IntN(50) == 0 {
--- a/process/sched/ledger/check.go
+++ b/process/sched/ledger/check.go
@@ -11,35 +11,35 @@
 // ErrInvariant is wrapped by each error of Check.
 var ErrInvariant = errors.New("ledger: invariant violated")
 
-// Check verifies every account: the holders' sizes add up to what is held, none of
-// them is negative, and no present worker has more held than its capacity. It
+// Check verifies the state of every worker: the holders' sizes add up to what is held,
+// none of them is negative, and no present worker has more held than its capacity. It
 // returns all violations, joined.
 func (l *Ledger) Check() error {
 	var errs []error
-	for id := range l.accounts {
+	for id := range l.workers {
 		errs = append(errs, l.CheckWorker(id))
 	}
 	return errors.Join(errs...)
 }
 
-// CheckWorker verifies one account. Its cost is linear in the worker's holders.
+// CheckWorker verifies the state of one worker. Its cost is linear in the worker's holders.
 func (l *Ledger) CheckWorker(id worker.ID) error {
-	a := l.accounts[id]
-	if a == nil {
+	w := l.workers[id]
+	if w == nil {
 		return nil
 	}
 	var sum spec.Resources
-	for holder, size := range a.holders {
+	for holder, size := range w.holders {
 		if negative(size) {
 			return fmt.Errorf("%w: worker %s: %s holds %+v", ErrInvariant, id, holder, size)
 		}
 		sum = sum.Add(size)
 	}
-	if sum != a.held {
-		return fmt.Errorf("%w: worker %s: holders sum to %+v, held is %+v", ErrInvariant, id, sum, a.held)
+	if sum != w.held {
+		return fmt.Errorf("%w: worker %s: holders sum to %+v, held is %+v", ErrInvariant, id, sum, w.held)
 	}
-	if a.present && !a.held.Fits(a.capacity) {
-		return fmt.Errorf("%w: worker %s: held %+v, capacity %+v", ErrInvariant, id, a.held, a.capacity)
+	if w.present && !w.held.Fits(w.capacity) {
+		return fmt.Errorf("%w: worker %s: held %+v, capacity %+v", ErrInvariant, id, w.held, w.capacity)
 	}
 	return nil
 }
--- a/process/sched/ledger/ledger.go
+++ b/process/sched/ledger/ledger.go
@@ -20,45 +20,45 @@
 	ErrSize       = errors.New("ledger: size is zero or negative")
 )
 
-// account is the state of one worker.
-type account struct {
+// workerState is the reserved capacity of one worker.
+type workerState struct {
 	capacity spec.Resources
 	held     spec.Resources
 	holders  map[string]spec.Resources
 	// present is false for a worker that was removed while tasks still held
-	// capacity. The account is kept until they are freed: if the worker is added
+	// capacity. The state is kept until they are freed: if the worker is added
 	// again under the same ID, its running tasks must still count.
 	present bool
 }
 
-// Ledger holds one account per worker.
+// Ledger holds the state of each worker.
 type Ledger struct {
-	accounts map[worker.ID]*account
+	workers map[worker.ID]*workerState
 }
 
 // New returns an empty ledger.
-func New() *Ledger { return &Ledger{accounts: map[worker.ID]*account{}} }
+func New() *Ledger { return &Ledger{workers: map[worker.ID]*workerState{}} }
 
 // SetWorker adds a worker or changes its capacity. The capacity may be lower than
 // what is held; then nothing more fits until enough has been freed.
 func (l *Ledger) SetWorker(id worker.ID, capacity spec.Resources) {
-	a := l.accounts[id]
-	if a == nil {
-		a = &account{holders: map[string]spec.Resources{}}
-		l.accounts[id] = a
+	w := l.workers[id]
+	if w == nil {
+		w = &workerState{holders: map[string]spec.Resources{}}
+		l.workers[id] = w
 	}
-	a.capacity, a.present = capacity, true
+	w.capacity, w.present = capacity, true
 }
 
 // RemoveWorker removes a worker, so that Reserve fails with ErrNoWorker. What is
 // held there stays counted until it is freed.
 func (l *Ledger) RemoveWorker(id worker.ID) {
-	a := l.accounts[id]
-	if a == nil {
+	w := l.workers[id]
+	if w == nil {
 		return
 	}
-	a.present = false
-	l.dropEmpty(id, a)
+	w.present = false
+	l.dropEmpty(id, w)
 }
 
 // Reserve reserves size on a worker for a holder, for example a task ID. On error,
@@ -67,11 +67,11 @@
 	if err := l.reservable(id, holder, size); err != nil {
 		return err
 	}
-	a := l.accounts[id]
-	if !size.Fits(a.capacity.Sub(a.held)) {
-		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoCapacity, id, a.capacity.Sub(a.held), size)
+	w := l.workers[id]
+	if !size.Fits(w.capacity.Sub(w.held)) {
+		return fmt.Errorf("%w: worker %s, free %+v, wanted %+v", ErrNoCapacity, id, w.capacity.Sub(w.held), size)
 	}
-	a.add(holder, size)
+	w.add(holder, size)
 	return nil
 }
 
@@ -83,16 +83,16 @@
 	if err := l.reservable(id, holder, size); err != nil {
 		return err
 	}
-	l.accounts[id].add(holder, size)
+	l.workers[id].add(holder, size)
 	return nil
 }
 
 func (l *Ledger) reservable(id worker.ID, holder string, size spec.Resources) error {
-	a := l.accounts[id]
-	if a == nil || !a.present {
+	w := l.workers[id]
+	if w == nil || !w.present {
 		return fmt.Errorf("%w: %s", ErrNoWorker, id)
 	}
-	if _, ok := a.holders[holder]; ok {
+	if _, ok := w.holders[holder]; ok {
 		return fmt.Errorf("%w: %s on %s", ErrHeld, holder, id)
 	}
 	if size.IsZero() || negative(size) {
@@ -101,58 +101,58 @@
 	return nil
 }
 
-func (a *account) add(holder string, size spec.Resources) {
-	a.holders[holder] = size
-	a.held = a.held.Add(size)
+func (w *workerState) add(holder string, size spec.Resources) {
+	w.holders[holder] = size
+	w.held = w.held.Add(size)
 }
 
 // Free releases what the holder holds on the worker and reports whether it held
 // anything. It must only be called when the task is certain not to run.
 func (l *Ledger) Free(id worker.ID, holder string) bool {
-	a := l.accounts[id]
-	if a == nil {
+	w := l.workers[id]
+	if w == nil {
 		return false
 	}
-	size, ok := a.holders[holder]
+	size, ok := w.holders[holder]
 	if !ok {
 		return false
 	}
-	delete(a.holders, holder)
-	a.held = a.held.Sub(size)
-	l.dropEmpty(id, a)
+	delete(w.holders, holder)
+	w.held = w.held.Sub(size)
+	l.dropEmpty(id, w)
 	return true
 }
 
-func (l *Ledger) dropEmpty(id worker.ID, a *account) {
-	if !a.present && len(a.holders) == 0 {
-		delete(l.accounts, id)
+func (l *Ledger) dropEmpty(id worker.ID, w *workerState) {
+	if !w.present && len(w.holders) == 0 {
+		delete(l.workers, id)
 	}
 }
 
 // Held returns the total held on a worker.
 func (l *Ledger) Held(id worker.ID) spec.Resources {
-	if a := l.accounts[id]; a != nil {
-		return a.held
+	if w := l.workers[id]; w != nil {
+		return w.held
 	}
 	return spec.Resources{}
 }
 
 // Capacity returns a worker's capacity, or false if it is unknown or was removed.
 func (l *Ledger) Capacity(id worker.ID) (spec.Resources, bool) {
-	a := l.accounts[id]
-	if a == nil || !a.present {
+	w := l.workers[id]
+	if w == nil || !w.present {
 		return spec.Resources{}, false
 	}
-	return a.capacity, true
+	return w.capacity, true
 }
 
 // Holds returns what one holder holds on a worker, and whether it holds anything.
 func (l *Ledger) Holds(id worker.ID, holder string) (spec.Resources, bool) {
-	a := l.accounts[id]
-	if a == nil {
+	w := l.workers[id]
+	if w == nil {
 		return spec.Resources{}, false
 	}
-	size, ok := a.holders[holder]
+	size, ok := w.holders[holder]
 	return size, ok
 }
 
--- a/process/sched/ledger/ledger_test.go
+++ b/process/sched/ledger/ledger_test.go
@@ -32,7 +32,7 @@
 }
 
 // TestRemovedWorkerKeepsWhatIsHeld guards against a worker with twice its capacity
-// reserved after it was missing from the VM list for a moment: if its account were
+// reserved after it was missing from the VM list for a moment: if its state were
 // dropped when its entry expires, as if its tasks had stopped, new tasks would start
 // beside them once the entry is back.
 func TestRemovedWorkerKeepsWhatIsHeld(t *testing.T) {
@@ -45,7 +45,7 @@
 	require.ErrorIs(t, l.Reserve("w", "b", cpu(300)), ErrNoCapacity)
 	require.True(t, l.Free("w", "a"))
 	l.RemoveWorker("w")
-	require.Empty(t, l.accounts)
+	require.Empty(t, l.workers)
 }
 
 // TestAdoptCountsBeyondCapacityAndCheckReportsIt guards against a running task that is
--- a/process/sched/naive/naive.go
+++ b/process/sched/naive/naive.go
@@ -61,7 +61,8 @@
 	return n
 }
 
-// Rater returns the score of the batch policy for an ask; lower is better.
+// Rater returns the function by which the batch policy scores workers for an ask; lower
+// is better.
 func (s *Scheduler) Rater(a *snapshot.Ask) func(w *plan.WorkerState) float64 {
 	packing := s.packing(a)
 	return func(w *plan.WorkerState) float64 {
--- a/process/sched/score/packing.go
+++ b/process/sched/score/packing.go
@@ -51,8 +51,9 @@
 func RaterOf(a *snapshot.Ask, d Demand) Rater { return Rater{a.Size, d} }
 
 // Packing scores a worker by what would stay free on it: the sum of the free shares
-// of CPU, memory and accelerators, and the imbalance of the first two. ref is the
-// reference capacity of the worker's class.
+// of CPU, memory and accelerators, the imbalance of the first two, and IdlePenalty and
+// AcceleratorPenalty where they apply. ref is the reference capacity of the worker's
+// class.
 func (r *Rater) Packing(e *snapshot.Entry, ref *spec.Resources) float64 {
 	cpu := float64(e.CPU-r.size.MilliCPU) / float64(ref.MilliCPU)
 	mem := float64(e.Memory-r.size.MemoryMB) / float64(ref.MemoryMB)
--- a/process/sched/snapshot/bucket.go
+++ b/process/sched/snapshot/bucket.go
@@ -55,41 +55,41 @@
 }
 
 // writable returns a page that the owner may modify in place.
-func (c *bucket) writable(o *owner, n int) *page {
-	p := c.pages[n]
+func (b *bucket) writable(o *owner, n int) *page {
+	p := b.pages[n]
 	if p.owner != o {
 		p = &page{owner: o, entries: append(make([]Entry, 0, len(p.entries)+1), p.entries...)}
-		c.pages[n] = p
+		b.pages[n] = p
 	}
 	return p
 }
 
 // add appends an entry and returns its position.
-func (c *bucket) add(o *owner, e Entry) int32 {
-	last := len(c.pages) - 1
-	if last < 0 || len(c.pages[last].entries) == pageSize {
-		c.pages = append(c.pages, &page{owner: o})
+func (b *bucket) add(o *owner, e Entry) int32 {
+	last := len(b.pages) - 1
+	if last < 0 || len(b.pages[last].entries) == pageSize {
+		b.pages = append(b.pages, &page{owner: o})
 		last++
 	}
-	p := c.writable(o, last)
+	p := b.writable(o, last)
 	p.entries = append(p.entries, e)
 	return int32(last*pageSize + len(p.entries) - 1)
 }
 
 // remove deletes the entry at a position by moving the last entry there. It
 // returns the worker that was moved, or -1.
-func (c *bucket) remove(o *owner, position int32) Index {
-	last := len(c.pages) - 1
-	p := c.writable(o, last)
+func (b *bucket) remove(o *owner, position int32) Index {
+	last := len(b.pages) - 1
+	p := b.writable(o, last)
 	moved := p.entries[len(p.entries)-1]
 	p.entries = p.entries[:len(p.entries)-1]
 	target := int32(last*pageSize + len(p.entries))
 	if len(p.entries) == 0 {
-		c.pages = c.pages[:last]
+		b.pages = b.pages[:last]
 	}
 	if target == position {
 		return -1
 	}
-	c.writable(o, int(position)/pageSize).entries[position%pageSize] = moved
+	b.writable(o, int(position)/pageSize).entries[position%pageSize] = moved
 	return moved.Worker
 }
