--- a/process/fleet/fleet_test.go
+++ b/process/fleet/fleet_test.go
@@ -38,7 +38,7 @@
 			m, _ := d.Lookup("dac")
 			return m.State == Suspect
 		}))
-		ended := c.within(30*time.Second, "ended", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
+		ended := c.within(30*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
 		t.Logf("suspected everywhere after %s, ended after %s more", suspected, ended)
 		require.True(t, c.converged())
 	})
@@ -84,7 +84,7 @@
 		time.Sleep(2 * time.Minute)
 		require.True(t, c.converged())
 		c.net.Pause(d.self)
-		c.within(time.Minute, "ended", func() bool { return c.daemons["daa"].HasEnded(d.self) })
+		c.within(time.Minute, "gone", func() bool { return c.daemons["daa"].HasEnded(d.self) })
 		cause, _ := c.daemons["daa"].EndCause(d.self)
 		require.Equal(t, LeaseExpired, cause)
 		c.net.Resume(d.self)
@@ -165,7 +165,7 @@
 		require.NoError(t, c.daemons["daa"].ObserveVMs(ctx, nil))
 		require.False(t, c.daemons["daa"].HasEnded(ref))
 		require.NoError(t, c.daemons["daa"].ObserveVMs(ctx, nil))
-		c.within(3*time.Second, "ended", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
+		c.within(3*time.Second, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
 	})
 }
 
--- a/process/fleet/fleettest/view.go
+++ b/process/fleet/fleettest/view.go
@@ -68,7 +68,7 @@
 	if m.ID == v.self.ID {
 		v.self = m
 	}
-	v.bump()
+	v.notify()
 }
 
 // SetState changes the state of a known member.
@@ -88,10 +88,10 @@
 	v.mu.Lock()
 	defer v.mu.Unlock()
 	v.ended[ref] = true
-	v.bump()
+	v.notify()
 }
 
-func (v *View) bump() {
+func (v *View) notify() {
 	close(v.changed)
 	v.changed = make(chan struct{})
 }
--- a/process/fleet/measure_test.go
+++ b/process/fleet/measure_test.go
@@ -68,7 +68,7 @@
 		ttl := d.register.current.Load().ttl
 		require.LessOrEqual(t, d.leaseTTL().Seconds(), outgrownBy*ttl.Seconds())
 	}
-	c.traffic("no loss", 5*time.Minute, func() {})
+	c.traffic("quiet", 5*time.Minute, func() {})
 	c.net.SetLoss(0.05)
 	before := c.total(func(s *Stats) int64 { return s.Suspicions.Value() })
 	c.traffic("5 % loss", 10*time.Minute, func() {})
@@ -129,7 +129,7 @@
 			return m.State != Alive
 		}))
 		suspected = append(suspected, time.Since(start))
-		c.within(3*time.Minute, "ended", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
+		c.within(3*time.Minute, "gone", c.everyone(func(d *daemon) bool { return d.HasEnded(ref) }))
 		ended = append(ended, time.Since(start))
 		c.start(id)
 		c.within(time.Minute, "back", c.converged)
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -36,7 +36,7 @@
 	faults []string
 
 	releasing func() // called by Releasing
-	kept      []ownership.Resource
+	resumed   []ownership.Resource
 }
 
 // member is one incarnation of a daemon; it implements ownership.Handler.
@@ -49,7 +49,7 @@
 
 	mu     sync.Mutex
 	owned  map[ownership.Resource]uint64
-	frozen time.Time
+	frozen time.Time // if set, the time of the last renewal
 }
 
 func newCell(t *testing.T, members, resources int) *cell {
@@ -139,7 +139,7 @@
 func (m *member) Resume(r ownership.Resource) {
 	m.c.mu.Lock()
 	defer m.c.mu.Unlock()
-	m.c.kept = append(m.c.kept, r)
+	m.c.resumed = append(m.c.resumed, r)
 }
 
 func (m *member) load() int {
--- a/process/ownership/outage_test.go
+++ b/process/ownership/outage_test.go
@@ -50,7 +50,7 @@
 		c.joinOne()
 		time.Sleep(10 * time.Minute)
 		require.Equal(t, 12, c.owned(), "resources with an owner")
-		require.NotEmpty(t, c.kept)
+		require.NotEmpty(t, c.resumed)
 		c.releasing = nil
 		c.kv.SetFaults(kv.Faults{})
 		c.eventually(10*time.Minute, "moved", func() bool { return c.allOwned() && c.members[2].load() > 0 })
--- a/process/ownership/protocol_model_test.go
+++ b/process/ownership/protocol_model_test.go
@@ -17,7 +17,13 @@
 )
 
 // guards are the protocol's safeguards. Each can be disabled, to show that the model
-// finds the double run that it prevents.
+// finds the double run that it prevents:
+//   - revoke: fencing a worker revokes the leases of all others there.
+//   - confirmAfter: the claim is confirmed after a lease was opened, not before.
+//   - fenceConfirmed: an owner answers a fence only after it has confirmed its claim.
+//   - waitForEarlier: a worker is accounted for only after every earlier owner has stopped.
+//   - rememberEarlier: a claim lists the earlier owners that are not known to be fenced.
+//   - planNumbers: an owner refuses plans that are older than the latest fence.
 type guards struct {
 	revoke, confirmAfter, fenceConfirmed, waitForEarlier, rememberEarlier, planNumbers bool
 }
@@ -54,13 +60,14 @@
 	step      int // of fencing, see fenceStep
 	call      int // the call in flight, 0 for none
 	lease     int
-	others    []int
+	others    []int // other leases at the worker, which are to be revoked
 	fenced    bool
-	accounted bool
+	accounted bool // earlier owners have stopped, and their leases at the worker have expired
 	tasks     map[int]*modelHeld
 	orders    map[int]int // task -> attempt, not sent yet
 }
 
+// modelHeld is an attempt that an owner has sent to a worker, or found running there.
 type modelHeld struct {
 	attempt int
 	state   taskState
