--- a/process/fleet/measure_test.go
+++ b/process/fleet/measure_test.go
@@ -72,8 +72,8 @@
 	c.net.SetLoss(0.05)
 	before := c.total(func(s *Stats) int64 { return s.Suspicions.Value() })
 	c.traffic("5 % loss", 10*time.Minute, func() {})
-	false1 := c.total(func(s *Stats) int64 { return s.Suspicions.Value() }) - before
-	t.Logf("false suspicions under 5 %% loss: %d in %.1f daemon-hours", false1, float64(n)/6)
+	falseSuspicions := c.total(func(s *Stats) int64 { return s.Suspicions.Value() }) - before
+	t.Logf("false suspicions under 5 %% loss: %d in %.1f daemon-hours", falseSuspicions, float64(n)/6)
 	c.measurePauses()
 	c.measureCrashes()
 	c.traffic("5 % loss and replacements at the specified rate", 5*time.Minute, func() {
