--- a/connection/keys/keys_test.go
+++ b/connection/keys/keys_test.go
@@ -163,9 +163,10 @@
 	return verified, err
 }
 
-// Guards against accepting a caller as another team, if the listener requests no
-// certificate and handlers have to rely on headers; and against refusing callers after
-// the authorities were replaced, if the listener keeps using the initial ones.
+// TestServerVerifiesCertificatesOfCallers guards against accepting a caller as another
+// team, if the listener requests no certificate and handlers have to rely on headers; and
+// against refusing callers after the authorities were replaced, if the listener keeps
+// using the initial ones.
 func TestServerVerifiesCertificatesOfCallers(t *testing.T) {
 	files, a, b := filesIn(t.TempDir()), authority(t), authority(t)
 	write(t, files, a, "entry.example")
@@ -197,9 +198,10 @@
 	check(ofA, 0, true)
 }
 
-// Guards against a daemon that does not start without tls.callers.ca, which is optional,
-// because it reads the file with the empty name; and against accepting any holder of a
-// public certificate as a daemon, since a nil pool means the system roots.
+// TestKeysWithoutAuthority guards against a daemon that does not start without
+// tls.callers.ca, which is optional, because it reads the file with the empty name; and
+// against accepting any holder of a public certificate as a daemon, since a nil pool
+// means the system roots.
 func TestKeysWithoutAuthority(t *testing.T) {
 	files, a := filesIn(t.TempDir()), authority(t)
 	write(t, files, a, PeerName)
@@ -213,9 +215,9 @@
 	require.Error(t, serverErr, "no peer is trusted")
 }
 
-// Guards against daemons that stop trusting each other after an authority was replaced,
-// if configurations keep the old pool, and against loading a mix of old and new files
-// while the files are replaced one after the other.
+// TestReload guards against daemons that stop trusting each other after an authority was
+// replaced, if configurations keep the old pool, and against loading a mix of old and new
+// files while the files are replaced one after the other.
 func TestReload(t *testing.T) {
 	dir, a, b := t.TempDir(), authority(t), authority(t)
 	files := filesIn(dir)
--- a/connection/keys/reload.go
+++ b/connection/keys/reload.go
@@ -53,7 +53,7 @@
 	changed, err := r.Keys.Reload()
 	switch {
 	case err != nil:
-		r.Log.Error().Err(err).Time("in_use_until", r.Keys.NotAfter()).Msg("reload of key files failed")
+		r.Log.Error().Err(err).Time("in_use_until", r.Keys.NotAfter()).Msg("reload of key files failed; earlier ones stay in use")
 	case changed:
 		r.Log.Info().Time("not_after", r.Keys.NotAfter()).Msg("key files reloaded")
 	}
--- a/connection/peer/node_test.go
+++ b/connection/peer/node_test.go
@@ -212,9 +212,10 @@
 	}
 }
 
-// Guards against calls that act on a later incarnation than their target, or time out
-// long after a restart: a daemon exits without closing its connections and its next
-// incarnation binds the same address, so that the open connection is dead.
+// TestRestartAtTheSameAddress guards against calls that act on a later incarnation than
+// their target, or time out long after a restart: a daemon exits without closing its
+// connections and its next incarnation binds the same address, so that the open
+// connection is dead.
 func TestRestartAtTheSameAddress(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
@@ -286,7 +287,8 @@
 	require.Zero(t, server.Stats().Served.Value())
 }
 
-// Bytes that are not a valid request must affect neither the node nor other calls.
+// TestBrokenFrames checks that bytes that are not a valid request affect neither the node
+// nor other calls.
 func TestBrokenFrames(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
--- a/connection/peer/random_test.go
+++ b/connection/peer/random_test.go
@@ -65,10 +65,11 @@
 	return number, nil
 }
 
-// Guards against a call that is reported as not run but ran, or that ran twice: if a
-// failure after the last byte was written counts as not sent, or if a call is repeated
-// on a new connection. Calls with short deadlines use a connection that loses packets,
-// while the server stops and restarts as new incarnations under its name.
+// TestVerdictsUnderLossAndRestarts guards against a call that is reported as not run but
+// ran, or that ran twice: if a failure after the last byte was written counts as not
+// sent, or if a call is repeated on a new connection. Calls with short deadlines use a
+// connection that loses packets, while the server stops and restarts as new incarnations
+// under its name.
 func TestVerdictsUnderLossAndRestarts(t *testing.T) {
 	const incarnations, callsEach = 6, 60
 	executed := &runs{count: make(map[int]int)}
@@ -141,9 +142,10 @@
 	return outcomeOf{err: err}
 }
 
-// Guards against calls to a crashed daemon that all wait for their whole deadline until
-// the connection's idle timeout, if new calls keep using the dead connection. The remote
-// daemon stops answering on an open connection, and a call times out.
+// TestUnresponsiveLinkIsRetired guards against calls to a crashed daemon that all wait
+// for their whole deadline until the connection's idle timeout, if new calls keep using
+// the dead connection. The remote daemon stops answering on an open connection, and a
+// call times out.
 func TestUnresponsiveLinkIsRetired(t *testing.T) {
 	mux := NewMux()
 	mux.Handle("echo", echo)
--- a/connection/peer/serve.go
+++ b/connection/peer/serve.go
@@ -39,7 +39,7 @@
 	var req request
 	if err := readFrame(stream, &req); err != nil {
 		n.stats.BadFrames.Add(1)
-		n.log.Debug().Err(err).Str("peer", string(l.remote.Self.ID)).Msg("peer request refused")
+		n.log.Debug().Err(err).Str("peer", string(l.remote.Self.ID)).Msg("peer request could not be read; nothing ran")
 		stream.CancelRead(streamNotRun)
 		stream.CancelWrite(streamNotRun)
 		return
@@ -75,17 +75,18 @@
 func (n *Node) answer(stream *quic.Stream, r reply) {
 	frame, err := encodeFrame(r)
 	if err != nil {
-		n.log.Error().Err(err).Msg("peer reply not encoded")
+		n.log.Error().Err(err).Msg("peer reply could not be encoded; outcome unknown to the caller")
 		stream.CancelWrite(streamCancelled)
 		return
 	}
 	if _, err := stream.Write(frame); err != nil {
-		n.log.Debug().Err(err).Msg("peer reply not sent")
+		n.log.Debug().Err(err).Msg("peer reply could not be sent; outcome unknown to the caller")
 		return
 	}
 	if err := stream.Close(); err != nil {
-		n.log.Debug().Err(err).Msg("peer reply not closed")
+		n.log.Debug().Err(err).Msg("stream of a peer reply could not be closed")
 	}
-	// The request has been read; anything after it is discarded.
+	// The request has been read. What follows is discarded, so that it uses no flow
+	// control window.
 	stream.CancelRead(streamCancelled)
 }
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -106,12 +106,12 @@
 }
 
 // Error implements error.
-func (o *IncarnationError) Error() string {
-	return fmt.Sprintf("runner: %s answers, with %d runs and %d completions", o.ID, len(o.Report.Running), len(o.Report.Ended))
+func (e *IncarnationError) Error() string {
+	return fmt.Sprintf("runner: %s answers, with %d runs and %d completions", e.ID, len(e.Report.Running), len(e.Report.Ended))
 }
 
 // Is makes it match ErrRestarted and the errors that ErrRestarted matches.
-func (o *IncarnationError) Is(t error) bool { return t == ErrRestarted || errors.Is(ErrRestarted, t) }
+func (e *IncarnationError) Is(t error) bool { return t == ErrRestarted || errors.Is(ErrRestarted, t) }
 
 type notRunError struct{ text string }
 
--- a/connection/store/adaptivetimeout.go
+++ b/connection/store/adaptivetimeout.go
@@ -39,74 +39,74 @@
 
 // Timeout returns the timeout of the next call: doubled for each consecutive call
 // without an answer, between Min and Max.
-func (p *AdaptiveTimeout) Timeout() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	d := max(p.average*timeoutFactor, p.Min) << min(p.timeouts, maxTimeoutDoublings)
-	return min(d, p.Max)
+func (a *AdaptiveTimeout) Timeout() time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	d := max(a.average*timeoutFactor, a.Min) << min(a.timeouts, maxTimeoutDoublings)
+	return min(d, a.Max)
 }
 
 // Average returns the decaying average duration of answered calls; 0 before the first.
-func (p *AdaptiveTimeout) Average() time.Duration {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.average
+func (a *AdaptiveTimeout) Average() time.Duration {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.average
 }
 
 // Call makes one call bounded by Timeout and records its result. A call that the
 // caller cancels is not recorded: it would make the store look failed, and each
 // submission after it would cost an additional read.
-func (p *AdaptiveTimeout) Call(ctx context.Context, f func(ctx context.Context) error) error {
-	return p.CallWithMinTimeout(ctx, 0, f)
+func (a *AdaptiveTimeout) Call(ctx context.Context, f func(ctx context.Context) error) error {
+	return a.CallWithMinTimeout(ctx, 0, f)
 }
 
 // CallWithMinTimeout is Call with a timeout of at least limit, for a caller that does other
 // work meanwhile and can use a late answer.
-func (p *AdaptiveTimeout) CallWithMinTimeout(ctx context.Context, limit time.Duration, f func(ctx context.Context) error) error {
-	bounded, cancel := context.WithTimeout(ctx, max(p.Timeout(), limit))
+func (a *AdaptiveTimeout) CallWithMinTimeout(ctx context.Context, limit time.Duration, f func(ctx context.Context) error) error {
+	bounded, cancel := context.WithTimeout(ctx, max(a.Timeout(), limit))
 	defer cancel()
 	start := time.Now()
 	err := f(bounded)
 	if !errors.Is(ctx.Err(), context.Canceled) {
-		p.record(err, time.Since(start))
+		a.record(err, time.Since(start))
 	}
 	return err
 }
 
 // answered records a call that was answered after d.
-func (p *AdaptiveTimeout) answered(d time.Duration) {
-	p.mu.Lock()
-	defer p.mu.Unlock()
+func (a *AdaptiveTimeout) answered(d time.Duration) {
+	a.mu.Lock()
+	defer a.mu.Unlock()
 	now := time.Now()
-	p.overtake(now.Add(-d), p.failing && now.Sub(p.answeredAt) >= minOutage)
-	p.timeouts, p.refusals = 0, 0
-	p.failing = false
-	p.answeredAt = now
-	if p.recovered != nil {
-		close(p.recovered)
-		p.recovered = nil
+	a.overtake(now.Add(-d), a.failing && now.Sub(a.answeredAt) >= minOutage)
+	a.timeouts, a.refusals = 0, 0
+	a.failing = false
+	a.answeredAt = now
+	if a.recovered != nil {
+		close(a.recovered)
+		a.recovered = nil
 	}
-	if p.average == 0 {
-		p.average = d
+	if a.average == 0 {
+		a.average = d
 		return
 	}
-	p.average += (d - p.average) / averageDecay
+	a.average += (d - a.average) / averageDecay
 }
 
 // timedOut records a call without an answer.
-func (p *AdaptiveTimeout) timedOut() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.timeouts++
-	p.failing = true
+func (a *AdaptiveTimeout) timedOut() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.timeouts++
+	a.failing = true
 }
 
 // refused records a call that the store refused or that did not reach it.
-func (p *AdaptiveTimeout) refused() {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	p.refusals++
-	p.failing, p.refusedAt = true, time.Now()
+func (a *AdaptiveTimeout) refused() {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	a.refusals++
+	a.failing, a.refusedAt = true, time.Now()
 }
 
 // refusingCalls is the number of consecutive refusals that Refusing requires: more than
@@ -118,43 +118,43 @@
 const refusingTime = 300 * time.Millisecond
 
 // Refusing reports whether the store has refused every call for a while.
-func (p *AdaptiveTimeout) Refusing() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.refusals >= refusingCalls && time.Since(p.answeredAt) >= refusingTime
+func (a *AdaptiveTimeout) Refusing() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.refusals >= refusingCalls && time.Since(a.answeredAt) >= refusingTime
 }
 
 // Failing reports whether the last call failed. The outcome of a write that is sent
 // then may stay unknown; a read is the safe way to check that the store is available.
-func (p *AdaptiveTimeout) Failing() bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.failing
+func (a *AdaptiveTimeout) Failing() bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.failing
 }
 
 // RefusedWithin reports whether the last call failed and a call was refused within the
 // last d. Calls without an answer do not count: waiting for their timeout already
 // spaces the next calls.
-func (p *AdaptiveTimeout) RefusedWithin(d time.Duration) bool {
-	p.mu.Lock()
-	defer p.mu.Unlock()
-	return p.failing && time.Since(p.refusedAt) < d
+func (a *AdaptiveTimeout) RefusedWithin(d time.Duration) bool {
+	a.mu.Lock()
+	defer a.mu.Unlock()
+	return a.failing && time.Since(a.refusedAt) < d
 }
 
 // AwaitAnswer returns when a call has been answered after the last failed one, at the latest
 // after limit. It keeps each of a daemon's followers from calling the store ten times a
 // second during an outage; all calls are billed.
-func (p *AdaptiveTimeout) AwaitAnswer(ctx context.Context, limit time.Duration) {
-	p.mu.Lock()
-	if !p.failing {
-		p.mu.Unlock()
+func (a *AdaptiveTimeout) AwaitAnswer(ctx context.Context, limit time.Duration) {
+	a.mu.Lock()
+	if !a.failing {
+		a.mu.Unlock()
 		return
 	}
-	if p.recovered == nil {
-		p.recovered = make(chan struct{})
+	if a.recovered == nil {
+		a.recovered = make(chan struct{})
 	}
-	recovered := p.recovered
-	p.mu.Unlock()
+	recovered := a.recovered
+	a.mu.Unlock()
 	timer := time.NewTimer(limit)
 	defer timer.Stop()
 	select {
@@ -165,13 +165,13 @@
 }
 
 // record records the result of a call that took d, by its error.
-func (p *AdaptiveTimeout) record(err error, d time.Duration) {
+func (a *AdaptiveTimeout) record(err error, d time.Duration) {
 	switch {
 	case errors.Is(err, ErrUnknownOutcome), errors.Is(err, ErrUnavailable) && errors.Is(err, context.DeadlineExceeded):
-		p.timedOut()
+		a.timedOut()
 	case errors.Is(err, ErrUnavailable), errors.Is(err, ErrOverBudget):
-		p.refused()
+		a.refused()
 	default:
-		p.answered(d)
+		a.answered(d)
 	}
 }
--- a/connection/store/breaker.go
+++ b/connection/store/breaker.go
@@ -100,7 +100,7 @@
 		return
 	}
 	b.open = false
-	b.log.Info().Dur("outage", time.Since(b.since)).Msg("store answers again")
+	b.log.Info().Dur("outage", time.Since(b.since)).Msg("store answers again; calls are no longer refused")
 }
 
 func (b *breaker) failed(t ticket) {
@@ -119,7 +119,7 @@
 	b.since = time.Now()
 	b.interval.Reset()
 	b.next = b.since.Add(b.interval.NextBackOff())
-	b.log.Warn().Int("failures", b.failures).Msg("store does not answer")
+	b.log.Warn().Int("failures", b.failures).Msg("store does not answer; calls are refused until a probe is answered")
 }
 
 func (b *breaker) isClosed() bool {
--- a/connection/store/budget.go
+++ b/connection/store/budget.go
@@ -51,7 +51,7 @@
 const (
 	// spareShare is the part of the budget that any role may use.
 	spareShare = 0.30
-	// spareReserve is the part of the shared bucket that each step down in
+	// spareReserve is the part of the spare bucket that each step down in
 	// priority must leave to the roles above it.
 	spareReserve = 0.2
 	// burstSeconds is the size of a bucket, in seconds at its rate.
@@ -70,7 +70,7 @@
 type limiter struct {
 	budget Budget
 
-	mu       sync.Mutex // also makes the test and the take of the spare bucket atomic
+	mu       sync.Mutex // also makes testing and taking from the spare bucket atomic
 	fleet    int
 	adaptive [classCount]adaptiveRate
 	own      [classCount][roleCount]*rate.Limiter
@@ -142,8 +142,8 @@
 	}
 }
 
-// wait takes a token of the role's own share, or else of the spare, or else waits
-// for one of its own. It fails with ErrOverBudget if the deadline of ctx is earlier.
+// wait takes a token of the role's own share, or else a shared one, or else waits for one
+// of its own. It fails with ErrOverBudget if the deadline of ctx is earlier.
 func (l *limiter) wait(ctx context.Context, role Role, class callClass) error {
 	l.recover(class)
 	own := l.own[class][role]
--- a/connection/store/budget_test.go
+++ b/connection/store/budget_test.go
@@ -25,9 +25,9 @@
 	}
 }
 
-// Guards against overloading the service without a limit on all calls together, and
-// against urgent roles waiting behind progress without priorities. Every role of one
-// daemon calls without pause for half a minute.
+// TestBudgetHoldsAndOrdersRoles guards against overloading the service without a limit on
+// all calls together, and against urgent roles waiting behind progress without
+// priorities. Every role of one daemon calls without pause for half a minute.
 func TestBudgetHoldsAndOrdersRoles(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -57,8 +57,8 @@
 	})
 }
 
-// Guards against a larger fleet overloading the service, if the budget per daemon does
-// not shrink when the cell grows, here from 1 daemon to 50.
+// TestBudgetIsSharedByTheFleet guards against a larger fleet overloading the service, if
+// the budget per daemon does not shrink when the cell grows, here from 1 daemon to 50.
 func TestBudgetIsSharedByTheFleet(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -74,9 +74,10 @@
 	})
 }
 
-// Guards against a service with less capacity than configured refusing most calls,
-// claims included, if the budget ignores the service's refusals. Ten daemons with a
-// common budget of 800 writes per second flood a service that sustains 50.
+// TestBudgetHeedsTheServicesRefusals guards against a service with less capacity than
+// configured refusing most calls, claims included, if the budget ignores the service's
+// refusals. Ten daemons with a common budget of 800 writes per second flood a service
+// that sustains 50.
 func TestBudgetHeedsTheServicesRefusals(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
--- a/connection/store/fleet_test.go
+++ b/connection/store/fleet_test.go
@@ -115,9 +115,10 @@
 	return reads, writes
 }
 
-// Guards against overloading the service right after an outage, by probes at the same
-// time or by sending all queued calls at once. During an outage of an hour every lease
-// expires; then all daemons list, register and write what was queued.
+// TestFleetReconnectsWithinTheBudget guards against overloading the service right after
+// an outage, by probes at the same time or by sending all queued calls at once. During an
+// outage of an hour every lease expires; then all daemons list, register and write what
+// was queued.
 func TestFleetReconnectsWithinTheBudget(t *testing.T) {
 	for _, size := range fleetSizes() {
 		t.Run(strconv.Itoa(size), func(t *testing.T) {
--- a/connection/store/handle.go
+++ b/connection/store/handle.go
@@ -95,7 +95,7 @@
 	item, _, err := itemOf(e)
 	if err != nil {
 		h.client.metrics.of(h.role).undecodable.Add(1)
-		h.client.options.Log.Warn().Err(err).Str("key", e.Key).Msg("skip value in the store")
+		h.client.options.Log.Warn().Err(err).Str("key", e.Key).Msg("store value without envelope skipped")
 		return Item{}, false
 	}
 	return item, true
--- a/connection/store/http_test.go
+++ b/connection/store/http_test.go
@@ -63,9 +63,10 @@
 	}
 }
 
-// Guards against writes that are applied twice or reported as a conflict although they
-// took effect: the service reads a write on a kept-alive connection and closes the
-// connection before it answers, and the transport repeats the request by itself.
+// TestHTTPNeverReplaysAWrite guards against writes that are applied twice or reported as
+// a conflict although they took effect: the service reads a write on a kept-alive
+// connection and closes the connection before it answers, and the transport repeats the
+// request by itself.
 func TestHTTPNeverReplaysAWrite(t *testing.T) {
 	writes := map[string]func(*store.HTTP) error{
 		"put": func(s *store.HTTP) error {
@@ -91,8 +92,9 @@
 	}
 }
 
-// Guards against reporting a write that may have taken effect as refused, if a response
-// that is not the service's own counts as one, or a write that was never sent as unknown.
+// TestHTTPTellsWhatIsKnownOfAWrite guards against reporting a write that may have taken
+// effect as refused, if a response that is not the service's own counts as one, or a
+// write that was never sent as unknown.
 func TestHTTPTellsWhatIsKnownOfAWrite(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
--- a/connection/store/outage_test.go
+++ b/connection/store/outage_test.go
@@ -13,9 +13,10 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// Guards against an outage in which every call waits for its timeout and loads the
-// service, and after which daemons make no calls for long: without a breaker, or with
-// one that probes too rarely. The service hangs for an hour, then answers again.
+// TestBreakerSparesCallersAndServiceInAnOutage guards against an outage in which every
+// call waits for its timeout and loads the service, and after which daemons make no calls
+// for long: without a breaker, or with one that probes too rarely. The service hangs for
+// an hour, then answers again.
 func TestBreakerSparesCallersAndServiceInAnOutage(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -51,9 +52,10 @@
 	})
 }
 
-// Guards against a daemon's view that becomes empty or misses changes after an outage:
-// if an outage counts as an empty list, or the watch resumes after lost events. Keys
-// change and events are compacted while the service is down.
+// TestFollowSurvivesOutageAndCompaction guards against a daemon's view that becomes empty
+// or misses changes after an outage: if an outage counts as an empty list, or the watch
+// resumes after lost events. Keys change and events are compacted while the service is
+// down.
 func TestFollowSurvivesOutageAndCompaction(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -120,9 +122,9 @@
 	})
 }
 
-// Guards against a watch call per event and watcher on a busy prefix, if a watch that
-// returns at once is sent again at once. A key changes every 10 ms while a daemon
-// follows it.
+// TestFollowKeepsThePollFloor guards against a watch call per event and watcher on a busy
+// prefix, if a watch that returns at once is sent again at once. A key changes every
+// 10 ms while a daemon follows it.
 func TestFollowKeepsThePollFloor(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -146,9 +148,9 @@
 	})
 }
 
-// Guards against a holder that relies on a lease another daemon has by now: if validity
-// counted from the renewal's response, and the holder is paused beyond the time to live
-// before it handles the response.
+// TestLeaseCountsFromTheBeginningOfTheRenewal guards against a holder that relies on a
+// lease another daemon has by now: if validity counted from the renewal's response, and
+// the holder is paused beyond the time to live before it handles the response.
 func TestLeaseCountsFromTheBeginningOfTheRenewal(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -176,9 +178,9 @@
 	})
 }
 
-// Guards against losing a lease in an outage shorter than its time to live, if renewals
-// stop too early, and against relying on an expired lease after a longer outage, if its
-// loss is not reported.
+// TestServedLeaseOutlivesShortOutages guards against losing a lease in an outage shorter
+// than its time to live, if renewals stop too early, and against relying on an expired
+// lease after a longer outage, if its loss is not reported.
 func TestServedLeaseOutlivesShortOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
--- a/connection/store/outcome_test.go
+++ b/connection/store/outcome_test.go
@@ -186,10 +186,11 @@
 	return err
 }
 
-// Guards against applying a write twice or reporting the wrong outcome: daemons race
-// on a key while responses and requests are lost, writes arrive after their caller gave
-// up, and the service refuses calls or is down. It would fail with a new write id per
-// retry, or if a conflict with the writer's own earlier attempt counted as another's.
+// TestSwapNeverAppliesTwiceNorMisreports guards against applying a write twice or
+// reporting the wrong outcome: daemons race on a key while responses and requests are
+// lost, writes arrive after their caller gave up, and the service refuses calls or is
+// down. It would fail with a new write id per retry, or if a conflict with the writer's
+// own earlier attempt counted as another's.
 func TestSwapNeverAppliesTwiceNorMisreports(t *testing.T) {
 	outcomes := map[string]int{}
 	rapid.Check(t, func(rt *rapid.T) {
--- a/connection/store/presumedlost.go
+++ b/connection/store/presumedlost.go
@@ -48,18 +48,18 @@
 // A read that is sent while the store is unresponsive is never answered. Its timeout allows
 // for a large response over a slow link, so without Read the daemon would work with old data
 // for seconds while its other calls are answered again.
-func (p *AdaptiveTimeout) Read(ctx context.Context, f func(ctx context.Context) error) error {
-	return p.guard(ctx, false, f)
+func (a *AdaptiveTimeout) Read(ctx context.Context, f func(ctx context.Context) error) error {
+	return a.guard(ctx, false, f)
 }
 
 // Watch makes a long poll and cancels it with ErrPresumedLost if an outage has ended since it
 // was sent: the request or its response may have been lost in the outage.
-func (p *AdaptiveTimeout) Watch(ctx context.Context, f func(ctx context.Context) error) error {
-	return p.guard(ctx, true, f)
+func (a *AdaptiveTimeout) Watch(ctx context.Context, f func(ctx context.Context) error) error {
+	return a.guard(ctx, true, f)
 }
 
-func (p *AdaptiveTimeout) guard(ctx context.Context, longPoll bool, f func(ctx context.Context) error) error {
-	if p == nil {
+func (a *AdaptiveTimeout) guard(ctx context.Context, longPoll bool, f func(ctx context.Context) error) error {
+	if a == nil {
 		return f(ctx)
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -67,16 +67,16 @@
 	c := &pendingCall{longPoll: longPoll, cancel: cancel}
 	ctx = context.WithValue(ctx, pendingCallKey{}, c)
 	MarkSent(ctx)
-	p.mu.Lock()
-	if p.open == nil {
-		p.open = map[*pendingCall]struct{}{}
+	a.mu.Lock()
+	if a.open == nil {
+		a.open = map[*pendingCall]struct{}{}
 	}
-	p.open[c] = struct{}{}
-	p.mu.Unlock()
+	a.open[c] = struct{}{}
+	a.mu.Unlock()
 	defer func() {
-		p.mu.Lock()
-		defer p.mu.Unlock()
-		delete(p.open, c)
+		a.mu.Lock()
+		defer a.mu.Unlock()
+		delete(a.open, c)
 	}()
 	err := f(ctx)
 	if err != nil && errors.Is(context.Cause(ctx), ErrPresumedLost) {
@@ -89,9 +89,9 @@
 // was sent at the given time; outage says that it is the first answered call for minOutage.
 // A read is presumed lost only if it was sent earlier by more than the usual timeout, since
 // a list may take the store several times as long as another call.
-func (p *AdaptiveTimeout) overtake(sent time.Time, outage bool) {
-	minLead := max(p.average*timeoutFactor, p.Min)
-	for c := range p.open {
+func (a *AdaptiveTimeout) overtake(sent time.Time, outage bool) {
+	minLead := max(a.average*timeoutFactor, a.Min)
+	for c := range a.open {
 		at := c.sent.Load()
 		if at == nil {
 			continue
--- a/connection/store/readtimeout.go
+++ b/connection/store/readtimeout.go
@@ -22,15 +22,15 @@
 }
 
 // Try makes one attempt with the current timeout.
-func (b *ReadTimeout) Try(ctx context.Context, read func(ctx context.Context) error) error {
-	bounded, cancel := context.WithTimeout(ctx, b.First<<b.doublings)
+func (t *ReadTimeout) Try(ctx context.Context, read func(ctx context.Context) error) error {
+	bounded, cancel := context.WithTimeout(ctx, t.First<<t.doublings)
 	defer cancel()
 	err := read(bounded)
 	switch {
 	case err == nil:
-		b.doublings = 0
+		t.doublings = 0
 	case ctx.Err() == nil && errors.Is(bounded.Err(), context.DeadlineExceeded):
-		b.doublings = min(b.doublings+1, maxReadDoublings)
+		t.doublings = min(t.doublings+1, maxReadDoublings)
 	}
 	return err
 }
--- a/connection/store/swap_test.go
+++ b/connection/store/swap_test.go
@@ -13,9 +13,10 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// Guards against reporting a write that took effect as failed and making it again: the
-// service applies a swap, its response is lost, then responses arrive again. Without
-// read-back by write id the second attempt conflicts with the first.
+// TestSwapKnowsItsOwnWriteAfterALostAnswer guards against reporting a write that took
+// effect as failed and making it again: the service applies a swap, its response is lost,
+// then responses arrive again. Without read-back by write id the second attempt conflicts
+// with the first.
 func TestSwapKnowsItsOwnWriteAfterALostAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
@@ -48,9 +49,10 @@
 	return s.Store.Put(ctx, key, value, prev, lease)
 }
 
-// Guards against reporting a write that took effect as a conflict: the request of a swap
-// is delayed, its caller reads back, finds nothing and sends it again. The first request
-// arrives just before the second, which then conflicts with it.
+// TestSwapMeetsItsOwnLateRequest guards against reporting a write that took effect as a
+// conflict: the request of a swap is delayed, its caller reads back, finds nothing and
+// sends it again. The first request arrives just before the second, which then conflicts
+// with it.
 func TestSwapMeetsItsOwnLateRequest(t *testing.T) {
 	m := kv.New()
 	h := store.NewClient(&lateStore{Store: m}, store.Options{}).Role(store.RoleClaims)
@@ -60,9 +62,9 @@
 	require.Equal(t, store.Revision(1), m.Revision(), "applied once")
 }
 
-// Guards against values above the size limit being sent or truncated: if only the
-// service checks the limit, or if the check leaves out the envelope. Swaps data of
-// exactly the limit, then of one byte more.
+// TestSwapChecksTheSizeBeforeTheCall guards against values above the size limit being
+// sent or truncated: if only the service checks the limit, or if the check leaves out the
+// envelope. Swaps data of exactly the limit, then of one byte more.
 func TestSwapChecksTheSizeBeforeTheCall(t *testing.T) {
 	m := kv.New()
 	h := store.NewClient(m, store.Options{}).Role(store.RoleVersions)
--- a/connection/store/track_test.go
+++ b/connection/store/track_test.go
@@ -50,8 +50,9 @@
 	})
 }
 
-// Guards against trackers that keep waiting for a watch that was lost in an outage although
-// the store answers again, and against sending a watch again for each lost response.
+// TestWatchThatAnOutageSwallowedIsSentAgain guards against trackers that keep waiting for
+// a watch that was lost in an outage although the store answers again, and against
+// sending a watch again for each lost response.
 func TestWatchThatAnOutageSwallowedIsSentAgain(t *testing.T) {
 	for _, x := range []struct {
 		what   string
--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -103,9 +103,9 @@
 }
 
 func TestGoodputUnderOverload(t *testing.T) {
-	// At twice its capacity a service must not answer half of what it could, because requests
-	// wait so long that they are answered too late. More requests arrive than the slots can
-	// serve, for five seconds.
+	// Guards against a service that at twice its capacity serves only half of what it could,
+	// because requests wait so long that they are answered too late. More requests arrive than
+	// the slots can serve, for five seconds.
 	const slots, work = 32, 50 * time.Millisecond
 	for _, timeout := range []time.Duration{120 * time.Millisecond, 300 * time.Millisecond, 3 * time.Second} {
 		for _, times := range []int{2, 5} {
@@ -131,7 +131,7 @@
 
 func TestInfeasibleRequestsAreRefusedBeforeTheirDeadline(t *testing.T) {
 	// Requests wait, then every instance hangs. If the wait were estimated on arrival only,
-	// callers would wait for their whole deadline to learn that nothing ran.
+	// callers would wait for their whole deadline until they are told that nothing ran.
 	synctest.Test(t, func(t *testing.T) {
 		s := newTestService(1, 10*time.Millisecond, Options{Window: 1})
 		var wg sync.WaitGroup
--- a/request/admission/retryschedule.go
+++ b/request/admission/retryschedule.go
@@ -19,7 +19,7 @@
 // retrySchedule assigns each refused caller of a service its own time to retry.
 //
 // If all were told the length of the queue, after a burst or a stall, they would all retry
-// before it has emptied. Refusing them takes the processor time in which requests would be
+// before it has emptied. Refusing them takes the CPU time in which requests would be
 // served, and the service would stay down for as long as they retry.
 type retrySchedule struct {
 	// gap is the mean of the seconds between two starts, biased low; 0 while unknown. last is
--- a/request/admission/retryschedule_test.go
+++ b/request/admission/retryschedule_test.go
@@ -28,10 +28,10 @@
 	t.Run("burst", func(t *testing.T) { testRetries(t, false) })
 }
 
-// testRetries simulates a minute of a service whose processor also handles the refusals.
+// testRetries simulates a minute of a service whose CPU also handles the refusals.
 func testRetries(t *testing.T, stalls bool) {
 	const (
-		arrivals    = 160 // per second, of 200 that the processor can handle
+		arrivals    = 160 // per second, of 200 that the CPU can handle
 		tryCost     = time.Millisecond
 		workCost    = 4 * time.Millisecond
 		timeout     = 2 * time.Second
--- a/request/admission/servicerate.go
+++ b/request/admission/servicerate.go
@@ -44,67 +44,67 @@
 }
 
 // waitBegan records that a request has begun to wait; waiting includes it.
-func (p *serviceRate) waitBegan(waiting int, now time.Time) {
+func (r *serviceRate) waitBegan(waiting int, now time.Time) {
 	if waiting != 1 {
 		return
 	}
-	if now.Sub(p.idle) > staleAfter {
-		p.busy, p.starts = 0, 0
+	if now.Sub(r.idle) > staleAfter {
+		r.busy, r.starts = 0, 0
 	}
-	p.last = now
+	r.last = now
 }
 
 // started records a start; waiting is the number of requests that still wait.
-func (p *serviceRate) started(waiting int, now time.Time) {
+func (r *serviceRate) started(waiting int, now time.Time) {
 	if waiting == 0 {
-		p.last, p.idle = time.Time{}, now
+		r.last, r.idle = time.Time{}, now
 		return
 	}
-	if !p.last.IsZero() {
-		p.busy, p.starts = p.decayed(now)
-		p.starts++
+	if !r.last.IsZero() {
+		r.busy, r.starts = r.decayed(now)
+		r.starts++
 	}
-	p.last = now
+	r.last = now
 }
 
 // served records a service time, from slot to end of the request.
-func (p *serviceRate) served(d time.Duration) {
+func (r *serviceRate) served(d time.Duration) {
 	s := d.Seconds()
-	if p.shortest == 0 || s < p.shortest {
-		p.shortest = s
+	if r.shortest == 0 || s < r.shortest {
+		r.shortest = s
 		return
 	}
-	p.shortest = min(s, p.shortest*shortestGrowth)
+	r.shortest = min(s, r.shortest*shortestGrowth)
 }
 
 // endedInTime and endedLate record the outcome of a request that had waited.
-func (p *serviceRate) endedInTime() { p.waitShare = min(1, p.waitShare+inTimeStep) }
-func (p *serviceRate) endedLate()   { p.waitShare = max(minWaitShare, p.waitShare*lateFactor) }
+func (r *serviceRate) endedInTime() { r.waitShare = min(1, r.waitShare+inTimeStep) }
+func (r *serviceRate) endedLate()   { r.waitShare = max(minWaitShare, r.waitShare*lateFactor) }
 
 // interval returns the mean seconds between two starts; 0 while unknown. The time since the last
 // start is included, so that a stall takes effect at once.
-func (p *serviceRate) interval(now time.Time) float64 {
-	if p.starts < minStarts {
+func (r *serviceRate) interval(now time.Time) float64 {
+	if r.starts < minStarts {
 		return 0
 	}
-	if p.last.IsZero() {
-		return p.busy / p.starts
+	if r.last.IsZero() {
+		return r.busy / r.starts
 	}
-	busy, starts := p.decayed(now)
+	busy, starts := r.decayed(now)
 	return busy / starts
 }
 
 // decayed returns busy and starts as of now, while requests wait.
-func (p *serviceRate) decayed(now time.Time) (busy, starts float64) {
-	passed := now.Sub(p.last).Seconds()
+func (r *serviceRate) decayed(now time.Time) (busy, starts float64) {
+	passed := now.Sub(r.last).Seconds()
 	decay := math.Exp(-passed / rateDecay)
-	return p.busy*decay + passed, p.starts * decay
+	return r.busy*decay + passed, r.starts * decay
 }
 
 // window returns how many requests may wait in the slots' own order so that they wait there for
 // about windowWait. The fair order between teams does not apply to requests that wait there.
-func (p *serviceRate) window(limit int, now time.Time) int {
-	interval := p.interval(now)
+func (r *serviceRate) window(limit int, now time.Time) int {
+	interval := r.interval(now)
 	if interval <= 0 {
 		return limit
 	}
@@ -112,22 +112,22 @@
 }
 
 // wait estimates the waiting time of a request with the given number of requests ahead of it.
-func (p *serviceRate) wait(ahead int, now time.Time) time.Duration {
+func (r *serviceRate) wait(ahead int, now time.Time) time.Duration {
 	if ahead == 0 {
 		return 0
 	}
-	wait := float64(ahead) * p.interval(now)
+	wait := float64(ahead) * r.interval(now)
 	return time.Duration(wait * float64(time.Second))
 }
 
 // fits reports whether a request that waits for the given time from now can end by the deadline,
 // with a margin for the error of the estimate.
-func (p *serviceRate) fits(wait time.Duration, now, deadline time.Time) bool {
-	return p.feasible(time.Duration(float64(wait)/p.waitShare), now, deadline)
+func (r *serviceRate) fits(wait time.Duration, now, deadline time.Time) bool {
+	return r.feasible(time.Duration(float64(wait)/r.waitShare), now, deadline)
 }
 
 // feasible is fits without the margin for the estimate's error: a request that was admitted to
 // the queue by fits is not dropped because the margin has grown.
-func (p *serviceRate) feasible(wait time.Duration, now, deadline time.Time) bool {
-	return wait.Seconds()+p.shortest <= deadline.Sub(now).Seconds()
+func (r *serviceRate) feasible(wait time.Duration, now, deadline time.Time) bool {
+	return wait.Seconds()+r.shortest <= deadline.Sub(now).Seconds()
 }
--- a/request/forward/answer.go
+++ b/request/forward/answer.go
@@ -17,7 +17,7 @@
 	// bufferSize is the size of the copy buffer, in bytes. An answer that fits into
 	// it is known to be complete before its first byte is passed on.
 	bufferSize = 32 << 10
-	// drainLimit bounds how much of a discarded answer is read, in bytes, to learn
+	// drainLimit bounds how much of a discarded answer is read, in bytes, to confirm
 	// that the endpoint has finished.
 	drainLimit = 1 << 20
 )
@@ -115,7 +115,7 @@
 	return newError(verdict.MayHaveRun, http.StatusBadGateway, CodeTruncated, err)
 }
 
-// Discard reads and discards the rest of the body, up to a limit, to learn that
+// Discard reads and discards the rest of the body, up to a limit, to confirm that
 // the endpoint has finished.
 func (a *Answer) Discard() {
 	n, err := io.Copy(io.Discard, io.LimitReader(a.resp.Body, drainLimit))
@@ -164,7 +164,7 @@
 // Deliver streams the answer to the caller. sent reports whether anything was
 // written to w: if so, and err is not nil, the caller's connection must be
 // aborted, because a truncated body must not look complete. When the caller has
-// disconnected, the rest of the answer is read and discarded, to learn that the
+// disconnected, the rest of the answer is read and discarded, to confirm that the
 // endpoint has finished.
 func (a *Answer) Deliver(w http.ResponseWriter) (sent bool, err error) {
 	buf := buffers.Get().(*[bufferSize]byte)
--- a/request/forward/conn.go
+++ b/request/forward/conn.go
@@ -178,7 +178,7 @@
 func (c *conn) matchedByOrder() bool { return !c.secure && !c.echoes.Load() }
 
 // Read implements net.Conn. It closes the connection when bytes arrive that
-// can not belong to the request in progress: those that arrive before the
+// cannot belong to the request in progress: those that arrive before the
 // request is written, and those that were sent before the other side had
 // received a byte of it, which shows in that no byte of it is acknowledged. They
 // are a late or duplicate answer to an earlier request, and would reach the
--- a/request/forward/doc.go
+++ b/request/forward/doc.go
@@ -14,7 +14,7 @@
 //     rejected when it arrives before the request is written, or when the
 //     endpoint's side had not received a byte of the request when it sent it;
 //   - a truncated body results in an error, never in io.EOF; so does one with
-//     neither Content-Length nor chunks, whose end can not be distinguished from
+//     neither Content-Length nor chunks, whose end cannot be distinguished from
 //     a broken connection;
 //   - this daemon keeps at most IdleShare idle connections per endpoint,
 //     in addition to those that requests in progress use.
--- a/request/forward/send.go
+++ b/request/forward/send.go
@@ -127,7 +127,7 @@
 }
 
 // request builds the request for the Transport. GetBody stays nil, so that the
-// Transport can not rewind the body.
+// Transport cannot rewind the body.
 func (s *sending) request(ctx context.Context, o *Outgoing, scheme, address string) *http.Request {
 	s.url = *o.URL
 	s.url.Scheme, s.url.Host, s.url.User = scheme, address, nil
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -133,7 +133,7 @@
 }
 
 // inRandomOrder calls f with each target's index, in a new random order each time: in a
-// fixed order a target gained or lost a twentieth from the one that ran before it.
+// fixed order a target measured a twentieth faster or slower because of the one before it.
 func inRandomOrder(rng *rand.Rand, targets int, f func(i int)) {
 	for _, i := range rng.Perm(targets) {
 		f(i)
@@ -151,10 +151,10 @@
 	rng := newRand()
 	for block := 0; b.Loop(); block++ {
 		inRandomOrder(rng, len(targets), func(i int) {
-			start, before := time.Now(), processorTime(b)
+			start, before := time.Now(), cpuTime(b)
 			round(b, c, targets[i].address)
 			rates[i] = append(rates[i], benchRound/time.Since(start).Seconds())
-			used[i] = append(used[i], float64((processorTime(b)-before).Nanoseconds())/1000/benchRound)
+			used[i] = append(used[i], float64((cpuTime(b)-before).Nanoseconds())/1000/benchRound)
 		})
 		throughput = append(throughput, rates[2][block]/rates[1][block])
 		cpu = append(cpu, used[1][block]/used[2][block])
@@ -169,8 +169,8 @@
 	}
 }
 
-// processorTime returns the CPU time that this process has used so far.
-func processorTime(b testing.TB) time.Duration {
+// cpuTime returns the CPU time that this process has used so far.
+func cpuTime(b testing.TB) time.Duration {
 	var u syscall.Rusage
 	require.NoError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
 	return time.Duration(u.Utime.Nano() + u.Stime.Nano())
--- a/request/gateway/call.go
+++ b/request/gateway/call.go
@@ -35,7 +35,7 @@
 	// discarded, because only its end shows that the endpoint's slot is free.
 	wait *waitContext
 
-	// tried joins the verdicts of all attempts so far.
+	// tried combines the verdicts of all attempts so far.
 	tried    verdict.Verdict
 	attempts int
 	endpoint string
@@ -168,7 +168,7 @@
 }
 
 // teamName returns the team for limits and fair shares. All teams that are not
-// in the configuration share one name, so that callers can not multiply their
+// in the configuration share one name, so that callers cannot multiply their
 // share by inventing teams.
 func (c *call) teamName() string {
 	if c.team == nil {
--- a/request/gateway/cell_test.go
+++ b/request/gateway/cell_test.go
@@ -284,7 +284,7 @@
 
 func (*ownerOfAll) Owner(idem.Key) (fleet.Member, bool, bool) { return fleet.Member{}, true, true }
 
-func (h *ownerOfAll) Begin(context.Context, idem.Request) (*idem.Attempt, *idem.Answer, error) {
-	h.begun.Add(1)
+func (o *ownerOfAll) Begin(context.Context, idem.Request) (*idem.Attempt, *idem.Answer, error) {
+	o.begun.Add(1)
 	return nil, &idem.Answer{Status: http.StatusOK}, nil
 }
--- a/request/gateway/keyed.go
+++ b/request/gateway/keyed.go
@@ -239,7 +239,7 @@
 }
 
 // deliverFromOwner passes the owner's answer on to the caller. The owner's
-// verdict covers this try only, so it is joined with that of earlier tries.
+// verdict covers this try only, so it is combined with that of earlier tries.
 func (c *call) deliverFromOwner(a *forward.Answer, v verdict.Verdict) {
 	if c.attempts > 0 {
 		v = c.tried.Combine(v)
--- a/request/gateway/random_test.go
+++ b/request/gateway/random_test.go
@@ -37,7 +37,7 @@
 }
 
 // event records an event of the request with its time, so that a single failure
-// can be traced: tests in real time can not be reproduced from their seed.
+// can be traced: tests in real time cannot be reproduced from their seed.
 func (o *trackedRequest) event(format string, args ...any) {
 	o.mu.Lock()
 	defer o.mu.Unlock()
--- a/request/gateway/reply.go
+++ b/request/gateway/reply.go
@@ -17,8 +17,8 @@
 
 var errDeadline = errors.New("the request's deadline has passed")
 
-// reply is the answer to the caller. Two goroutines may write it, the one that
-// makes the attempts and the alarm at the deadline; the first to claim it does.
+// reply is the answer to the caller. It is written by one of two goroutines: the
+// one that makes the attempts, or the alarm at the deadline, whichever claims it first.
 type reply struct {
 	mu      sync.Mutex
 	claimed bool
@@ -70,7 +70,7 @@
 
 // deadlineWatch enforces a request's deadline during its attempts. It answers
 // the caller at the deadline, and lets the attempt continue for up to the
-// service's limit to learn its end.
+// service's limit to determine its outcome.
 //
 // If the attempt were aborted at the deadline, the daemon could not tell whether
 // the endpoint had finished, and its slot would count as taken for the service's
@@ -132,7 +132,7 @@
 	w.answer(v)
 	w.gateway.leave(c)
 	if v == verdict.NotRun || !c.body.complete() {
-		w.abort() // nothing was sent, or the request can not be completed
+		w.abort() // nothing was sent, or the request cannot be completed
 		return
 	}
 	w.startLinger()
--- a/request/idem/attempt.go
+++ b/request/idem/attempt.go
@@ -51,7 +51,7 @@
 
 // Fail ends the attempt without a complete answer. The error's verdict decides
 // whether the key can be used again: after NotRun it can, after Ran or
-// MayHaveRun of a non-idempotent request it can not, so that the request is
+// MayHaveRun of a non-idempotent request it cannot, so that the request is
 // never sent again. Joined arrivals get the same error.
 func (a *Attempt) Fail(err error) {
 	if a.endOnce() {
--- a/request/idem/cell_test.go
+++ b/request/idem/cell_test.go
@@ -46,37 +46,37 @@
 // add starts an incarnation of the i-th daemon.
 func (c *cell) add(i int, incarnation uint64, change func(*Options)) *daemon {
 	ref := peer.Ref{ID: peer.MemberID(fmt.Sprintf("d%d", i)), Incarnation: incarnation}
-	h := &daemon{ref: ref, directory: c.claims.Directory(ref)}
+	d := &daemon{ref: ref, directory: c.claims.Directory(ref)}
 	client := store.NewClient(c.kv, store.Options{OperationTimeout: 2 * time.Second})
 	opts := Options{
-		Self: ref, Directory: h.directory, Members: fleettest.NewView(fleet.Member{Ref: ref}),
+		Self: ref, Directory: d.directory, Members: fleettest.NewView(fleet.Member{Ref: ref}),
 		Store: client.Role(store.RoleIntents), Log: zerolog.Nop(),
 	}
 	if change != nil {
 		change(&opts)
 	}
-	h.Manager = New(opts)
+	d.Manager = New(opts)
 	var ctx context.Context
-	ctx, h.stop = context.WithCancel(context.Background())
-	go func() { _ = h.Serve(ctx) }()
+	ctx, d.stop = context.WithCancel(context.Background())
+	go func() { _ = d.Serve(ctx) }()
 	if i < len(c.daemons) {
-		c.daemons[i] = h
+		c.daemons[i] = d
 	} else {
-		c.daemons = append(c.daemons, h)
+		c.daemons = append(c.daemons, d)
 	}
-	return h
+	return d
 }
 
 func (c *cell) close() {
-	for _, h := range c.daemons {
-		h.stop()
+	for _, d := range c.daemons {
+		d.stop()
 	}
 }
 
-// own assigns the shard to h. The previous owner is not notified, as if it were
+// own assigns the shard to d. The previous owner is not notified, as if it were
 // suspended.
-func (c *cell) own(n int, h *daemon) {
-	h.Acquired(c.t.Context(), c.claims.Set(resource(n), h.ref))
+func (c *cell) own(n int, d *daemon) {
+	d.Acquired(c.t.Context(), c.claims.Set(resource(n), d.ref))
 }
 
 // newRequest returns a non-idempotent request with the key text.
@@ -86,19 +86,19 @@
 
 func (r Request) shard() int { return r.Key.hash().shard() }
 
-// begun calls Begin for r at h and requires that it returns an attempt.
-func begun(t testing.TB, h *daemon, r Request) *Attempt {
+// begun calls Begin for r at d and requires that it returns an attempt.
+func begun(t testing.TB, d *daemon, r Request) *Attempt {
 	t.Helper()
-	a, _, err := h.Begin(t.Context(), r)
+	a, _, err := d.Begin(t.Context(), r)
 	require.NoError(t, err)
 	require.NotNil(t, a)
 	return a
 }
 
-// requireCode requires that Begin for r at h fails with that code and verdict.
-func requireCode(t testing.TB, h *daemon, r Request, code string, v verdict.Verdict) {
+// requireCode requires that Begin for r at d fails with that code and verdict.
+func requireCode(t testing.TB, d *daemon, r Request, code string, v verdict.Verdict) {
 	t.Helper()
-	_, _, err := h.Begin(t.Context(), r)
+	_, _, err := d.Begin(t.Context(), r)
 	var e *verdict.Error
 	require.True(t, errors.As(err, &e), "%v", err)
 	require.Equal(t, code, e.Code)
--- a/request/idem/churn_test.go
+++ b/request/idem/churn_test.go
@@ -67,9 +67,9 @@
 		if c.r.IntN(20) == 0 {
 			c.fault()
 		}
-		k, h := c.r.IntN(churnKeys), c.daemons[c.r.IntN(churnDaemons)]
+		k, d := c.r.IntN(churnKeys), c.daemons[c.r.IntN(churnDaemons)]
 		draw := c.r.Float64()
-		running.Go(func() { c.arrive(h, newRequest(fmt.Sprint(k)), draw) })
+		running.Go(func() { c.arrive(d, newRequest(fmt.Sprint(k)), draw) })
 		time.Sleep(time.Duration(c.r.IntN(60)) * time.Millisecond)
 	}
 	running.Wait()
@@ -86,11 +86,11 @@
 	o.WritesPerSecond = 50 * float64(len(o.Members.Members()))
 }
 
-// arrive makes one arrival at h, which may no longer be the key owner.
-func (c *churn) arrive(h *daemon, r Request, draw float64) {
+// arrive makes one arrival at d, which may no longer be the key owner.
+func (c *churn) arrive(d *daemon, r Request, draw float64) {
 	ctx, cancel := context.WithTimeout(c.t.Context(), 3*time.Second)
 	defer cancel()
-	a, answer, err := h.Begin(ctx, r)
+	a, answer, err := d.Begin(ctx, r)
 	switch {
 	case answer != nil:
 		if string(answer.Body) != r.Key.Text {
@@ -99,13 +99,13 @@
 	case err != nil:
 	case draw < 0.05:
 		time.Sleep(time.Second) // suspended before its intent
-		c.run(ctx, h, r, a, draw)
+		c.run(ctx, d, r, a, draw)
 	default:
-		c.run(ctx, h, r, a, draw)
+		c.run(ctx, d, r, a, draw)
 	}
 }
 
-func (c *churn) run(ctx context.Context, h *daemon, r Request, a *Attempt, draw float64) {
+func (c *churn) run(ctx context.Context, d *daemon, r Request, a *Attempt, draw float64) {
 	defer a.Close()
 	if err := a.Intend(ctx); err != nil {
 		if verdict.Of(err) != verdict.NotRun {
@@ -115,7 +115,7 @@
 		return
 	}
 	time.Sleep(time.Duration(draw * float64(200*time.Millisecond)))
-	if c.isKilled(h) {
+	if c.isKilled(d) {
 		return // the process crashed after its intent, before or after sending
 	}
 	switch {
@@ -139,10 +139,10 @@
 	c.ran[r.Key.Text]++
 }
 
-func (c *churn) isKilled(h *daemon) bool {
+func (c *churn) isKilled(d *daemon) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.killed[h]
+	return c.killed[d]
 }
 
 func (c *churn) fault() {
@@ -193,14 +193,14 @@
 func (c *churn) requireServing() {
 	time.Sleep(time.Minute)
 	for n := range Shards {
-		h := c.daemons[n%churnDaemons]
-		c.own(n, h)
+		d := c.daemons[n%churnDaemons]
+		c.own(n, d)
 		time.Sleep(10 * time.Second)
 		r := newRequest("new")
 		for r.shard() != n {
 			r.Key.Text += "x"
 		}
-		a := begun(c.t, h, r)
+		a := begun(c.t, d, r)
 		require.NoError(c.t, a.Intend(c.t.Context()))
 		a.Finish(&Answer{Status: 200})
 	}
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -17,12 +17,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.daemons[0], newRequest("a")
-		c.own(r.shard(), h)
-		a := begun(t, h, r)
+		d, r := c.daemons[0], newRequest("a")
+		c.own(r.shard(), d)
+		a := begun(t, d, r)
 		joined := make(chan *Answer)
 		go func() {
-			_, answer, _ := h.Begin(context.Background(), r)
+			_, answer, _ := d.Begin(context.Background(), r)
 			joined <- answer
 		}()
 		synctest.Wait()
@@ -30,21 +30,21 @@
 		answer := &Answer{Status: 200, Body: []byte("two pallets")}
 		a.Finish(answer)
 		require.Same(t, answer, <-joined)
-		_, again, err := h.Begin(t.Context(), r)
+		_, again, err := d.Begin(t.Context(), r)
 		require.NoError(t, err)
 		require.Same(t, answer, again)
 
 		other := r
 		other.Fingerprint++
-		requireCode(t, h, other, CodeMismatch, verdict.NotRun)
+		requireCode(t, d, other, CodeMismatch, verdict.NotRun)
 		elsewhere := r
 		elsewhere.Key.Team = "authority"
-		c.own(elsewhere.shard(), h)
+		c.own(elsewhere.shard(), d)
 		if elsewhere.shard() != r.shard() {
-			begun(t, h, elsewhere).Fail(&verdict.Error{Verdict: verdict.NotRun, Err: errors.New("refused")})
+			begun(t, d, elsewhere).Fail(&verdict.Error{Verdict: verdict.NotRun, Err: errors.New("refused")})
 		}
 		time.Sleep(DefaultAnswerRetention + 2*sweepInterval)
-		requireCode(t, h, r, CodeAnswerNotKept, verdict.Ran)
+		requireCode(t, d, r, CodeAnswerNotKept, verdict.Ran)
 	})
 }
 
@@ -52,12 +52,12 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, func(o *Options) { o.MaxAnswer = 10 })
 		defer c.close()
-		h, r := c.daemons[0], newRequest("a")
-		c.own(r.shard(), h)
-		a := begun(t, h, r)
+		d, r := c.daemons[0], newRequest("a")
+		c.own(r.shard(), d)
+		a := begun(t, d, r)
 		require.NoError(t, a.Intend(t.Context()))
 		a.Finish(&Answer{Status: 200, Body: make([]byte, 11)})
-		requireCode(t, h, r, CodeAnswerNotKept, verdict.Ran)
+		requireCode(t, d, r, CodeAnswerNotKept, verdict.Ran)
 	})
 }
 
@@ -117,14 +117,14 @@
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, nil)
 		defer c.close()
-		h, r := c.daemons[0], newRequest("a")
-		c.own(r.shard(), h)
-		require.NoError(t, begun(t, h, r).Intend(t.Context()))
+		d, r := c.daemons[0], newRequest("a")
+		c.own(r.shard(), d)
+		require.NoError(t, begun(t, d, r).Intend(t.Context()))
 		for _, f := range []kv.Faults{{Down: true}, {Hang: true}} {
 			c.kv.SetFaults(f)
 			for range 10 {
 				r := sameShardRequest(r)
-				a := begun(t, h, r)
+				a := begun(t, d, r)
 				began := time.Now()
 				err := a.Intend(t.Context())
 				var e *verdict.Error
@@ -139,7 +139,7 @@
 		}
 		r = sameShardRequest(r)
 		require.Eventually(t, func() bool {
-			a := begun(t, h, r)
+			a := begun(t, d, r)
 			err := a.Intend(t.Context())
 			if err != nil {
 				a.Fail(err)
@@ -167,7 +167,7 @@
 		require.Equal(t, verdict.NotRun, verdict.Of(err))
 		a.Fail(err)
 		c.kv.SetFaults(kv.Faults{})
-		// The new owner reads the intent and can not tell that nothing was sent.
+		// The new owner reads the intent and cannot tell that nothing was sent.
 		c.own(r.shard(), second)
 		requireCode(t, second, r, CodeOutcomeUnknown, verdict.MayHaveRun)
 	})
--- a/request/idem/log.go
+++ b/request/idem/log.go
@@ -227,7 +227,7 @@
 		}
 		if errors.Is(err, errFenced) {
 			l.s.m.counts.Fenced.Add(1)
-			l.s.m.opts.Log.Warn().Int("shard", l.s.n).Uint64("epoch", l.s.epoch).Msg("key log fenced by a newer owner")
+			l.s.m.opts.Log.Warn().Int("shard", l.s.n).Uint64("epoch", l.s.epoch).Msg("key log fenced by a newer owner; requests with its keys are refused")
 			return
 		}
 	}
@@ -245,7 +245,7 @@
 		if errors.Is(err, errFenced) || l.ctx.Err() != nil {
 			return false
 		}
-		l.s.m.opts.Log.Warn().Err(err).Int("shard", l.s.n).Msg("reading the key log failed; will retry")
+		l.s.m.opts.Log.Warn().Err(err).Int("shard", l.s.n).Msg("takeover of the key log failed; trying again")
 		if sleep.For(l.ctx, retry.NextBackOff()) != nil {
 			return false
 		}
--- a/request/idem/record.go
+++ b/request/idem/record.go
@@ -56,7 +56,7 @@
 func encode(v any) []byte {
 	data, err := cbor.Marshal(v)
 	if err != nil {
-		// Only a type that CBOR can not represent fails, which is a programming error.
+		// Only a type that CBOR cannot represent fails, which is a programming error.
 		panic(fmt.Sprintf("idem: encode %T: %v", v, err))
 	}
 	return data
@@ -71,7 +71,7 @@
 func archivePrefix(shard int) string { return logPrefix + strconv.Itoa(shard) + "/archive/" }
 
 // archiveKey includes the epoch, so that an archive that a suspended owner
-// writes late can not take the key of an archive of its successor.
+// writes late cannot take the key of an archive of its successor.
 func archiveKey(shard int, seq, epoch uint64) string {
 	return fmt.Sprintf("%s%016d-%016d", archivePrefix(shard), seq, epoch)
 }
--- a/request/idem/shard.go
+++ b/request/idem/shard.go
@@ -67,7 +67,7 @@
 	return s
 }
 
-// fingerprint64 includes NonIdempotent in the fingerprint, so that a key can not
+// fingerprint64 includes NonIdempotent in the fingerprint, so that a key cannot
 // be used again with another value of it.
 func fingerprint64(r Request) uint64 {
 	f := uint64(r.Fingerprint)
--- a/request/idem/writer.go
+++ b/request/idem/writer.go
@@ -53,7 +53,7 @@
 //
 // The order matters: if the previous owner, suspended or partitioned, could make
 // an intent durable after its successor has read the log, both would send the
-// key's request and it would run twice. It can not, because an intent becomes
+// key's request and it would run twice. It cannot, because an intent becomes
 // durable only by a compare-and-swap on the revision that its owner has read,
 // and this write changes the revision before the records are read.
 func (w *writer) open(ctx context.Context) error {
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -357,8 +357,8 @@
 	h.serve(now)
 }
 
-// clearContention is called when the pool's owner did not accept a report: the waiting elsewhere
-// that it last announced is no reason to return credits to it.
+// clearContention is called when the pool's owner did not accept a report: its last announcement
+// that requests wait at other daemons is no longer a reason to return credits to it.
 func (h *holder) clearContention() { h.contended, h.oldest = false, time.Time{} }
 
 // confirmReturns drops the records of returned credits after the pool has accepted the report.
--- a/request/slots/limits.go
+++ b/request/slots/limits.go
@@ -12,8 +12,8 @@
 const (
 	// AttemptFactor times a service's request_timeout is the longest time that an attempt may
 	// last: the request may wait until just before its deadline, and after the deadline the
-	// gateway lets the attempt continue for up to the service's request_timeout, to learn its
-	// outcome.
+	// gateway lets the attempt continue for up to the service's request_timeout, to determine
+	// its outcome.
 	AttemptFactor = 2
 	// configurationLag is how long a daemon may still begin requests under a configuration that
 	// has been replaced at another daemon.
--- a/request/slots/limits_test.go
+++ b/request/slots/limits_test.go
@@ -102,7 +102,7 @@
 }
 
 // TestRequestLimitsCoverAnAttemptPastItsDeadline guards against an instance that runs more requests
-// than it has slots: an attempt continues past its deadline, to learn its outcome, its daemon
+// than it has slots: an attempt continues past its deadline, to determine its outcome, its daemon
 // fails, and the credit records allow for request_timeout only.
 func TestRequestLimitsCoverAnAttemptPastItsDeadline(t *testing.T) {
 	of := RequestLimits(fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{
--- a/request/slots/manager.go
+++ b/request/slots/manager.go
@@ -281,7 +281,7 @@
 	}
 	go func() {
 		if err := m.opts.Settle(m.ctx, c); err != nil {
-			m.opts.Log.Warn().Err(err).Str("resource", string(c.Resource)).Msg("earlier owners not settled")
+			m.opts.Log.Warn().Err(err).Str("resource", string(c.Resource)).Msg("could not record that earlier owners are accounted for; the next owner must account for them again")
 		}
 	}()
 }
@@ -320,7 +320,7 @@
 	return m.deliverReport(ctx, from, r)
 }
 
-// errPoolStops: the pool may have processed a report, but has stopped answering.
+// errPoolStops means that the pool may have processed a report, but has stopped answering.
 var errPoolStops = errors.New("slots: the pool has stopped")
 
 func (m *Manager) deliverReport(ctx context.Context, from peer.Ref, r report) (reply, error) {
--- a/request/slots/pool.go
+++ b/request/slots/pool.go
@@ -77,7 +77,8 @@
 	low         bool
 	recalled    bool      // a recall is in flight
 	recallAfter time.Time // it had nothing to return; no recall until then
-	// unreachableUntil: the holder gets nothing until then, or until it reports.
+	// unreachableUntil is the time until which nothing is sent to the holder, unless it
+	// reports before.
 	unreachableUntil time.Time
 	queue            []granted
 	pushing          bool
--- a/request/submit/authenticate.go
+++ b/request/submit/authenticate.go
@@ -11,9 +11,9 @@
 
 // Error codes of requests that are refused because of their key.
 const (
-	// CodeKey: the request has no key that is in force.
+	// CodeKey means that the request has no key that is in force.
 	CodeKey = "unknown_key"
-	// CodeUnconfirmed: this daemon cannot tell whether the key is in force.
+	// CodeUnconfirmed means that this daemon cannot tell whether the key is in force.
 	CodeUnconfirmed = "keys_unconfirmed"
 )
 
@@ -32,11 +32,11 @@
 type ConfigStatus struct {
 	// Age is the time since the version was last confirmed to be the newest.
 	Age time.Duration
-	// Unconfirmed: the version has not been confirmed for longer than usual, so an unknown key or
-	// queue may have been added since.
+	// Unconfirmed is set when the version has not been confirmed for longer than usual, so that
+	// an unknown key or queue may have been added since.
 	Unconfirmed bool
-	// Expired: the version has not been confirmed for longer than a revoked key may remain
-	// usable, and the deployment is configured to accept no key in that case.
+	// Expired is set when the version has not been confirmed for longer than a revoked key may
+	// remain usable, and the deployment is configured to accept no key in that case.
 	Expired bool
 }
 
--- a/request/submit/cancel.go
+++ b/request/submit/cancel.go
@@ -105,6 +105,6 @@
 
 func (s *Service) forwardCancel(ctx context.Context, id work.JobID, account string) bool {
 	return s.tryTargets(ctx, s.method(MethodCancel), cancelRequest{ID: id, Account: account}, func(_ forwardReply, err error) {
-		s.o.Log.Debug().Err(err).Str("job", string(id)).Msg("cancellation was not forwarded")
+		s.o.Log.Debug().Err(err).Str("job", string(id)).Msg("cancellation was not accepted by another daemon")
 	})
 }
--- a/request/submit/hedge.go
+++ b/request/submit/hedge.go
@@ -42,7 +42,7 @@
 	byOther bool
 }
 
-// errNotForwarded: no other daemon has written the job or may still write it.
+// errNotForwarded means that no other daemon has written the job or may still write it.
 var errNotForwarded = errors.New("submit: no other daemon wrote the job")
 
 // createHedged tries to write the job. It also tries through other daemons when the store has
@@ -52,16 +52,16 @@
 // The second attempt serves a store that becomes slow: otherwise the first writes of each daemon
 // would be abandoned just before their answers, and their callers would wait for two more
 // answers.
-func (s *Service) createHedged(ctx context.Context, h *submission) (byOther bool, err error) {
+func (s *Service) createHedged(ctx context.Context, sub *submission) (byOther bool, err error) {
 	results := make(chan attempt, maxAttempts)
 	own := func() {
 		// Not cancelled when another attempt has succeeded: its result shows the state of the
 		// store.
 		free := context.WithoutCancel(ctx)
-		results <- attempt{err: s.o.StoreTimeout.CallWithMinTimeout(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, h) })}
+		results <- attempt{err: s.o.StoreTimeout.CallWithMinTimeout(free, writeTimeout, func(ctx context.Context) error { return s.create(ctx, sub) })}
 	}
 	others := func() {
-		accepted, uncertain := s.forward(ctx, h)
+		accepted, uncertain := s.forward(ctx, sub)
 		r := attempt{byOther: true}
 		switch {
 		case accepted:
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -105,12 +105,12 @@
 	if s.o.StoreTimeout.Failing() {
 		return forwardReply{}, nil // the store fails this daemon as well
 	}
-	h, err := decodeSubmission(id, o.Value)
+	sub, err := decodeSubmission(id, o.Value)
 	if err != nil {
-		s.o.Log.Warn().Err(err).Str("job", o.Key).Msg("cannot decode a forwarded job")
+		s.o.Log.Warn().Err(err).Str("job", o.Key).Msg("forwarded job cannot be decoded; not written")
 		return forwardReply{}, nil
 	}
-	err = s.o.StoreTimeout.Call(ctx, func(ctx context.Context) error { return s.create(ctx, h) })
+	err = s.o.StoreTimeout.Call(ctx, func(ctx context.Context) error { return s.create(ctx, sub) })
 	if err != nil {
 		return forwardReply{Uncertain: errors.Is(err, store.ErrUnknownOutcome)}, nil
 	}
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -68,7 +68,8 @@
 
 func TestDaemonThatHasNotHeardOfTheDivisionAcceptsNothing(t *testing.T) {
 	// A daemon with the old layout must not write a job into a shard where no daemon looks for
-	// it, so that its caller is told that it does not exist, and its refusal must be reliable.
+	// it and its caller would be told that it does not exist. After the refusal the job must not
+	// appear.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		revision := writeLayout(t, m)
--- a/request/submit/submission.go
+++ b/request/submit/submission.go
@@ -36,23 +36,23 @@
 }
 
 func submissionOf(id work.JobID, j *work.Job, full []byte) (*submission, error) {
-	h := &submission{id: id, account: j.Account, full: full, value: full}
+	sub := &submission{id: id, account: j.Account, full: full, value: full}
 	if !j.SpecStored {
-		return h, nil
+		return sub, nil
 	}
 	var err error
-	if h.value, err = work.EncodeJob(j.WithoutSpec()); err != nil {
+	if sub.value, err = work.EncodeJob(j.WithoutSpec()); err != nil {
 		return nil, fmt.Errorf("submit: job without its spec: %w", err)
 	}
-	h.spec = j.Spec
-	return h, nil
+	sub.spec = j.Spec
+	return sub, nil
 }
 
 // writes returns the writes that store the job.
-func (h *submission) writes() []store.Write {
-	all := []store.Write{{Key: dispatch.KeySubmission(h.id), Value: h.value}}
-	if h.spec != "" {
-		all = append(all, store.Write{Key: dispatch.KeySpec(h.id), Value: []byte(h.spec)})
+func (sub *submission) writes() []store.Write {
+	all := []store.Write{{Key: dispatch.KeySubmission(sub.id), Value: sub.value}}
+	if sub.spec != "" {
+		all = append(all, store.Write{Key: dispatch.KeySpec(sub.id), Value: []byte(sub.spec)})
 	}
 	return all
 }
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -71,7 +71,7 @@
 // ErrNoJob is returned for an id under which no job exists.
 var ErrNoJob = errors.New("submit: no such job")
 
-// errOtherAccount: the job under this id belongs to another account.
+// errOtherAccount means that the job under this id belongs to another account.
 var errOtherAccount = errors.New("submit: the job under this id belongs to another client account; use a key of that one, or another id")
 
 // refuseOtherAccount refuses a request for a job of another account.
@@ -164,7 +164,7 @@
 // Submit accepts a job. The error is a *verdict.Error.
 func (s *Service) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
 	j.Epoch, j.AcceptedBy, j.SpecStored = s.o.View.Epoch(), s.o.Peer, j.Spec != ""
-	h, err := newSubmission(id, j)
+	sub, err := newSubmission(id, j)
 	if err != nil {
 		return unavailable(CodeStore, err)
 	}
@@ -173,7 +173,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, submitBudget)
 	defer cancel()
-	err = s.write(ctx, h, func() { s.push(s.offerEntry(h)) })
+	err = s.write(ctx, sub, func() { s.push(s.offerEntry(sub)) })
 	if err == nil {
 		s.stats.Accepted.Add(1)
 		return nil
@@ -186,11 +186,11 @@
 // another daemon. After a failed call the other daemons are tried first: they answer within
 // milliseconds, while a read of an unresponsive store takes probeTimeout. written is called once
 // this daemon has written the job.
-func (s *Service) write(ctx context.Context, h *submission, written func()) error {
+func (s *Service) write(ctx context.Context, sub *submission, written func()) error {
 	unconfirmed := false // whether an unanswered write may still take effect
 	var last error
 	forwarded := func() bool {
-		accepted, uncertain := s.forward(ctx, h)
+		accepted, uncertain := s.forward(ctx, sub)
 		unconfirmed = unconfirmed || uncertain
 		return accepted
 	}
@@ -201,7 +201,7 @@
 		}
 		if last = s.reachable(ctx); last == nil {
 			var byOther bool
-			switch byOther, last = s.createHedged(ctx, h); {
+			switch byOther, last = s.createHedged(ctx, sub); {
 			case last == nil && byOther:
 				return nil
 			case last == nil:
@@ -253,19 +253,20 @@
 	}
 }
 
-// errJustRefused: the store has just refused another call of this daemon.
+// errJustRefused means that the store has just refused another call of this daemon.
 var errJustRefused = errors.New("submit: the store has just turned a call away")
 
-// errGivenUp: a cancellation has marked the id so that it can no longer be submitted.
+// errGivenUp means that a cancellation has marked the id, under which no job can be submitted
+// any more.
 var errGivenUp = errors.New("submit: the id was given up before it was handed in")
 
 // create makes one attempt to write the job. All attempts write the same, and at most one of
 // them takes effect.
-func (s *Service) create(ctx context.Context, h *submission) error {
-	id := h.id
+func (s *Service) create(ctx context.Context, sub *submission) error {
+	id := sub.id
 	txn := store.Txn{
 		Checks: []store.Check{{Key: dispatch.KeySubmission(id)}, {Key: dispatch.KeyState(id)}},
-		Writes: h.writes(),
+		Writes: sub.writes(),
 	}
 	var preconditions Preconditions
 	if s.o.Preconditions != nil {
@@ -289,7 +290,7 @@
 	// submission stands.
 	for _, key := range slices.Concat(preconditions.OtherShardKeys, []string{dispatch.KeySubmission(id), dispatch.KeyState(id)}) {
 		if entry, exists := conflict.Find(key); exists {
-			return checkExisting(entry, h.account)
+			return checkExisting(entry, sub.account)
 		}
 	}
 	return fmt.Errorf("%w: neither key exists now", store.ErrUnknownOutcome)
@@ -317,7 +318,8 @@
 	return nil
 }
 
-// errLayoutChanged: the shard layout has changed since this daemon read it; nothing was written.
+// errLayoutChanged means that the shard layout has changed since this daemon read it; nothing was
+// written.
 var errLayoutChanged = fmt.Errorf("%w: the cell's layout has changed", store.ErrUnavailable)
 
 // commit runs one transaction with a timeout.
@@ -342,12 +344,12 @@
 }
 
 // offerEntry returns the entry that is sent to the leader.
-func (s *Service) offerEntry(h *submission) store.Entry {
-	value := h.full
+func (s *Service) offerEntry(sub *submission) store.Entry {
+	value := sub.full
 	if s.omitSpecs.Load() {
-		value = h.value
+		value = sub.value
 	}
-	return store.Entry{Key: dispatch.KeySubmission(h.id), Value: value}
+	return store.Entry{Key: dispatch.KeySubmission(sub.id), Value: value}
 }
 
 // push notifies the leader of a new entry. If it fails, the leader's watch delivers the entry.
@@ -408,8 +410,8 @@
 
 // forward has another daemon write the job. uncertain reports that one may have written it
 // although no answer arrived.
-func (s *Service) forward(ctx context.Context, h *submission) (accepted, uncertain bool) {
-	accepted = s.tryTargets(ctx, s.method(MethodForward), offer{Key: string(h.id), Value: h.full}, func(r forwardReply, err error) {
+func (s *Service) forward(ctx context.Context, sub *submission) (accepted, uncertain bool) {
+	accepted = s.tryTargets(ctx, s.method(MethodForward), offer{Key: string(sub.id), Value: sub.full}, func(r forwardReply, err error) {
 		uncertain = uncertain || r.Uncertain || (err != nil && !peer.NotRun(err))
 	})
 	if !accepted {
@@ -509,9 +511,9 @@
 // batched looks for a job's final state in the batches of job states, and returns own if there
 // is none.
 //
-// Without it, a job that ended while the store was slow would be shown as running again when its
-// leader fails after the job was shown as completed and before its state is moved to its own
-// key.
+// Without it, a job that ended while the store was slow could be shown as completed and later as
+// running again: its leader fails before it has moved the final state from the batch to the job's
+// own key.
 func (s *Service) batched(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
 	var entries []store.Entry
 	err := s.o.StoreTimeout.Call(ctx, func(ctx context.Context) (err error) {
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -291,8 +291,8 @@
 }
 
 func TestCancellationsDoNotPressAStoreThatIsAway(t *testing.T) {
-	// During an outage of the store cancellations alone read from it 180 times a second, and
-	// every call costs money.
+	// Without a pause, cancellations alone would read from the store 180 times a second during
+	// an outage, and every call costs money.
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		s := newService(m)
