--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -107,7 +107,7 @@
 
 // Error implements error.
 func (e *IncarnationError) Error() string {
-	return fmt.Sprintf("runner: %s answers, with %d runs and %d completions", e.ID, len(e.Report.Running), len(e.Report.Ended))
+	return fmt.Sprintf("runner: %s answers, with %d runs and %d ends", e.ID, len(e.Report.Running), len(e.Report.Ended))
 }
 
 // Is makes it match ErrRestarted and the errors that ErrRestarted matches.
--- a/process/fleet/service.go
+++ b/process/fleet/service.go
@@ -53,7 +53,7 @@
 }
 
 // ErrStopped is returned by the methods of a fleet after its incarnation has ended.
-var ErrStopped = errors.New("fleet: this incarnation of the daemon has ended")
+var ErrStopped = errors.New("fleet: not taking part any more")
 
 // errLeft ends the loop after Leave.
 var errLeft = errors.New("fleet: left")
--- a/process/lead/term.go
+++ b/process/lead/term.go
@@ -200,7 +200,7 @@
 func (t *Term) stillClaimed(conflict *store.ConflictError) error {
 	entry, found := conflict.Find(keyClaim)
 	if !found {
-		return fmt.Errorf("%w: the claim no longer exists", ErrDeposed)
+		return fmt.Errorf("%w: the claim is gone", ErrDeposed)
 	}
 	now, err := decodeTermRecord(entry)
 	if err != nil {
--- a/process/ownership/manager.go
+++ b/process/ownership/manager.go
@@ -161,7 +161,7 @@
 func (m *Manager) Confirm(ctx context.Context, c Claim) error {
 	item, err := m.o.Store.Get(ctx, keyPrefix+string(c.Resource))
 	if errors.Is(err, store.ErrNotFound) {
-		return fmt.Errorf("claim of %s no longer exists: %w", c.Resource, ErrNotOwner)
+		return fmt.Errorf("claim of %s is gone: %w", c.Resource, ErrNotOwner)
 	}
 	if err != nil {
 		return fmt.Errorf("confirm claim of %s: %w", c.Resource, err)
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -234,7 +234,7 @@
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrRestarted), errors.Is(err, runner.ErrStaleRun):
 		return err // these hold for the first order as well
 	}
-	return fmt.Errorf("%w: refused when issued again: %w", runner.ErrUnknown, errors.New(err.Error()))
+	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
 }
 
 // ask sends an order to a relay and waits for its outcome.
