--- a/cmd/fennelshuntd/process_test.go
+++ b/cmd/fennelshuntd/process_test.go
@@ -181,11 +181,11 @@
 	return b
 }
 
-// Guards against a request that runs twice (a doubled certificate), a cut response or a
-// task in two places. Under load one daemon process is suspended for longer than its
-// store lease and resumes, one is killed, and one stops as planned. The faults
-// looked for are a daemon that acts on what it owned before the suspension, and
-// successors that take over before its ownership has ended.
+// TestSeparateProcessesSurviveFreezeKillAndStop guards against a request that runs twice (which
+// would issue a certificate twice), a truncated response or a task in two places. Under load one
+// daemon process is suspended for longer than its store lease and resumes, one is killed, and one
+// stops as planned. The faults looked for are a daemon that acts on what it owned before the
+// suspension, and successors that take over before its ownership has ended.
 func TestSeparateProcessesSurviveFreezeKillAndStop(t *testing.T) {
 	if testing.Short() {
 		t.Skip("starts processes; run without -short")
--- a/command/bench/compare_test.go
+++ b/command/bench/compare_test.go
@@ -18,8 +18,8 @@
 	return r
 }
 
-// Guards against reporting noise as a change: one value of each run is no basis for a
-// verdict, and neither are ranges that overlap.
+// TestCompareNeedsDisjointRanges guards against reporting noise as a change: one value of each
+// run is no basis for a verdict, and neither are ranges that overlap.
 func TestCompareNeedsDisjointRanges(t *testing.T) {
 	for _, c := range []struct {
 		name          string
@@ -51,8 +51,8 @@
 	require.Equal(t, r, read)
 }
 
-// Guards against a panic in the plot of a waiting time of 0, as in a run without gangs:
-// 0 has no place on a logarithmic axis.
+// TestPlotAcceptsZeros guards against a panic in the plot of a waiting time of 0, as in a run
+// without gangs: 0 has no place on a logarithmic axis.
 func TestPlotAcceptsZeros(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "r.png")
 	require.NoError(t, results(0, 0, 10).Plot(path))
--- a/command/bench/drive_test.go
+++ b/command/bench/drive_test.go
@@ -27,8 +27,8 @@
 	require.Equal(t, "-", c.over())
 }
 
-// Guards against a cost that is too low or negative: a daemon restarts during the
-// measurement, and the counters of two processes are subtracted.
+// TestDriveRefusesADaemonThatRestarted guards against a cost that is too low or negative: a
+// daemon restarts during the measurement, and the counters of two processes are subtracted.
 func TestDriveRefusesADaemonThatRestarted(t *testing.T) {
 	var calls atomic.Int64
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/command/bench/drivereport.go
+++ b/command/bench/drivereport.go
@@ -61,7 +61,7 @@
 	for _, n := range r.Repetitions {
 		n.Idle.print(w, "idle")
 		n.Load.print(w, "under load (including the callers' requests)")
-		fmt.Fprintf(w, "requests: %d, whole %d, not run %d, may have run %d; p50 %d us, p99 %d us\n",
+		fmt.Fprintf(w, "requests: %d, complete responses %d, not run %d, may have run %d; p50 %d us, p99 %d us\n",
 			n.Requests.Requests, n.Requests.Whole, n.Requests.NotRun, n.Requests.MayHaveRun, n.P50, n.P99)
 	}
 }
--- a/process/admin/api/api.go
+++ b/process/admin/api/api.go
@@ -149,7 +149,7 @@
 	// Unknown counts non-idempotent tasks that may have run and are not
 	// started again.
 	Unknown int `json:"unknown,omitempty"`
-	// Message is set when the job can not run as declared.
+	// Message is set when the job cannot run as declared.
 	Message string `json:"message,omitempty"`
 }
 
--- a/process/admin/files.go
+++ b/process/admin/files.go
@@ -94,7 +94,7 @@
 		return nil, fmt.Errorf("apply %s: %w", file.Name, err)
 	}
 	c.log.Info().Str("file", file.Name).Uint64("base", base).Uint64("version", applied.Version).
-		Bool("unchanged", applied.Unchanged).Msg("applied")
+		Bool("unchanged", applied.Unchanged).Msg("configuration file applied")
 	if c.http.URL.Query().Get(api.ParamWait) != "false" {
 		s.options.Applier.Await(c.ctx(), &applied)
 	}
--- a/process/admin/server.go
+++ b/process/admin/server.go
@@ -133,7 +133,7 @@
 	c.log = s.options.Log.With().Str("log", "audit").Str("request", c.id).Str("path", r.URL.Path).Str("remote", r.RemoteAddr).Logger()
 	var ok bool
 	if c.principal, ok = s.authenticate(r); !ok {
-		c.log.Warn().Msg("refused: unknown token")
+		c.log.Warn().Msg("administration call refused: unknown token")
 		w.Header().Set("WWW-Authenticate", "Bearer")
 		writeError(w, &api.Error{Code: api.CodeUnauthenticated, RequestID: c.id,
 			Message: "the request has no known token; fix: send Authorization: Bearer TOKEN"})
@@ -149,7 +149,7 @@
 	if err != nil {
 		e := errorOf(err)
 		e.RequestID = c.id
-		c.log.Warn().Str("code", string(e.Code)).Err(err).Msg("refused")
+		c.log.Warn().Str("code", string(e.Code)).Err(err).Msg("administration call refused")
 		writeError(w, e)
 		return
 	}
--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -147,9 +147,9 @@
 	assert.NotContains(t, b.audit.String(), northToken, "tokens are not logged")
 }
 
-// Guards against a team that sees, stops or replaces another team's work: a team's token is used
-// for the other team's files, jobs and tasks, and access must be checked by the content of a
-// file, not by its name or by the call alone.
+// TestTeamSeesAndChangesOnlyItsOwn guards against a team that sees, stops or replaces another
+// team's work: a team's token is used for the other team's files, jobs and tasks, and access must
+// be checked by the content of a file, not by its name or by the call alone.
 func TestTeamSeesAndChangesOnlyItsOwn(t *testing.T) {
 	b := newBench(t)
 	b.apply(operatorToken, teamsFile(), 0)
--- a/process/admin/token.go
+++ b/process/admin/token.go
@@ -35,7 +35,7 @@
 	Team string
 }
 
-// sees reports whether the work of a team is visible.
+// canSee reports whether the work of a team is visible.
 func (p Principal) canSee(team string) bool {
 	return p.Role == RoleOperator || team != "" && team == p.Team
 }
@@ -44,7 +44,7 @@
 type tokenEntry struct {
 	Name string `json:"name"`
 	// SHA256 is the hash of the token in hexadecimal. A plain hash is sufficient for
-	// a token of 32 random bytes, which can not be guessed from its hash.
+	// a token of 32 random bytes, which cannot be guessed from its hash.
 	SHA256 string `json:"sha256"`
 	Role   Role   `json:"role"`
 	Team   string `json:"team,omitempty"`
--- a/process/burn/collect_test.go
+++ b/process/burn/collect_test.go
@@ -30,8 +30,9 @@
 	return fixedConfig{&spec.Config{Jobs: map[string]*spec.VersionedJob{"survey-desk": job}}}
 }
 
-// Guards against a report that hangs, or that looks complete, while one of three daemons is
-// cut off: the wait is not bounded, or a missing snapshot is not reported.
+// TestReporterNamesDaemonsThatDoNotAnswer guards against a report that hangs, or that looks
+// complete, while one of three daemons is cut off: the wait is not bounded, or a missing snapshot
+// is not reported.
 func TestReporterNamesDaemonsThatDoNotAnswer(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		network := peertest.NewNetwork(1)
@@ -69,9 +70,9 @@
 	})
 }
 
-// Guards against configured services being counted as (other) because names that callers
-// choose are recorded: a caller requests services with invented names, and sends a request to
-// a configured service that fails by the caller's mistake.
+// TestObserverRecordsConfiguredServicesOnly guards against configured services being counted as
+// (other) because names that callers choose are recorded: a caller requests services with
+// invented names, and sends a request to a configured service that fails by the caller's mistake.
 func TestObserverRecordsConfiguredServicesOnly(t *testing.T) {
 	r := burn.New(burn.Options{})
 	observe := r.Observer(surveyDesk(0.99))
--- a/process/burn/recorder_test.go
+++ b/process/burn/recorder_test.go
@@ -89,9 +89,10 @@
 	})
 }
 
-// Guards against memory that grows with the names that callers send: requests arrive for more
-// series than the limit, and hours later, when the early series are idle, for new ones. There
-// must be a bound on series, and idle ones must be dropped for new ones.
+// TestSeriesAreBounded guards against memory that grows with the names that callers send:
+// requests arrive for more series than the limit, and hours later, when the early series are
+// idle, for new ones. There must be a bound on series, and idle ones must be dropped for new
+// ones.
 func TestSeriesAreBounded(t *testing.T) {
 	r := burn.New(burn.Options{MaxSeries: 10, Start: start})
 	for i := range 50 {
@@ -109,9 +110,10 @@
 	require.Equal(t, "late", s.Series[0].Service)
 }
 
-// Guards against requests that disappear from the report, or appear in a step of six hours ago:
-// two goroutines report requests out of order, one of them later than the rings cover, and the
-// late request moves the newest step back, or wraps around the ring.
+// TestLateRequestsCountInTheirStep guards against requests that disappear from the report, or
+// appear in a step of six hours ago: two goroutines report requests out of order, one of them
+// later than the rings cover, and the late request moves the newest step back, or wraps around
+// the ring.
 func TestLateRequestsCountInTheirStep(t *testing.T) {
 	r := burn.New(burn.Options{Start: start})
 	now := start.Add(8 * time.Hour)
--- a/process/burn/report_test.go
+++ b/process/burn/report_test.go
@@ -31,8 +31,8 @@
 	return now
 }
 
-// Guards against alerts that are false, late or missing, with an objective of 99 %: a single
-// window either misses slow losses or keeps the alert long after its cause.
+// TestLevels guards against alerts that are false, late or missing, with an objective of 99 %: a
+// single window either misses slow losses or keeps the alert long after its cause.
 func TestLevels(t *testing.T) {
 	cases := map[string]struct {
 		phases []phase
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -192,7 +192,7 @@
 	return first, points
 }
 
-// ErrBadSnapshot means that a snapshot can not have been made by a Recorder.
+// ErrBadSnapshot means that a snapshot cannot have been made by a Recorder.
 var ErrBadSnapshot = errors.New("burn: invalid snapshot")
 
 // maxSeriesPerSnapshot bounds the series accepted from a peer.
--- a/process/cellnode/catalog.go
+++ b/process/cellnode/catalog.go
@@ -93,7 +93,7 @@
 		}
 		c.log.Info().Int64("version", next.Version).Str("from", from).Int64("age_before_ms", age.Milliseconds()).Int("queues", len(next.Queues)).Int("accounts", len(next.Accounts.All())).Msg("configuration in force")
 		if next.Problems != nil {
-			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("configuration contains entries that can not be used as declared")
+			c.log.Warn().Err(next.Problems).Int64("version", next.Version).Msg("configuration contains entries that cannot be used as declared")
 		}
 		if before == nil {
 			close(c.first)
@@ -160,14 +160,14 @@
 // age of the version held.
 func (c *catalogs) unconfirmed(age time.Duration) bool { return age > c.maxAge }
 
-// check reads the configuration every checkPeriod.
+// check reads the configuration every checkPeriod, in case the watch has missed a change.
 func (c *catalogs) check(ctx context.Context) {
 	for sleep.For(ctx, checkPeriod) == nil {
 		bounded, cancel := context.WithTimeout(ctx, catalogGrace)
 		next, err := c.source.CurrentCached(bounded)
 		cancel()
 		if err != nil {
-			c.log.Debug().Err(err).Msg("configuration not read")
+			c.log.Debug().Err(err).Msg("periodic read of the configuration failed; the next one repeats it")
 			continue
 		}
 		c.install(next, fromCheck)
--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -142,8 +142,8 @@
 	return nil, after, nil
 }
 
-// Guards against waiting, after an outage of the store, for a read whose answer was lost in
-// it: the old version stays in force meanwhile.
+// TestConfigurationIsInForceSoonAfterASilentOutage guards against waiting, after an outage of the
+// store, for a read whose answer was lost in it: the old version stays in force meanwhile.
 func TestConfigurationIsInForceSoonAfterASilentOutage(t *testing.T) {
 	const (
 		bound  = 2 * time.Second // in which a version is to be in force
@@ -182,8 +182,8 @@
 	}
 }
 
-// Guards against a daemon that counts a version as confirmed for longer than the next one may
-// take to be in force.
+// TestDoubtBeginsWithinTheBoundOnAVersion guards against a daemon that counts a version as
+// confirmed for longer than the next one may take to be in force.
 func TestDoubtBeginsWithinTheBoundOnAVersion(t *testing.T) {
 	for _, bound := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 9 * time.Second} {
 		n := &Node{o: Options{Settings: &settings.JobCell{Bounds: settings.JobCellBounds{ConfigMS: settings.Millis(bound.Milliseconds())}}}}
--- a/process/cellnode/catalogmodel_test.go
+++ b/process/cellnode/catalogmodel_test.go
@@ -111,8 +111,8 @@
 	// Guards against a daemon that takes its version for more current than it is, from
 	// whichever source, and continues to accept a revoked key. Versions are published at
 	// random while the store rejects daemons, answers take up to 0.6 s, and daemons pull
-	// from each other. Invariants: no version newer than the one held was acknowledged
-	// earlier than its age ago, and no version is replaced by an older one.
+	// from each other. Invariants: a version that was acknowledged before now minus the age
+	// is not newer than the version held, and no version is replaced by an older one.
 	rapid.Check(t, func(r *rapid.T) {
 		seed := rapid.Uint64().Draw(r, "seed")
 		daemons := rapid.IntRange(2, 5).Draw(r, "daemons")
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -42,7 +42,7 @@
 	// force.
 	pullPeriod = 250 * time.Millisecond
 	askTimeout = 200 * time.Millisecond
-	// idlePullPeriods is the number of pullPeriods between pulls from a neighbour while the
+	// idlePullPeriods is the number of pull periods between pulls from a neighbour while the
 	// version is confirmed, so that a watch that misses changes is noticed within a second.
 	idlePullPeriods = 4
 	// neighbours is the number of daemons among which these pulls are spread: enough that
@@ -110,8 +110,8 @@
 		Bool("store_fails", n.storeTimeout.Failing()).Msg(what)
 }
 
-// membersAfter returns the members other than name, those that follow name in order first,
-// as around a ring.
+// membersAfter returns the members other than name in the order of a ring that starts after
+// name: first those with a greater name, then those with a smaller one.
 func membersAfter(members []lead.Member, name string) []lead.Member {
 	var before, after []lead.Member
 	for _, m := range members {
@@ -138,7 +138,7 @@
 	}
 	newer, err := n.catalogs.merge(m.Name, asked, r)
 	if err != nil {
-		n.log.Warn().Err(err).Str("daemon", m.Name).Msg("configuration of a daemon can not be decoded")
+		n.log.Warn().Err(err).Str("daemon", m.Name).Msg("configuration pulled from a daemon cannot be decoded; keeping the current version")
 		return
 	}
 	if newer {
--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -51,7 +51,7 @@
 	byName map[string]*hdrhistogram.Histogram
 }
 
-func (l *latencies) note(name string, d time.Duration) {
+func (l *latencies) record(name string, d time.Duration) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	h := l.byName[name]
@@ -102,15 +102,15 @@
 
 // observeSpan records the duration of one phase of a job.
 func (n *Node) observeSpan(what dispatch.Span, queue, account string, d time.Duration) {
-	n.latencies.note(string(what)+" "+queue, d)
+	n.latencies.record(string(what)+" "+queue, d)
 	if what == dispatch.SpanComplete && account != "" {
-		n.byAccount.note(account, d)
+		n.byAccount.record(account, d)
 	}
 }
 
 // Answered records the duration and status of a caller's request.
 func (n *Node) Answered(method string, status int, d time.Duration) {
-	n.latencies.note("request "+method, d)
+	n.latencies.record("request "+method, d)
 	if status >= http.StatusInternalServerError {
 		n.metrics.Add("requests_failed", 1)
 	}
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -166,7 +166,7 @@
 		go n.serveHTTP(&http.Server{Handler: n.MetricsHandler(), ReadHeaderTimeout: headerTimeout}, n.listen.metrics)
 	}
 	tree := suture.New("fenneljobd", suture.Spec{EventHook: func(e suture.Event) {
-		n.log.Error().Str("event", e.String()).Msg("service restarted")
+		n.log.Error().Str("event", e.String()).Msg("supervisor event")
 	}})
 	tree.Add(n.catalogs)
 	tree.Add(service{n.followPeers})
@@ -189,7 +189,7 @@
 
 func (n *Node) serveHTTP(s *http.Server, l net.Listener) {
 	if err := s.Serve(l); err != nil && !errors.Is(err, http.ErrServerClosed) && !errors.Is(err, net.ErrClosed) {
-		n.log.Error().Err(err).Str("address", l.Addr().String()).Msg("listener ended")
+		n.log.Error().Err(err).Str("address", l.Addr().String()).Msg("HTTP server ended; its address is no longer served")
 	}
 }
 
@@ -216,7 +216,7 @@
 			n.build(lead.Member{Name: s.Name, Peer: socket.LocalAddr().String(), Zone: s.Zone, Cores: s.CPUShare * s.Cores, Started: time.Now().UnixMilli(), LinkMbps: s.LinkMbps, Orders: n.listen.orders.Addr().String()}, mux)
 			return nil
 		}
-		n.log.Warn().Err(err).Msg("can not join the cell until the store answers; retrying")
+		n.log.Warn().Err(err).Msg("cannot join the cell until the store answers; retrying")
 		if err := sleep.For(ctx, pause); err != nil {
 			return errors.Join(err, socket.Close())
 		}
--- a/process/cellnode/shard.go
+++ b/process/cellnode/shard.go
@@ -20,8 +20,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// shard is this daemon's state for one shard of the cell: it can lead the shard, and
-// accepts jobs for it. A cell that is not divided has one shard.
+// shard is this daemon's state for one shard of the cell. Every daemon can lead any shard
+// and accepts jobs for all. A cell that is not divided has one shard.
 type shard struct {
 	n       *Node
 	index   int
@@ -53,8 +53,9 @@
 	return s
 }
 
-// preconditions returns preconditions of a submission: the cell's layout must still be the one by
-// which the job was routed to this shard.
+// preconditions returns the preconditions of a submission: the cell's layout must still be the
+// one by which the job was routed to this shard, and the job must not have been submitted to
+// another shard.
 func (s *shard) preconditions(id work.JobID) submit.Preconditions {
 	layout, _ := s.n.view().Layout()
 	key := lead.KeyLayout
--- a/process/cellnode/shares.go
+++ b/process/cellnode/shares.go
@@ -118,7 +118,7 @@
 		err = o.term.Commit(o.term.Context(), sharesStream, []store.Write{{Key: keyShares, Value: value}}, nil)
 	}
 	if err != nil {
-		o.n.log.Warn().Err(err).Msg("shares of the accounts' caps not written")
+		o.n.log.Warn().Err(err).Msg("writing the shares of the accounts' caps failed; no further version is written in this term")
 		return
 	}
 	o.mu.Lock()
@@ -154,7 +154,7 @@
 	for {
 		report, err := h.QuotaReport(ctx, asked)
 		if err != nil {
-			return // the term is over
+			return // the term has ended
 		}
 		if reply, err := n.reportToOwner(ctx, report); err != nil {
 			n.log.Debug().Err(err).Int("part", s.index).Msg("report to the owner of the shares failed")
--- a/process/cellview/merge_test.go
+++ b/process/cellview/merge_test.go
@@ -47,7 +47,7 @@
 				s = plan.State{Full: true, Workers: []plan.WorkerState{{ID: "w", Tasks: values(running)}}}
 			}
 			whole := !s.Workers[0].Partial
-			require.Equal(t, known || whole, m.complete(&s, now), "a delta on nothing can not be completed")
+			require.Equal(t, known || whole, m.complete(&s, now), "a delta on nothing cannot be completed")
 			known = known || whole
 			if known {
 				require.False(t, s.Workers[0].Partial)
--- a/process/daemon/admin.go
+++ b/process/daemon/admin.go
@@ -95,7 +95,7 @@
 	for n := range a.inc.d.o.Settings.Shards {
 		shard, err := a.inc.work.jobs.Status(ctx, plan.Shard(n))
 		if err != nil {
-			a.inc.log.Info().Err(err).Int("shard", n).Msg("status of a shard not available")
+			a.inc.log.Info().Err(err).Int("shard", n).Msg("status of a shard is not available; its jobs are left out")
 			continue
 		}
 		for _, j := range shard.Jobs {
--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -1,4 +1,4 @@
-// Package daemon assembles one fennelshuntd process: it carries callers' requests and owns
+// Package daemon assembles one fennelshuntd process: it serves callers' requests and owns
 // some of the cell's workers, jobs, slot pools and idempotency keys, with their shared
 // state. A Daemon lasts as long as its process and runs one incarnation at a time. An
 // incarnation ends when the other daemons have evicted it or when a component fails; the
--- a/process/daemon/guard_test.go
+++ b/process/daemon/guard_test.go
@@ -15,9 +15,10 @@
 	return &incarnation{log: zerolog.Nop(), sup: suture.New("test", suture.Spec{})}
 }
 
-// Guards against a daemon that keeps its claims without serving them, so that requests of a
-// service, or of some keys, wait for ever: a component panics, or one that cannot run twice
-// returns, and the supervisor restarts it alone, whereupon it returns at once.
+// TestFailedComponentEndsTheIncarnation guards against a daemon that keeps its claims without
+// serving them, so that requests of a service, or of some keys, wait for ever: a component
+// panics, or one that cannot run twice returns, and the supervisor restarts it alone, whereupon
+// it returns at once.
 func TestFailedComponentEndsTheIncarnation(t *testing.T) {
 	errStore := errors.New("store")
 	for _, c := range []struct {
@@ -45,8 +46,9 @@
 	}
 }
 
-// Guards against a daemon that gives up all its claims for a transient error, because every
-// return of a component ends the incarnation, even of one that can be restarted.
+// TestErrorRestartsAComponent guards against a daemon that gives up all its claims for a
+// transient error, because every return of a component ends the incarnation, even of one that can
+// be restarted.
 func TestErrorRestartsAComponent(t *testing.T) {
 	inc := newTestIncarnation()
 	ctx, cancel := context.WithCancel(t.Context())
--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -25,8 +25,9 @@
 const (
 	// vmListPeriod is the time between two reads of the list of VMs.
 	vmListPeriod = time.Second
-	// confirmDivisor: a suspected member may still answer for the member lease
-	// divided by this, before the store is asked whether its lease has expired.
+	// confirmDivisor is the divisor of the member lease that gives the time for
+	// which a suspected member may still answer. After that the store is asked
+	// whether the member's lease has expired.
 	confirmDivisor = 2
 	// leaveTimeout bounds the last messages of a planned stop.
 	leaveTimeout = 5 * time.Second
@@ -87,7 +88,7 @@
 	inc.supervise()
 	self := inc.fleet.Self()
 	inc.log.Info().Str("caller", self.CallerAddr).Str("forward", self.ForwardAddr).Str("peer", self.PeerAddr).
-		Str("admin", self.AdminAddr).Str("zone", self.Zone).Msg("listening")
+		Str("admin", self.AdminAddr).Str("zone", self.Zone).Msg("daemon listens")
 	return inc, nil
 }
 
@@ -134,7 +135,7 @@
 
 func (inc *incarnation) supervise() {
 	inc.sup = suture.New("fennelshuntd", suture.Spec{
-		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("supervisor") },
+		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("supervisor event") },
 		Timeout:   leaveTimeout,
 	})
 	inc.add(inc.node)
@@ -215,7 +216,7 @@
 	err = errors.Join(err, inc.fleet.Leave(leaveCtx))
 	inc.left.Store(true)
 	close(inc.leftDone)
-	inc.log.Info().Err(err).Msg("planned stop: done")
+	inc.log.Info().Err(err).Msg("planned stop: completed")
 	return err
 }
 
--- a/process/daemon/path.go
+++ b/process/daemon/path.go
@@ -15,7 +15,7 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// requestPath holds the components that carry callers' requests.
+// requestPath holds the components that serve callers' requests.
 type requestPath struct {
 	inc       *incarnation
 	slots     *slots.Manager
@@ -55,8 +55,8 @@
 	return p
 }
 
-// freshShare is the share of the member lease, in percent, after a renewal during which no
-// other daemon can have taken over a claim: a renewal counts from its beginning.
+// freshShare is the share of the member lease, in percent, that counts as fresh: for that
+// time after the beginning of a renewal no other daemon can have taken over a claim.
 const freshShare = 80
 
 // recordSettled records in the store, for later owners of a slot pool, that the slots of
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -24,9 +24,9 @@
 	return v
 }
 
-// Guards against a truncated answer at an upgrade: the gateway has counted the last request
-// as ended while net/http still writes the answer, and the planned stop closes the
-// connections at once.
+// TestPlannedStopWritesLastBytes guards against a truncated answer at an upgrade: the gateway has
+// counted the last request as ended while net/http still writes the answer, and the planned stop
+// closes the connections at once.
 func TestPlannedStopWritesLastBytes(t *testing.T) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -62,8 +62,8 @@
 	require.ErrorIs(t, receive(t, served, "end of the service"), context.Canceled)
 }
 
-// Guards against a planned stop that aborts slow requests: the stop was bounded by the drain
-// setting alone, and a service allows its requests more time.
+// TestStopBoundCoversLongestRequest guards against a planned stop that aborts slow requests: the
+// stop was bounded by the drain setting alone, and a service allows its requests more time.
 func TestStopBoundCoversLongestRequest(t *testing.T) {
 	for _, c := range []struct{ drain, attempt, want time.Duration }{
 		{time.Minute, 0, time.Minute},
--- a/process/versions/cell_test.go
+++ b/process/versions/cell_test.go
@@ -160,8 +160,9 @@
 	})
 }
 
-// Guards against a daemon that is started while the store is down and serves no job at all,
-// because its new incarnation gets the configuration from the store alone.
+// TestDaemonStartedDuringStoreOutageGetsConfigurationFromPeers guards against a daemon that is
+// started while the store is down and serves no job at all, because its new incarnation gets the
+// configuration from the store alone.
 func TestDaemonStartedDuringStoreOutageGetsConfigurationFromPeers(t *testing.T) {
 	inBubble(t, 8, func(c *cell) {
 		for i := range 20 {
@@ -183,9 +184,9 @@
 	})
 }
 
-// Guards against an apply that reports success everywhere although a daemon, cut off from
-// the store and the peers, has the old file: the report would count members without any
-// answer.
+// TestAwaitNamesTheLaggard guards against an apply that reports success everywhere although a
+// daemon, cut off from the store and the peers, has the old file: the report would count members
+// without any answer.
 func TestAwaitNamesTheLaggard(t *testing.T) {
 	inBubble(t, 4, func(c *cell) {
 		paused := c.daemons[2].view.Self().Ref
--- a/process/versions/fresh_test.go
+++ b/process/versions/fresh_test.go
@@ -13,9 +13,9 @@
 	"fennelshunt.example/fennelshunt/version/history"
 )
 
-// Guards against a daemon that is replaced in a cell of many files, reaching only its peers
-// or only the store, and never has a version in force: fetching the content takes longer
-// than one attempt, and each attempt starts over.
+// TestFreshDaemonOfALargeCell guards against a daemon that is replaced in a cell of many files,
+// reaching only its peers or only the store, and never has a version in force: fetching the
+// content takes longer than one attempt, and each attempt starts over.
 func TestFreshDaemonOfALargeCell(t *testing.T) {
 	const files = 300
 	inBubble(t, 3, func(c *cell) {
--- a/process/versions/random_test.go
+++ b/process/versions/random_test.go
@@ -15,10 +15,10 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Guards against a daemon that reverts to an older version, or stays behind permanently,
-// because it takes a late head, or a peer that is behind, for the newest. Files are applied
-// on any daemon while the store goes down and comes back, answers and messages are lost, and
-// daemons are cut off, suspended and replaced.
+// TestVersionsOnlyRiseAndConverge guards against a daemon that reverts to an older version, or
+// stays behind permanently, because it takes a late head, or a peer that is behind, for the
+// newest. Files are applied on any daemon while the store goes down and comes back, answers and
+// messages are lost, and daemons are cut off, suspended and replaced.
 func TestVersionsOnlyRiseAndConverge(t *testing.T) {
 	seeds := uint64(4)
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/process/versions/replicator.go
+++ b/process/versions/replicator.go
@@ -154,7 +154,7 @@
 		head, err := headOf(items)
 		if err != nil {
 			r.metrics.refused.Add(1)
-			r.options.Log.Error().Err(err).Msg("configuration head in the store can not be decoded")
+			r.options.Log.Error().Err(err).Msg("configuration head in the store cannot be decoded and is ignored")
 			return
 		}
 		if head == nil && reset {
--- a/standin/agent/agent_test.go
+++ b/standin/agent/agent_test.go
@@ -29,9 +29,10 @@
 	}
 }
 
-// Guards against an agent that checks leases only when they are opened, and runs a task
-// for an owner that has lost the worker: a successor revokes the owner's lease, or
-// the lease expires, and a start that was in flight arrives afterwards.
+// TestStartUnderRevokedOrExpiredLeaseIsRefused guards against an agent that checks leases only
+// when they are opened, and runs a task for an owner that has lost the worker: a successor
+// revokes the owner's lease, or the lease expires, and a start that was in flight arrives
+// afterwards.
 func TestStartUnderRevokedOrExpiredLeaseIsRefused(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		rec := record.New()
--- a/standin/cell/balancer_test.go
+++ b/standin/cell/balancer_test.go
@@ -8,9 +8,9 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// Guards against a false report that no daemon is ready: connections opened at the same time
-// advanced each other's position in the order, and one of them met the stopping daemon at each
-// try.
+// TestEachConnectionTriesEveryDaemon guards against a false report that no daemon is ready:
+// connections opened at the same time advanced each other's position in the order, and one of
+// them met the stopping daemon at each try.
 func TestEachConnectionTriesEveryDaemon(t *testing.T) {
 	b := &Balancer{}
 	var all sync.WaitGroup
--- a/standin/cell/outage_test.go
+++ b/standin/cell/outage_test.go
@@ -50,7 +50,7 @@
 }
 
 // TestLeavingEndpointGetsNothingNew guards against requests that a leaving endpoint
-// receives and cuts after the platform, under load, has marked its VM as leaving: the
+// receives and aborts after the platform, under load, has marked its VM as leaving: the
 // leaving notice reaches only the daemon that owns the VM's rack, or the instance is
 // stopped before its requests have ended.
 func TestLeavingEndpointGetsNothingNew(t *testing.T) {
@@ -78,7 +78,7 @@
 	s := (<-done).Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v; last new request %s after the mark", s, last.Sub(marked).Round(time.Millisecond))
 	requireGuarantees(t, c, s)
-	require.Equal(t, s.Requests, s.Whole, "no request is cut")
+	require.Equal(t, s.Requests, s.Whole, "no request is aborted")
 }
 
 // someInstance returns a worker with a service instance and the instance.
--- a/standin/cell/stop_test.go
+++ b/standin/cell/stop_test.go
@@ -15,7 +15,7 @@
 )
 
 // TestPlannedStopOutlastsDrainSetting guards against a planned stop that is bounded by the
-// drain setting alone, and cuts a request that is within its service's timeout but
+// drain setting alone, and aborts a request that is within its service's timeout but
 // takes longer than the setting.
 func TestPlannedStopOutlastsDrainSetting(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), time.Minute)
--- a/standin/cell/upgrade_test.go
+++ b/standin/cell/upgrade_test.go
@@ -49,10 +49,10 @@
 	require.Empty(t, c.Violations())
 }
 
-// TestRollingUpgradeCutsNothing guards against cut connections during a rolling upgrade:
-// under load each daemon in turn stops as planned and restarts under its name. They
-// come about if a daemon closes its listener before the balancer has seen its
-// readiness fail, or hands over slots or keys that requests still use.
+// TestRollingUpgradeCutsNothing guards against requests that are aborted during a rolling
+// upgrade: under load each daemon in turn stops as planned and restarts under its name.
+// That comes about if a daemon closes its listener before the balancer has seen its
+// readiness check fail, or transfers slots or keys that requests still use.
 func TestRollingUpgradeCutsNothing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
@@ -81,7 +81,7 @@
 	s := result.Check(c.Platform.EndpointReport().Runs)
 	t.Logf("%+v, p99 %d us, max %d us", s, result.Latency.ValueAtQuantile(99), result.Latency.Max())
 	requireGuarantees(t, c, s)
-	require.Equal(t, s.Requests, s.Whole, "a planned stop cuts nothing: %+v", s)
+	require.Equal(t, s.Requests, s.Whole, "a planned stop aborts no request: %+v", s)
 }
 
 // runUntil sends requests until stop ends; requests in flight then run on under ctx.
--- a/standin/cellsim/worker.go
+++ b/standin/cellsim/worker.go
@@ -130,7 +130,7 @@
 	return float64(xxhash.Sum64String(step.String()+string(w))>>11) / (1 << 53)
 }
 
-// callTimeout is how long a call to a crashed worker runTime to fail.
+// callTimeout is how long a call to a crashed worker takes to fail.
 const callTimeout = 500 * time.Millisecond
 
 func (s *sim) sendStart(x dispatch.SendStart, reply func(time.Duration, func())) {
--- a/version/history/apply_test.go
+++ b/version/history/apply_test.go
@@ -24,9 +24,9 @@
 	assert.Equal(t, uint64(3), again.Version)
 }
 
-// Guards against an operator's change being overwritten by another operator who was not aware
-// of it: both read version 1 and change the same file, one after the other, and an apply
-// replaces the file as a whole.
+// TestApplyRefusesAChangeOverAnUnseenOne guards against an operator's change being overwritten by
+// another operator who was not aware of it: both read version 1 and change the same file, one
+// after the other, and an apply replaces the file as a whole.
 func TestApplyRefusesAChangeOverAnUnseenOne(t *testing.T) {
 	s := newStore()
 	h, other := newHistory(s), newHistory(s)
@@ -105,9 +105,9 @@
 	assert.Equal(t, versions, late.Config.Jobs["a-0"].Count)
 }
 
-// Guards against daemons of the earlier release that accept no version during an upgrade: a
-// daemon of a later release applies a file, its records have a field that is unknown to the
-// earlier release, and a strict decoder refuses them.
+// TestLaterReleaseMayAddFields guards against daemons of the earlier release that accept no
+// version during an upgrade: a daemon of a later release applies a file, its records have a field
+// that is unknown to the earlier release, and a strict decoder refuses them.
 func TestLaterReleaseMayAddFields(t *testing.T) {
 	type laterChange struct {
 		Change
--- a/version/history/chunk.go
+++ b/version/history/chunk.go
@@ -70,7 +70,7 @@
 }
 
 // expand decompresses a chunk and checks it against its hash. The size is bounded,
-// so that a corrupt chunk can not exhaust memory.
+// so that a corrupt chunk cannot exhaust memory.
 func expand(hash Hash, data []byte) ([]byte, error) {
 	content, err := io.ReadAll(io.LimitReader(flate.NewReader(bytes.NewReader(data)), ChunkSize+1))
 	if err != nil {
--- a/version/history/growth_test.go
+++ b/version/history/growth_test.go
@@ -13,9 +13,10 @@
 	"fennelshunt.example/fennelshunt/connection/store"
 )
 
-// Guards against applies that fail after some weeks because a value or the store is full:
-// there are 40,000 changes a day, most of them to existing files, some remove a file whose
-// name is never used again, and the records and content of earlier versions are kept.
+// TestHistoryStaysWithinTheStore guards against applies that fail after some weeks because a
+// value or the store is full: there are 40,000 changes a day, most of them to existing files,
+// some remove a file whose name is never used again, and the records and content of earlier
+// versions are kept.
 func TestHistoryStaysWithinTheStore(t *testing.T) {
 	changes, keep := 1500, uint64(40*SegmentLength)
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/version/history/race_test.go
+++ b/version/history/race_test.go
@@ -90,7 +90,7 @@
 		time.Sleep(100 * time.Millisecond)
 		_, err := newHistory(r.store).Current(ctx)
 		if errors.Is(err, ErrNoChunk) || errors.Is(err, ErrCorrupt) {
-			r.t.Errorf("a version in force can not be read: %v", err)
+			r.t.Errorf("a version in force cannot be read: %v", err)
 		}
 		if err == nil {
 			reads++
@@ -137,12 +137,12 @@
 	}
 }
 
-// Guards against two operators getting the same version, an applied file that is missing, or a
-// version in force without its content. Operators race on few files over several daemons;
-// answers and requests are lost, the store is down for moments, and writes take effect late;
-// meanwhile collectors delete unreferenced chunks and are suspended between steps. Faults of
-// this kind come from a guessed outcome of a compare-and-swap, and from a collector that
-// deletes chunks that an apply is about to name.
+// TestRacingAppliesMakeOneHistory guards against two operators getting the same version, an
+// applied file that is missing, or a version in force without its content. Operators race on few
+// files over several daemons; answers and requests are lost, the store is down for moments, and
+// writes take effect late; meanwhile collectors delete unreferenced chunks and are suspended
+// between steps. Faults of this kind come from a guessed outcome of a compare-and-swap, and from
+// a collector that deletes chunks that an apply is about to name.
 func TestRacingAppliesMakeOneHistory(t *testing.T) {
 	seeds := uint64(3)
 	if os.Getenv("FENNEL_LONG") != "" {
--- a/version/history/readback_test.go
+++ b/version/history/readback_test.go
@@ -48,10 +48,10 @@
 	return c.Store.Get(ctx, key)
 }
 
-// Guards against an operator getting "applied" for a version that another apply created, or
-// "not applied" for a version that is in force: the answer to the swap of the head is lost,
-// the store is unreachable until the caller's deadline, and another daemon applies meanwhile.
-// The version number alone does not identify the apply.
+// TestLostSwapIsResolvedByItsID guards against an operator getting "applied" for a version that
+// another apply created, or "not applied" for a version that is in force: the answer to the swap
+// of the head is lost, the store is unreachable until the caller's deadline, and another daemon
+// applies meanwhile. The version number alone does not identify the apply.
 func TestLostSwapIsResolvedByItsID(t *testing.T) {
 	cases := map[string]struct {
 		effect, other bool
@@ -118,9 +118,10 @@
 	return e, err
 }
 
-// Guards against an apply that is refused with "the store is at version 1, but version 2 is in
-// force" although the store was not reset: the head is read, version 2 is applied elsewhere and
-// received from a peer before the answer arrives, and the answer is compared with it.
+// TestLateAnswerIsNotTakenForAResetStore guards against an apply that is refused with "the store
+// is at version 1, but version 2 is in force" although the store was not reset: the head is read,
+// version 2 is applied elsewhere and received from a peer before the answer arrives, and the
+// answer is compared with it.
 func TestLateAnswerIsNotTakenForAResetStore(t *testing.T) {
 	m := kv.New()
 	other := newHistory(m)
--- a/version/history/record.go
+++ b/version/history/record.go
@@ -44,7 +44,7 @@
 	maxAuthor = 128
 )
 
-// ErrCorrupt means that a record or chunk can not be decoded or does not match
+// ErrCorrupt means that a record or chunk cannot be decoded or does not match
 // its hash.
 var ErrCorrupt = errors.New("history: corrupt record")
 
--- a/version/history/snapshot.go
+++ b/version/history/snapshot.go
@@ -23,7 +23,7 @@
 
 // Empty returns the snapshot of version 0, before the first apply.
 func Empty() *Snapshot {
-	config, _ := spec.Flatten(0, nil) // no files can not clash
+	config, _ := spec.Flatten(0, nil) // no files cannot clash
 	return &Snapshot{Config: config, documents: make(map[string]*Document)}
 }
 
@@ -113,7 +113,7 @@
 
 // Advance returns the snapshot that u leads to, fetching what s does not hold.
 // The result is complete and checked, so that a caller that publishes only such
-// snapshots can not put part of a version into force.
+// snapshots cannot put part of a version into force.
 func (s *Snapshot) Advance(ctx context.Context, u Update, source Chunks) (*Snapshot, error) {
 	if u.Version <= s.Version {
 		return nil, fmt.Errorf("history: version %d is not later than %d", u.Version, s.Version)
--- a/version/history/team.go
+++ b/version/history/team.go
@@ -16,7 +16,7 @@
 	// Author is written to the record.
 	Author string
 	// Team, if set, limits the author to files that hold only this team's work.
-	// It is checked on the state that the apply replaces, so that a file can not
+	// It is checked on the state that the apply replaces, so that a file cannot
 	// pass to another team between the check and the apply.
 	Team string
 }
--- a/version/spec/validate.go
+++ b/version/spec/validate.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// Limits of values that the schema can not express.
+// Limits of values that the schema cannot express.
 const (
 	maxGangCount      = 5000
 	maxServiceCount   = 10000
--- a/version/work/account.go
+++ b/version/work/account.go
@@ -11,7 +11,7 @@
 type KeyDigest [sha256.Size]byte
 
 // DigestKey returns the digest of a key. A plain hash is sufficient for random keys, which
-// can not be guessed from it.
+// cannot be guessed from it.
 func DigestKey(key string) KeyDigest { return sha256.Sum256([]byte(key)) }
 
 // Account is a client account: its callers submit jobs with one of its keys.
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -131,7 +131,7 @@
 	Queues   []Queue
 	MaxBody  int64
 	Accounts *Accounts // nil: the configuration declares none
-	// Problems describes the entries of the version that can not be used as declared.
+	// Problems describes the entries of the version that cannot be used as declared.
 	Problems error
 }
 
@@ -259,7 +259,7 @@
 }
 
 // MaxTasks bounds the tasks of one occurrence of a job, and those of all occurrences
-// that exist at the same time, so that a job can not exhaust the scheduler's memory.
+// that exist at the same time, so that a job cannot exhaust the scheduler's memory.
 const MaxTasks = 20_000
 
 // maxSpan bounds the time from a job's first occurrence to its last, and
