--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -88,7 +88,7 @@
 	inc.supervise()
 	self := inc.fleet.Self()
 	inc.log.Info().Str("caller", self.CallerAddr).Str("forward", self.ForwardAddr).Str("peer", self.PeerAddr).
-		Str("admin", self.AdminAddr).Str("zone", self.Zone).Msg("daemon listens")
+		Str("admin", self.AdminAddr).Str("zone", self.Zone).Msg("listening")
 	return inc, nil
 }
 
