--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -218,12 +218,12 @@
 	tokens, err := LoadTokens(path, zerolog.Nop())
 	require.NoError(t, err)
 	for name, text := range map[string]string{
-		"broken":        `{"tokens":[`,
-		"unknown field": `{"tokens":[],"extra":1}`,
-		"bad hash":      `{"tokens":[{"name":"a","role":"operator","sha256":"00"}]}`,
-		"bad role":      `{"tokens":[` + entry("a", "admin", "", northToken) + `]}`,
-		"no team":       `{"tokens":[` + entry("a", RoleTeam, "", northToken) + `]}`,
-		"stray team":    `{"tokens":[` + entry("a", RoleOperator, "t", northToken) + `]}`,
+		"broken":         `{"tokens":[`,
+		"unknown field":  `{"tokens":[],"extra":1}`,
+		"bad hash":       `{"tokens":[{"name":"a","role":"operator","sha256":"00"}]}`,
+		"bad role":       `{"tokens":[` + entry("a", "admin", "", northToken) + `]}`,
+		"no team":        `{"tokens":[` + entry("a", RoleTeam, "", northToken) + `]}`,
+		"team not empty": `{"tokens":[` + entry("a", RoleOperator, "t", northToken) + `]}`,
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := tokens.reload()
--- a/process/cellnode/layout_test.go
+++ b/process/cellnode/layout_test.go
@@ -41,7 +41,7 @@
 		{0, mixed, 1},
 		{135, linked(members(21, 0.12), 2), 3},   // links of 2 Mbit/s
 		{48, linked(members(9, 0.4), 10), 1},     // CPU time is the limit, not the links
-		{540, linked(members(97, 0.192), 10), 2}, //
+		{540, linked(members(97, 0.192), 10), 2}, // likewise
 		{540, append(linked(members(6, 0.8), 200), linked(members(90, 0.1), 2)...), 1}, // a few have wide links, and lead
 	} {
 		require.Equal(t, c.want, shardsFor(c.workers, c.members), "%d workers, %d daemons", c.workers, len(c.members))
--- a/process/versions/measure_test.go
+++ b/process/versions/measure_test.go
@@ -148,7 +148,7 @@
 	return m.times[min(len(m.times)-1, int(q*float64(len(m.times))))].Round(100 * time.Microsecond)
 }
 
-func processTime() time.Duration {
+func cpuTime() time.Duration {
 	var u syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &u); err != nil {
 		return 0
@@ -180,11 +180,11 @@
 			d.store.cut.Store(cut)
 		}
 		m := &measurement{cell: c}
-		begun, cpu := time.Now(), processTime()
+		begun, cpu := time.Now(), cpuTime()
 		peers, calls, bytes := c.traffic()
 		m.run(versions, rand.New(rand.NewPCG(1, 1)))
 		seconds := time.Since(begun).Seconds() * float64(size)
-		cpu = processTime() - cpu
+		cpu = cpuTime() - cpu
 		morePeers, moreCalls, moreBytes := c.traffic()
 		require.Len(t, m.times, size*versions, "every version on every daemon")
 		require.Less(t, m.quantile(1), PropagationLimit)
--- a/standin/cellsim/load.go
+++ b/standin/cellsim/load.go
@@ -51,7 +51,8 @@
 	worthFixed  = 0.3 // part of a job's worth that does not depend on its size
 	worthMax    = 4
 	advisedFree = 30 // workers per step whose advice cost the objective includes
-	// lateFactor times its objective after its submission a job earns nothing.
+	// lateFactor is the multiple of its objective, counted from its submission, after
+	// which a job earns nothing.
 	lateFactor = 3
 )
 
--- a/standin/cellsim/sim_test.go
+++ b/standin/cellsim/sim_test.go
@@ -69,7 +69,7 @@
 	// capacity during the calls for tickets, advice was called for sequentially, and
 	// small tasks were placed where most capacity was free.
 	if testing.Short() {
-		t.Skip("some seconds of processor time for each policy")
+		t.Skip("some seconds of CPU time for each policy")
 	}
 	const seeds = 3
 	all, wide, _ := credits(t, "calm", dispatch.Policy{}, seeds)
@@ -88,7 +88,7 @@
 	// after 300 ms, and long afterwards: the leader had one write in flight at a time, with
 	// two keys for each completed job.
 	if testing.Short() {
-		t.Skip("some seconds of processor time for each policy")
+		t.Skip("some seconds of CPU time for each policy")
 	}
 	const seeds = 2
 	_, _, quick := credits(t, "slow-store", dispatch.Policy{}, seeds)
@@ -102,7 +102,7 @@
 func TestNoDeploymentIsWorseOff(t *testing.T) {
 	const length, margin, deployments, seeds = 12 * time.Second, 0.02, 8, 4
 	if testing.Short() {
-		t.Skip("some seconds of processor time")
+		t.Skip("some seconds of CPU time")
 	}
 	first := dispatch.Policy{WriteStreams: 1, NoBatches: true, NoGangReservations: true, NoPacking: true, NoParallelAdvice: true, FirstCome: true}
 	var wg sync.WaitGroup
@@ -155,7 +155,7 @@
 
 func TestModelAccountsFitTheirCaps(t *testing.T) {
 	// Each account's cap lets its widest gang run, and an account that submits five times
-	// its usual load costs the others next to nothing.
+	// its usual load lowers the credit of all jobs by less than 0.1.
 	classes := SurveyClasses(48, 0.7)
 	accounts := Accounts(6, classes)
 	for _, a := range accounts {
--- a/standin/endpoint/serve.go
+++ b/standin/endpoint/serve.go
@@ -106,7 +106,7 @@
 		half /= 2
 	}
 	_, _ = w.Write(out[:half])
-	cut(w, r, kind)
+	truncate(w, r, kind)
 }
 
 // fill streams size filler bytes in chunked encoding.
@@ -122,13 +122,13 @@
 		}
 		at += n
 		if at >= size/2 {
-			cut(w, r, kind)
+			truncate(w, r, kind)
 		}
 	}
 }
 
-// cut aborts the response here if kind is a fault that truncates it.
-func cut(w http.ResponseWriter, r *http.Request, kind fault) {
+// truncate aborts the response here if kind is a fault that truncates it.
+func truncate(w http.ResponseWriter, r *http.Request, kind fault) {
 	if kind != faultTruncate && kind != faultResetMid {
 		return
 	}
--- a/standin/epochworker/fleet_test.go
+++ b/standin/epochworker/fleet_test.go
@@ -32,8 +32,8 @@
 	return err
 }
 
-// TestViolationsAreRecorded violates each guarantee that the stand-in checks on purpose, so
-// that a run without violations is evidence.
+// TestViolationsAreRecorded violates guarantees on purpose and checks that the stand-in records
+// it, so that a run without violations is evidence.
 func TestViolationsAreRecorded(t *testing.T) {
 	small := work.Step{Count: 2, Size: work.Resources{CPU: 600}}
 	after := work.Step{Count: 1, After: []int{0}}
--- a/version/history/readback_test.go
+++ b/version/history/readback_test.go
@@ -65,7 +65,7 @@
 		"another's version": {false, true, time.Second, func(t *testing.T, _ Result, err error) {
 			assert.ErrorContains(t, err, "nothing was applied")
 		}},
-		"not learnt in time": {false, false, time.Minute, func(t *testing.T, _ Result, err error) {
+		"not resolved in time": {false, false, time.Minute, func(t *testing.T, _ Result, err error) {
 			var unknown *UnknownOutcomeError
 			require.ErrorAs(t, err, &unknown)
 			assert.Equal(t, uint64(1), unknown.Version)
