--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -135,7 +135,7 @@
 
 func (inc *incarnation) supervise() {
 	inc.sup = suture.New("fennelshuntd", suture.Spec{
-		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("supervisor event") },
+		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("supervisor") },
 		Timeout:   leaveTimeout,
 	})
 	inc.add(inc.node)
