--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -25,9 +25,8 @@
 const (
 	// vmListPeriod is the time between two reads of the list of VMs.
 	vmListPeriod = time.Second
-	// confirmDivisor is the divisor of the member lease that gives the time for
-	// which a suspected member may still answer. After that the store is asked
-	// whether the member's lease has expired.
+	// confirmDivisor divides the member lease into the time in which a suspected member
+	// may still answer; then the store is asked whether the member's lease has expired.
 	confirmDivisor = 2
 	// leaveTimeout bounds the last messages of a planned stop.
 	leaveTimeout = 5 * time.Second
