--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -25,8 +25,8 @@
 const (
 	// vmListPeriod is the time between two reads of the list of VMs.
 	vmListPeriod = time.Second
-	// confirmDivisor: a suspected member may still answer for the member lease
-	// divided by this, before the store is asked whether its lease has expired.
+	// confirmDivisor divides the member lease into the time in which a suspected member
+	// may still answer; then the store is asked whether the member's lease has expired.
 	confirmDivisor = 2
 	// leaveTimeout bounds the last messages of a planned stop.
 	leaveTimeout = 5 * time.Second
@@ -215,7 +215,7 @@
 	err = errors.Join(err, inc.fleet.Leave(leaveCtx))
 	inc.left.Store(true)
 	close(inc.leftDone)
-	inc.log.Info().Err(err).Msg("planned stop: done")
+	inc.log.Info().Err(err).Msg("planned stop: completed")
 	return err
 }
 
