--- a/process/admin/server_test.go
+++ b/process/admin/server_test.go
@@ -147,9 +147,9 @@
 	assert.NotContains(t, b.audit.String(), northToken, "tokens are not logged")
 }
 
-// Guards against a team that sees, stops or replaces another team's work: a team's token is used
-// for the other team's files, jobs and tasks, and access must be checked by the content of a
-// file, not by its name or by the call alone.
+// TestTeamSeesAndChangesOnlyItsOwn guards against a team that sees, stops or replaces another
+// team's work: a team's token is used for the other team's files, jobs and tasks, and access must
+// be checked by the content of a file, not by its name or by the call alone.
 func TestTeamSeesAndChangesOnlyItsOwn(t *testing.T) {
 	b := newBench(t)
 	b.apply(operatorToken, teamsFile(), 0)
@@ -218,12 +218,12 @@
 	tokens, err := LoadTokens(path, zerolog.Nop())
 	require.NoError(t, err)
 	for name, text := range map[string]string{
-		"broken":        `{"tokens":[`,
-		"unknown field": `{"tokens":[],"extra":1}`,
-		"bad hash":      `{"tokens":[{"name":"a","role":"operator","sha256":"00"}]}`,
-		"bad role":      `{"tokens":[` + entry("a", "admin", "", northToken) + `]}`,
-		"no team":       `{"tokens":[` + entry("a", RoleTeam, "", northToken) + `]}`,
-		"stray team":    `{"tokens":[` + entry("a", RoleOperator, "t", northToken) + `]}`,
+		"broken":         `{"tokens":[`,
+		"unknown field":  `{"tokens":[],"extra":1}`,
+		"bad hash":       `{"tokens":[{"name":"a","role":"operator","sha256":"00"}]}`,
+		"bad role":       `{"tokens":[` + entry("a", "admin", "", northToken) + `]}`,
+		"no team":        `{"tokens":[` + entry("a", RoleTeam, "", northToken) + `]}`,
+		"team not empty": `{"tokens":[` + entry("a", RoleOperator, "t", northToken) + `]}`,
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(text), 0o600))
 		_, err := tokens.reload()
--- a/process/ownership/manager.go
+++ b/process/ownership/manager.go
@@ -99,7 +99,7 @@
 			m.send(func(s *state) { s.applyItems(items, deleted, reset) })
 		})
 		if err != nil && ctx.Err() == nil {
-			m.log.Warn().Err(err).Msg("watch of claims failed")
+			m.log.Warn().Err(err).Msg("watch of claims failed; watching again after a pause")
 		}
 		_ = sleep.For(ctx, delay) // the loop checks ctx
 	}
@@ -152,8 +152,8 @@
 }
 
 // Confirm reads the claim from the store, with a read that begins after the call,
-// and returns nil if it is still c. ErrNotOwner means that the claim was superseded
-// or released; after any other error this is unknown.
+// and returns nil if it is still c. ErrNotOwner means that the claim was superseded,
+// released or deleted; after any other error this is unknown.
 //
 // A check before an action is not sufficient, since the process may be suspended
 // between the two. Callers use Confirm after an action that a later owner reverts,
