--- a/docs/links_test.go
+++ b/docs/links_test.go
@@ -1,4 +1,5 @@
-// Package docs holds the project's pages; its test keeps their links alive.
+// Package docs holds the project's pages; its tests check their links and the tests that they
+// cite.
 package docs
 
 import (
@@ -26,9 +27,7 @@
 	return pages
 }
 
-// Symptom: a reader follows a link of a page and finds nothing.
-// Sequence: a page or file is renamed, the pages that link to it are not.
-// Cause: nothing but a reader checks links.
+// TestLinksLeadToFiles guards against links to pages or files that have been renamed or removed.
 func TestLinksLeadToFiles(t *testing.T) {
 	pages := allPages(t)
 	for _, page := range append(pages, "../README.md", "../CONTRIBUTING.md") {
@@ -49,9 +48,8 @@
 	testFunc  = regexp.MustCompile(`(?m)^func ((?:Test|Fuzz|Benchmark)[A-Za-z0-9_]+)\(`)
 )
 
-// Symptom: a page promises a proof that does not exist.
-// Sequence: a test is renamed or removed, the page that names it is not changed.
-// Cause: nothing but a reader compares pages with tests.
+// TestPagesNameTestsThatExist guards against pages that cite a test which has been renamed or
+// removed.
 func TestPagesNameTestsThatExist(t *testing.T) {
 	exists := map[string]bool{}
 	err := filepath.WalkDir("..", func(path string, d os.DirEntry, err error) error {
