--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -60,8 +60,9 @@
 	return LimitReached(losses, sole)
 }
 
-// LimitReached reports whether a task is to be given up whose runs were suspected in that many
-// crashes of workers (losses), in some of them (sole) without a run of another job.
+// LimitReached reports whether a task is to be given up. losses is the number of worker crashes
+// in which a run of the task was suspect, sole the number of those without a suspect run of
+// another job.
 func LimitReached(losses, sole int) bool {
 	return losses >= maxLosses || (losses >= soleLosses && sole > 0)
 }
