--- a/process/dispatch/accounts.go
+++ b/process/dispatch/accounts.go
@@ -37,10 +37,10 @@
 	e.scheduled = false
 }
 
-// QuotaReport returns this shard's usage and waiting work, of the accounts asked for and of
-// those with waiting work.
+// QuotaReport returns this shard's usage and waiting work, of the given accounts and of those
+// with waiting work.
 //
-// Applied is set only once every worker has answered this epoch, because workers then reject
+// Report.Applied is set only once every worker has answered this epoch, because workers then reject
 // orders of earlier leaders, which may still act by older shares. Cordoned workers are not
 // waited for: nothing is started on them.
 func (e *Engine) QuotaReport(asked []string) quota.Report {
--- a/process/dispatch/advice.go
+++ b/process/dispatch/advice.go
@@ -29,8 +29,8 @@
 	// ticketMargin is kept between a start and the expiry of its ticket, for the way to the
 	// worker and a second attempt.
 	ticketMargin = 60 * time.Millisecond
-	// adviceGrace is added to a call's cost to get its timeout. The calls of one daemon queue
-	// up, and the engine sends one at a time to each.
+	// adviceGrace is added to a call's cost, which is its expected duration, to get its timeout.
+	// The calls of one daemon queue up, and the engine sends one at a time to each.
 	adviceGrace = 700 * time.Millisecond
 	// slowCall is the cost from which a call counts as slow. Slow calls never use every proxy,
 	// so that a step of a quick queue does not wait behind one.
@@ -91,8 +91,8 @@
 	(*list)[index] = v
 }
 
-// verdictOf returns the verdict on a worker. A round of placement asks for every pair of a
-// waiting step and a worker, so this is a single slice lookup.
+// verdictOf returns the verdict on a worker. A round of placement calls it for every pair of a
+// waiting step and a worker, so it is a single slice lookup.
 func (a *advice) verdictOf(w *worker) verdict { return at(a.verdicts, w.index) }
 
 func (a *advice) record(w *worker, v verdict) { set(&a.verdicts, w.index, v) }
@@ -182,8 +182,8 @@
 	return true
 }
 
-// callCost returns how long a call takes that names n workers, or as many of them as one call
-// may name.
+// callCost returns how long a call that names n workers takes; at most maxWorkersPerCall of
+// them count.
 func (s *step) callCost(n int) time.Duration {
 	return s.job.spec.Queue.Advice.Cost(min(n, maxWorkersPerCall))
 }
@@ -191,8 +191,8 @@
 // countProxies counts the proxies that are idle, and how many of them may take slow calls.
 //
 // These are two counts because steps whose slow calls cannot be sent now would otherwise use
-// up the single count in every round, and quick steps behind them would not be asked for
-// although proxies are idle.
+// up the single count in every round, and no advice would be requested for the quick steps
+// behind them although proxies are idle.
 func (e *Engine) countProxies() {
 	e.idleProxies = e.countIdleProxies()
 	e.idleForSlow = e.maxSlowProxies() - e.busyWithSlow()
@@ -436,8 +436,8 @@
 
 func (p *adviceProxy) cost() time.Duration { return p.busy.job.spec.Queue.Advice.Cost(len(p.workers)) }
 
-// pickProxy picks the proxy for a call. Quick and slow calls are taken from opposite ends of
-// the members, so that slow ones rarely occupy every proxy.
+// pickProxy picks the proxy for a call. Quick and slow calls use idle proxies from opposite
+// ends of the list of members, so that slow ones rarely occupy every proxy.
 func (e *Engine) pickProxy(slow bool) *adviceProxy {
 	var found *adviceProxy
 	for _, name := range e.members {
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -151,8 +151,8 @@
 }
 
 // NewestProgress returns a job's newest progress from a list of batches, and whether any of
-// them has it. A reader that finds a job submitted and not ended under its own key has to look
-// there.
+// them has it. A reader has to look in the batches for a job that has a submission, but no
+// final state under its own key.
 func NewestProgress(batches []store.Entry, id work.JobID) (*work.Progress, bool) {
 	var found *work.Progress
 	var revision store.Revision
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -53,7 +53,7 @@
 	j := e.jobs[completion.Task.Job]
 	s := j.step(completion.Task)
 	if s == nil {
-		return j // for an occurrence that is done the store has to be waited for as well
+		return j // the occurrence may be done and pruned before that is stored
 	}
 	t := &s.tasks[completion.Task.Index]
 	ours := alloc != nil && t.alloc == alloc
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -27,8 +27,8 @@
 
 func (iso isolation) excludes(s *step, now time.Duration) bool { return now < iso.until && iso.s != s }
 
-// survived reports whether a run is known to have started so long before t that, if its
-// worker was running at that time, the run has not crashed it.
+// survived reports whether a run is known to have started at least crash.Window before t. If its
+// worker was still running at t, the run has not crashed it.
 func (a *allocation) survived(t time.Duration) bool { return a.ackAt > 0 && t >= a.ackAt+crash.Window }
 
 // noRecentStarts reports whether no run of another job has just started on the worker, is
--- a/process/dispatch/directory.go
+++ b/process/dispatch/directory.go
@@ -46,7 +46,7 @@
 	}
 }
 
-// rackOf returns the rack among a worker's labels: the last one, since the first is its kind.
+// rackOf returns the rack among a worker's labels: the last one. The first is the worker's kind.
 func rackOf(labels []string) string {
 	if len(labels) == 0 {
 		return ""
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -15,7 +15,8 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// Engine is the scheduler's state machine for one epoch. It is not safe for concurrent use.
+// Engine is the scheduler's state machine for one epoch. It is not safe for concurrent use. The
+// now arguments of its methods are in engine time, the time since Options.Today.
 type Engine struct {
 	o       Options
 	now     time.Duration
@@ -188,7 +189,8 @@
 	j.restore(s.progress)
 }
 
-// Accepted handles an entry that an accepting daemon wrote: a job or a cancellation.
+// Accepted handles an entry that an accepting daemon wrote: a job or a cancellation. The error
+// is that the job cannot be decoded; the entry is then ignored.
 func (e *Engine) Accepted(now time.Duration, entry store.Entry) error {
 	e.now = now
 	if id, ok := strings.CutPrefix(entry.Key, prefixCancel); ok {
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -334,7 +334,7 @@
 
 func TestEndedJobsKeepTheirStateOnly(t *testing.T) {
 	// The leader's memory grew to half of a small VM's in a minute: thousands of jobs end,
-	// each is kept for two minutes to answer queries of its state, and was kept with its text,
+	// each is kept for two minutes to answer queries of its state, and was kept with its spec,
 	// its steps and tasks.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
--- a/process/dispatch/explain.go
+++ b/process/dispatch/explain.go
@@ -14,7 +14,8 @@
 	Account string     `cbor:"3,keyasint,omitempty" json:"account,omitempty"`
 	// Beyond: submitted beyond what its account is entitled to.
 	Beyond bool `cbor:"4,keyasint,omitempty" json:"beyond,omitempty"`
-	// Held and Cap are those of the account, in this shard of the cell.
+	// Held is what the account's runs use, without unconfirmed ones, and Cap is its limit,
+	// both in this shard of the cell. They are zero for a job without an account.
 	Held quota.Size `cbor:"5,keyasint" json:"held"`
 	Cap  quota.Size `cbor:"6,keyasint" json:"cap"`
 	// Waited is how long its steps waited, by cause, in milliseconds.
@@ -31,7 +32,7 @@
 	Running    int `cbor:"5,keyasint" json:"running"`
 	// Bound is what the tasks that do not run are waiting for; "" for nothing.
 	Bound string `cbor:"6,keyasint,omitempty" json:"bound,omitempty"`
-	// OpenMS is for how long the step's tasks could have started, in milliseconds.
+	// OpenMS is the time in milliseconds since the step's tasks became ready to start.
 	OpenMS int64 `cbor:"7,keyasint,omitempty" json:"open_ms,omitempty"`
 	// Suspects are tasks under which workers have crashed.
 	Suspects []SuspectTask `cbor:"8,keyasint,omitempty" json:"suspects,omitempty"`
--- a/process/dispatch/fleet.go
+++ b/process/dispatch/fleet.go
@@ -48,7 +48,7 @@
 }
 
 // cordonAfter is how long a worker must have been unresponsive to be cordoned: the longest
-// wait of a renewal and one more call, so that a single lost response cordons none. After
+// wait of a renewal and one more call, so that a single lost response cordons no worker. After
 // cordonMisses failed calls in a row it is cordoned sooner; calls fail at once where nothing
 // listens.
 const (
@@ -238,6 +238,6 @@
 }
 
 // supersedeTime is how long after a takeover an earlier leader may still renew a worker that
-// the new one does not reach: it renews every worker at least this often, and the first of
-// them that the new leader has called rejects its epoch, which stops it.
+// the new one does not reach. The earlier leader renews every worker at least this often, and
+// stops when a worker that the new leader has called rejects its epoch.
 const supersedeTime = 2 * time.Second
--- a/process/dispatch/health.go
+++ b/process/dispatch/health.go
@@ -77,11 +77,12 @@
 	return 0
 }
 
-// countsAgainst reports whether a failed run of the job counts against the worker. It does not
-// if a run of the job has failed on another worker before.
+// countsAgainst reports whether a failed run of the job counts against the worker: only if the
+// job's first failed run was on that worker.
 //
-// Jobs that fail wherever they run make up most of the failures. If they counted, two of them
-// would meet on a healthy worker a few times a second and leave it idle for two seconds.
+// Jobs that fail wherever they run make up most of the failures. If all of these counted, two
+// such jobs would fail one after the other on a healthy worker a few times a second, and leave
+// it idle for two seconds.
 func (j *job) countsAgainst(id runner.WorkerID) bool {
 	if j.firstFailedOn == "" {
 		j.firstFailedOn = id
--- a/process/dispatch/host.go
+++ b/process/dispatch/host.go
@@ -62,12 +62,13 @@
 	Bounds        Bounds
 	Policy        Policy
 	Log           zerolog.Logger
-	// Count is called with the counters every publishPeriod and at the end of a term.
+	// Count is called with the counters every publishPeriod and at the end of a term; may be
+	// nil.
 	Count func(Stats)
 	// ShowAccounts is called every publishPeriod with the state of the client accounts; may be
 	// nil.
 	ShowAccounts func([]quota.Row)
-	// Violation is called for each broken invariant.
+	// Violation is called for each broken invariant; may be nil.
 	Violation func(what string)
 	// Took is called with how long each measured span of a job took; may be nil.
 	Took func(what Span, queue, account string, d time.Duration)
@@ -294,7 +295,9 @@
 	Account string
 }
 
-// State returns what callers may be shown of a job.
+// State returns what callers may be shown of a job; known is false if the engine does not have
+// the job. It waits until the state has been loaded from the store. The error, as with Explain,
+// Pending and QuotaReport, is that of ctx, or lead.ErrDeposed if the term has ended.
 func (h *Host) State(ctx context.Context, id work.JobID) (view JobView, known bool, err error) {
 	err = h.do(ctx, func(e *Engine, _ time.Duration) {
 		view.State, known = e.State(id)
@@ -303,7 +306,8 @@
 	return view, known, err
 }
 
-// Explain describes what a job is waiting for.
+// Explain describes what a job is waiting for; known is false if the engine does not have the
+// job.
 func (h *Host) Explain(ctx context.Context, id work.JobID) (x Explanation, known bool, err error) {
 	err = h.do(ctx, func(e *Engine, now time.Duration) { x, known = e.Explain(now, id) })
 	return x, known, err
--- a/process/dispatch/incarnation.go
+++ b/process/dispatch/incarnation.go
@@ -54,16 +54,16 @@
 	}
 	name, startTime := x.ID.Incarnation()
 	e.latestStarts[name] = startTime
-	// The runs there got their lease from orders to the other incarnation, whose clock says
-	// nothing about when it ends.
+	// The runs there got their leases from orders to w, whose clock says nothing about when
+	// those leases end.
 	next.expiry = max(next.expiry, e.now+leaseBound(e.o.Bounds.MaxLease))
 	moveReported(next, w, &x.Report)
 	e.removeWorker(w, "another incarnation answers at its address", true)
 	e.Renewed(e.now, next.ID, x.Report, nil)
 }
 
-// moveReported moves to an incarnation the runs in its report that were ordered from an
-// earlier one.
+// moveReported moves the runs that next reports, but whose start orders were sent to the
+// earlier incarnation w, from w to next.
 func moveReported(next, w *worker, r *runner.Report) {
 	move := func(task work.TaskID, run uint64) {
 		if alloc := w.allocs[task]; alloc != nil && alloc.run == run {
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -54,7 +54,7 @@
 	require.Empty(t, c.broken)
 	for _, id := range c.order {
 		if crash.LimitReached(c.fleet.MaxSuspectCrashes(id), 1) {
-			continue // as many workers crashed under a task of it as are allowed
+			continue // one of its tasks may have reached the limit of crashed workers
 		}
 		require.Equal(t, work.Completed, c.state(id), "%s: %v", id, c.fleet.NotDone(id))
 	}
@@ -159,8 +159,8 @@
 }
 
 // TestClockThatGoesBackIsAnotherLifes guards against a worker that restarts under its name
-// without a start time in its id: its completions would count as those of before, be
-// acknowledged before they are received, and their tasks start again.
+// without a start time in its id: its completions would count as those of the earlier
+// incarnation, be acknowledged before they are received, and their tasks start again.
 func TestClockThatGoesBackIsAnotherLifes(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	step := oneTask()
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -109,8 +109,8 @@
 
 func TestEpochEndsWhenItsRunNumbersDo(t *testing.T) {
 	// After weeks a service's task was refused by every worker. It fails at once wherever it
-	// starts, tens of thousands of times in one epoch, so that the epoch's run numbers had run
-	// into those of the next epoch when another leader took over.
+	// starts, tens of thousands of times in one epoch, so that the epoch's run numbers had
+	// reached those of the next epoch when another leader took over.
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
 	h.e.jobs[testJob].occurrences[0].steps[0].tasks[0].runs = 1<<runBits - 1
--- a/process/dispatch/order.go
+++ b/process/dispatch/order.go
@@ -9,9 +9,8 @@
 // The order in which waiting steps are served: by rank, then by their queue's priority, then
 // by their order time.
 
-// waiting returns the steps with tasks to start, in the order in which they are served: those
-// that can still end within their objective first, and among these by the queue's priority and
-// the end of the objective.
+// waiting returns the steps with tasks to start, in the order in which they are served, and
+// drops the others from the ready list.
 func (e *Engine) waiting() []*step {
 	kept := e.ready[:0]
 	for _, s := range e.ready {
--- a/process/dispatch/placement.go
+++ b/process/dispatch/placement.go
@@ -11,11 +11,11 @@
 // Timing and limits of rounds of placement.
 const (
 	// busyBacklog is the number of waiting steps from which a round is costly; rounds are then
-	// busyPause apart. A round over 500 steps takes some 100 µs.
+	// at least busyPause apart. A round over 500 steps takes some 100 µs.
 	busyBacklog = 50
 	busyPause   = 4 * time.Millisecond
 	// idleFactor: after a round the engine only takes events for idleFactor times as long as
-	// the round took, at most maxIdle.
+	// rounds take on average; maxIdle bounds the resulting time between the starts of rounds.
 	//
 	// When more steps wait than the leader's processor can place, a round after each event
 	// would take all processor time, and reports and pings would queue behind rounds until the
@@ -41,8 +41,8 @@
 // them, and at least a minimum.
 func (e *Engine) scaledByWorkers(least, share int) int { return max(least, len(e.workerList)/share) }
 
-// RoundTook reports how long the last Flush took, for the case that it ran a round: the engine
-// has no clock of its own.
+// RoundTook tells the engine, which has no clock, that the Flush at engine time at took d. It
+// has no effect if that Flush ran no round.
 func (e *Engine) RoundTook(at, d time.Duration) {
 	if e.scheduledAt == at {
 		e.roundCost += (d - e.roundCost) / costDecay
@@ -169,7 +169,7 @@
 	return need.Times(e.freeFor(s, w), limit)
 }
 
-// blockedBy returns why no task of the step may start now at all, if so.
+// blockedBy returns why no task of the step may start now on any worker; waitNothing if one may.
 func (e *Engine) blockedBy(s *step) waitCause {
 	switch {
 	case s.gang.stopping || (s.spec.Gang && s.live() > 0):
--- a/process/dispatch/quotaorder.go
+++ b/process/dispatch/quotaorder.go
@@ -18,13 +18,15 @@
 // There are two rules, both within one account, so that no other account gains or loses by
 // them:
 //   - turns: a gang that has waited for turnAfter, and that its account's cap blocks, keeps
-//     the part of the cap that it needs free of the work after it. Without the wait the rule
-//     costs more than it gains, because the cap is half empty each time a gang waits for the
-//     last of it (mean value over four days and two seeds 0.721 with both rules, 0.753 as it
-//     is);
-//   - headroom, if the policy asks for it: work leaves some of the cap to the queues of higher
-//     priority, as much as these used recently. It serves quick work better and long work worse
-//     (0.740).
+//     the part of the cap that it needs free of the work after it. If gangs did so without
+//     waiting for turnAfter first, the rule would cost more than it gains, because the cap is
+//     half empty each time a gang waits for the last part of it;
+//   - headroom, if Policy.QuotaHeadroom is set: work leaves some of the cap to the queues of
+//     higher priority, as much as these used recently. It serves quick work better and long
+//     work worse.
+//
+// The mean value over four days and two seeds is 0.753 with turns after turnAfter, 0.721
+// with headroom and turns at once, 0.740 with headroom only, and 0.745 with neither rule.
 
 // turnAfter is longer than a gang waits for capacity in a busy cell, and short relative to the
 // wait that callers accept. Without the rule, a gang that needs most of its account's cap
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -29,7 +29,8 @@
 // that waits would be answered at once.
 func (w *worker) unacknowledged() bool { return w.lastCompletion > w.ackedCompletion }
 
-// stopsAnswered reports whether a stopped run waits for the next report to be released.
+// stopsAnswered reports whether the worker has answered the stop of a run that its next report
+// may show to have ended.
 func (w *worker) stopsAnswered() bool {
 	for _, alloc := range w.allocs {
 		if alloc.state == stopping && alloc.stopAckedAt > 0 {
@@ -175,7 +176,7 @@
 	}
 	if s.spec.Gang && s.gang.run < r.Run {
 		if s.live() > 0 {
-			return false // members of two runs: this one has to end before the gang starts again
+			return false // another run of the gang is live: this member has to end before the gang restarts
 		}
 		s.gang.run = r.Run
 	}
--- a/process/dispatch/runs.go
+++ b/process/dispatch/runs.go
@@ -123,7 +123,7 @@
 		e.memberNotStarted(alloc, err)
 	case alloc.state == stopping:
 	case alloc.s.job.account.Over(alloc.s.charge()):
-		// Its cap was lowered since it was started.
+		// The account's cap was lowered after the start was sent.
 		e.stop(alloc, "no answer to the start, and its account is over its cap")
 		e.memberNotStarted(alloc, err)
 	case w.overbooked():
--- a/process/dispatch/types.go
+++ b/process/dispatch/types.go
@@ -57,11 +57,11 @@
 	Shard, Shards int
 	// Today is the Unix time in milliseconds at the engine's time 0.
 	Today int64
-	// Decide is called with each decision that changes the engine's state.
+	// Decide is called with each decision that changes the engine's state; may be nil.
 	Decide func(Decision)
-	// Violation is called for each broken invariant.
+	// Violation is called for each broken invariant; may be nil.
 	Violation func(what string, task work.TaskID, worker runner.WorkerID)
-	// Took is called with the time from a job's acceptance to the end of a span.
+	// Took is called with the time from a job's acceptance to the end of a span; may be nil.
 	Took func(what Span, queue, account string, d time.Duration)
 }
 
--- a/process/dispatch/wait.go
+++ b/process/dispatch/wait.go
@@ -46,8 +46,8 @@
 	s.waitsFor, s.waitSince = now, e.now
 }
 
-// causeOf returns what a step waits for that this round has tried to place and that still has
-// tasks to start.
+// causeOf returns what a step waits for after this round has tried to place it; waitNothing if
+// all of its tasks have been started.
 func (e *Engine) causeOf(s *step) waitCause {
 	switch a := e.adviceOf(s); {
 	case len(s.pending) == 0:
