--- a/process/lead/authority.go
+++ b/process/lead/authority.go
@@ -20,8 +20,9 @@
 	Key  []byte `cbor:"2,keyasint"`
 }
 
-// Identity returns the keys for calls between the cell's daemons. It reads the
-// certificate authority from the store, and creates it there if there is none.
+// Identity returns the keys for calls between the cell's daemons, with a certificate for
+// the given IP address. It reads the certificate authority from the store, and creates it
+// there if there is none.
 func Identity(ctx context.Context, s store.Transactor, ip string) (*keys.Keys, error) {
 	for {
 		entry, err := s.Get(ctx, keyAuthority)
--- a/process/lead/detector.go
+++ b/process/lead/detector.go
@@ -54,7 +54,8 @@
 	d.epoch, d.missed, d.pause, d.next = l.Epoch, 0, 0, time.Time{}
 }
 
-// missedLimit returns how many consecutive pings the leader may miss.
+// missedLimit returns the number of consecutive missed pings at which self may ask others
+// about the leader.
 func (d *detector) missedLimit(self, leader Member) int {
 	n := pingsMissed << min(len(d.taken), maxDoublings)
 	if self.weakerThan(leader) {
--- a/process/lead/elector.go
+++ b/process/lead/elector.go
@@ -126,7 +126,8 @@
 // View returns the view of the cell, which is kept up to date.
 func (e *Elector) View() *View { return e.view }
 
-// Run keeps the daemon registered, watches the cell and claims vacancies until ctx ends.
+// Run keeps the daemon registered, watches the cell and claims vacancies until ctx ends,
+// and returns the error of ctx.
 func (e *Elector) Run(ctx context.Context) error {
 	var wg sync.WaitGroup
 	if e.o.Primary == nil {
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -208,7 +208,7 @@
 func TestDeadLeaderIsReplacedBeforeItsLeaseRunsOut(t *testing.T) {
 	// Guards against more than a second without starts after the leader's VM fails, and
 	// two and a half with a slow store: only the end of its lease showed the failure, and
-	// after store failures the vacancy was left to it for another 1.2 s.
+	// after store failures the vacancy was left to the failed leader for another 1.2 s.
 	for _, answer := range []time.Duration{0, 300 * time.Millisecond} {
 		synctest.Test(t, func(t *testing.T) {
 			w := newTestCell("a", "b", "c", "d", "e")
@@ -330,8 +330,8 @@
 	// Guards against tasks that run a second time after their completion was reported: a
 	// leader with little processor time took seconds for what others do at once, never
 	// stored the completions that workers reported to it, and they were lost with their
-	// worker before the next leader received them. It led for as long as its lease was
-	// renewed, which takes hardly any processor time.
+	// worker before the next leader received them. The slow leader led for as long as its
+	// lease was renewed, which takes hardly any processor time.
 	synctest.Test(t, func(t *testing.T) {
 		w := newTestCell("a", "b", "c", "d", "e")
 		leader, epoch := w.leader(t)
--- a/process/lead/yield_test.go
+++ b/process/lead/yield_test.go
@@ -41,7 +41,7 @@
 		require.Equal(t, "strong", name)
 		require.Equal(t, epoch+1, now, "it stays")
 
-		// After it has failed, a weaker daemon leads again.
+		// After the stronger daemon has failed, a weaker one leads again.
 		w.kill("strong")
 		w.untilReplaced("strong")
 		w.stop("strong")
