--- a/process/relay/choose.go
+++ b/process/relay/choose.go
@@ -51,7 +51,8 @@
 }
 
 // weight is the rendezvous hash of a worker and a relay: the relay with the highest weight
-// calls the worker. A worker keeps its relay when another relay is added or removed.
+// calls the worker. A worker keeps its relay when another relay is removed; an added relay
+// takes over only the workers for which it has the highest weight.
 func weight(worker runner.WorkerID, relay string) uint64 {
 	var d xxhash.Digest
 	d.Reset()
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -374,14 +374,14 @@
 
 func TestSpecOfALostHomeComesFromTheLeaderOnce(t *testing.T) {
 	// Guards against a leader whose link is blocked for a third of a second, so that every
-	// relay misses its timeout: a wide gang with a spec of 4 KB started, the job's owner
-	// did not answer, and each of the gang's orders that a relay could not carry out was
-	// issued again together with the spec.
+	// relay misses its timeout: a wide gang with a spec of 4 KB started, the accepting
+	// daemon did not answer, and each of the gang's orders that a relay could not carry
+	// out was issued again together with the spec.
 	synctest.Test(t, func(t *testing.T) {
 		const workers = 80
 		c := newCell(t, 0.1, "a", "b", "c", "home")
 		c.stored = strings.Repeat("s", 4000)
-		c.members = c.members[:4] // the job's owner is not a relay
+		c.members = c.members[:4] // the accepting daemon is not a relay
 		c.renewAll(t, workers)
 		c.makeUnresponsive("home")
 		start := runner.Start{Task: work.TaskID{Job: "j"}, Run: 1, AcceptedBy: "home"}
--- a/process/relay/specs.go
+++ b/process/relay/specs.go
@@ -19,7 +19,7 @@
 	// of a wide gang at once, and 4,000 bytes for each of eight take 130 ms on a link
 	// of 2 Mbit/s.
 	specTimeout = 400 * time.Millisecond
-	// ownerRetryDelay is how long a job owner that did not answer is not asked again.
+	// ownerRetryDelay is how long an accepting daemon that did not answer is not asked again.
 	ownerRetryDelay = time.Second
 )
 
@@ -30,7 +30,7 @@
 	mu      sync.Mutex
 	recent  map[work.JobID]string
 	old     map[work.JobID]string // the previous generation
-	down    map[string]time.Time  // owners that did not answer, and until when they are not asked
+	down    map[string]time.Time  // accepting daemons that did not answer, and until when they are not asked
 	flights singleflight.Group
 }
 
@@ -58,8 +58,8 @@
 	return spec, ok
 }
 
-// get returns a job's spec, from the cache or from the job's owner. The error is
-// errNoSpec, or the context's if the owner may still answer.
+// get returns a job's spec, from the cache or from owner, the daemon that accepted the
+// job. The error is errNoSpec, or the context's if owner may still answer.
 func (c *specCache) get(ctx context.Context, id work.JobID, owner string) (string, error) {
 	if spec, ok := c.find(id); ok {
 		return spec, nil
@@ -97,7 +97,7 @@
 	return time.Now().Before(c.down[owner])
 }
 
-// markDown records that a job owner did not answer, and drops expired records.
+// markDown records that an accepting daemon did not answer, and drops expired records.
 func (c *specCache) markDown(owner string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
