--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -54,7 +54,7 @@
 		require.NoError(t, err)
 		require.Equal(t, 400*time.Millisecond, c.age(), "a watch without changes was answered after its wait at the earliest")
 
-		source.latency = 200 * time.Millisecond // earlier than the requested wait
+		source.latency = 200 * time.Millisecond // the answer comes before the requested wait is over
 		_, err = c.watch(t.Context(), 1, 1500*time.Millisecond)
 		require.NoError(t, err)
 		require.Zero(t, c.age())
@@ -66,7 +66,7 @@
 
 		c.confirm(time.Now().Add(-time.Hour))
 		require.Equal(t, 200*time.Millisecond, c.age(), "an older confirmation changes nothing")
-		time.Sleep(5 * time.Second) // as long as the process was suspended
+		time.Sleep(5 * time.Second) // stands for a suspension of the process
 		require.Equal(t, 5200*time.Millisecond, c.age())
 	})
 }
--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -168,7 +168,7 @@
 	case now == nil:
 		return catalogReply{}, errNoCatalog
 	case now.Version < r.Version:
-		return catalogReply{}, errOlder // it confirms nothing about the requested version
+		return catalogReply{}, errOlder // the older version confirms nothing about that of the requesting daemon
 	case now.Version == r.Version:
 		return reply, nil
 	}
--- a/process/cellnode/layout.go
+++ b/process/cellnode/layout.go
@@ -148,7 +148,7 @@
 }
 
 // capacity returns how many workers a daemon can serve as a leader, by its CPU time
-// and, where that is known, its link; 0 if neither is known.
+// and, where that is known, its link; 0 if its CPU time is unknown.
 func capacity(m lead.Member) float64 { return m.Capacity(workersPerLeaderCore, workersPerLeaderMbit) }
 
 // workersPerLeaderMbit is how many workers a leader can serve for each Mbit/s of its link.
