--- a/process/jobs/commit.go
+++ b/process/jobs/commit.go
@@ -25,8 +25,8 @@
 	dirty map[*job]struct{}
 	// removed holds jobs whose progress is to be deleted.
 	removed map[progress.Key]struct{}
-	// version is that of the configuration in force here, takenVersion the last
-	// one handed to a write.
+	// version is the version of the configuration that this owner applies,
+	// takenVersion the version that the last write set contains.
 	version, takenVersion uint64
 	// partitions holds, by partition, the epoch of the owner that plans may be
 	// sent to; durable holds those that are written.
--- a/process/jobs/exchange.go
+++ b/process/jobs/exchange.go
@@ -22,7 +22,7 @@
 	Shard plan.Shard  `cbor:"1,keyasint"`
 	Epoch uint64      `cbor:"2,keyasint"`
 	Teams []TeamTotal `cbor:"3,keyasint,omitempty"`
-	// Gang is the shard's longest-waiting gang.
+	// Gang is the protected gang or batch task, if it belongs to this shard.
 	Gang *GangNeed `cbor:"4,keyasint,omitempty"`
 }
 
--- a/process/jobs/metrics.go
+++ b/process/jobs/metrics.go
@@ -18,11 +18,12 @@
 	Started, Refused expvar.Int // steps accepted; starts that certainly did not happen
 	Rebound          expvar.Int // steps started on another worker than planned
 	LostAnswers      expvar.Int // plans with an unknown outcome
-	// Finished counts tasks with a final outcome, Failed and Lost the failed and
+	// Finished counts tasks with a final outcome, except those counted by Unknown
+	// and the waiting tasks of a failed gang. Failed and Lost count the failed and
 	// lost attempts, except those of services and non-idempotent tasks.
 	Finished, Failed, Lost expvar.Int
-	// CrashedWorkers counts tasks that failed for good because their workers
-	// crashed repeatedly after their start.
+	// CrashedWorkers counts tasks that failed permanently because their
+	// workers crashed repeatedly after their start.
 	CrashedWorkers expvar.Int
 	Unknown        expvar.Int // non-idempotent tasks that may have run before a takeover
 	Adopted        expvar.Int // attempts of previous owners
--- a/process/jobs/old_failure_test.go
+++ b/process/jobs/old_failure_test.go
@@ -56,7 +56,7 @@
 		d := c.startDaemon(ctx, "d1")
 		d.own(0)
 		c.await(10*time.Second, "the partitions are in use", func() bool { return c.succeeded("warm") == 3 })
-		time.Sleep(3 * time.Second) // until their owners are durable
+		time.Sleep(3 * time.Second) // until the epochs of the partitions' owners are durable
 		c.store.SetFaults(kv.Faults{Down: true})
 		c.apply(nil, batch("b", "a", 1, 10*time.Minute))
 		c.await(5*time.Second, "the task starts", func() bool { return c.rackOf("b") != "" })
--- a/process/jobs/progress/file.go
+++ b/process/jobs/progress/file.go
@@ -38,7 +38,9 @@
 	Generation uint64
 }
 
-// Update is a set of changes; a nil value in Jobs removes the job.
+// Update is a set of changes. ConfigVersion and Partitions are those of Head; a
+// lower version or nil Partitions changes nothing. Jobs holds encoded records (see
+// Job.Encode); a nil value removes the job.
 type Update struct {
 	ConfigVersion uint64
 	Partitions    map[string]uint64
--- a/process/jobs/progress/record.go
+++ b/process/jobs/progress/record.go
@@ -1,7 +1,8 @@
 // Package progress persists the state of a shard that must survive its owner:
-// which tasks of each job are done, failed for good, intended or of unknown
-// outcome. The tasks are stored as compressed bitmaps in a few values of the
-// store, and changes are written in groups.
+// which tasks of each job have succeeded, have failed permanently, may have been
+// sent in a plan (non-idempotent jobs only) or have an unknown outcome. The tasks
+// are stored as compressed bitmaps in a few values of the store, and changes are
+// written in groups.
 //
 // Guarantees: changes are durable once File.Flush returns nil; a writer whose
 // shard was taken over by a higher epoch cannot write any more, because the
@@ -28,7 +29,9 @@
 	Generation uint64
 	// Done holds the tasks that succeeded.
 	Done *roaring.Bitmap
-	// Failed holds the tasks that used up their retries.
+	// Failed holds the tasks that failed permanently: they used up their retries,
+	// crashed their workers repeatedly, failed once in a non-idempotent job, or
+	// belong to a gang that failed.
 	Failed *roaring.Bitmap
 	// Intent holds the tasks of a non-idempotent job for which a plan may have
 	// been sent; it is made durable before the plan is sent.
--- a/process/jobs/protect.go
+++ b/process/jobs/protect.go
@@ -9,8 +9,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// GangNeed describes a waiting gang to the other shards, all of which keep
-// capacity free for the gang that has waited longest in the cell.
+// GangNeed describes a waiting gang, or a waiting batch task with Count 1, to the
+// other shards. All shards keep capacity free for the one that takes precedence
+// in the cell: by class, then gangs before single tasks, then by waiting time.
 type GangNeed struct {
 	Job           string           `cbor:"1,keyasint"`
 	Generation    uint64           `cbor:"2,keyasint"`
@@ -28,7 +29,7 @@
 type gangShadow struct {
 	need GangNeed
 	own  *job // nil for a gang of another shard
-	// since orders gangs: the one that has waited longest is protected.
+	// since is the time since which it has waited; see before.
 	since    time.Time
 	planned  time.Time // when planShadow last ran for it
 	lastSeen time.Time // when it was last proposed
@@ -42,10 +43,10 @@
 )
 
 // offerGang proposes for protection a gang of this shard that could not be
-// placed. Capacity is kept free for the longest-waiting gang, since otherwise
-// small tasks would take all capacity as it is freed and a large gang would never
-// start. Protecting one gang at a time is enough for each to start eventually,
-// and costs small tasks no more than the capacity of that gang.
+// placed. Capacity is kept free for the gang that takes precedence (see before),
+// since otherwise small tasks would take all capacity as it is freed and a large
+// gang would never start. Protecting one gang at a time is enough for each to
+// start eventually, and costs small tasks no more than the capacity of that gang.
 func (st *state) offerGang(j *job, asks []sched.Ask, now time.Time) {
 	need := GangNeed{
 		Job: j.key.Job, Generation: j.key.Generation, Size: asks[0].Size, Constraints: j.spec.Constraints,
--- a/process/jobs/report.go
+++ b/process/jobs/report.go
@@ -21,8 +21,9 @@
 	MethodStatus  peer.Method = "shard.status"  // StatusRequest -> Status
 )
 
-// Errors of reports. Test with errors.Is; the first is also returned when the
-// owner is another daemon.
+// Errors of Explain and Status. Test with errors.Is. Explain also returns
+// ErrUnknownJob if another daemon owns the shard and does not know the job.
+// ErrNoOwner means that this daemon knows no owner of the shard.
 var (
 	ErrUnknownJob = errors.New("jobs: no such job")
 	ErrNoOwner    = errors.New("jobs: the shard has no owner now")
@@ -136,7 +137,8 @@
 
 // Explain returns the state of a task with its reason, from the owner of its
 // shard. A negative index stands for the next waiting task, generation 0 for the
-// current one. It fails with ErrUnknownJob or ErrNoOwner.
+// current one. It returns ErrUnknownJob, ErrNoOwner or the error of the call to
+// the owner.
 func (m *Manager) Explain(ctx context.Context, task spec.TaskID) (Explanation, error) {
 	declared := m.options.Config.Current().Jobs[task.Job]
 	if declared == nil {
@@ -155,7 +157,8 @@
 	return e, err
 }
 
-// Status returns the report of a shard, from its owner.
+// Status returns the report of a shard, from its owner. It returns ErrNoOwner or
+// the error of the call to the owner.
 func (m *Manager) Status(ctx context.Context, shard plan.Shard) (Status, error) {
 	if m.shard(shard) != nil {
 		return m.statusHere(ctx, shard)
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -17,7 +17,8 @@
 	planner *sched.Planner
 	snap    *sched.Snapshot
 	active  *queue.Round[*job]
-	// largest is the largest VM in each dimension, used what all tasks reserve.
+	// largest is the largest capacity of a usable VM in each dimension; used is
+	// the total reserved on usable VMs.
 	largest, used spec.Resources
 	// protected is the waiting gang or task that capacity is kept free for.
 	protected *gangShadow
--- a/process/jobs/scenario_test.go
+++ b/process/jobs/scenario_test.go
@@ -296,7 +296,7 @@
 
 // TestDelayedReportDoesNotMakeATaskLive guards against a task that counts as running
 // for ever after its end. The report of its start is delayed over a takeover and
-// arrives after that of its end; it must not make the task live.
+// arrives after the report of its end; it must not make the task live.
 func TestDelayedReportDoesNotMakeATaskLive(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		c.apply(nil, batch("b", "a", 1, time.Second))
--- a/process/jobs/shard.go
+++ b/process/jobs/shard.go
@@ -90,9 +90,9 @@
 
 // post runs f in the goroutine of the shard without waiting for it, unless the
 // shard was restarted since the given incarnation (0 for any). A response to a
-// call of an earlier incarnation must not reach the state of the current one,
-// which would for example treat the end of the earlier one's write as that of
-// its own. post must not be called from the goroutine of the shard.
+// call of an earlier incarnation must not reach the state of the current one:
+// for example, the completion of an earlier write would be taken for that of the
+// write in flight. post must not be called from the goroutine of the shard.
 func (s *shard) post(ctx context.Context, incarnation uint64, f func(st *state)) {
 	select {
 	case s.commands <- command{run: f, incarnation: incarnation}:
@@ -202,11 +202,12 @@
 
 // release stops new starts and waits until all responses have arrived and are
 // durable. On an error, for example when the store is down until ctx ends, the
-// shard resumes work: the claim is kept, so no other daemon would do it.
+// shard resumes work: the claim is kept, so no other daemon would take over.
 func (s *shard) release(ctx context.Context) error {
 	err := s.quiesce(ctx)
 	if err != nil {
-		// ctx has ended; the post returns at the latest when the shard stops.
+		// Not with ctx, which has usually ended. The goroutine ends at the latest
+		// when the shard stops.
 		go s.post(context.Background(), 0, func(st *state) { st.releasing = false })
 	}
 	return err
--- a/process/jobs/shares.go
+++ b/process/jobs/shares.go
@@ -92,7 +92,7 @@
 }
 
 // totals returns the message to the other shards: the teams with tasks that could
-// not be placed recently, and the protected gang if it is of this shard.
+// not be placed recently, and the protected gang if it belongs to this shard.
 func (st *state) totals(now time.Time) Totals {
 	t := Totals{Shard: st.shard.number, Epoch: st.shard.claim.Epoch}
 	for team, at := range st.others.unserved {
