--- a/process/plan/plan.go
+++ b/process/plan/plan.go
@@ -192,10 +192,10 @@
 	Lost bool `cbor:"5,keyasint,omitempty"`
 	// NotStarted is set when the start was refused, so the task did not run.
 	NotStarted bool           `cbor:"6,keyasint,omitempty"`
-	Usage      spec.Resources `cbor:"7,keyasint,omitempty"`
-	Address    string         `cbor:"8,keyasint,omitempty"`
+	Usage      spec.Resources `cbor:"7,keyasint,omitempty"` // as last reported by the worker
+	Address    string         `cbor:"8,keyasint,omitempty"` // of a service instance, host:port
 	Message    string         `cbor:"9,keyasint,omitempty"`
-	Work       float64        `cbor:"10,keyasint,omitempty"`
+	Work       float64        `cbor:"10,keyasint,omitempty"` // fraction of the run that is done, 0 to 1
 	// Checkpointed is set on Stopped when the task's state was saved.
 	Checkpointed bool `cbor:"11,keyasint,omitempty"`
 	// Preempted is set on Stopped when a task of a higher class took the capacity.
@@ -257,7 +257,7 @@
 	Team          string         `cbor:"4,keyasint"`
 	Kind          spec.Kind      `cbor:"5,keyasint"`
 	NonIdempotent bool           `cbor:"6,keyasint,omitempty"`
-	Work          float64        `cbor:"7,keyasint,omitempty"`
+	Work          float64        `cbor:"7,keyasint,omitempty"` // fraction of the run that is done, 0 to 1
 	StartedMillis int64          `cbor:"8,keyasint,omitempty"` // age in ms when sent
 }
 
@@ -268,9 +268,9 @@
 	Attempt int         `cbor:"3,keyasint"`
 	Worker  worker.ID   `cbor:"4,keyasint"`
 	Zone    string      `cbor:"5,keyasint"`
-	Address string      `cbor:"6,keyasint"`
-	Slots   int         `cbor:"7,keyasint"`
-	Conns   int         `cbor:"8,keyasint"`
+	Address string      `cbor:"6,keyasint"` // host:port
+	Slots   int         `cbor:"7,keyasint"` // maximum number of concurrent requests
+	Conns   int         `cbor:"8,keyasint"` // maximum number of concurrent connections
 	// Leaving is set while the endpoint finishes its requests and gets no new
 	// ones.
 	Leaving bool `cbor:"9,keyasint,omitempty"`
