--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -69,7 +69,8 @@
 	Share float64
 }
 
-// Book holds the submissions, recent work and usage of each account.
+// Book holds the submissions, recent work and usage of each account. Its methods take
+// times as durations since an origin that the caller chooses.
 type Book struct {
 	policy   Policy
 	entitled Entitlement
@@ -88,8 +89,8 @@
 	tokensAt  time.Duration
 	submitted bool
 	over      uint64 // submissions that exceeded the entitlement
-	// late and all are the work of recently ended jobs, of the late ones and of all,
-	// decaying since workAt.
+	// all is the work in core-seconds of recently completed jobs, late that of the late
+	// ones among them; both decay since workAt.
 	late, all float64
 	workAt    time.Duration
 	use       float64 // recent usage in core-seconds, decaying since useAt
@@ -117,7 +118,7 @@
 	return a
 }
 
-// SetWeight sets an account's weight; 0 and less counts as 1.
+// SetWeight sets an account's weight; a weight of 0 or less counts as 1.
 func (b *Book) SetWeight(name string, weight float64) {
 	if weight <= 0 {
 		weight = 1
@@ -184,7 +185,8 @@
 func decay(d, over time.Duration) float64 { return math.Exp(-float64(max(d, 0)) / float64(over)) }
 
 // OrderTime returns the time by which a job is ordered among others of its priority: its due
-// time, shifted by at most maxShift times its objective.
+// time, shifted by at most maxShift times its objective. work is the job's work in
+// core-seconds.
 func (b *Book) OrderTime(name string, now, due, objective time.Duration, work float64) time.Duration {
 	return due - time.Duration(maxShift*b.advance(name, now, work)*float64(objective))
 }
