--- a/process/sched/cell_test.go
+++ b/process/sched/cell_test.go
@@ -32,10 +32,12 @@
 	accelerators int64
 }
 
-// guild is the Guild's cell, in which two of eight racks have accelerators.
+// guild has the VM size, racks and zones of platform.Guild. Two of its eight racks have
+// accelerators.
 var guild = shape{48, spec.Resources{MilliCPU: 16000, MemoryMB: 32768}, 6, 4, 4, 4}
 
-// authority is the Authority's cell, or a larger one with the same VMs.
+// authority has the VM size, rack size and zones of platform.Authority, and the given
+// number of workers.
 func authority(workers int) shape {
 	return shape{workers, spec.Resources{MilliCPU: 64000, MemoryMB: 131072}, 8, 3, 3, 8}
 }
--- a/process/sched/conflict_test.go
+++ b/process/sched/conflict_test.go
@@ -135,7 +135,7 @@
 
 // BenchmarkConflicts reports how many placements the owners of the partitions
 // refuse, with and without preferred partitions and with and without rebinding, in
-// the Guild's cell at a constant load. At 1,600 starts a second and a snapshot every
+// a cell of shape guild at a constant load. At 1,600 starts a second and a snapshot every
 // 50 ms, 6 schedulers place 13 tasks each on one snapshot.
 func BenchmarkConflicts(b *testing.B) {
 	for _, load := range []float64{0.6, 0.8} {
--- a/process/sched/gang/choose.go
+++ b/process/sched/gang/choose.go
@@ -33,8 +33,8 @@
 	return best
 }
 
-// compare orders racks on which the gang fits: those whose accelerators it would
-// waste last, and else the tighter one first.
+// compare orders racks on which the gang fits: first racks whose accelerators it
+// would not waste, and among equal ones the tighter rack.
 func (r *rackCapacity) compare(o *rackCapacity) int {
 	if r.wastesAccelerators != o.wastesAccelerators {
 		if o.wastesAccelerators {
--- a/process/sched/learning_test.go
+++ b/process/sched/learning_test.go
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkLearnedSizes fills the Guild's cell with misdeclared tasks, sized as
+// BenchmarkLearnedSizes fills a cell of shape guild with misdeclared tasks, sized as
 // declared or as learned from 20 tasks per job. It reports how much of the scarcer
 // resource is actually used, and how many of the 48 VMs exceed their CPU (tasks are
 // throttled) or memory (tasks are ended).
--- a/process/sched/packing_test.go
+++ b/process/sched/packing_test.go
@@ -156,7 +156,7 @@
 
 var mixes = []mix{{"balanced", 100, 100}, {"processors", 100, 60}, {"memory", 60, 100}}
 
-// BenchmarkPacking reports how full the Guild's cell is when the first task does not
+// BenchmarkPacking reports how full a cell of shape guild is when the first task does not
 // fit, over fixed seeds: the mean and the worst used share of the binding resource,
 // and the lower bound of the VMs needed for the same tasks.
 func BenchmarkPacking(b *testing.B) {
--- a/process/sched/score/demand.go
+++ b/process/sched/score/demand.go
@@ -18,8 +18,8 @@
 	// demandExponent determines how fast the weight falls as a dimension is used
 	// less than the other.
 	demandExponent = 6
-	// demandEven is the ratio of the used shares from which on both dimensions count
-	// as equally scarce.
+	// demandEven is the lowest ratio of the used shares at which both dimensions
+	// count as equally scarce.
 	demandEven = 0.85
 	// demandFloor is added to the used shares, so that the first few tasks in an idle
 	// cell have little influence.
--- a/process/sched/usage/runtime.go
+++ b/process/sched/usage/runtime.go
@@ -9,8 +9,8 @@
 
 // Parameters of the run time estimate.
 const (
-	// minRuns is the number of runs from which on they are used instead of the
-	// declared run time.
+	// minRuns is the number of successful runs that must be recorded before their
+	// run times replace the declared one.
 	minRuns = 3
 	// runPercentile of the run times, multiplied by runMargin, is the expected run
 	// time. It is a cautious estimate because work that is backfilled before a
