--- a/process/quota/quota.go
+++ b/process/quota/quota.go
@@ -64,8 +64,8 @@
 	share       int64
 	held        Size
 	unconfirmed Size // work that may run without having been reported
-	// waiting is work that only the limit keeps from starting; largest is the most of it
-	// that has to start together.
+	// waiting is work that only the limit keeps from starting; largest is the largest part
+	// of it that has to start at the same time, such as a gang.
 	waiting, largest Size
 }
 
@@ -136,7 +136,8 @@
 	l.waiting = l.waiting[:0]
 }
 
-// Usages returns the usage of all accounts with waiting work and of the accounts asked for.
+// Usages returns the usage of all accounts with waiting work and of the accounts named in
+// asked.
 func (l *Ledger) Usages(asked []string) []Usage {
 	var all []Usage
 	for _, a := range l.accounts {
--- a/process/quota/shares.go
+++ b/process/quota/shares.go
@@ -47,8 +47,8 @@
 type Usage struct {
 	Account string `cbor:"1,keyasint"`
 	Held    int64  `cbor:"2,keyasint,omitempty"`
-	// Waiting is work that only the share keeps from starting, and Largest the most of it
-	// that has to start together.
+	// Waiting is work that only the share keeps from starting. Largest is the largest part
+	// of it that has to start at the same time, such as a gang.
 	Waiting int64 `cbor:"3,keyasint,omitempty"`
 	Largest int64 `cbor:"4,keyasint,omitempty"`
 }
@@ -154,7 +154,8 @@
 // rebalance returns the next shares of one account; nil if they do not change.
 func (b *Balancer) rebalance(current *Shares, account string, usages []Usage) []int64 {
 	target := targetShares(usages)
-	// free is what no shard may use under current or holds above its share.
+	// free is the part of the cap that is neither assigned to a shard by current nor held
+	// by a shard in excess of its share.
 	free := int64(FullShare)
 	for shard, u := range usages {
 		free -= max(current.Of(account, shard, b.Shards), u.Held)
@@ -182,8 +183,8 @@
 }
 
 // targetShares divides a cap in proportion to what the shards hold and what waits in them.
-// The shard with the largest work that has to start together gets at least enough for it: a
-// proportional split could leave too little for the gang.
+// The shard with the largest Usage.Largest gets at least enough for it: a proportional split
+// could leave too little for the gang.
 func targetShares(usages []Usage) []int64 {
 	target := make([]int64, len(usages))
 	sum, largest := int64(0), 0
