--- a/process/partition/agenttest/agenttest.go
+++ b/process/partition/agenttest/agenttest.go
@@ -1,7 +1,7 @@
 // Package agenttest provides in-memory worker agents for tests of the owners of
 // workers. Leases, task leases and run times follow the clock, which may be
 // virtual. A Rack checks all its agents together and records every task that
-// runs twice at a time and every VM that runs more than its capacity.
+// runs twice at the same time and every VM that runs more than its capacity.
 package agenttest
 
 import (
--- a/process/partition/fence.go
+++ b/process/partition/fence.go
@@ -289,14 +289,14 @@
 }
 
 // earlierOwners tracks the previous owners of the partition until each is known
-// to act no more: it released the claim, it is this daemon itself, its VM left
-// the VM list, or its daemon runs as a newer incarnation. A member that merely
-// does not respond may still act.
+// to have stopped acting as owner: it released the claim, it is this daemon
+// itself, its VM left the VM list, or its daemon runs as a newer incarnation. A
+// member that merely does not respond may still act.
 type earlierOwners struct {
 	unreleased   map[peer.Ref]bool
 	lastReleased time.Time // when the last one was removed from unreleased
-	// acquired is when this owner acquired the claim; RenewBound later the
-	// authority of every earlier owner has expired.
+	// acquired is when this owner acquired the claim. After RenewBound from then
+	// no earlier owner may renew tasks any more.
 	acquired time.Time
 }
 
--- a/process/partition/memo.go
+++ b/process/partition/memo.go
@@ -59,7 +59,7 @@
 }
 
 // memoWritten records the outcome of a memo write. On success the stored memo
-// names workers and holds the limits up to seq limits.
+// names workers and holds the service limits as of sequence number limits.
 func (o *owner) memoWritten(earlierFenced bool, workers []string, limits uint64, err error) {
 	o.memoWriting = false
 	if err != nil {
--- a/process/partition/model.go
+++ b/process/partition/model.go
@@ -39,9 +39,10 @@
 	team          string
 	nonIdempotent bool
 	shard         plan.Shard
-	// jobUnknown is set while the configuration in force here is older than
-	// the task, limitsUnknown while the request and connection limits of an
-	// adopted service instance are not known; see resolveJob.
+	// jobUnknown is set while the configuration in force at this daemon is
+	// older than the task's generation, limitsUnknown while the request and
+	// connection limits of an adopted service instance are not known; see
+	// resolveJob.
 	jobUnknown, limitsUnknown bool
 
 	phase      phase
--- a/process/partition/resolve.go
+++ b/process/partition/resolve.go
@@ -6,9 +6,9 @@
 )
 
 // unknownShard is the shard of an adopted task whose job is declared by a later
-// configuration than the one in force here. Its events are kept until that
-// configuration is in force: the owner of another shard would stop the task,
-// and the owner of its shard would not receive them.
+// configuration than the one in force at this daemon. Its events are kept until
+// that configuration is in force: the owner of another shard would stop the
+// task, and the owner of its shard would not receive them.
 const unknownShard plan.Shard = -1
 
 // resolveJob fills in the attributes of an adopted task that the worker does
@@ -56,7 +56,7 @@
 }
 
 // resolveUnknownJobs calls resolveJob again for tasks that were adopted before
-// the configuration that declares them was in force here.
+// the configuration that declares them was in force at this daemon.
 func (o *owner) resolveUnknownJobs() {
 	c := o.h.o.Config.Current()
 	if c.Version == o.resolvedVersion {
