--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -54,7 +54,7 @@
 // Options configure a Controller; zero values take the defaults.
 type Options struct {
 	// CallerRate limits the requests per second of one caller at this daemon; 0 means no limit.
-	// CallerBurst is the size of the token bucket.
+	// CallerBurst is the size of the token bucket; by default it holds the requests of one second.
 	CallerRate  float64
 	CallerBurst int
 	// MaxCallers limits the number of callers whose rate is tracked.
@@ -65,9 +65,10 @@
 	// window is not reduced to keep the fair order: every admitted request gets a slot as soon
 	// as its grant has arrived. nil means that slots are always short.
 	Saturated func(service string) bool
-	// Window is the maximum number of requests of a service that wait in the slots' own order.
+	// Window is the maximum number of admitted requests of a service that wait for a slot. Slots
+	// are granted in order of arrival, without regard to teams.
 	Window int
-	// MaxQueue limits the requests of a service that wait before the window.
+	// MaxQueue limits the requests of a service that are queued for a place in the window.
 	MaxQueue int
 }
 
@@ -144,8 +145,8 @@
 	return c.queue(r.Service).check(r, time.Now())
 }
 
-// RetryAfter returns the delay after which a caller should retry whose request was refused, as not
-// run, for a reason outside Enter: because no slot was granted, or the daemon is overloaded.
+// RetryAfter returns the retry delay for a request that was refused as not run for a reason outside
+// Enter: because no slot was granted, or the daemon is overloaded.
 func (c *Controller) RetryAfter(service string) time.Duration {
 	q := c.queue(service)
 	q.mu.Lock()
@@ -170,7 +171,7 @@
 	return q
 }
 
-// Waiting returns how many requests of the service wait before the window.
+// Waiting returns how many requests of the service are queued for a place in the window.
 func (c *Controller) Waiting(service string) int {
 	q := c.queue(service)
 	q.mu.Lock()
@@ -178,7 +179,7 @@
 	return q.waiting
 }
 
-// TotalWaiting returns how many requests of all services wait before their windows.
+// TotalWaiting returns how many requests of all services are queued for a place in their windows.
 func (c *Controller) TotalWaiting() int {
 	c.mu.RLock()
 	defer c.mu.RUnlock()
--- a/request/admission/queue.go
+++ b/request/admission/queue.go
@@ -121,8 +121,8 @@
 	return q.serviceRate.window(q.opts.Window, now)
 }
 
-// windowOpen reports whether a request is admitted at once. Admitted requests wait too, in the
-// slots' own order.
+// windowOpen reports whether a request is admitted at once. An admitted request may still have to
+// wait for its slot.
 func (q *queue) windowOpen(now time.Time) bool {
 	return q.waiting == 0 && q.admitted < q.window(now)
 }
@@ -197,8 +197,8 @@
 	return q.serviceRate.wait(q.admitted+min(own, q.waiting+1), now)
 }
 
-// evictFor makes room for a team that has less than its share of the full queue: it evicts the
-// request with the latest deadline of the team that has most.
+// evictFor makes room for a team that has less than its share of the full queue: of the team that
+// has most requests queued for its weight, it evicts the one with the latest deadline.
 func (q *queue) evictFor(t *team, now time.Time) bool {
 	most := t
 	for _, other := range q.teams {
--- a/request/admission/retryschedule.go
+++ b/request/admission/retryschedule.go
@@ -46,8 +46,8 @@
 	r.last = now
 }
 
-// delay returns after how long a caller should retry whose request would have waited for
-// wait.
+// delay returns the retry delay for the caller of a refused request; wait is how long the request
+// would have waited.
 func (r *retrySchedule) delay(wait time.Duration, now time.Time) time.Duration {
 	if earliest := now.Add(wait); r.until.Before(earliest) {
 		r.until = earliest
--- a/request/admission/servicerate.go
+++ b/request/admission/servicerate.go
@@ -6,17 +6,17 @@
 )
 
 const (
-	// rateDecay is the time constant, in seconds during which requests wait, over which starts
-	// are counted. It spans several bursts, because slots that were taken together are released
-	// together.
+	// rateDecay is the time constant of the decaying counts of starts and of busy time, in
+	// seconds; only time during which requests wait counts. It spans several bursts, because
+	// slots that were taken together are released together.
 	rateDecay = 1.0
 	// minStarts is the number of starts needed for an estimate.
 	minStarts = 4
-	// initialWaitShare is the initial fraction of the time to the deadline that may be spent
-	// waiting by the estimate; the rest is a margin for the estimate's error. The fraction is
-	// multiplied by lateFactor with each request that waited and ended late, and rises by
-	// inTimeStep with each that waited and ended in time, so that about 1 in 70 of the requests
-	// that waited ends late.
+	// initialWaitShare is the initial value of the wait share: the estimated wait, divided by this
+	// share, plus the shortest service time must fit into the time to the deadline. The rest is a
+	// margin for the estimate's error. The share is multiplied by lateFactor with each request
+	// that waited and ended late, and rises by inTimeStep with each that waited and ended in
+	// time, so that about 1 in 70 of the requests that waited ends late.
 	initialWaitShare = 0.8
 	minWaitShare     = 0.4
 	lateFactor       = 0.95
@@ -101,8 +101,9 @@
 	return r.busy*decay + passed, r.starts * decay
 }
 
-// window returns how many requests may wait in the slots' own order so that they wait there for
-// about windowWait. The fair order between teams does not apply to requests that wait there.
+// window returns how many admitted requests may wait for a slot, chosen so that they wait for about
+// windowWait. Slots are granted in order of arrival: the fair order between teams does not apply
+// to admitted requests.
 func (r *serviceRate) window(limit int, now time.Time) int {
 	interval := r.interval(now)
 	if interval <= 0 {
--- a/request/forward/conn.go
+++ b/request/forward/conn.go
@@ -178,11 +178,10 @@
 func (c *conn) matchedByOrder() bool { return !c.secure && !c.echoes.Load() }
 
 // Read implements net.Conn. It closes the connection when bytes arrive that
-// cannot belong to the request in progress: those that arrive before the
-// request is written, and those that were sent before the other side had
-// received a byte of it, which shows in that no byte of it is acknowledged. They
-// are a late or duplicate answer to an earlier request, and would reach the
-// wrong caller.
+// cannot belong to the request in progress, because none of it has been written,
+// or because the other side has not acknowledged a byte of it. Such bytes are a
+// late or duplicate answer to an earlier request, and would reach the wrong
+// caller.
 func (c *conn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n == 0 || c.secure {
--- a/request/forward/doc.go
+++ b/request/forward/doc.go
@@ -11,8 +11,8 @@
 //   - an answer to another request is never returned for this one when the
 //     endpoint echoes RequestIDHeader in its answers. Without the echo, HTTP/1.1
 //     matches answers to requests by their order only; then an answer is still
-//     rejected when it arrives before the request is written, or when the
-//     endpoint's side had not received a byte of the request when it sent it;
+//     rejected when it arrives before the request is written, or while no byte
+//     of the request has been acknowledged by the endpoint's side;
 //   - a truncated body results in an error, never in io.EOF; so does one with
 //     neither Content-Length nor chunks, whose end cannot be distinguished from
 //     a broken connection;
--- a/request/forward/forward.go
+++ b/request/forward/forward.go
@@ -79,11 +79,11 @@
 	return &Forwarder{opts: o, targets: map[targetKey]*target{}}
 }
 
-// IdleShare returns how many idle connections each of members daemons may keep
-// to an endpoint: an even share of what the endpoint's connection limit leaves
-// after one connection per slot. The requests of all daemons together use at
-// most slots connections, because each holds a slot, so that idle and used
-// connections together stay within the limit.
+// IdleShare returns how many idle connections each daemon, of the given number of
+// members, may keep to an endpoint: an even share of what the endpoint's
+// connection limit leaves after one connection per slot, and at most one per
+// slot. Each request in progress holds a slot, so idle and used connections of
+// all daemons together stay within the limit.
 func IdleShare(connections, slots, members int) int {
 	if members < 1 {
 		members = 1
--- a/request/forward/target.go
+++ b/request/forward/target.go
@@ -13,8 +13,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// targetKey identifies one run of an instance, so that a connection to an
-// earlier task at the same address is never used for a later one.
+// targetKey identifies one attempt of a service's task at one address, so that a
+// connection to an earlier task at the same address is never used for a later one.
 type targetKey struct {
 	address string
 	task    spec.TaskID
@@ -105,7 +105,7 @@
 	t.notifyLocked()
 }
 
-// notifyLocked wakes dials that wait for a connection in reserve.
+// notifyLocked wakes the dials that are waiting in the reserve method.
 func (t *target) notifyLocked() {
 	close(t.changed)
 	t.changed = make(chan struct{})
--- a/request/gateway/bench_test.go
+++ b/request/gateway/bench_test.go
@@ -133,7 +133,7 @@
 }
 
 // inRandomOrder calls f with each target's index, in a new random order each time: in a
-// fixed order a target measured a twentieth faster or slower because of the one before it.
+// fixed order a target appeared 5 % faster or slower, depending on the target before it.
 func inRandomOrder(rng *rand.Rand, targets int, f func(i int)) {
 	for _, i := range rng.Perm(targets) {
 		f(i)
@@ -142,8 +142,8 @@
 
 func newRand() *rand.Rand { return rand.New(rand.NewPCG(1, 1)) }
 
-// BenchmarkThroughput sends each target a round of requests per block, which is
-// one operation. The CPU time includes that of the callers and the endpoint.
+// BenchmarkThroughput sends each target a round of requests per block; one
+// iteration is one block. The CPU time includes that of the callers and the endpoint.
 func BenchmarkThroughput(b *testing.B) {
 	targets, c := benchTargets(b), benchClient(b)
 	rates, used := make([]spread, len(targets)), make([]spread, len(targets))
@@ -225,9 +225,9 @@
 	}
 }
 
-// offer sends requests at a fixed rate, without waiting for their answers (an
-// open loop). Latency is to be measured from the time due at which a request
-// should have been sent.
+// offer calls send n times at a fixed rate per second, without waiting for the
+// answers (an open loop). send must measure latency from due, the time at which
+// the request should have been sent.
 func offer(n int, rate float64, send func(i int, due time.Time)) {
 	var wg sync.WaitGroup
 	start := time.Now()
--- a/request/gateway/gateway.go
+++ b/request/gateway/gateway.go
@@ -49,7 +49,7 @@
 	idSeq    atomic.Uint64
 
 	inFlight    atomic.Int64
-	lastArrival atomic.Int64 // of a caller's request while not serving, in Unix nanoseconds
+	lastArrival atomic.Int64 // Unix nanoseconds; arrival of the last caller's request since Drain began
 	shares      shares
 	bodies      bodyMemory
 	state       atomic.Int32
@@ -206,8 +206,8 @@
 // Drain stops the gateway gracefully. For the grace period it keeps serving
 // while its readiness check fails, so that the load balancer moves to other
 // daemons, and for longer while new requests still arrive. Then it refuses new
-// requests as not run and waits until those in progress have completed or ctx
-// is done.
+// requests as not run and waits until those in progress have completed. It
+// returns the error of ctx when ctx is done first.
 func (g *Gateway) Drain(ctx context.Context, grace time.Duration) error {
 	g.state.CompareAndSwap(serving, unready)
 	_ = sleep.For(ctx, grace) // an ended ctx is detected by the loops below
--- a/request/gateway/memory.go
+++ b/request/gateway/memory.go
@@ -16,8 +16,9 @@
 var errBodyMemory = errors.New("this daemon holds too many bodies of requests with keys in memory")
 
 // bodyMemory bounds the total size of the keyed requests' bodies in memory, and
-// that of one caller's to half of it. These bodies are read before admission,
-// and without a bound the requests in progress could hold gigabytes of them.
+// the share of one caller to half of that bound. These bodies are read before
+// admission, and without a bound the requests in progress could hold gigabytes
+// of them.
 type bodyMemory struct {
 	total     *semaphore.Weighted
 	callerMax int64
--- a/request/gateway/memory_test.go
+++ b/request/gateway/memory_test.go
@@ -53,8 +53,8 @@
 
 func TestKeyedBodiesAreBoundedTogether(t *testing.T) {
 	// Guards against a daemon that runs out of memory because an instance hangs
-	// while many callers send keyed requests with large bodies. The bodies are
-	// held from before admission on, and the limit on requests alone allows 4 GB
+	// while many callers send keyed requests with large bodies. The bodies are in
+	// memory already before admission, and the limit on requests alone allows 4 GB
 	// of them.
 	const body = 64 << 10
 	c := newCell(t, 1, 0, Options{KeyedBodyMemory: 4 * body})
--- a/request/gateway/options.go
+++ b/request/gateway/options.go
@@ -94,7 +94,8 @@
 	OnLeaving func(address string)
 	// Keys is the table of idempotency keys; if nil, requests with keys are refused.
 	Keys idem.Table
-	// Peers sends keyed requests to other daemons' ForwardAddr.
+	// Peers sends keyed requests to other daemons' ForwardAddr; if nil, requests with
+	// keys that another daemon owns are refused.
 	Peers *forward.Forwarder
 	// AllowPlainPeers accepts forwarded requests without mutual TLS, for tests
 	// and for the demo on loopback.
--- a/request/gateway/peer.go
+++ b/request/gateway/peer.go
@@ -27,7 +27,7 @@
 	ownerMarginDivisor = 10
 )
 
-// ownerMargin is how much earlier than this daemon the key owner gives up a request, so that
+// ownerMargin is how much earlier than this daemon the key owner gives up on a request, so that
 // the owner's answer, which has the more precise verdict, arrives in time. The owner's timeout
 // starts when it reads the request, which is late when either daemon is short of CPU time.
 func ownerMargin(remaining time.Duration) time.Duration {
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -94,9 +94,9 @@
 }
 
 func TestPausedHomeIsFenced(t *testing.T) {
-	// Guards against a key that two daemons send: the old owner begins a key and is
-	// suspended before its intent, a new owner takes over and runs the key, and the
-	// old one resumes while it still assumes that it owns the shard.
+	// Guards against a request that two daemons send: the old owner of its key begins
+	// it and is suspended before its intent, a new owner takes over and runs it, and
+	// the old one resumes while it still assumes that it owns the shard.
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 2, nil)
 		defer c.close()
--- a/request/idem/log.go
+++ b/request/idem/log.go
@@ -98,8 +98,8 @@
 }
 
 // append makes the record durable. After an error the request must not be
-// sent. The record may be in the log nevertheless, and is then marked as not
-// run by the next write.
+// sent. The record may be in the log nevertheless; the next write then removes
+// it or marks it as not run.
 func (l *keyLog) append(ctx context.Context, r record) error {
 	in := &intent{record: r, queued: time.Now(), result: make(chan error, 1)}
 	if err := l.enqueue(in); err != nil {
--- a/request/outlier/compare.go
+++ b/request/outlier/compare.go
@@ -31,7 +31,7 @@
 }
 
 // eject keeps requests away from the instance, unless more than MaxEjected would be ejected. Its
-// statistics start anew, so that later decisions use only what it does afterwards.
+// statistics are reset, so that later decisions use only attempts made afterwards.
 func (t *Tracker) eject(i *instance) {
 	now := time.Now()
 	if now.Before(i.until) {
--- a/request/outlier/outlier.go
+++ b/request/outlier/outlier.go
@@ -38,16 +38,17 @@
 	// MaxEjected is the largest share of a service's instances that may be ejected.
 	MaxEjected float64
 	// Ejection is the duration of the first ejection; it doubles, up to MaxEjection, with each
-	// further ejection that follows soon.
+	// further ejection that begins within MaxEjection of the end of the previous one.
 	Ejection, MaxEjection time.Duration
 	// MinSamples is how many answers an instance must have returned before it is compared with
 	// others.
 	MinSamples int
 	// ErrorMargin is by how much an instance's share of error answers must exceed the median of
-	// its service to eject it.
+	// its service's other instances to eject it.
 	ErrorMargin float64
-	// SlowFactor is the multiple of its service's median time to the answer's header that an
-	// instance's mean must exceed to be ejected; the difference must also exceed SlowMinimum.
+	// SlowFactor and SlowMinimum apply to the mean time until the answer's header. An instance is
+	// ejected when its mean exceeds SlowFactor times the median of its service's other instances,
+	// and exceeds that median by more than SlowMinimum.
 	SlowFactor  float64
 	SlowMinimum time.Duration
 }
--- a/request/retry/retry.go
+++ b/request/retry/retry.go
@@ -115,8 +115,8 @@
 }
 
 // Next reports whether a request whose attempt failed with this verdict may be tried again,
-// after delay. left is the time until its deadline: a retry that could not begin before it is
-// refused, so that the caller gets the error at once. reached reports whether the attempt
+// after delay. left is the time until its deadline: a retry is refused if it could not begin
+// by then, so that the caller gets the error at once. reached reports whether the attempt
 // reached an endpoint. One that did not has put no load on an endpoint and is not charged to the
 // budget; otherwise the loss of a zone, where a third of the first attempts find no connection,
 // would use up the budget and fail requests that other instances could serve.
--- a/request/slots/churn_test.go
+++ b/request/slots/churn_test.go
@@ -37,7 +37,7 @@
 // outages of the store and changes of endpoints, in random sequences; see churn.fault.
 //
 // It guards against an instance that gets more requests at once than it has slots, a waiter that
-// is never answered, and slots that are lost for good: a slot is counted as free while a holder
+// is never answered, and slots that are lost permanently: a slot is counted as free while a holder
 // may still use it, or the reverse.
 func TestChurnNeverExceedsSlots(t *testing.T) {
 	seeds := 6
@@ -73,7 +73,7 @@
 	}
 	c.heal()
 	c.drain()
-	// Longer than twice the time until a credit, a request and the margins expire.
+	// Longer than twice the sum of TTL, request limit and margins.
 	time.Sleep(90 * time.Second)
 	c.requireAllSlots(c.daemons["d1"], churnInstances*churnSlots)
 	require.Positive(t, c.instances.started, "seed %d", seed)
@@ -95,7 +95,8 @@
 	go func() { c.done <- c.churnRequest(d, service, unknown) }()
 }
 
-// churnRequest may abandon the request while the instance still works on it.
+// churnRequest makes one request. With unknown set, it releases the slot with outcome Unknown while
+// the instance still works on the request.
 func (c *churn) churnRequest(d *daemon, service time.Duration, unknown bool) error {
 	if !unknown {
 		_, err := c.request(d, churnWait, service)
@@ -238,8 +239,8 @@
 	}
 }
 
-// removeForOthers disconnects an owner whose lease has expired from every daemon that reaches
-// the store, as the rule requires under which it is listed as removed.
+// removeForOthers marks an owner whose lease has expired as ended at every daemon that reaches the
+// store, and disconnects it from them: a member counts as ended only while probes of it fail.
 func (c *churn) removeForOthers(old *daemon) {
 	for _, o := range c.daemons {
 		if o != old && o.disconnectedAt().IsZero() {
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -329,7 +329,8 @@
 	}
 }
 
-// returnCredit ends a credit that is in no list; the next report returns it to the pool.
+// returnCredit ends a credit that is neither in use nor in h.idle; the next report returns it to
+// the pool.
 func (h *holder) returnCredit(c *credit) {
 	delete(h.credits, c.id)
 	h.returned = append(h.returned, c.id)
@@ -337,7 +338,7 @@
 }
 
 // reclaim keeps credits whose return the receiver refused because it no longer owns the pool: no
-// other daemon has been granted them, and the next owner asks for the credits that are held.
+// other daemon has been granted them, and the next owner collects the credits that are held.
 //
 // Otherwise, while slots are short, each credit would be returned after its use, and between two
 // owners no daemon could grant it again: a service would serve nothing for seconds during a
@@ -369,7 +370,9 @@
 	if !r.Full {
 		return
 	}
-	for id := range h.pendingReturns { // sent in the reply to a push, unless still to be reported
+	// The pool also frees credits that were returned in the reply to a push, since the full report
+	// does not list them. Those in h.returned are still to be reported.
+	for id := range h.pendingReturns {
 		if !slices.Contains(h.returned, id) {
 			delete(h.pendingReturns, id)
 		}
--- a/request/slots/leave.go
+++ b/request/slots/leave.go
@@ -13,12 +13,12 @@
 
 // ReturnIdle returns every idle credit to its pool and keeps none from then on. Call it on a
 // planned stop, when no request waits any more and before the membership ends, since pools
-// accept no report from a daemon that is no member. It returns when each pool has answered; the
-// error reports that ctx, or the time for which the credits are valid, ended before.
+// accept no report from a daemon that is not a member. It returns when each pool has answered, or
+// with an error when ctx is done or Options.TTL has passed first.
 //
-// Otherwise the credits that a stopping daemon keeps in reserve would count as taken until they
+// Without it, the credits that a stopping daemon keeps in reserve would count as taken until they
 // have expired and requests begun under them would have reached their limit: during each upgrade
-// callers would wait beside idle instances.
+// callers would wait although instances are idle.
 func (m *Manager) ReturnIdle(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, m.opts.TTL)
 	defer cancel()
--- a/request/slots/leave_test.go
+++ b/request/slots/leave_test.go
@@ -30,9 +30,10 @@
 	return c
 }
 
-// TestPlannedStopReturnsIdleCredits guards against callers that wait beside idle slots during a
-// rolling upgrade: the credits in reserve at a stopping daemon count as taken until they expire,
-// unless it returns them, also when a call is lost or the pool has just got a new owner.
+// TestPlannedStopReturnsIdleCredits guards against callers that wait although slots are idle
+// during a rolling upgrade: the credits in reserve at a stopping daemon count as taken until they
+// expire, unless it returns them. It must do so even when a call is lost or the pool has just got
+// a new owner.
 func TestPlannedStopReturnsIdleCredits(t *testing.T) {
 	for name, disturb := range map[string]func(*cell){
 		"same owner": func(*cell) {},
--- a/request/slots/limits.go
+++ b/request/slots/limits.go
@@ -25,7 +25,8 @@
 func AttemptLimit(requestTimeout time.Duration) time.Duration { return AttemptFactor * requestTimeout }
 
 // RequestLimits returns a function for Options.RequestLimit: the AttemptLimit of the services'
-// request timeouts in the configuration in force.
+// request timeouts in the configuration in force. For a service without a timeout it is that of
+// DefaultRequestLimit.
 func RequestLimits(source spec.Source) func(service string) (time.Duration, bool) {
 	return func(service string) (time.Duration, bool) {
 		job, ok := source.Current().Jobs[service]
@@ -80,7 +81,7 @@
 }
 
 // of returns the longest limit of the service under which requests may still run; for an unknown
-// service, the limit of a service without one of its own.
+// service, the AttemptLimit of DefaultRequestLimit.
 func (l *limits) of(service string) time.Duration {
 	if limit, ok := l.lookup(service); ok {
 		return limit
--- a/request/slots/limits_test.go
+++ b/request/slots/limits_test.go
@@ -64,7 +64,7 @@
 		name    string
 		lowered bool // after the requests began
 		owner   bool // the pool gets a new owner
-		fresh   bool // whose daemon has started after the change
+		fresh   bool // the new owner's daemon has started after the change
 	}{
 		{"raised", false, false, false},
 		{"raised, new owner", false, true, false},
--- a/request/slots/options.go
+++ b/request/slots/options.go
@@ -48,8 +48,8 @@
 	// every name. See RequestLimits.
 	RequestLimit func(service string) (time.Duration, bool)
 
-	// LeaseRenewed returns the beginning of the last successful renewal of this
-	// daemon's store lease; nil means that the lease is always fresh.
+	// LeaseRenewed returns the time at which the last successful renewal of this
+	// daemon's store lease began; nil means that the lease is always fresh.
 	LeaseRenewed func() time.Time
 	// Settle reports to the ownership manager that every earlier owner of a pool is accounted
 	// for; nil when earlier owners are not tracked.
--- a/request/slots/pool.go
+++ b/request/slots/pool.go
@@ -77,8 +77,8 @@
 	low         bool
 	recalled    bool      // a recall is in flight
 	recallAfter time.Time // it had nothing to return; no recall until then
-	// unreachableUntil is the time until which nothing is sent to the holder, unless it
-	// reports before.
+	// unreachableUntil is the time until which nothing is sent to the holder, unless a report
+	// from it arrives earlier.
 	unreachableUntil time.Time
 	queue            []granted
 	pushing          bool
@@ -143,9 +143,9 @@
 	}
 }
 
-// authorized reports whether this owner may still grant and renew. Slots use the longer of the
-// two authority limits: the credits held by the daemons stay in use through an outage of the
-// store.
+// authorized reports whether this owner may still grant and renew. Both use the longer of the two
+// limits of Directory.Authority, so that the credits held by the daemons stay in use through an
+// outage of the store.
 func (p *pool) authorized() bool {
 	if p.frozen {
 		return false
@@ -274,7 +274,7 @@
 	p.endTakeover(now)
 	limit := p.limit()
 	for _, h := range p.holders {
-		// A member that is listed as removed may only be unreachable from here: it too may start
+		// A member that is listed as removed may merely be unreachable from here: it too may start
 		// requests until its credits expire.
 		if now.After(h.expires.Add(limit + p.m.opts.Margin)) {
 			p.dropHolder(h)
@@ -321,8 +321,8 @@
 
 // confirm drops the batches up to lastBatch, and those sent so long ago that they are lost.
 //
-// When an answer with grants is lost, its waiter would otherwise count as served, and wait
-// beside free slots.
+// Otherwise, when an answer with grants is lost, the waiters that they were meant for would count
+// as served, and would wait although slots are free.
 func (h *holderState) confirm(lastBatch uint64, lostBefore time.Time) {
 	retained := h.inFlight[:0]
 	for _, b := range h.inFlight {
--- a/request/slots/slots_test.go
+++ b/request/slots/slots_test.go
@@ -39,8 +39,8 @@
 	})
 }
 
-// TestSlotsAreShortOnlyWhileAllAreTaken guards against admission that holds requests back beside
-// free slots, or admits all of them at once when there are none.
+// TestSlotsAreShortOnlyWhileAllAreTaken guards against admission that holds requests back while
+// slots are free, or admits all of them at once when there are none.
 func TestSlotsAreShortOnlyWhileAllAreTaken(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 1, 2)
--- a/request/slots/takeover.go
+++ b/request/slots/takeover.go
@@ -105,7 +105,7 @@
 		case p.replaced(owner) || now.Sub(t.began) > p.m.opts.AuthorityBound:
 			p.resolve(owner, now)
 		case p.m.opts.Members.HasEnded(owner) && p.m.recentMajority(t.members()):
-			// A removed member may just be unreachable. An owner that has lost the store stops
+			// A removed member may merely be unreachable. An owner that has lost the store stops
 			// once it has received nothing from a majority for a TTL, and the majority that
 			// answered here refuses it from now on.
 			p.resolve(owner, now.Add(p.m.opts.TTL))
@@ -145,7 +145,7 @@
 	}
 }
 
-// awaitsCollection reports whether the takeover has still to collect from the holder.
+// awaitsCollection reports whether the takeover still has to collect from the holder.
 //
 // Until then the holder cannot renew, so its credits expire before the takeover ends. Otherwise
 // it could renew with this owner and continue to use credits of an earlier one, whose slots this
@@ -255,8 +255,9 @@
 	}
 }
 
-// adoptOne moves a slot from the blocked ones to the holder. It does nothing when every slot of
-// the instance is accounted for otherwise.
+// adoptOne moves a slot from the blocked ones to the holder. It does nothing when the credit is
+// recorded already or is not from an earlier epoch, or when the instance is listed and all its
+// slots are accounted for.
 func (p *pool) adoptOne(h *holderState, id creditID, at instanceID) {
 	if _, ok := p.credits[id]; ok || uint64(id)>>serialBits >= p.epoch {
 		return
--- a/request/submit/hedge.go
+++ b/request/submit/hedge.go
@@ -27,8 +27,9 @@
 	maxAttempts = 3
 )
 
-// forwardFirstFor is how long other daemons are tried first after one has written a job when the
-// store had not answered here: until the timeout of that write gives newer information.
+// forwardFirstFor is how long submissions are sent to other daemons first, after another daemon has
+// written a job for which the store had not answered this one. By then this daemon's own write of
+// the job has been answered or has timed out, which shows whether the store can be reached.
 const forwardFirstFor = writeTimeout
 
 // forwardFirst reports whether another daemon is likely to write a job sooner than this one.
--- a/request/submit/shards.go
+++ b/request/submit/shards.go
@@ -10,14 +10,14 @@
 )
 
 // Shards serves the job requests of a cell that may be divided into shards. A job is in the shard
-// that its id maps to or, if it was submitted before the division, in shard 0.
+// that its id maps to or, if it was submitted before the cell was divided, in shard 0.
 type Shards struct {
 	// Of returns the services of all shards and the shard of a job; an error while the shard
 	// layout is unknown.
 	Of func(id work.JobID) (all []*Service, shard int, err error)
 }
 
-// Submit accepts a job. The error is a *verdict.Error.
+// Submit accepts a job, as Service.Submit does.
 func (p Shards) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
 	all, shard, err := p.Of(id)
 	if err != nil {
@@ -73,7 +73,8 @@
 	return x, err
 }
 
-// Pending returns the number of a queue's jobs that have not begun, over all shards.
+// Pending returns the number of a queue's jobs that have not begun, over all shards, as
+// Service.Pending does.
 func (p Shards) Pending(ctx context.Context, queue string) (int, error) {
 	all, _, err := p.Of("")
 	if err != nil {
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -17,8 +17,8 @@
 )
 
 // shardedCell returns one daemon's job service for a cell of two shards. The daemon has read the
-// layout of the given revision; by it, all jobs but those submitted before the division belong
-// to the second shard.
+// layout of the given revision, by which all jobs belong to the second shard, except those that
+// were submitted before the cell was divided.
 func shardedCell(m *kv.Memory, revision store.Revision) Shards {
 	service := func(shard int) *Service {
 		s := store.Transactor(m)
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -47,8 +47,8 @@
 	// probeTimeout bounds the read that tests whether the store answers.
 	probeTimeout = 300 * time.Millisecond
 	// refusalAge is how long after a refused call further calls are refused without trying the
-	// store. The daemon's lease is renewed as often, and a successful renewal shows that the
-	// store is back.
+	// store. Meanwhile the renewal of the daemon's lease is retried every 100 ms, and its success
+	// shows that the store is available again.
 	refusalAge = 150 * time.Millisecond
 	// writeTimeout bounds one attempt of a write.
 	writeTimeout = 600 * time.Millisecond
@@ -92,7 +92,7 @@
 	StoreTimeout *store.AdaptiveTimeout
 	View         *lead.View
 	Peers        Caller
-	// Leading returns the host of this daemon's term, nil when it does not lead.
+	// Leading returns the host of this daemon's term of leadership, nil when it is not the leader.
 	Leading func() *dispatch.Host
 	// Preconditions returns the checks of a submission beyond the job's own keys; nil for none.
 	Preconditions func(id work.JobID) Preconditions
@@ -161,7 +161,8 @@
 	return &verdict.Error{Verdict: verdict.MayHaveRun, Status: http.StatusGatewayTimeout, Code: CodeUnknown, Err: err}
 }
 
-// Submit accepts a job. The error is a *verdict.Error.
+// Submit accepts a job and sets its Epoch, AcceptedBy and SpecStored. The error is a
+// *verdict.Error.
 func (s *Service) Submit(ctx context.Context, id work.JobID, j *work.Job) error {
 	j.Epoch, j.AcceptedBy, j.SpecStored = s.o.View.Epoch(), s.o.Peer, j.Spec != ""
 	sub, err := newSubmission(id, j)
@@ -512,8 +513,8 @@
 // is none.
 //
 // Without it, a job that ended while the store was slow could be shown as completed and later as
-// running again: its leader fails before it has moved the final state from the batch to the job's
-// own key.
+// running again, if the leader fails before it has moved the final state from the batch to the
+// job's own key.
 func (s *Service) batched(ctx context.Context, id work.JobID, own *work.Progress) (*work.Progress, error) {
 	var entries []store.Entry
 	err := s.o.StoreTimeout.Call(ctx, func(ctx context.Context) (err error) {
@@ -530,7 +531,7 @@
 }
 
 // Pending returns the number of a queue's jobs that have not begun; the number may be up to
-// pendingAge old.
+// pendingAge (1.5 s) old. The error is a *verdict.Error.
 func (s *Service) Pending(ctx context.Context, queue string) (int, error) {
 	var r pendingReply
 	err := s.askLeader(ctx, func(ctx context.Context, h *dispatch.Host) (err error) {
--- a/request/verdict/body.go
+++ b/request/verdict/body.go
@@ -8,7 +8,7 @@
 	"strconv"
 )
 
-// Headers of error answers beside Header.
+// Headers of error answers in addition to Header.
 const (
 	// CodeHeader repeats the code of the body.
 	CodeHeader = "Fennel-Code"
