--- a/connection/peer/backoff.go
+++ b/connection/peer/backoff.go
@@ -21,8 +21,8 @@
 	failed map[string]dialFailure // by address
 }
 
-// dialFailure is the last failed handshake with an address; no other one is tried
-// before until.
+// dialFailure is the last failed handshake with an address; the next one is tried
+// at the time until or later.
 type dialFailure struct {
 	err   error
 	pause time.Duration
--- a/connection/peer/link.go
+++ b/connection/peer/link.go
@@ -53,7 +53,7 @@
 func (l *link) alive() bool { return l.conn.Context().Err() == nil }
 
 func (l *link) close(code quic.ApplicationErrorCode, why string) {
-	// The only error is that the connection was closed before.
+	// The only possible error is that the connection is closed already.
 	_ = l.conn.CloseWithError(code, why)
 }
 
--- a/connection/peer/node_test.go
+++ b/connection/peer/node_test.go
@@ -148,7 +148,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
 		err := client.Call(ctx, to, "wait", nil, nil)
-		// The handler's context may end first, whose error is then the reply.
+		// If the handler's context ends first, the reply is the error of that context.
 		var r *RemoteError
 		require.True(t, errors.As(err, &r) || errors.Is(err, ErrUnknown), "%v", err)
 		require.False(t, NotRun(err), "%v", err)
--- a/connection/peer/peertest/network.go
+++ b/connection/peer/peertest/network.go
@@ -1,7 +1,8 @@
 // Package peertest is an in-memory peer network for tests. Calls are encoded as
 // CBOR, so that the two sides share no memory, as over a socket. Messages can be
-// lost, delayed, cut or held. It waits by timers and channels only and works
-// inside a testing/synctest bubble.
+// lost or delayed, members cut off from each other, and incarnations paused. The
+// network waits by timers and channels only, so it works inside a testing/synctest
+// bubble.
 package peertest
 
 import (
--- a/connection/runner/directory.go
+++ b/connection/runner/directory.go
@@ -9,7 +9,9 @@
 
 // Change is the current registration of a worker, or the removal of its entry.
 type Change struct {
-	Worker  Worker // if Removed, only the id is set: of an incarnation, or the name for any incarnation
+	// Worker is the registration. If Removed is set, only its ID is set: that of one
+	// incarnation, or the worker's name, which stands for all its incarnations.
+	Worker  Worker
 	Removed bool
 }
 
@@ -19,7 +21,9 @@
 // If some entries cannot be read, methods return an error together with the
 // entries that could be read; the revision is then not 0.
 type Directory interface {
+	// List returns all entries and the revision to watch from.
 	List(ctx context.Context) ([]Worker, store.Revision, error)
-	// Watch returns the changes later than after; it waits up to wait for one.
+	// Watch waits up to wait for changes later than after. It returns them, none after
+	// wait, with the revision to pass next.
 	Watch(ctx context.Context, after store.Revision, wait time.Duration) ([]Change, store.Revision, error)
 }
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -81,14 +81,14 @@
 	// ErrRestarted means that the address belongs to another incarnation of the worker;
 	// this one has ended, and so have all its runs. Matches ErrNotRun.
 	ErrRestarted = notRun("the worker's life has ended")
-	// ErrStaleRun means that the run, or a higher one of the task, was stopped or has ended
-	// on the worker.
+	// ErrStaleRun means that this run of the task, or one with a higher number, was stopped
+	// or has ended on the worker.
 	ErrStaleRun = notRun("the run is not higher than one that ended there")
 	// ErrLeaseExpired means that the lease in the start order had expired on arrival.
 	ErrLeaseExpired = notRun("the lease had lapsed at arrival")
 	// ErrNoCapacity means that the worker enforces its capacity and has too little left.
 	ErrNoCapacity = notRun("no room")
-	// ErrInvalidTicket means that the ticket is missing, has expired or is of another step.
+	// ErrInvalidTicket means that the ticket is missing, has expired or belongs to another step.
 	ErrInvalidTicket = notRun("ticket not valid")
 	// ErrUnhealthy means that the worker accepts no orders now.
 	ErrUnhealthy = notRun("the worker is not healthy")
@@ -171,7 +171,7 @@
 	Task       work.TaskID
 	Run        uint64
 	Checkpoint string
-	Percent    float64
+	Percent    float64 // of the run done, 0 to 100
 }
 
 // Completion is the completion report of a run on a worker.
@@ -196,7 +196,7 @@
 // Runner calls workers.
 type Runner interface {
 	// Start returns nil if the run is on the worker. A later incarnation under the same
-	// name may carry out the order.
+	// name may carry out the order. clock is the worker's clock at its answer.
 	Start(ctx context.Context, to Ref, s Start) (clock time.Duration, err error)
 	// Stop returns nil if the run is being stopped, has ended, or will be
 	// refused if its start order arrives later.
@@ -218,5 +218,7 @@
 // Adviser calls the advice service, which says which workers may run a step. The
 // service answers the calls of one daemon one at a time.
 type Adviser interface {
+	// Advise returns a ticket for each of the workers that may run the step, whose name is
+	// that of work.TaskID.StepName. It may fail with ErrBusy.
 	Advise(ctx context.Context, step string, workers []WorkerID) (good []Ticket, err error)
 }
--- a/connection/store/adaptivetimeout.go
+++ b/connection/store/adaptivetimeout.go
@@ -109,8 +109,8 @@
 	a.failing, a.refusedAt = true, time.Now()
 }
 
-// refusingCalls is the number of consecutive refusals that Refusing requires: more than
-// a store returns that sheds calls over its rate limits.
+// refusingCalls is the number of consecutive refusals that Refusing requires. A store that
+// only refuses the calls above its rate limits returns fewer in succession.
 const refusingCalls = 3
 
 // refusingTime is how long the store must have refused every call for Refusing to
--- a/connection/store/lease.go
+++ b/connection/store/lease.go
@@ -15,7 +15,7 @@
 	// renewalsPerTTL is how many renewals are tried in one time to live.
 	renewalsPerTTL = 3
 	// renewalJitter is the random part of the interval. Without it daemons that
-	// started together would renew at the same time for ever.
+	// started together would renew at the same time forever.
 	renewalJitter = 0.2
 )
 
--- a/connection/store/outcome_test.go
+++ b/connection/store/outcome_test.go
@@ -54,7 +54,7 @@
 	runWriters  = 4
 	runAttempts = 12
 	runKeys     = 2
-	longChecks  = "20000" // with FENNEL_LONG=1, from a fresh seed
+	longChecks  = "20000" // runs with FENNEL_LONG=1, whose seed is random
 	phaseLength = 700 * time.Millisecond
 )
 
--- a/connection/store/prefixed.go
+++ b/connection/store/prefixed.go
@@ -18,8 +18,8 @@
 // byte.
 const outside = "\x00"
 
-// Unprefixed returns the name by which a user of a Prefixed accesses a key of the
-// underlying store, without the prefix.
+// Unprefixed marks key so that a Prefixed uses it as it is, without adding its prefix. A
+// Prefixed also returns keys that do not have its prefix in this form.
 func Unprefixed(key string) string { return outside + key }
 
 func (p Prefixed) in(key string) string {
--- a/connection/store/store.go
+++ b/connection/store/store.go
@@ -56,14 +56,16 @@
 	// the store at which they were read.
 	List(ctx context.Context, prefix string) ([]Entry, Revision, error)
 	// Put writes value if the key's revision is prev (0: the key must not
-	// exist). A key bound to a lease is removed with it. It fails with
+	// exist). A key bound to a lease is removed when the lease ends. It fails with
 	// ErrConflict, ErrLeaseLost, ErrTooLarge, ErrUnavailable or
 	// ErrUnknownOutcome.
 	Put(ctx context.Context, key string, value []byte, prev Revision, lease LeaseID) (Revision, error)
-	// Delete removes key if its revision is prev.
+	// Delete removes key if its revision is prev. It fails with ErrNotFound,
+	// ErrConflict, ErrUnavailable or ErrUnknownOutcome.
 	Delete(ctx context.Context, key string, prev Revision) error
 	// Watch waits up to wait for events under prefix later than after and
-	// returns them with the revision to pass next; no events is no error.
+	// returns them with the revision to pass next; no events is no error. It fails
+	// with ErrCompacted if events later than after are no longer kept.
 	Watch(ctx context.Context, prefix string, after Revision, wait time.Duration) ([]Event, Revision, error)
 	// GrantLease opens a lease that expires ttl after its last renewal.
 	GrantLease(ctx context.Context, ttl time.Duration) (LeaseID, error)
--- a/connection/store/txn.go
+++ b/connection/store/txn.go
@@ -15,7 +15,7 @@
 	Revision Revision
 }
 
-// Write sets a key. A key bound to a lease is removed with it.
+// Write sets a key. A key bound to a lease is removed when the lease ends.
 type Write struct {
 	Key   string
 	Value []byte
--- a/connection/worker/worker.go
+++ b/connection/worker/worker.go
@@ -99,8 +99,8 @@
 	Attempt int         `json:"attempt" cbor:"2,keyasint"`
 }
 
-// SyncRequest renews a lease and every task under it, acknowledges results and
-// requests the changes since the last reply.
+// SyncRequest renews a lease and every task under it, acknowledges results, stops
+// tasks and requests the changes since the last reply.
 type SyncRequest struct {
 	Lease LeaseID `json:"lease"`
 	// Since is the Seq of the last reply.
@@ -145,7 +145,7 @@
 	// RevokeLease ends a lease: no start under it succeeds afterwards, not even one
 	// already in flight. Its tasks continue for their TaskTTL.
 	RevokeLease(ctx context.Context, lease LeaseID) error
-	// Sync renews the lease, acknowledges results and returns changes.
+	// Sync renews the lease, acknowledges results, stops tasks and returns changes.
 	Sync(ctx context.Context, req SyncRequest) (SyncReply, error)
 	// Start starts tasks under the lease; ErrUnknown means some may run.
 	Start(ctx context.Context, lease LeaseID, tasks []Start) ([]StartReply, error)
