--- a/version/history/collect.go
+++ b/version/history/collect.go
@@ -57,8 +57,8 @@
 	}
 }
 
-// collect deletes what became obsolete by rotation r, once the later segment number has
-// been rotated too.
+// collect deletes what rotation r made obsolete. It is called after the next rotation,
+// which moved the segment with the given number out of the head.
 func (h *History) collect(ctx context.Context, r rotation, number uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, collectTimeout)
 	defer cancel()
@@ -185,8 +185,8 @@
 // collectChunks deletes those of found that the head does not name.
 //
 // An apply may name such a chunk at the same time. If the chunk were deleted, the new
-// version would be in force without its content, and daemons would stay behind with
-// "no such chunk". The order of steps prevents that: found holds revisions that were
+// version would be in force without its content, and daemons that fetch it would fail
+// with ErrNoChunk and keep an earlier version. The order of steps prevents that: found holds revisions that were
 // read before the head; then the head is swapped with a higher Sweep, so that every
 // apply fails that read the head before; such an apply detects the higher Sweep and
 // writes its chunks again, which raises their revisions; and only the revision in found
--- a/version/history/document.go
+++ b/version/history/document.go
@@ -8,8 +8,8 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// Document is one file in force: its change, its content and the chunks that
-// hold it. It is immutable.
+// Document is one file of a Snapshot, in force or removed: its last change, its
+// content and the chunks that hold the content. It is immutable.
 type Document struct {
 	Change  Change
 	Applied *spec.Applied // nil when the file was removed
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -115,12 +115,13 @@
 	Prefix   string  `cbor:"3,keyasint"`
 	Service  string  `cbor:"4,keyasint"`
 	Priority int     `cbor:"5,keyasint"` // 0 is the highest
-	Attempts int     `cbor:"6,keyasint"` // number of failures of a task that fails the job
+	Attempts int     `cbor:"6,keyasint"` // the job fails when one of its tasks has failed this often
 	Slack    float64 `cbor:"7,keyasint"` // objective as a multiple of the critical path
 	// Allowance is added to the objective.
 	Allowance time.Duration `cbor:"8,keyasint"`
 	Advice    *Advice       `cbor:"9,keyasint,omitempty"`
-	// Open: callers need no key. It applies to requests, not to accepted jobs.
+	// Open: callers need no key. It is not stored with accepted jobs, since only requests
+	// are checked for a key.
 	Open bool `cbor:"-"`
 }
 
@@ -156,11 +157,11 @@
 	// since 1970.
 	Accepted int64 `cbor:"4,keyasint"`
 	// Epoch is the highest epoch of the scheduler known to the accepting daemon.
-	// A scheduler with a lower one must not start the job, so that one with this
-	// epoch or a higher one can rely on no earlier one having started it.
+	// A scheduler with a lower epoch must not start the job, so that schedulers with
+	// this epoch or a higher one know that no scheduler before this epoch started it.
 	Epoch uint64 `cbor:"5,keyasint"`
-	// Repeat is how often the steps run, due Interval apart from StartAt on;
-	// 0 for a job that runs once, at once.
+	// Repeat is how often the steps run: first at StartAt, then after every Interval.
+	// 0 is for a job that runs once, immediately.
 	Repeat   int           `cbor:"6,keyasint,omitempty"`
 	StartAt  int64         `cbor:"7,keyasint,omitempty"` // milliseconds since 1970
 	Interval time.Duration `cbor:"8,keyasint,omitempty"`
@@ -402,7 +403,7 @@
 	Index  int    `cbor:"1,keyasint,omitempty"`
 	Run    uint64 `cbor:"2,keyasint"`
 	Worker string `cbor:"3,keyasint"` // the incarnation that ended
-	// Sole: no run of another job had started there as recently.
+	// Sole: all runs that may have caused the crash belong to this task's job.
 	Sole bool `cbor:"4,keyasint,omitempty"`
 	// Undecided: whether it was a crash is not decided yet. The run is about to start or has
 	// started, or was lost with a worker that may only be unreachable.
