--- a/process/versions/loop.go
+++ b/process/versions/loop.go
@@ -86,8 +86,8 @@
 	l.skipBackoff()
 }
 
-// onPeerUpdate handles news from a peer, which may have a later version, or
-// report that there is none yet.
+// onPeerUpdate handles a message from a peer, which may have a later version, or
+// report that no version has been applied yet.
 func (l *loop) onPeerUpdate() {
 	if l.replicator.observed.anyLoaded() && l.replicator.observed.highest() == 0 {
 		l.replicator.setLoaded()
@@ -122,7 +122,7 @@
 
 // sources returns the sources of a version later than have, in the order in which
 // to try them. Peers that have the store's latest version come before the store,
-// whose request rates grow more slowly than the fleet.
+// whose call budget does not grow with the fleet as the peers' capacity does.
 func (l *loop) sources(have uint64) []source {
 	var sources []source
 	best := l.replicator.observed.later(have, maxPeerSources)
