--- a/process/fleet/evict.go
+++ b/process/fleet/evict.go
@@ -104,9 +104,10 @@
 	return nil
 }
 
-// recordAlive records a later incarnation that is registered. That the same incarnation is
-// registered after all is left to the watch: its event of a deletion may have arrived
-// before this response, and the member would then count as registered permanently.
+// recordAlive records a later incarnation that is registered. If the key is that of the
+// same incarnation, nothing is recorded, since the watch reports the key too: if the watch
+// has already reported the key's deletion when this response arrives, the member would
+// otherwise count as registered permanently.
 func (r *evictionResult) recordAlive(item store.Item) error {
 	m, err := decodeMember(item.Data)
 	if err != nil {
--- a/process/fleet/message.go
+++ b/process/fleet/message.go
@@ -70,12 +70,12 @@
 	Reached bool `cbor:"1,keyasint"`
 }
 
-// syncRequest asks for all entries of the receiver and has that of the sender.
+// syncRequest requests all entries of the receiver and carries the entry of the sender.
 type syncRequest struct {
 	Self delta `cbor:"1,keyasint"`
 }
 
-// syncReply has the usable entries of the sender and its latest ended ones.
+// syncReply carries the usable entries of the sender and its latest ended ones.
 type syncReply struct {
 	Members []delta `cbor:"1,keyasint"`
 }
--- a/process/fleet/register.go
+++ b/process/fleet/register.go
@@ -146,7 +146,7 @@
 }
 
 // keepRenewed renews the lease until it is lost, the context ends, or the fleet has
-// outgrown its TTL; only in the last case it returns the lease. Other failures are
+// outgrown its TTL; only in the last case does it return the lease. Other failures are
 // retried: in an outage the lease may remain valid, and this daemon continues in its
 // incarnation.
 func (r *registrar) keepRenewed(ctx context.Context, g grant) (outgrown store.LeaseID) {
