--- a/process/ownership/rendezvous_test.go
+++ b/process/ownership/rendezvous_test.go
@@ -34,8 +34,8 @@
 		if len(members) == 1 {
 			return
 		}
-		// A member that leaves and returns gets the same resources again, and little moves
-		// beside its own resources when it leaves.
+		// A member that leaves and returns gets the same resources again, and few other
+		// resources move when it leaves.
 		without := Assign(resources, slices.Delete(slices.Clone(members), 0, 1))
 		moved := 0
 		for r, id := range assigned {
