--- a/process/admin/server.go
+++ b/process/admin/server.go
@@ -78,8 +78,8 @@
 	return s
 }
 
-// HTTPServer returns a server with the limits that the API needs against slow
-// and oversized callers. The caller adds TLS and listens.
+// HTTPServer returns a server with the limits that protect the API against slow
+// callers and oversized headers. The caller of HTTPServer adds TLS and listens.
 func (s *Server) HTTPServer() *http.Server {
 	return &http.Server{
 		Handler:           s,
