--- a/process/burn/recorder.go
+++ b/process/burn/recorder.go
@@ -36,7 +36,7 @@
 	mu       sync.Mutex
 	fine     ring
 	coarse   ring
-	seen     time.Duration // last request, since the epoch
+	seen     time.Duration // end of the last request, since the Unix epoch
 	verdicts Verdicts
 	// latency holds the current and the previous hour.
 	latency [2]*hdrhistogram.Histogram
@@ -118,7 +118,7 @@
 	return &Recorder{start: o.Start, limit: o.MaxSeries, series: make(map[Key]*series)}
 }
 
-// at returns now since the epoch by the recorder's clock.
+// at returns the time from the Unix epoch to now, by the recorder's clock.
 func (r *Recorder) at(now time.Time) time.Duration {
 	return time.Duration(r.start.UnixNano()) + now.Sub(r.start)
 }
--- a/process/burn/ring.go
+++ b/process/burn/ring.go
@@ -51,7 +51,7 @@
 	return ring{step: step, buckets: make([]bucket, buckets)}
 }
 
-// index returns the step that contains the time at, given since the epoch.
+// index returns the step that contains the time at, which counts from the Unix epoch.
 func (r *ring) index(at time.Duration) int64 { return int64(at / r.step) }
 
 // advance makes the step at index the newest and clears the skipped ones.
--- a/process/burn/snapshot.go
+++ b/process/burn/snapshot.go
@@ -46,7 +46,7 @@
 	Verdicts Verdicts `json:"verdicts" cbor:"4,keyasint"`
 	// Latency holds the counts of a latency histogram, without trailing zeros.
 	Latency []int64 `json:"latency,omitempty" cbor:"5,keyasint,omitempty"`
-	// First is the index, in steps of two minutes since the epoch, of Points[0].
+	// First is the index of Points[0], in steps of two minutes since the Unix epoch.
 	First  int64    `json:"first" cbor:"6,keyasint"`
 	Points []Counts `json:"points" cbor:"7,keyasint"`
 }
