--- a/process/daemon/guard.go
+++ b/process/daemon/guard.go
@@ -45,7 +45,7 @@
 // A supervisor that restarted the service alone would start it on the state that the panic
 // left, or start one that cannot run twice and returns at once. Either way the daemon would
 // keep its claims without serving them, and no other daemon could: requests of a service, or
-// of some keys, would wait for ever. A new incarnation starts without that state, and its
+// of some keys, would wait forever. A new incarnation starts without that state, and its
 // higher number lets the other daemons take over the claims.
 type guard struct {
 	inc *incarnation
--- a/process/daemon/guard_test.go
+++ b/process/daemon/guard_test.go
@@ -16,7 +16,7 @@
 }
 
 // TestFailedComponentEndsTheIncarnation guards against a daemon that keeps its claims without
-// serving them, so that requests of a service, or of some keys, wait for ever: a component
+// serving them, so that requests of a service, or of some keys, wait forever: a component
 // panics, or one that cannot run twice returns, and the supervisor restarts it alone, whereupon
 // it returns at once.
 func TestFailedComponentEndsTheIncarnation(t *testing.T) {
--- a/process/daemon/incarnation_test.go
+++ b/process/daemon/incarnation_test.go
@@ -66,9 +66,9 @@
 	return err == nil && status == http.StatusOK
 }
 
-// TestPanicOfAPartBeginsANewLife guards against a daemon that keeps its claims for ever after one
+// TestPanicOfAPartBeginsANewLife guards against a daemon that keeps its claims forever after one
 // of its components has panicked, because only that component is restarted, and against the whole
-// process ending, because nothing is.
+// process ending, because the panic is not recovered.
 func TestPanicOfAPartBeginsANewLife(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
