--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -171,7 +171,7 @@
 	Task       work.TaskID
 	Run        uint64
 	Checkpoint string
-	Percent    float64 // of the run done, 0 to 100
+	Percent    float64 // progress, 0 to 100
 }
 
 // Completion is the completion report of a run on a worker.
