--- a/process/cellnode/catalog_test.go
+++ b/process/cellnode/catalog_test.go
@@ -81,7 +81,7 @@
 	require.Empty(t, n.accountRows(), "another daemon leads")
 }
 
-func TestNeighboursAreThoseThatFollowByName(t *testing.T) {
+func TestMembersAfterWrapsAround(t *testing.T) {
 	var members []lead.Member
 	for _, name := range []string{"a", "b", "c", "d"} {
 		members = append(members, lead.Member{Name: name})
@@ -142,9 +142,9 @@
 	return nil, after, nil
 }
 
-// TestConfigurationIsInForceSoonAfterASilentOutage guards against waiting, after an outage of the
+// TestConfigurationIsInForceSoonAfterAnOutage guards against waiting, after an outage of the
 // store, for a read whose answer was lost in it: the old version stays in force meanwhile.
-func TestConfigurationIsInForceSoonAfterASilentOutage(t *testing.T) {
+func TestConfigurationIsInForceSoonAfterAnOutage(t *testing.T) {
 	const (
 		bound  = 2 * time.Second // in which a version is to be in force
 		lease  = 275 * time.Millisecond
@@ -182,9 +182,9 @@
 	}
 }
 
-// TestDoubtBeginsWithinTheBoundOnAVersion guards against a daemon that counts a version as
+// TestConfigurationIsUnconfirmedWithinTheBound guards against a daemon that counts a version as
 // confirmed for longer than the next one may take to be in force.
-func TestDoubtBeginsWithinTheBoundOnAVersion(t *testing.T) {
+func TestConfigurationIsUnconfirmedWithinTheBound(t *testing.T) {
 	for _, bound := range []time.Duration{300 * time.Millisecond, time.Second, 2 * time.Second, 9 * time.Second} {
 		n := &Node{o: Options{Settings: &settings.JobCell{Bounds: settings.JobCellBounds{ConfigMS: settings.Millis(bound.Milliseconds())}}}}
 		n.catalogs = newCatalogs(nil, nil, zerolog.Nop())
--- a/process/cellnode/shard_test.go
+++ b/process/cellnode/shard_test.go
@@ -31,10 +31,10 @@
 	return all, 2, nil
 }
 
-// TestLivesUnderOneNameAreOfOnePart guards against the next incarnation of a worker being
+// TestIncarnationsOfAWorkerShareAShard guards against the next incarnation of a worker being
 // assigned to another shard, while the shard of the earlier one misses the removal of its
 // entry.
-func TestLivesUnderOneNameAreOfOnePart(t *testing.T) {
+func TestIncarnationsOfAWorkerShareAShard(t *testing.T) {
 	names := func(s shardDirectory) (listed, removed, next []string) {
 		all, _, err := s.List(t.Context())
 		require.NoError(t, err)
--- a/process/daemon/incarnation_test.go
+++ b/process/daemon/incarnation_test.go
@@ -66,10 +66,10 @@
 	return err == nil && status == http.StatusOK
 }
 
-// TestPanicOfAPartBeginsANewLife guards against a daemon that keeps its claims for ever after one
-// of its components has panicked, because only that component is restarted, and against the whole
-// process ending, because nothing is.
-func TestPanicOfAPartBeginsANewLife(t *testing.T) {
+// TestComponentPanicStartsANewIncarnation guards against a daemon that keeps its claims for ever
+// after one of its components has panicked, because only that component is restarted, and against
+// the whole process ending, because nothing is.
+func TestComponentPanicStartsANewIncarnation(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	c := startDesk(ctx, t)
--- a/process/daemon/starting_test.go
+++ b/process/daemon/starting_test.go
@@ -9,9 +9,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestDaemonThatBeginsNeverCallsAServiceUnknown guards against a daemon that accepts requests,
+// TestStartingDaemonNeverAnswersUnknownService guards against a daemon that accepts requests,
 // and reports itself ready, before it has the configuration.
-func TestDaemonThatBeginsNeverCallsAServiceUnknown(t *testing.T) {
+func TestStartingDaemonNeverAnswersUnknownService(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
 	c := startDesk(ctx, t)
--- a/process/dispatch/accounts_test.go
+++ b/process/dispatch/accounts_test.go
@@ -166,7 +166,7 @@
 	require.Len(t, h.starts(), 2)
 }
 
-func TestSuccessorCountsWhatMayRunUnseen(t *testing.T) {
+func TestSuccessorCountsUnconfirmedWork(t *testing.T) {
 	// A successor that counts only reported runs lets an account run twice its cap: a leader
 	// starts work up to the cap and fails, one of the workers does not answer the successor,
 	// and the account submits more work.
@@ -182,7 +182,7 @@
 	require.Len(t, h.starts(), 3, "two run, and three more are within the cap")
 }
 
-func TestWhatMayRunUnseenIsBoundedByItsWorkers(t *testing.T) {
+func TestUnconfirmedWorkIsBoundedByItsWorkers(t *testing.T) {
 	// After a takeover an account started nothing for as long as one unreachable worker might
 	// hold a lease, because all of its waiting work was assumed to run there, more than the
 	// worker can run.
@@ -260,9 +260,9 @@
 	}
 }
 
-// TestAccountsUnderRandomTroubles is TestRandomTroubles with accounts whose caps are tight and
+// TestAccountsUnderRandomFaults is TestJobsUnderRandomFaults with accounts whose caps are tight and
 // change. The workers count the runs of each account.
-func TestAccountsUnderRandomTroubles(t *testing.T) {
+func TestAccountsUnderRandomFaults(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
 		c := newTestCell(t, seed, 16, 3, usualBehaviour(0.05))
 		c.changeCaps()
@@ -280,7 +280,7 @@
 	})
 }
 
-func TestHotAccountDoesNotTakeTheRoomOfOthers(t *testing.T) {
+func TestHotAccountDoesNotTakeTheCapacityOfOthers(t *testing.T) {
 	// An account that submits twice what it is entitled to made the jobs of others late,
 	// because jobs were ordered by their due time alone.
 	h := newHarness(t, 1)
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -270,9 +270,9 @@
 	}
 }
 
-// TestCalmCellServesEveryJob checks that without faults every submitted job is completed, each
-// task once.
-func TestCalmCellServesEveryJob(t *testing.T) {
+// TestCellWithoutFaultsServesEveryJob checks that without faults every submitted job is
+// completed, each task once.
+func TestCellWithoutFaultsServesEveryJob(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newTestCell(t, 1, 16, 3, usualBehaviour(0))
 		time.Sleep(3 * time.Second)
@@ -382,10 +382,10 @@
 	})
 }
 
-// TestRandomTroubles submits jobs while daemons are killed, the store fails in every way, and
-// workers are cut off, crash and carry orders out late. The workers count runs and check every
-// start.
-func TestRandomTroubles(t *testing.T) {
+// TestJobsUnderRandomFaults submits jobs while daemons are killed, the store fails in every way,
+// and workers are cut off, crash and carry orders out late. The workers count runs and check
+// every start.
+func TestJobsUnderRandomFaults(t *testing.T) {
 	overSeeds(t, 4, func(t *testing.T, seed uint64) {
 		randomFaults(t, seed, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) })
 	})
--- a/process/dispatch/crash_test.go
+++ b/process/dispatch/crash_test.go
@@ -107,9 +107,9 @@
 	}
 }
 
-// TestSoundJobsAreNotGivenUpUnderTroubles guards against healthy jobs that are given up
+// TestHealthyJobsAreNotGivenUpUnderFaults guards against healthy jobs that are given up
 // because workers crash, are cut off or flap, beside tasks that do crash their workers.
-func TestSoundJobsAreNotGivenUpUnderTroubles(t *testing.T) {
+func TestHealthyJobsAreNotGivenUpUnderFaults(t *testing.T) {
 	overSeeds(t, 6, crashesUnderFaults)
 }
 
@@ -172,9 +172,9 @@
 	t.Fatal("never started")
 }
 
-// TestTrialOfADeadLeaderCounts guards against a crash of the trial's worker that goes
+// TestTrialOfAFailedLeaderCounts guards against a crash of the trial's worker that goes
 // uncounted because it happens between two leaders.
-func TestTrialOfADeadLeaderCounts(t *testing.T) {
+func TestTrialOfAFailedLeaderCounts(t *testing.T) {
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}, {Run: 3, Worker: "z", Sole: true, Undecided: true}}, "w-a")
 	state, known := h.e.State(testJob)
 	require.True(t, known)
@@ -206,10 +206,10 @@
 	require.NotContains(t, s.tasks[0].crashes, work.Crash{Run: first[0].Start.Run, Worker: string(on), Sole: true, Undecided: true})
 }
 
-// TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver guards against a healthy task that is given
+// TestLaterAnswerOfTheWorkerEndsATrial guards against a healthy task that is given
 // up because its trial's worker crashes later, although a later start was answered there
 // meanwhile.
-func TestTrialThatAnyAnswerShowsToHaveLivedOnIsOver(t *testing.T) {
+func TestLaterAnswerOfTheWorkerEndsATrial(t *testing.T) {
 	h := suspectHarness(t, twoCrashes, "w-a")
 	trial := h.starts()
 	require.Len(t, trial, 1)
@@ -227,9 +227,9 @@
 	require.False(t, records.OnTrial(trial[0].Start.Run), "a successor takes an open trial for a crash: %+v", records)
 }
 
-// TestTaskThatHasLivedOnIsNoSuspect guards against crashes that add up against a long-running
+// TestTaskThatKeepsRunningIsNoSuspect guards against crashes that add up against a long-running
 // task over days.
-func TestTaskThatHasLivedOnIsNoSuspect(t *testing.T) {
+func TestTaskThatKeepsRunningIsNoSuspect(t *testing.T) {
 	h := suspectHarness(t, []work.Crash{{Run: 1, Worker: "x", Sole: true}, {Run: 2, Worker: "y"}}, "w-a")
 	first := h.starts()
 	require.Len(t, first, 1)
@@ -253,9 +253,9 @@
 	require.Empty(t, h.e.jobs[testJob].step(first[0].Start.Task).tasks[0].crashes)
 }
 
-// TestLateStartAtTheNextLifeDoesNotRunBesideAnother guards against a start that is carried out
-// by a worker's next incarnation while the task runs elsewhere.
-func TestLateStartAtTheNextLifeDoesNotRunBesideAnother(t *testing.T) {
+// TestLateStartAtTheNextIncarnationDoesNotRunBesideAnother guards against a start that is carried
+// out by a worker's next incarnation while the task runs elsewhere.
+func TestLateStartAtTheNextIncarnationDoesNotRunBesideAnother(t *testing.T) {
 	first, next := runner.IncarnationID("w-a", 1), runner.IncarnationID("w-a", 2)
 	h := newHarness(t, 1, first, "w-b")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
@@ -275,9 +275,9 @@
 	require.Len(t, h.starts(), 1)
 }
 
-// TestEndsOfTheNextLifeCount guards against completions of a worker's next incarnation that
-// are taken for those of the earlier one.
-func TestEndsOfTheNextLifeCount(t *testing.T) {
+// TestCompletionsOfTheNextIncarnationCount guards against completions of a worker's next
+// incarnation that are taken for those of the earlier one.
+func TestCompletionsOfTheNextIncarnationCount(t *testing.T) {
 	first, next := runner.IncarnationID("w-a", 1), runner.IncarnationID("w-a", 2)
 	h := newHarness(t, 1, first)
 	step := oneTask()
@@ -352,9 +352,9 @@
 	t.Logf("%d workers crashed by %d jobs, the slowest given up after %v", c.fleet.Crashes(), len(c.order)/60, slowest)
 }
 
-// TestDeathThatIsKnownLateCounts guards against a crash that is not counted because the
+// TestCrashThatIsDetectedLateCounts guards against a crash that is not counted because the
 // worker's directory entry outlasts its lease.
-func TestDeathThatIsKnownLateCounts(t *testing.T) {
+func TestCrashThatIsDetectedLateCounts(t *testing.T) {
 	h := newHarness(t, 2)
 	task := work.TaskID{Job: testJob}
 	fleet, err := peer.Marshal(fleetRecord{Workers: []runner.Ref{{ID: "w-a"}}})
--- a/process/dispatch/engine_test.go
+++ b/process/dispatch/engine_test.go
@@ -123,7 +123,7 @@
 	require.Len(t, h.starts(), 1)
 }
 
-func TestTasksOfASilentWorkerStartElsewhere(t *testing.T) {
+func TestTasksOfAnUnresponsiveWorkerStartElsewhere(t *testing.T) {
 	// Tasks of a worker that had lost its power never started again, because each renewal
 	// without an answer postponed the time at which everything there has certainly ended.
 	h := newHarness(t, 1, "w-a")
@@ -152,7 +152,7 @@
 	t.Fatal("the task never started again")
 }
 
-func TestInvariantsAreNoticed(t *testing.T) {
+func TestInvariantViolationsAreReported(t *testing.T) {
 	var seen []string
 	h := newHarness(t, 1, "w-a")
 	h.e.o.Violation = func(what string, _ work.TaskID, _ runner.WorkerID) { seen = append(seen, what) }
@@ -175,7 +175,7 @@
 	require.EqualValues(t, 5, h.e.Stats().Violations)
 }
 
-func TestUnansweredStartKeepsItsRoomUntilItIsResolved(t *testing.T) {
+func TestUnansweredStartKeepsItsCapacityUntilItIsResolved(t *testing.T) {
 	// A start that is carried out late must not find its capacity given to another task, or
 	// its task running elsewhere: three attempts of a start are not answered, nor is the first
 	// stop; then the stop is answered, and a report lists neither run nor completion.
@@ -245,7 +245,7 @@
 	t.Fatal("the task never starts")
 }
 
-func TestEndIsAcknowledgedOnlyOnceItIsInTheStore(t *testing.T) {
+func TestCompletionIsAcknowledgedOnlyOnceItIsInTheStore(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}}))
 	h.step(50 * time.Millisecond)
@@ -363,7 +363,7 @@
 	require.EqualValues(t, 2, h.e.workers["w-a"].ackedCompletion)
 }
 
-func TestQuickStepsAreAskedForBesideSlowOnes(t *testing.T) {
+func TestAdviceIsRequestedForQuickStepsBesideSlowOnes(t *testing.T) {
 	// A hundred quick jobs waited beside idle daemons and workers: many steps with slow calls
 	// for advice wait for one of the daemons that take such calls, and used up the count of
 	// idle daemons in each round, although their calls could not be sent.
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -40,7 +40,7 @@
 	return ids
 }
 
-func TestSuccessorNeedNotWaitForAClosedWorker(t *testing.T) {
+func TestSuccessorNeedNotWaitForACordonedWorker(t *testing.T) {
 	// After a change of the leader all waiting work stood still for eight seconds: a worker
 	// loses its power; a while later the leader fails, with jobs waiting that were submitted
 	// before the worker became unresponsive. Its successor could not tell what runs on that
@@ -163,7 +163,7 @@
 	require.False(t, next.e.workers["w-b"].cordoned && !next.e.workers["w-b"].unlisted, "it must not be written with an empty list of what it runs")
 }
 
-func TestClosedWorkerIsUsedAgainOnceTheStoreKnows(t *testing.T) {
+func TestWorkerIsReusedOnlyAfterItsUncordonIsStored(t *testing.T) {
 	// A task must not start on a worker that the store still lists as cordoned, since a
 	// successor would start it a second time.
 	h := newHarness(t, 1, "w-a")
--- a/process/dispatch/gang_test.go
+++ b/process/dispatch/gang_test.go
@@ -77,7 +77,7 @@
 	require.Len(t, h.starts(), 3)
 }
 
-func TestGangsThatNothingHoldsDoNotHoldUpOthers(t *testing.T) {
+func TestGangsThatCanNotFitDoNotHoldUpOthers(t *testing.T) {
 	// Gangs that are wider than the workers can run must not count among the gangs that a
 	// round tries, oldest first; otherwise later gangs wait beside idle workers.
 	h := newHarness(t, 1, "w-a")
@@ -187,7 +187,7 @@
 	return h, s
 }
 
-func TestSeatsOfAGangAreHeldWhileItAsks(t *testing.T) {
+func TestGangSlotsAreReservedWhileTicketsAreRequested(t *testing.T) {
 	// Gangs waited beside sufficient capacity until the load ended: a gang requests tickets;
 	// before they arrive, a quick job takes a part of its capacity, because it was not
 	// reserved for the duration of the call.
@@ -213,7 +213,7 @@
 	}
 }
 
-func TestHeldSeatsAreFreedWithoutAnAnswer(t *testing.T) {
+func TestGangReservationsAreFreedWithoutAnAnswer(t *testing.T) {
 	// Workers must not stay idle for a gang whose call for tickets is lost.
 	h, s := advisedGang(t, Policy{}, 3)
 	require.True(t, s.gangReserved)
@@ -225,7 +225,7 @@
 	require.Len(t, h.starts(), 1)
 }
 
-func TestHeldSeatsAreFreedWhenTheJobIsCancelled(t *testing.T) {
+func TestGangReservationsAreFreedWhenTheJobIsCancelled(t *testing.T) {
 	h, s := advisedGang(t, Policy{}, 3)
 	require.True(t, s.gangReserved)
 	require.NoError(t, h.e.Accepted(h.now, store.Entry{Key: KeyCancel(testJob)}))
--- a/process/dispatch/health_test.go
+++ b/process/dispatch/health_test.go
@@ -42,7 +42,7 @@
 // maxAttemptsOfTest is the number of attempts that jobOf allows.
 const maxAttemptsOfTest = 4
 
-func TestJobsThatFailEverywhereDoNotSetWorkersAside(t *testing.T) {
+func TestJobsThatFailEverywhereDoNotQuarantineWorkers(t *testing.T) {
 	// Healthy workers were idle for two seconds, a few times a second: two jobs that fail
 	// wherever they run had runs on the same worker one after the other, and the second
 	// failure quarantined it, although each job had failed on other workers before.
@@ -53,7 +53,7 @@
 	require.Zero(t, h.e.Stats().Aside)
 }
 
-func TestWorkerThatFailsAPartOfItsRunsIsSetAside(t *testing.T) {
+func TestWorkerThatFailsSomeOfItsRunsIsQuarantined(t *testing.T) {
 	// A worker that fails one run in two, but never two in a row, has to be quarantined as
 	// well; otherwise gangs with a member there fail again and again.
 	var h health
--- a/process/dispatch/incarnation_test.go
+++ b/process/dispatch/incarnation_test.go
@@ -60,10 +60,10 @@
 	}
 }
 
-// crashBehindCut runs jobs on two workers, one of which crashes behind a network cut that the
-// leader does not notice, and submits another job that may start on its next incarnation
+// crashWhileDisconnected runs jobs on two workers, one of which crashes behind a network cut that
+// the leader does not notice, and submits another job that may start on its next incarnation
 // before any directory entry shows that. Its tasks take as long as given.
-func crashBehindCut(t *testing.T, takes time.Duration) {
+func crashWhileDisconnected(t *testing.T, takes time.Duration) {
 	c := restartingCell(t, 0, 1, epochworker.Options{Seed: 1, Restart: 500 * time.Millisecond, SameName: true, EntryLag: 4 * time.Second,
 		Work: func(work.TaskID, uint64, runner.WorkerID) epochworker.Behaviour {
 			return epochworker.Behaviour{Takes: takes}
@@ -96,24 +96,24 @@
 	}
 }
 
-// TestRunsAtTheNextLifeAreNotStartedBesideThem guards against a start that a worker's next
+// TestRunsAtTheNextIncarnationAreNotStartedAgain guards against a start that a worker's next
 // incarnation has answered, that counts as lost with the previous incarnation, and that is
 // repeated beside the run that exists.
-func TestRunsAtTheNextLifeAreNotStartedBesideThem(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 5*time.Second) })
+func TestRunsAtTheNextIncarnationAreNotStartedAgain(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { crashWhileDisconnected(t, 5*time.Second) })
 }
 
-// TestEndsOfTheNextLifeAreNotAcknowledgedUnheard guards against completions of a worker's next
-// incarnation that are acknowledged before they are received, with the number that the
-// previous incarnation had reached, and whose tasks start again.
-func TestEndsOfTheNextLifeAreNotAcknowledgedUnheard(t *testing.T) {
-	synctest.Test(t, func(t *testing.T) { crashBehindCut(t, 200*time.Millisecond) })
+// TestUnreceivedCompletionsOfTheNextIncarnationAreNotAcknowledged guards against completions of a
+// worker's next incarnation that are acknowledged before they are received, with the number that
+// the previous incarnation had reached, and whose tasks start again.
+func TestUnreceivedCompletionsOfTheNextIncarnationAreNotAcknowledged(t *testing.T) {
+	synctest.Test(t, func(t *testing.T) { crashWhileDisconnected(t, 200*time.Millisecond) })
 }
 
-// TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds guards against a count of completions
+// TestCompletionCountIsSentOnlyAfterAnAnswerOfTheIncarnation guards against a count of completions
 // of one incarnation that is sent to the next one, which would drop as many completions that
 // no leader has received.
-func TestOnlyALifeThatHasJustAnsweredIsToldItsCountOfEnds(t *testing.T) {
+func TestCompletionCountIsSentOnlyAfterAnAnswerOfTheIncarnation(t *testing.T) {
 	id := runner.IncarnationID("w-a", 1)
 	h := newHarness(t, 1, id)
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 4, oneTask())}}))
@@ -158,10 +158,10 @@
 	require.Greater(t, all[0].Start.Until, time.Hour, "by its actual clock")
 }
 
-// TestClockThatGoesBackIsAnotherLifes guards against a worker that restarts under its name
+// TestClockThatGoesBackIsAnotherIncarnation guards against a worker that restarts under its name
 // without a start time in its id: its completions would count as those of before, be
 // acknowledged before they are received, and their tasks start again.
-func TestClockThatGoesBackIsAnotherLifes(t *testing.T) {
+func TestClockThatGoesBackIsAnotherIncarnation(t *testing.T) {
 	h := newHarness(t, 1, "w-a")
 	step := oneTask()
 	step.Count = 2
@@ -177,9 +177,9 @@
 	require.Zero(t, h.e.workers["w-a"].lastCompletion, "its completions count from 1 again")
 }
 
-// TestEntryWithoutABirthNamesTheLifeThatIsKnown guards against an entry without a start time
+// TestEntryWithoutAStartTimeIsTheKnownIncarnation guards against an entry without a start time
 // that is taken for another worker.
-func TestEntryWithoutABirthNamesTheLifeThatIsKnown(t *testing.T) {
+func TestEntryWithoutAStartTimeIsTheKnownIncarnation(t *testing.T) {
 	id := runner.IncarnationID("w-a", 7)
 	h := newHarness(t, 1, id)
 	h.step(50 * time.Millisecond)
--- a/process/dispatch/longrunning_test.go
+++ b/process/dispatch/longrunning_test.go
@@ -29,7 +29,7 @@
 	return all
 }
 
-func TestLastingTaskIsRestartedHoweverItEnds(t *testing.T) {
+func TestLongRunningTaskIsRestartedHoweverItEnds(t *testing.T) {
 	h := newHarness(t, 1, "w-a", "w-b")
 	require.NoError(t, h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 1, longRunningTask())}}))
 	h.step(50 * time.Millisecond)
@@ -50,7 +50,7 @@
 	require.Equal(t, work.Running, state)
 }
 
-func TestFailureOfATaskThatServedSaysNothingOfItsWorker(t *testing.T) {
+func TestFailureOfAServingTaskDoesNotCountAgainstItsWorker(t *testing.T) {
 	// Services left good workers unused for seconds. Tasks of two long-running jobs fail on
 	// one worker after hours of serving; the worker was quarantined, and then got one run at a
 	// time, because only completions as done counted in its favour, which these tasks never
@@ -71,7 +71,7 @@
 	require.Len(t, h.starts(), 1, "at once, on the same worker")
 }
 
-func TestRoomIsKeptForATaskThatLasts(t *testing.T) {
+func TestCapacityIsReservedForALongRunningTask(t *testing.T) {
 	// A service's task that needs most of a worker was not started as long as small tasks kept
 	// coming, because each small task that ended was followed by another one that fits the
 	// gap: capacity was reserved for gangs only, and work that is late for its objective came
@@ -164,10 +164,10 @@
 	})
 }
 
-// TestLastingJobsUnderRandomTroubles keeps services running while daemons are killed and the
+// TestLongRunningJobsUnderRandomFaults keeps services running while daemons are killed and the
 // store fails. No faults are injected into the workers, so the system itself must not stop a
 // task.
-func TestLastingJobsUnderRandomTroubles(t *testing.T) {
+func TestLongRunningJobsUnderRandomFaults(t *testing.T) {
 	overSeeds(t, 3, longRunningUnderFaults)
 }
 
--- a/process/dispatch/occurrence_test.go
+++ b/process/dispatch/occurrence_test.go
@@ -160,9 +160,9 @@
 	return j
 }
 
-// TestTimedJobsUnderRandomTroubles submits timed jobs under the faults of TestRandomTroubles;
+// TestTimedJobsUnderRandomFaults submits timed jobs under the faults of TestJobsUnderRandomFaults;
 // the workers check that no start comes early.
-func TestTimedJobsUnderRandomTroubles(t *testing.T) {
+func TestTimedJobsUnderRandomFaults(t *testing.T) {
 	overSeeds(t, 3, func(t *testing.T, seed uint64) {
 		randomFaults(t, seed, func(rng *rand.Rand) *work.Job {
 			if rng.IntN(3) > 0 {
--- a/process/dispatch/persist_test.go
+++ b/process/dispatch/persist_test.go
@@ -118,7 +118,7 @@
 	return r
 }
 
-func TestEndsAreShownSoonWhileTheStoreIsSlow(t *testing.T) {
+func TestCompletionsAreShownSoonWhileTheStoreIsSlow(t *testing.T) {
 	// Jobs were shown as completed only long after a slow store was fast again. The store
 	// answers in 300 ms and 200 jobs a second end for five seconds, but one write at a time,
 	// with two keys for each ended job, carries 48 jobs a second.
@@ -173,7 +173,7 @@
 	require.Equal(t, counts[1], counts[4])
 }
 
-func TestJobsMoveOutOfBundles(t *testing.T) {
+func TestJobsMoveOutOfBatches(t *testing.T) {
 	// Batches must not accumulate in the store, nor submissions of ended jobs remain.
 	const jobs = 150
 	h, s, starts := runningJobs(t, jobs, Policy{}, 300*time.Millisecond)
@@ -191,7 +191,7 @@
 	require.Len(t, s.withPrefix(PrefixState), jobs)
 }
 
-func TestSuccessorReadsBundles(t *testing.T) {
+func TestSuccessorReadsBatches(t *testing.T) {
 	// Completions that the store has only in a batch must not be lost with the leader, or
 	// their tasks would run again after the completion was acknowledged. Half of many jobs end
 	// as done, the others fail once; the leader fails right after the write, or after some
@@ -224,7 +224,7 @@
 	}
 }
 
-func TestNewestProgressStands(t *testing.T) {
+func TestNewestProgressWins(t *testing.T) {
 	// A job that failed twice must not be tried as if it had failed once, whether its own key
 	// has older progress than a batch, or a batch older progress than its own key.
 	failedRuns := func(runs ...uint64) work.Progress {
@@ -249,7 +249,7 @@
 	}
 }
 
-func TestBundleThatCanNotBeReadIsLeftAlone(t *testing.T) {
+func TestBatchThatCanNotBeReadIsLeftAlone(t *testing.T) {
 	h := newHarness(t, 2)
 	err := h.e.Load(0, Saved{Accepted: []store.Entry{jobEntry(t, 1, 2, oneTask())}, Batches: []store.Entry{{Key: PrefixBatches + "x", Value: []byte("?"), Revision: 1}}})
 	require.ErrorContains(t, err, PrefixBatches+"x")
@@ -260,9 +260,9 @@
 	require.Len(t, s.withPrefix(PrefixBatches), 1)
 }
 
-// TestRandomTroublesOfASlowStore is TestRandomTroubles with a store that is sometimes slow and
-// writes of few keys, so that batches are in use all the time.
-func TestRandomTroublesOfASlowStore(t *testing.T) {
+// TestSlowStoreUnderRandomFaults is TestJobsUnderRandomFaults with a store that is sometimes slow
+// and writes of few keys, so that batches are in use all the time.
+func TestSlowStoreUnderRandomFaults(t *testing.T) {
 	first, seeds := seedsOfRun(t, 4)
 	batches := uint64(0)
 	for seed := first; seed < first+seeds; seed++ {
--- a/process/dispatch/shrink_test.go
+++ b/process/dispatch/shrink_test.go
@@ -91,9 +91,9 @@
 	require.Len(t, h.starts(), 1)
 }
 
-// TestSuccessorKnowsRoomsThatHaveShrunk guards against a leader that fills a worker up to the
+// TestSuccessorUsesShrunkCapacities guards against a leader that fills a worker up to the
 // capacity that it had before the takeover.
-func TestSuccessorKnowsRoomsThatHaveShrunk(t *testing.T) {
+func TestSuccessorUsesShrunkCapacities(t *testing.T) {
 	overSeeds(t, 6, func(t *testing.T, seed uint64) {
 		c := newTestCell(t, seed, 16, 3, usualBehaviour(0))
 		randomFaultsOf(t, c, func(rng *rand.Rand) *work.Job { return drawJob(rng, rng.IntN(2) == 0) }, func(c *cell) {
--- a/process/fleet/fleet_test.go
+++ b/process/fleet/fleet_test.go
@@ -31,7 +31,7 @@
 // Guards against a dead daemon that keeps its partitions, and a running one that loses
 // them, when one of eight daemons crashes: neither probes nor the store lease alone show
 // that a daemon has failed.
-func TestCrashIsSuspectedThenGone(t *testing.T) {
+func TestCrashIsSuspectedThenEnded(t *testing.T) {
 	inCell(t, 8, func(t *testing.T, c *cell) {
 		ref := c.crash("dac")
 		suspected := c.within(8*time.Second, "suspect", c.everyone(func(d *daemon) bool {
--- a/process/jobs/scenario_test.go
+++ b/process/jobs/scenario_test.go
@@ -146,10 +146,10 @@
 	})
 }
 
-// TestInfeasibleJobIsToldAtOnce guards against an infeasible job that waits without a
+// TestInfeasibleJobIsReportedAtOnce guards against an infeasible job that waits without a
 // reason and blocks the jobs behind it. The first job of a team asks for more than any
 // VM has; the queue must not wait for its head.
-func TestInfeasibleJobIsToldAtOnce(t *testing.T) {
+func TestInfeasibleJobIsReportedAtOnce(t *testing.T) {
 	inCell(t, 1, func(ctx context.Context, c *cell) {
 		huge := batch("huge", "a", 3, time.Second)
 		huge.Size = core.Times(9)
--- a/process/lead/detector_test.go
+++ b/process/lead/detector_test.go
@@ -31,7 +31,7 @@
 	return last - first + 1
 }
 
-func TestFullLeaderIsNotReplacedAgainAndAgain(t *testing.T) {
+func TestOverloadedLeaderIsNotReplacedAgainAndAgain(t *testing.T) {
 	// Guards against replacing one overloaded leader by another: with the leader's link
 	// saturated, its answers queue for 400 ms and more. Two pings without an answer
 	// within 150 ms were taken for a failure, and each successor had a higher load than
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestWeakerDaemonLeavesALeaderThatIsSlow(t *testing.T) {
+func TestWeakerDaemonDoesNotReplaceASlowLeader(t *testing.T) {
 	// Guards against replacing a leader with late answers by a daemon with a quarter of
 	// its processor time or a tenth of its link bandwidth.
 	leader := Member{Name: "l", Cores: 0.8, LinkMbps: 200}
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestPatienceGrowsWithTakeoversAndEnds(t *testing.T) {
+func TestMissedPingLimitGrowsWithTakeoversAndResets(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now, d := time.Now(), detector{}
 		var last time.Time
--- a/process/lead/lead_test.go
+++ b/process/lead/lead_test.go
@@ -110,7 +110,7 @@
 	})
 }
 
-func TestLeaderSurvivesAnOutageInWhichLeasesLapse(t *testing.T) {
+func TestLeaderSurvivesAnOutageInWhichLeasesExpire(t *testing.T) {
 	// Guards against a change of the leader with each store outage while all daemons are
 	// running: the store is down for longer than a member's lease, which expires, so the
 	// leader record is no longer there when the store is back.
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestEveryChainIsFencedByTheNextClaim(t *testing.T) {
+func TestEveryWriteStreamIsFencedByTheNextClaim(t *testing.T) {
 	// Guards against a write of an earlier term, on a write stream that its successor has
 	// not used yet, that takes effect after the successor has read the state.
 	synctest.Test(t, func(t *testing.T) {
--- a/process/lead/shards_test.go
+++ b/process/lead/shards_test.go
@@ -15,9 +15,9 @@
 	"fennelshunt.example/fennelshunt/standin/kv"
 )
 
-// TestTwoPartsAreNotClaimedAtOnce guards against a daemon that leads two shards while
+// TestTwoShardsAreNotClaimedAtOnce guards against a daemon that leads two shards while
 // another one leads none, because it claimed both before it led either.
-func TestTwoPartsAreNotClaimedAtOnce(t *testing.T) {
+func TestTwoShardsAreNotClaimedAtOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		var first sync.WaitGroup // both electors call LeadsAnother before either claims
@@ -47,9 +47,9 @@
 	})
 }
 
-// TestVacancyIsLeftToDaemonsThatLive guards against a daemon that leads two shards
+// TestVacancyIsLeftToDaemonsThatAnswer guards against a daemon that leads two shards
 // permanently because the others, which lead none and answer, claim a second or more later.
-func TestVacancyIsLeftToDaemonsThatLive(t *testing.T) {
+func TestVacancyIsLeftToDaemonsThatAnswer(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		late    time.Duration // until the other daemon's elector for the shard starts
--- a/process/lead/witness_test.go
+++ b/process/lead/witness_test.go
@@ -205,7 +205,7 @@
 	}
 }
 
-func TestDeadLeaderIsReplacedBeforeItsLeaseRunsOut(t *testing.T) {
+func TestFailedLeaderIsReplacedBeforeItsLeaseExpires(t *testing.T) {
 	// Guards against more than a second without starts after the leader's VM fails, and
 	// two and a half with a slow store: only the end of its lease showed the failure, and
 	// after store failures the vacancy was left to it for another 1.2 s.
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestLeaderThatTheStoreTurnsAwayIsReplaced(t *testing.T) {
+func TestLeaderThatTheStoreRejectsIsReplaced(t *testing.T) {
 	// Guards against a leader whose store calls are rejected and that keeps leading until
 	// its lease expires, so that no completion is stored or published, and against
 	// leadership that moves back and forth.
@@ -246,7 +246,7 @@
 	})
 }
 
-func TestDaemonThatDoesNotHearTheLeaderAsksOthersFirst(t *testing.T) {
+func TestDaemonCutOffFromTheLeaderAsksOthersFirst(t *testing.T) {
 	// Guards against a broken network path between two daemons that repeatedly takes
 	// leadership away from a daemon that serves all others.
 	synctest.Test(t, func(t *testing.T) {
@@ -286,7 +286,7 @@
 	}
 }
 
-func TestLeaderThatDiedInAnOutageIsNotWaitedFor(t *testing.T) {
+func TestLeaderThatFailedInAnOutageIsNotWaitedFor(t *testing.T) {
 	// Guards against another 1.2 s without starts after a store outage in which the leader
 	// failed.
 	synctest.Test(t, func(t *testing.T) {
--- a/process/ownership/manager_test.go
+++ b/process/ownership/manager_test.go
@@ -213,7 +213,7 @@
 	})
 }
 
-func TestDeadOwnerIsReplaced(t *testing.T) {
+func TestFailedOwnerIsReplaced(t *testing.T) {
 	inBubble(t, 4, 20, func(c *cell) {
 		c.eventually(10*time.Second, "all owned", c.allOwned)
 		c.kill(c.members[0])
--- a/process/partition/crash_test.go
+++ b/process/partition/crash_test.go
@@ -7,10 +7,10 @@
 	"fennelshunt.example/fennelshunt/process/plan"
 )
 
-// TestRestartOfAWorkerSpeaksAgainstTheNewestTask guards against a shard that cannot tell
+// TestRestartOfAWorkerMakesTheNewestTaskSuspect guards against a shard that cannot tell
 // a task that crashes its workers from the others on the worker: only the task that had
 // just been started is reported as suspect.
-func TestRestartOfAWorkerSpeaksAgainstTheNewestTask(t *testing.T) {
+func TestRestartOfAWorkerMakesTheNewestTaskSuspect(t *testing.T) {
 	inBubble(t, 1, 1, large, func(c *cell) {
 		d := c.ready()
 		c.author.mustStart(d, step(1, workerID(0)))
--- a/process/partition/worker_test.go
+++ b/process/partition/worker_test.go
@@ -78,7 +78,7 @@
 	})
 }
 
-func TestTasksOfAGoneWorkerAreLostAfterTheirLease(t *testing.T) {
+func TestTasksOfARemovedWorkerAreLostAfterTheirLease(t *testing.T) {
 	// Guards against a task that runs twice, or is never started again, after a
 	// worker is cut off and its VM leaves the VM list. The list is only a hint:
 	// the VM may still run its tasks until their lease has expired.
@@ -159,7 +159,7 @@
 	})
 }
 
-func TestWorkerIsSetAsideOnFailuresOfDifferentJobs(t *testing.T) {
+func TestWorkerIsQuarantinedOnFailuresOfDifferentJobs(t *testing.T) {
 	// Guards against a faulty VM that fails all tasks started on it, and against a
 	// faulty job that has every VM quarantined: a worker fails tasks of three
 	// jobs, and a job fails on every worker. Failures were counted without
--- a/process/relay/relay_test.go
+++ b/process/relay/relay_test.go
@@ -372,7 +372,7 @@
 	})
 }
 
-func TestSpecOfALostHomeComesFromTheLeaderOnce(t *testing.T) {
+func TestLeaderSendsSpecOfALostAcceptingDaemonOnce(t *testing.T) {
 	// Guards against a leader whose link is blocked for a third of a second, so that every
 	// relay misses its timeout: a wide gang with a spec of 4 KB started, the job's owner
 	// did not answer, and each of the gang's orders that a relay could not carry out was
@@ -398,7 +398,7 @@
 
 // Guards against losing, in a relayed answer, the runs that a worker's next incarnation
 // reports.
-func TestAnswerOfAnotherLifeComesWhole(t *testing.T) {
+func TestAnswerOfAnotherIncarnationIsComplete(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := newCell(t, 0.1, "l", "r-1", "r-2")
 		defer c.end()
--- a/process/sched/conflict_test.go
+++ b/process/sched/conflict_test.go
@@ -141,7 +141,7 @@
 	for _, load := range []float64{0.6, 0.8} {
 		for _, each := range []int{1, 4, 13} {
 			for _, mode := range []struct{ affinity, rebinds bool }{{false, false}, {true, false}, {false, true}, {true, true}} {
-				b.Run(fmt.Sprintf("load=%v/each=%d/homes=%v/rebinds=%v", load, each, mode.affinity, mode.rebinds), func(b *testing.B) {
+				b.Run(fmt.Sprintf("load=%v/each=%d/affinity=%v/rebinds=%v", load, each, mode.affinity, mode.rebinds), func(b *testing.B) {
 					benchmarkConflicts(b, load, each, mode.affinity, mode.rebinds)
 				})
 			}
--- a/process/sched/packing_test.go
+++ b/process/sched/packing_test.go
@@ -144,8 +144,8 @@
 	{"naive", func(w []plan.WorkerState) packer { return naivePacker{scanPacker{naive.New(w), nil}} }},
 	{"first-fit", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), firstFit} }},
 	{"best-fit", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), bestFit} }},
-	{"first-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(firstFit)} }},
-	{"best-fit-keeping", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(bestFit)} }},
+	{"first-fit-avoiding-accelerators", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(firstFit)} }},
+	{"best-fit-avoiding-accelerators", func(w []plan.WorkerState) packer { return scanPacker{naive.New(w), avoidingAccelerators(bestFit)} }},
 }
 
 // mix scales the sizes of the mixed tasks, in percent.
--- a/process/sched/planner_bench_test.go
+++ b/process/sched/planner_bench_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// BenchmarkNoRoom measures the decision on a task that does not fit: the first of its
+// BenchmarkNoCapacity measures the decision on a task that does not fit: the first of its
 // job, and each further one until a task ends.
-func BenchmarkNoRoom(b *testing.B) {
+func BenchmarkNoCapacity(b *testing.B) {
 	for _, n := range cellSizes {
 		snap := cacheOf(loaded(authority(n))).Snapshot()
 		a := batchAsk("large", 0, res(64000, 131072))
--- a/process/sched/planner_test.go
+++ b/process/sched/planner_test.go
@@ -88,7 +88,7 @@
 	require.Equal(t, res(600, 10), p.View().Lookup("w").Reserved)
 }
 
-func TestInfeasibleIsToldWithTheReason(t *testing.T) {
+func TestInfeasibleIsReportedWithTheReason(t *testing.T) {
 	c := NewCache()
 	c.Apply(state("p", 1, 1, true,
 		workerState("a", "z1", "r1", res(1000, 1000), res(1000, 1000)),
