--- a/request/admission/admission_test.go
+++ b/request/admission/admission_test.go
@@ -164,7 +164,7 @@
 	})
 }
 
-func TestRefusalsTellWhenToRetry(t *testing.T) {
+func TestRefusalsHaveARetryTime(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		c := New(Options{CallerRate: 10, CallerBurst: 2, Members: func() int { return 4 }})
 		require.NoError(t, c.Limit("t", "a", 0))
--- a/request/gateway/cell_test.go
+++ b/request/gateway/cell_test.go
@@ -182,7 +182,7 @@
 	require.Equal(t, idem.CodeMismatch, other.header.Get("Fennel-Code"))
 }
 
-func TestKeyRunsAtMostOnceThroughTheDeathOfItsHome(t *testing.T) {
+func TestKeyRunsAtMostOnceThroughACrashOfItsOwner(t *testing.T) {
 	// Guards against a key that runs twice because its owner crashes, or is
 	// partitioned, after it has sent the request, and the caller's retry reaches
 	// the new owner: only the old one had a record that the request was sent.
--- a/request/gateway/owner_test.go
+++ b/request/gateway/owner_test.go
@@ -47,9 +47,9 @@
 	require.Greater(t, DefaultOwnerWait, ownership.DefaultReleaseTimeout)
 }
 
-// TestHomeGivesUpInTimeToSaySo guards against a "may have run" for requests that their key
+// TestForwardedTimeoutLeavesAMargin guards against a "may have run" for requests that their key
 // owner refuses as not run, but a little after the deadline.
-func TestHomeGivesUpInTimeToSaySo(t *testing.T) {
+func TestForwardedTimeoutLeavesAMargin(t *testing.T) {
 	c := newCell(t, 2, 1, Options{})
 	for left, margin := range map[time.Duration]time.Duration{
 		20 * time.Millisecond: 10 * time.Millisecond, time.Second: 100 * time.Millisecond,
--- a/request/gateway/scenario_test.go
+++ b/request/gateway/scenario_test.go
@@ -133,7 +133,7 @@
 	require.Zero(t, bad.Runs("k"))
 }
 
-func TestSignOfLeavingIsPassedOnFromAnyAnswer(t *testing.T) {
+func TestLeavingNoticeIsPassedOnFromAnyAnswer(t *testing.T) {
 	// Guards against an instance that gets new requests until its VM is removed:
 	// its leaving notice comes in a refusal or in an answer, and was read from
 	// complete answers only.
@@ -309,9 +309,9 @@
 	require.Equal(t, 1, e.Report().Completed, "a truncated body was taken for a complete one")
 }
 
-// TestDrainingHomeKeepsItsPeersConnections guards against a handshake for each request that
+// TestDrainingOwnerKeepsItsPeersConnections guards against a handshake for each request that
 // is forwarded to a key owner that is stopping.
-func TestDrainingHomeKeepsItsPeersConnections(t *testing.T) {
+func TestDrainingOwnerKeepsItsPeersConnections(t *testing.T) {
 	c := newCell(t, 2, 2, Options{})
 	key := c.keyOwnedElsewhere(t)
 	c.gateways[1].state.Store(unready)
--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestPausedHomeIsFenced(t *testing.T) {
+func TestPausedOwnerIsFenced(t *testing.T) {
 	// Guards against a key that two daemons send: the old owner begins a key and is
 	// suspended before its intent, a new owner takes over and runs the key, and the
 	// old one resumes while it still assumes that it owns the shard.
--- a/request/slots/leave_test.go
+++ b/request/slots/leave_test.go
@@ -63,10 +63,10 @@
 	}
 }
 
-// TestIdleCreditsGoBackToAnOwnerThatWasAway guards against a planned stop that abandons the
-// return of its credits although they are still valid and their owner becomes reachable again:
-// they would count as taken.
-func TestIdleCreditsGoBackToAnOwnerThatWasAway(t *testing.T) {
+// TestIdleCreditsAreReturnedToAnOwnerThatWasUnreachable guards against a planned stop that
+// abandons the return of its credits although they are still valid and their owner becomes
+// reachable again: they would count as taken.
+func TestIdleCreditsAreReturnedToAnOwnerThatWasUnreachable(t *testing.T) {
 	for _, back := range []bool{true, false} {
 		synctest.Test(t, func(t *testing.T) {
 			c := cellWithReserve(t, 2)
--- a/request/submit/authenticate_test.go
+++ b/request/submit/authenticate_test.go
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestKeysOfADaemonThatHearsNothing(t *testing.T) {
+func TestKeysOfADaemonWithAnUnconfirmedConfiguration(t *testing.T) {
 	// While the store refuses a daemon's calls, callers with a new key must not be told that
 	// their key is invalid, and a revoked key must not work there indefinitely: the daemon has
 	// to take the age of its configuration into account.
--- a/request/submit/shards_test.go
+++ b/request/submit/shards_test.go
@@ -48,7 +48,7 @@
 	return rev
 }
 
-func TestJobOfBeforeTheDivisionStaysOneJob(t *testing.T) {
+func TestJobSubmittedBeforeShardingStaysOneJob(t *testing.T) {
 	// A job must not run once in each shard when it is submitted, the cell is divided, and the
 	// caller, whose answer was lost, submits it again.
 	synctest.Test(t, func(t *testing.T) {
@@ -66,7 +66,7 @@
 	})
 }
 
-func TestDaemonThatHasNotHeardOfTheDivisionAcceptsNothing(t *testing.T) {
+func TestDaemonWithAnOldLayoutAcceptsNothing(t *testing.T) {
 	// A daemon with the old layout must not write a job into a shard where no daemon looks for
 	// it and its caller would be told that it does not exist. After the refusal the job must not
 	// appear.
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -108,7 +108,7 @@
 	})
 }
 
-func TestSilentStoreIsNotWrittenToTwice(t *testing.T) {
+func TestUnresponsiveStoreIsNotWrittenToTwice(t *testing.T) {
 	// When the store does not answer, only the first submission may send a write. If each sent
 	// one, its outcome would be uncertain, and callers would wait for more than a second each to
 	// be told that their job may have been accepted. A read detects the outage as well and
@@ -157,7 +157,7 @@
 	}
 }
 
-func TestCancelBeforeALateHandIn(t *testing.T) {
+func TestCancelBeforeALateSubmission(t *testing.T) {
 	// A job must not run whose caller was told that it does not exist: the write of a submission
 	// is delayed, the caller cancels and gets ErrNoJob, then the write arrives. Without a mark
 	// under the id the write would succeed.
@@ -273,7 +273,7 @@
 	})
 }
 
-func TestJobInABundleIsShownAsEnded(t *testing.T) {
+func TestJobInABatchIsShownAsEnded(t *testing.T) {
 	// A job whose final state is in the store in a batch, with its submission still there, must
 	// not be shown as completed and, after the loss of its leader, as queued again.
 	synctest.Test(t, func(t *testing.T) {
@@ -290,7 +290,7 @@
 	})
 }
 
-func TestCancellationsDoNotPressAStoreThatIsAway(t *testing.T) {
+func TestCancellationsDoNotOverloadAnUnavailableStore(t *testing.T) {
 	// Without a pause, cancellations alone would read from the store 180 times a second during
 	// an outage, and every call costs money.
 	synctest.Test(t, func(t *testing.T) {
