--- a/connection/store/http_test.go
+++ b/connection/store/http_test.go
@@ -92,10 +92,10 @@
 	}
 }
 
-// TestHTTPTellsWhatIsKnownOfAWrite guards against reporting a write that may have taken
+// TestHTTPReportsTheOutcomeOfAWrite guards against reporting a write that may have taken
 // effect as refused, if a response that is not the service's own counts as one, or a
 // write that was never sent as unknown.
-func TestHTTPTellsWhatIsKnownOfAWrite(t *testing.T) {
+func TestHTTPReportsTheOutcomeOfAWrite(t *testing.T) {
 	answer := func(status int, body string) http.HandlerFunc {
 		return func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Location", "/v1/put")
--- a/connection/store/outage_test.go
+++ b/connection/store/outage_test.go
@@ -178,10 +178,10 @@
 	})
 }
 
-// TestServedLeaseOutlivesShortOutages guards against losing a lease in an outage shorter
+// TestServedLeaseSurvivesShortOutages guards against losing a lease in an outage shorter
 // than its time to live, if renewals stop too early, and against relying on an expired
 // lease after a longer outage, if its loss is not reported.
-func TestServedLeaseOutlivesShortOutages(t *testing.T) {
+func TestServedLeaseSurvivesShortOutages(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := kv.New()
 		h := store.NewClient(m, store.Options{}).Role(store.RoleMembers)
--- a/connection/store/swap_test.go
+++ b/connection/store/swap_test.go
@@ -49,11 +49,11 @@
 	return s.Store.Put(ctx, key, value, prev, lease)
 }
 
-// TestSwapMeetsItsOwnLateRequest guards against reporting a write that took effect as a
+// TestSwapRecognisesItsOwnLateRequest guards against reporting a write that took effect as a
 // conflict: the request of a swap is delayed, its caller reads back, finds nothing and
 // sends it again. The first request arrives just before the second, which then conflicts
 // with it.
-func TestSwapMeetsItsOwnLateRequest(t *testing.T) {
+func TestSwapRecognisesItsOwnLateRequest(t *testing.T) {
 	m := kv.New()
 	h := store.NewClient(&lateStore{Store: m}, store.Options{}).Role(store.RoleClaims)
 	rev, err := h.Swap(context.Background(), "k", []byte("v"), 0, 0)
--- a/connection/store/track_test.go
+++ b/connection/store/track_test.go
@@ -50,10 +50,10 @@
 	})
 }
 
-// TestWatchThatAnOutageSwallowedIsSentAgain guards against trackers that keep waiting for
+// TestWatchLostInAnOutageIsSentAgain guards against trackers that keep waiting for
 // a watch that was lost in an outage although the store answers again, and against
 // sending a watch again for each lost response.
-func TestWatchThatAnOutageSwallowedIsSentAgain(t *testing.T) {
+func TestWatchLostInAnOutageIsSentAgain(t *testing.T) {
 	for _, x := range []struct {
 		what   string
 		outage time.Duration
