--- a/request/idem/idem_test.go
+++ b/request/idem/idem_test.go
@@ -93,7 +93,7 @@
 	})
 }
 
-func TestPausedHomeIsFenced(t *testing.T) {
+func TestPausedOwnerIsFenced(t *testing.T) {
 	// Guards against a request that two daemons send: the old owner of its key begins
 	// it and is suspended before its intent, a new owner takes over and runs it, and
 	// the old one resumes while it still assumes that it owns the shard.
