--- a/command/accounts/accounts.go
+++ b/command/accounts/accounts.go
@@ -1,4 +1,4 @@
-// Package accounts shows what the client accounts of a cell use of their caps, from the
+// Package accounts shows the usage and caps of the client accounts of a cell, from the
 // counters of its daemons.
 package accounts
 
--- a/command/bench/compare.go
+++ b/command/bench/compare.go
@@ -28,13 +28,14 @@
 	Before, After [2]float64 // smallest and largest value of the repetitions
 	Verdict       Verdict
 	Ratio         float64 // after ÷ before, of the midpoints of the ranges
-	TooFew        bool
+	TooFew        bool    // too few repetitions for a verdict, which is then Same
 }
 
 // minRepetitions is the least number of repetitions for a verdict.
 const minRepetitions = 3
 
-// Compare compares two results metric by metric, sorted by name.
+// Compare compares the metrics that both results have, sorted by name. The error
+// matches ErrDifferentSettings if the settings differ.
 func Compare(before, after *Result) ([]Change, error) {
 	if before.Setting != after.Setting {
 		return nil, fmt.Errorf("%w: %+v and %+v", ErrDifferentSettings, before.Setting, after.Setting)
--- a/command/bench/drivereport.go
+++ b/command/bench/drivereport.go
@@ -11,14 +11,15 @@
 	"fennelshunt.example/fennelshunt/standin/callers"
 )
 
-// Limits of what a daemon may spend on control, as the users set them.
+// The users' limits on the control cost of one daemon.
 const (
-	limitCore  = 0.036
-	limitRSS   = 128 << 20
-	limitBytes = 13_000 // per second, sent and received together
+	limitCore  = 0.036     // CPU time as a share of one core
+	limitRSS   = 128 << 20 // bytes
+	limitBytes = 13_000    // per second, sent and received together
 )
 
-// Cost is the resource use of one daemon in a phase.
+// Cost is the resource use of one daemon in a phase. Owned has the number of resources
+// that the daemon owned at the end of the phase, by key prefix.
 type Cost struct {
 	Address string         `json:"address"`
 	Owned   map[string]int `json:"owned"`
@@ -43,9 +44,9 @@
 	Starts, StoreReads, StoreWrites float64
 }
 
-// Repetition is an idle measurement, with the service running but without requests
-// and new tasks, and one under load. CPU time and memory under load include
-// the handling of callers' requests.
+// Repetition holds the measurements of an idle phase, in which the service runs but
+// there are no requests or new tasks, and of a load phase. CPU time and memory under
+// load include the handling of callers' requests.
 type Repetition struct {
 	Idle, Load Phase
 	Requests   callers.Summary
@@ -111,7 +112,8 @@
 	return strings.Join(names, ",")
 }
 
-// Names of the metrics of a driven deployment: the maximum over the daemons.
+// Names of the metrics that only Drive measures. Those with the suffix _max are the
+// maximum over the daemons.
 const (
 	idleCore, idleRSS, idleBytes = "idle_core_share_max", "idle_rss_bytes_max", "idle_control_bytes_per_s_max"
 	loadCore, loadRSS, loadBytes = "load_core_share_max", "load_rss_bytes_max", "load_control_bytes_per_s_max"
--- a/command/bench/result.go
+++ b/command/bench/result.go
@@ -27,7 +27,8 @@
 // Metrics maps a metric's name to its value. Names end with their unit.
 type Metrics map[string]float64
 
-// Names of metrics. Waiting times count from the apply to the task's start.
+// Names of metrics. Waiting times count from the apply to the task's start. Broken
+// counts violated guarantees.
 const (
 	RequestP50    = "request_p50_us"
 	RequestP99    = "request_p99_us"
--- a/command/bench/run.go
+++ b/command/bench/run.go
@@ -29,12 +29,12 @@
 const (
 	// instances is the number of the service's instances.
 	instances = 48
-	// instanceShare: a service instance takes one eighth of a VM.
+	// instanceShare is the number of service instances that fill a VM.
 	instanceShare = 8
 )
 
-// warmUp is how long requests are sent before the measurement; they are drawn with
-// a seed of their own, warmUpSeed above that of the load.
+// warmUp is how long requests are sent before the measurement. Their seed is that of
+// the load plus warmUpSeed.
 const (
 	warmUp     = 3 * time.Second
 	warmUpSeed = 1_000_000
@@ -75,7 +75,7 @@
 	service string
 	jobs    map[string]jobMeta
 	mu      sync.Mutex
-	packing []float64 // samples of the used share of the binding dimension
+	packing []float64 // samples of the used share of CPU or memory, the larger one
 }
 
 func repetition(ctx context.Context, o Options, n int) (m Metrics, err error) {
@@ -125,7 +125,7 @@
 	}
 }
 
-// measure applies the load of requests and tasks for the duration of the setting.
+// measure applies the load of requests and tasks for Setting.Seconds.
 func (b *bench) measure(ctx context.Context, n int) (Metrics, error) {
 	duration := time.Duration(b.o.Setting.Seconds * float64(time.Second))
 	runCtx, stop := context.WithTimeout(ctx, duration)
@@ -181,7 +181,8 @@
 	}
 }
 
-// sample records the used share of the binding dimension ten times a second.
+// sample records, ten times a second, the used share of CPU or memory, whichever is
+// larger.
 func (b *bench) sample(ctx context.Context) {
 	tick := time.NewTicker(100 * time.Millisecond)
 	defer tick.Stop()
--- a/command/ctl/change.go
+++ b/command/ctl/change.go
@@ -50,7 +50,7 @@
 	return data, file, nil
 }
 
-// base formats a version for the base parameter.
+// base formats a version as the value of a query parameter.
 func base(version uint64) string { return strconv.FormatUint(version, 10) }
 
 func needFiles(args []string) error {
--- a/command/ctl/client.go
+++ b/command/ctl/client.go
@@ -64,12 +64,14 @@
 	return &tls.Config{RootCAs: pool, MinVersion: tls.VersionTLS12}, nil
 }
 
-// Get sends a GET request and decodes the response.
+// Get sends a GET request and decodes the JSON response into result, or stores the raw
+// body if result is a *[]byte. The error is an *api.Error if the daemon sent one, and
+// matches ErrNoAnswer if no complete response arrived.
 func (c *Client) Get(ctx context.Context, path string, query url.Values, result any) error {
 	return c.call(ctx, http.MethodGet, path, query, nil, result)
 }
 
-// Post sends a POST request with a body and decodes the response.
+// Post sends a POST request with a body; response and errors are as for Get.
 func (c *Client) Post(ctx context.Context, path string, query url.Values, body []byte, result any) error {
 	return c.call(ctx, http.MethodPost, path, query, body, result)
 }
--- a/command/ctl/show.go
+++ b/command/ctl/show.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// file prints a file such that it can be applied again.
+// file prints a file in the form in which it can be applied again.
 func (a *app) file(ctx context.Context, name string) error {
 	var result api.File
 	if err := a.get(ctx, api.PathFiles+"/"+url.PathEscape(name), nil, &result); err != nil {
--- a/command/demo/demo.go
+++ b/command/demo/demo.go
@@ -30,11 +30,11 @@
 
 // Options configure the demonstration.
 type Options struct {
-	Daemons  int
-	Requests int
-	Rate     float64 // requests per second
-	Examples string  // folder of the users' configuration files
-	Timeout  time.Duration
+	Daemons  int           // per cell
+	Requests int           // per cell
+	Rate     float64       // requests per second
+	Examples string        // folder of the users' configuration files
+	Timeout  time.Duration // for each cell
 	Log      zerolog.Logger
 }
 
--- a/command/metricsget/metricsget.go
+++ b/command/metricsget/metricsget.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// maxBody bounds a response, in bytes. The longest one, the counters of a daemon with
-// the greatest number of accounts that it lists, is shorter.
+// maxBody bounds a response, in bytes. The longest response, the counters of a daemon
+// that lists the maximum number of accounts, is shorter.
 const maxBody = 8 << 20
 
 // StatusError is a response with a status other than 200.
@@ -29,8 +29,9 @@
 // maxText bounds the body kept in a StatusError, in bytes.
 const maxText = 200
 
-// JSON gets a path of a daemon within the timeout and decodes the response. path begins
-// with a slash, or is "" for the counters; the error may be a *StatusError.
+// JSON sends a GET request for path to the daemon at address, which is host:port or a
+// URL, and decodes the response into the value that into points to. path begins with a
+// slash, or is "" for the counters. The error is a *StatusError if the status is not 200.
 func JSON(ctx context.Context, address, path string, timeout time.Duration, into any) error {
 	ctx, cancel := context.WithTimeout(ctx, timeout)
 	defer cancel()
--- a/command/trace/trace.go
+++ b/command/trace/trace.go
@@ -103,12 +103,13 @@
 // ErrNoLines means that no line names the job.
 var ErrNoLines = errors.New("no line in these logs names the job; were the logs of all daemons given?")
 
-// margin is how long before the job's first line and after its last one events
-// of the cell are shown.
+// margin extends the timeline: events of the cell are shown if they are at most
+// this long before the job's first line or after its last one.
 const margin = 2 * time.Second
 
 // Write merges several logs by time and writes the timeline of a job, with
-// times relative to the job's first line.
+// times relative to the job's first line. The error is ErrNoLines if no line names
+// the job.
 func Write(out io.Writer, id string, logs ...io.Reader) error {
 	var all []line
 	for _, log := range logs {
