--- a/cmd/fennelbench/deployment_test.go
+++ b/cmd/fennelbench/deployment_test.go
@@ -22,8 +22,8 @@
 
 const token = "operator-token-for-measurements-only"
 
-// settleSeconds is how long after the start of the last daemon ownership is assumed
-// to be balanced. It is longer than the hold-down before a planned move.
+// settleSeconds is the pause after the start of the last daemon, after which ownership
+// is assumed to be balanced. It is longer than the hold-down before a planned move.
 const settleSeconds = 240
 
 const daemonBinary = "fennelshuntd"
@@ -64,7 +64,7 @@
 	for _, addr := range d.callers {
 		require.Eventually(t, func() bool { return ready(addr) }, 3*time.Minute, 50*time.Millisecond)
 	}
-	// No check depends on this pause: it lets the figures be those of the steady state.
+	// No assertion depends on this pause; with it the steady state is measured.
 	time.Sleep(time.Duration(setting(t, "FENNEL_SETTLE", settleSeconds) * float64(time.Second)))
 	report, err := bench.Drive(t.Context(), bench.DriveOptions{
 		Callers: d.callers, Admins: d.admins, Token: token, Control: d.control, Progress: os.Stderr, Repetitions: 1,
