--- a/internal/liblog/liblog_test.go
+++ b/internal/liblog/liblog_test.go
@@ -33,8 +33,8 @@
 }
 
 func TestResponsesOfInstancesAreNotLogged(t *testing.T) {
-	// Guards against callers' data in a daemon's log (a buyer's title overlay was
-	// found there): an instance sends two responses to one request at once, and
+	// Guards against callers' data in a daemon's log, where part of a response to a
+	// caller was found: an instance sends two responses to one request at once, and
 	// net/http's Transport prints the start of the second one with package log.
 	flags, prefix, output := log.Flags(), log.Prefix(), log.Writer()
 	defer func() { log.SetFlags(flags); log.SetPrefix(prefix); log.SetOutput(output) }()
--- a/internal/rapidtest/rapidtest.go
+++ b/internal/rapidtest/rapidtest.go
@@ -16,8 +16,8 @@
 // the files in which rapid stores failing cases, runs all tests and exits. Flags given
 // on the command line take precedence.
 //
-// With random seeds, a fault that few cases show would fail one run in many, at a
-// commit that has nothing to do with it.
+// With random seeds, a fault that only few cases reveal would fail one run in many, at
+// an unrelated commit.
 func Main(m *testing.M) {
 	run(m, map[string]string{})
 }
