--- a/standin/agent/agent.go
+++ b/standin/agent/agent.go
@@ -1,7 +1,7 @@
 // Package agent is a stand-in for the platform's agent on a worker VM. Batch tasks
 // are timers; service instances are launched by a function in the Options. The
-// stand-in compares epochs or checks leases only, and can fail all tasks and use
-// more than the declared sizes.
+// stand-in checks leases and, with ComparesEpochs, epochs. It can fail all tasks and
+// use more than the declared sizes.
 package agent
 
 import (
@@ -29,7 +29,7 @@
 	// ComparesEpochs makes the agent refuse leases with an epoch lower than the highest
 	// that it has received.
 	ComparesEpochs bool
-	Launch         LaunchService
+	Launch         LaunchService // if nil, service instances run without an address
 	// Recorder may be nil.
 	Recorder *record.Recorder
 }
--- a/standin/agent/run.go
+++ b/standin/agent/run.go
@@ -66,7 +66,8 @@
 	return ""
 }
 
-// armTimer sets the timer that ends the run after left. The caller holds mu.
+// armTimer sets the timer that ends the run after left, or after defaultRunTime at the
+// latest if the run is to fail. The caller holds mu.
 func (a *Agent) armTimer(r *run, left time.Duration) {
 	state := worker.Succeeded
 	if a.failAll || r.start.Parameters[ParamFail] == "always" {
--- a/standin/callers/callers.go
+++ b/standin/callers/callers.go
@@ -50,7 +50,7 @@
 	NonIdempotent, Keyed float64
 	// BodySize is the size of each request's body, in bytes.
 	BodySize int
-	// Tries is how often one request is sent at most; 0 means 5.
+	// Tries is the maximum number of times that one request is sent; 0 means 5.
 	Tries int
 	Seed  uint64
 	// Until, if not nil, ends the arrivals early when it is closed.
@@ -64,7 +64,7 @@
 	Key   string
 	Kind  Kind
 	Whole bool // the complete response to this request arrived
-	// Foreign is set if a response was not the one to this request.
+	// Foreign is set if a response with status 200 was not the one to this request.
 	Foreign bool
 	// Last is the verdict of the last try, valid when Answered.
 	Last verdict.Verdict
@@ -76,7 +76,7 @@
 	Latency time.Duration
 	Status  int
 	Code    string
-	// Problem is the error of a last try without a complete response, At the time of the error.
+	// Problem is the error of the latest try without a complete response, At its time.
 	Problem error
 	At      time.Time
 }
--- a/standin/callers/callers_test.go
+++ b/standin/callers/callers_test.go
@@ -48,8 +48,8 @@
 	return &http.Response{StatusCode: http.StatusGatewayTimeout, Header: h, Body: io.NopCloser(strings.NewReader("")), Request: r}, nil
 }
 
-// TestRetriesFollowTheCallersContract guards against stand-ins that give up or double a request
-// that may have run, against the documented contract of callers.
+// TestRetriesFollowTheCallersContract guards against stand-ins that give up on a request that may
+// have run, or run it twice, contrary to the documented contract of callers.
 func TestRetriesFollowTheCallersContract(t *testing.T) {
 	for _, c := range []struct {
 		name                 string
@@ -75,7 +75,7 @@
 }
 
 // TestRetriesWaitForRetryAfter guards against stand-ins that retry sooner than Retry-After says,
-// and keep a busy service busy with refusals.
+// and load a busy service with requests that it has to refuse.
 func TestRetriesWaitForRetryAfter(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		v := &verdictTransport{after: "7", sent: map[string]int{}}
--- a/standin/callers/check.go
+++ b/standin/callers/check.go
@@ -7,7 +7,8 @@
 	"fennelshunt.example/fennelshunt/request/verdict"
 )
 
-// Summary counts outcomes and their contradictions to what the endpoints counted.
+// Summary counts the outcomes of requests, and the outcomes that contradict the counts of
+// the endpoints.
 type Summary struct {
 	Requests int `json:"requests"`
 	Whole    int `json:"whole"`
--- a/standin/cell/balancer.go
+++ b/standin/cell/balancer.go
@@ -77,8 +77,8 @@
 	checkInterval = 200 * time.Millisecond
 	// checkTimeout bounds one readiness check.
 	checkTimeout = time.Second
-	// callerConns is the number of idle connections kept for all callers together, since
-	// each caller reuses a connection of its own.
+	// callerConns bounds the idle connections of all callers together; each caller keeps
+	// one to reuse.
 	callerConns = 4096
 )
 
@@ -157,7 +157,7 @@
 }
 
 // Apply applies a configuration file by writing to the store directly, without a
-// daemon.
+// daemon, and returns its version.
 func (c *Cell) Apply(ctx context.Context, file *spec.File) (uint64, error) {
 	client := store.NewClient(store.NewHTTP(c.Platform.StoreURL, nil), store.Options{})
 	h := history.New(client.Role(store.RoleVersions))
--- a/standin/cell/upgrade_test.go
+++ b/standin/cell/upgrade_test.go
@@ -13,7 +13,7 @@
 )
 
 // testLease is the member lease in tests. It is longer than the default, since a loaded
-// test machine may stall a process for seconds, which is not what they test.
+// test machine may stall a process for seconds, which the tests are not about.
 const testLease = 12 * time.Second
 
 // startCell starts a cell, applies smallFile and waits until its tasks are done.
@@ -51,7 +51,7 @@
 
 // TestRollingUpgradeCutsNothing guards against requests that are aborted during a rolling
 // upgrade: under load each daemon in turn stops as planned and restarts under its name.
-// That comes about if a daemon closes its listener before the balancer has seen its
+// This happens if a daemon closes its listener before the balancer has seen its
 // readiness check fail, or transfers slots or keys that requests still use.
 func TestRollingUpgradeCutsNothing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
--- a/standin/cellsim/accounts.go
+++ b/standin/cellsim/accounts.go
@@ -45,7 +45,7 @@
 	all := make([]Account, n)
 	sum, share := 0.0, 1.0
 	for i := range all {
-		all[i].Share = share + 0.15 // a minimum relative to the largest, so that no account is too small for a gang
+		all[i].Share = share + 0.15 // so that even the smallest account has a cap that fits a gang
 		sum += all[i].Share
 		share *= accountRatio
 	}
@@ -121,8 +121,8 @@
 }
 
 // worstAccounts returns the mean credit of the tenth of the accounts with the lowest credit.
-// Jobs over an account's entitlement do not count; the model takes the extra jobs of hot
-// accounts for these. Jobs without an account count as those of one account.
+// The extra jobs of hot accounts do not count: they stand for the jobs over an account's
+// entitlement. Jobs without an account count as those of one account.
 func (s *sim) worstAccounts() float64 {
 	owed, earned := map[string]float64{}, map[string]float64{}
 	for _, j := range s.all {
--- a/standin/cellsim/doc.go
+++ b/standin/cellsim/doc.go
@@ -5,8 +5,8 @@
 // and a run is reproducible from its seed.
 //
 // All scheduling decisions are those of the Engine. Model workers run each task for
-// the time drawn for it, end the tasks of a gang together, stop tasks on order with
-// a checkpoint, and list completions until they are acknowledged. The advice
+// the time drawn for it, end the tasks of a gang together, stop tasks with a checkpoint
+// when ordered to, and list completions until they are acknowledged. The advice
 // service handles one call of each daemon at a time. The store has a latency and may
 // be slow or down. Callers submit a job, retry when it is refused, and give up
 // after a while. CPU time, connections and lost responses are not simulated.
--- a/standin/cellsim/load.go
+++ b/standin/cellsim/load.go
@@ -9,7 +9,7 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// LogNormal is the distribution of a size that is drawn for each job, cut at Max.
+// LogNormal is a log-normal distribution; values above Max are replaced by Max.
 type LogNormal struct {
 	Mean  float64
 	Sigma float64 // of the logarithm
@@ -24,9 +24,9 @@
 // Class describes one class of jobs and its arrival rate.
 type Class struct {
 	Queue     work.Queue
-	PerSecond float64
-	// Worth is the credit for a job of mean size that is completed within its
-	// objective; a late job earns lateShare of it.
+	PerSecond float64 // mean arrivals
+	// Worth is what a job of mean size earns if it is completed within its objective;
+	// a late job earns lateShare of it.
 	Worth float64
 	// Steps is the mean number of steps; they run one after the other.
 	Steps  float64
@@ -63,15 +63,16 @@
 	Bursts []Burst
 	// Hot accounts submit more than their usual load for a while.
 	Hot []HotAccount
-	// During SlowStore the store responds after SlowAnswer; during Outage not at all.
+	// During SlowStore the store responds after SlowAnswer. During Outage submissions are
+	// refused, and other calls of the store get their response after the outage.
 	SlowStore, Outage Span
 	SlowAnswer        time.Duration
 	// LeaderLost is when the leader fails, 0 for never; a successor starts Takeover
 	// later.
 	LeaderLost, Takeover time.Duration
-	// Crashed, Failing and Slow are the shares of the workers that crash for good at
-	// the start of WorkerFaults, or while it lasts fail all tasks that they start, or
-	// run tasks six times as long.
+	// Crashed is the share of the workers that crash at the start of WorkerFaults and do
+	// not return. During WorkerFaults, the share Failing of the workers fails all tasks
+	// that they start, and the share Slow runs them six times as long.
 	Crashed, Failing, Slow float64
 	WorkerFaults           Span
 }
@@ -95,25 +96,25 @@
 	spec     *work.Job
 	runTimes [][]time.Duration // run times by step and task, on a worker of slowdown 1
 	worth    float64
-	due      time.Duration // objective
+	due      time.Duration // objective: time limit from the first submission
 	size     int           // tasks of the widest step
 	hot      bool          // extra job of a hot account
 	// poisoned: every run fails, and the job earns its worth when it is shown as failed.
 	poisoned bool
 
-	submitted time.Duration // first submission
-	accepted  time.Duration // 0 if not accepted
-	started   time.Duration
-	shown     time.Duration
-	ended     work.State
+	submitted time.Duration // first submission, from the start of the load
+	accepted  time.Duration // from the start of the run, as the next two; 0 if not accepted
+	started   time.Duration // first start, 0 for none
+	shown     time.Duration // when the final state was shown, 0 for never
+	ended     work.State    // the final state
 }
 
 // Classes returns three classes of jobs for a number of workers of 32 cores: wide
 // gangs of large tasks, steps of many small tasks, and quick jobs of two or three
-// tasks. Load is the share of the cores that they need, not counting failures.
+// tasks. load is the share of the cores that they need, not counting failures.
 func Classes(workers int, load float64) []Class {
 	scale := float64(workers) / refWorkers
-	growth := math.Sqrt(scale) // widths and job rates grow equally
+	growth := math.Sqrt(scale) // of both the widths and the rates of wide and many
 	classes := []Class{
 		{Queue: queue("wide", 1, 2.2, time.Second, 4, advice(442*time.Millisecond, 6370*time.Microsecond)), PerSecond: 5.96, Worth: 7.12, Steps: 1.2,
 			Width: LogNormal{20 * growth, 0.7, 120 * growth}, CPU: LogNormal{9000, 0.38, 15000}, Memory: LogNormal{18000, 0.47, 37000}, Work: LogNormal{4000, 0.47, 10000},
@@ -196,7 +197,7 @@
 	return n
 }
 
-// drawJob draws a job of the account by, or one without an account if by is nil.
+// drawJob draws a job that the account by submits, or one without an account if by is nil.
 func drawJob(c *Class, by *Account, rng *rand.Rand) *job {
 	j := &job{spec: &work.Job{Queue: c.Queue, Spec: "x"}}
 	if by != nil {
--- a/standin/cellsim/patterns.go
+++ b/standin/cellsim/patterns.go
@@ -43,8 +43,8 @@
 // slowAnswer is the response time of a slow store, about seventy times the normal one.
 const slowAnswer = 300 * time.Millisecond
 
-// Policies returns the policies to compare: the default one, variants with one of its
-// mechanisms switched off, one without all of them, and first come, first served.
+// Policies returns the policies to compare: the default one, variants with one or two of
+// its mechanisms switched off, one without all of them, and first come, first served.
 func Policies() map[string]dispatch.Policy {
 	baseline := dispatch.Policy{WriteStreams: 1, NoBatches: true, NoGangReservations: true, NoPacking: true, NoParallelAdvice: true}
 	first := baseline
--- a/standin/cellsim/result.go
+++ b/standin/cellsim/result.go
@@ -14,10 +14,10 @@
 
 // Result holds the results of a run.
 type Result struct {
-	// Credit is the earned share of the worth of all jobs, WorstWindows that of the two
-	// worst windows by submission time.
+	// Credit is the earned share of the worth of all jobs but the extra jobs of hot
+	// accounts. WorstWindows is its mean over the two worst windows by submission time.
 	Credit, WorstWindows float64
-	// WorstAccounts is the credit of the tenth of the accounts with the lowest credit.
+	// WorstAccounts is its mean over the tenth of the accounts with the lowest credit.
 	WorstAccounts float64
 	Classes       []ClassResult
 	// Busy is the mean share of the cores in use during the load, Spent and Wasted the
@@ -50,7 +50,7 @@
 	// Largest is the credit of the tenth of the jobs with the greatest worth.
 	Largest float64
 	// Start has the times from the first submission to the first start, Done those until
-	// the final state was shown; both sorted, without the jobs that did not get there.
+	// the final state was shown. Both are sorted and omit jobs that never got that far.
 	Start, Done []time.Duration
 }
 
@@ -96,7 +96,7 @@
 	}
 }
 
-// earned returns the credit that a job has earned.
+// earned returns the part of its worth that a job has earned.
 func (j *job) earned() float64 {
 	took := j.shown - settle - j.submitted
 	switch {
--- a/standin/cellsim/sim.go
+++ b/standin/cellsim/sim.go
@@ -16,7 +16,8 @@
 
 const service = "s"
 
-// Entitlement of accounts beyond their weight per second.
+// Burst that an account is entitled to beyond its weight in jobs per second: that rate for
+// entitledWindow, and entitledSlack jobs.
 const (
 	entitledWindow = 5 * time.Second
 	entitledSlack  = 20
@@ -142,8 +143,9 @@
 
 func (s *sim) after(d time.Duration, do func()) { s.at(s.now+d, do) }
 
-// runEvents executes the events up to a time. The engine is flushed after each group of
-// events within a hop, as its host does.
+// runEvents executes the events up to a time. Events within hop of each other are executed
+// as a group, at the time of the first, before the engine is flushed; its host groups
+// events, too.
 func (s *sim) runEvents(until time.Duration) {
 	for len(s.events) > 0 && s.events[0].at <= until {
 		s.now = s.events[0].at
@@ -194,7 +196,7 @@
 }
 
 // loseLeader drops the engine and the responses to its calls in flight, and starts
-// another one after the takeover time.
+// another engine after the takeover time.
 func (s *sim) loseLeader() {
 	s.addStats()
 	s.engine = nil
@@ -343,8 +345,8 @@
 	})
 }
 
-// askAdvice models the advice service as called by one daemon; the engine has one call
-// in flight for each daemon.
+// askAdvice models the advice service as called by one daemon; the engine has at most
+// one call in flight for each daemon.
 func (s *sim) askAdvice(x dispatch.AskAdvice, reply func(time.Duration, func())) {
 	j := s.jobs[x.Step.Job]
 	c := &s.o.Classes[j.class]
--- a/standin/cellsim/sim_test.go
+++ b/standin/cellsim/sim_test.go
@@ -66,8 +66,8 @@
 	// Guards against starvation of wide gangs: at a load of nine tenths of the cores, with
 	// advice that allows each gang a quarter of the workers, an eighth of the worth of
 	// wide gangs was lost while a quarter of the cores was idle. Other tasks took the
-	// capacity during the calls for tickets, advice was called for sequentially, and
-	// small tasks were placed where most capacity was free.
+	// capacity while tickets were requested, the advice service was called sequentially,
+	// and small tasks were placed where most capacity was free.
 	if testing.Short() {
 		t.Skip("some seconds of CPU time for each policy")
 	}
@@ -97,8 +97,8 @@
 }
 
 // TestNoDeploymentIsWorseOff simulates cells of other sizes, loads and costs of advice. On
-// none of them may the default policy be worse than first come, first served, in the
-// mean over some seeds.
+// none of them may the default policy be worse than first come, first served by margin or
+// more, in the mean over some seeds.
 func TestNoDeploymentIsWorseOff(t *testing.T) {
 	const length, margin, deployments, seeds = 12 * time.Second, 0.02, 8, 4
 	if testing.Short() {
@@ -126,8 +126,8 @@
 	wg.Wait()
 }
 
-// deployment draws a cell: its size, load, shares and costs of advice, and how much
-// of the work is gangs.
+// deployment draws a cell: its size, its load, the cost of advice and the share of workers
+// that advice allows, and how much of the work is gangs.
 func deployment(t *testing.T, rng *rand.Rand, length time.Duration) Options {
 	o := options(t, 16+rng.IntN(120), 0.5+0.6*rng.Float64(), length)
 	for i := range o.Classes {
--- a/standin/cellsim/worker.go
+++ b/standin/cellsim/worker.go
@@ -18,14 +18,14 @@
 // worker is a model of a worker.
 type worker struct {
 	entry    runner.Worker // in the directory
-	slowdown float64       // run time of a task here against its drawn run time
-	crashed  bool          // for good
+	slowdown float64       // factor on the drawn run times of tasks
+	crashed  bool          // permanently
 
 	used           work.Resources
 	runs           map[work.TaskID]*run
 	completions    []runner.Completion // completions that are not acknowledged
 	number         int64
-	pendingRenewal func() // responds to the renewal that waits, nil for none
+	pendingRenewal func() // responds to the waiting renewal; nil if none waits
 	slow,
 	failing bool
 }
--- a/standin/endpoint/faults.go
+++ b/standin/endpoint/faults.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Faults are the injected faults of an endpoint. Shares are probabilities from 0 to
-// 1, drawn once per request in the order of the fields.
+// Faults are the injected faults of an endpoint. Shares are probabilities from 0 to 1.
+// Each request gets at most one of the faults Refuse to Error, drawn in this order.
+// CloseIdle and Unsolicited are drawn when a connection becomes idle.
 type Faults struct {
 	// Delay is added to the work of each request.
 	Delay time.Duration `json:"delay,omitempty"`
--- a/standin/epochworker/calls.go
+++ b/standin/epochworker/calls.go
@@ -10,9 +10,11 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// reach delivers a call to a worker. responds is false if the response is to be lost. For a
-// call that gets no response at all, reach waits for the end of ctx and returns an error;
-// a late call then takes effect through effect, which is nil for calls that cannot be late.
+// reach delivers a call to a worker after the latency of calls. responds is false if the
+// response is to be lost. If the worker cannot be reached or the call is late, reach
+// returns an error: at once if the worker has crashed and is to restart, else at the end
+// of ctx. A late call runs effect 2 to 12 s later; effect is nil for calls that cannot be
+// late.
 func (f *Fleet) reach(ctx context.Context, to runner.Ref, effect func(w *worker)) (_ *worker, responds bool, err error) {
 	select {
 	case <-ctx.Done():
@@ -284,8 +286,8 @@
 	w.wake = make(chan struct{})
 }
 
-// markGangDone records a whole gang as done after one member has ended done. That
-// stands for all members, including any that were being stopped at the time.
+// markGangDone records a whole gang as done after a run of one member had the outcome
+// runner.Done. It counts for all members, also for those being stopped at the time.
 func (f *Fleet) markGangDone(r *run) {
 	step := &f.jobs[r.task.Job].Steps[r.task.Step]
 	if !step.Gang {
@@ -364,8 +366,8 @@
 	return nil
 }
 
-// checkDisruption counts the stop of a serving task if too many others of its step do
-// not serve.
+// checkDisruption counts the stop of a serving task if MaxInterrupted or more tasks of its
+// step are not serving.
 func (f *Fleet) checkDisruption(r *run) {
 	if _, cancelled := f.cancelled[r.task.Job]; cancelled || !r.serving() {
 		return
--- a/standin/epochworker/fleet.go
+++ b/standin/epochworker/fleet.go
@@ -22,7 +22,7 @@
 
 // Behaviour of a run, chosen by the test.
 type Behaviour struct {
-	Takes time.Duration // run time; a long-running task serves until then
+	Takes time.Duration // run time, also of a long-running task
 	Fails bool
 	// Stuck makes the run stuck: it makes no progress and never ends.
 	Stuck bool
@@ -33,20 +33,21 @@
 // Faults are the injected faults, as probabilities from 0 to 1.
 type Faults struct {
 	LoseAnswers float64 // the call takes effect, but its response is lost
-	Late        float64 // the call gets no response and takes effect 2 to 12 s later
+	Late        float64 // a start or stop gets no response and takes effect 2 to 12 s later
 }
 
 // Options of a Fleet.
 type Options struct {
 	Seed        uint64
-	Lease       time.Duration // the longest that workers accept
+	Lease       time.Duration // longest lease; workers shorten longer ones to it
 	GangTimeout time.Duration // how long a task waits for the rest of its gang
 	StopDelay   time.Duration // how long a stop takes
 	// Delay is the latency of each call.
 	Delay time.Duration
 	// Work returns the behaviour of a run.
 	Work func(task work.TaskID, run uint64, on runner.WorkerID) Behaviour
-	// Attempts is how many failures a task may have; a start after them is a violation.
+	// Attempts is the number of failures of a task after which another start of it is a
+	// violation; 0 means no check. Gangs and long-running tasks are not checked.
 	Attempts int
 	// Restart is how long after a crash a new incarnation of the worker responds at its
 	// address, under a new name; 0 means never. Connections are refused until then.
@@ -87,8 +88,8 @@
 	renews     int
 	epoch      time.Time
 	caps       map[string][]timedLimit // by account
-	// excessStops counts the orders that stopped a serving long-running task while as
-	// many other tasks of its step as may be missing did not serve.
+	// excessStops counts the orders that stopped a serving long-running task while
+	// MaxInterrupted or more tasks of its step were not serving.
 	excessStops int
 	crashes     int // caused by runs
 	restarts    int // incarnations that followed a crash
@@ -99,15 +100,15 @@
 	running int
 	done    bool
 	acked   bool // the completion of a done run was acknowledged
-	// doneRuns are the runs that ended done; superseded are those of them after which
-	// the task was started again.
+	// doneRuns are the runs with the outcome runner.Done; superseded are those of them
+	// after which the task was started again.
 	doneRuns, superseded []uint64
 	failures             int
 	// suspectCrashes counts the crashes, of any cause, of workers that had an order to
 	// start the task and no acknowledged completion of it.
 	suspectCrashes int
-	// crashes counts the crashes that the task caused, startsSince its starts since the
-	// maxCrashes-th of them.
+	// crashes counts the worker crashes that the task caused, startsSince its starts
+	// since crash number maxCrashes.
 	crashes, startsSince int
 }
 
@@ -115,16 +116,16 @@
 	runner.Worker
 	disconnected bool
 	crashed      bool
-	// replaced: the next incarnation responds at its address.
+	// replaced is set when the next incarnation responds at its address.
 	replaced    bool
 	next        *worker
 	unlisted    bool // not in the directory yet
 	epoch       uint64
 	started     time.Time
-	until       time.Duration // end of the lease, on its clock
+	until       time.Duration // end of the lease, on the worker's clock
 	running     map[work.TaskID]*run
 	highest     map[work.TaskID]uint64 // highest run that was stopped or ended
-	ordered     map[work.TaskID]bool   // to start, without an acknowledged completion
+	ordered     map[work.TaskID]bool   // tasks ordered to start, without an acknowledged completion
 	completions []runner.Completion    // completions that are not acknowledged
 	endedAt     map[int64]time.Time    // times of these completions, by number
 	expiredAt   time.Time              // when its lease last expired
@@ -174,7 +175,7 @@
 		seen: map[work.TaskID]*history{}, started: map[work.JobID]bool{}, cancelled: map[work.JobID]time.Time{}, rev: 1, changed: make(chan struct{}), epoch: time.Now()}
 }
 
-// AddJob registers a job, of whose steps the fleet needs the sizes and gangs.
+// AddJob registers a submitted job. A start of a task of any other job is a violation.
 func (f *Fleet) AddJob(id work.JobID, j *work.Job) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -188,8 +189,8 @@
 	f.cancelled[id] = time.Now()
 }
 
-// NotDone returns the tasks of a job, over all its occurrences, without a run that ended
-// done.
+// NotDone returns the tasks of a job, over all its occurrences, of which no run had the
+// outcome runner.Done. Such a run of one member of a gang counts for the whole gang.
 func (f *Fleet) NotDone(id work.JobID) []work.TaskID {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -321,7 +322,7 @@
 		f.record(runner.Change{Worker: runner.Worker{Ref: runner.Ref{ID: id}}, Removed: true})
 	})
 	if f.o.Restart > 0 {
-		close(w.wake) // its connections are closed
+		close(w.wake) // ends its pending renewals, as closed connections would
 		time.AfterFunc(f.o.Restart, func() { f.restart(w) })
 	}
 }
@@ -340,7 +341,7 @@
 	}
 	w.next = f.newWorker(next)
 	if f.o.SameName {
-		w.next.started = time.Now() // its completion numbers start again
+		w.next.started = time.Now() // its clock starts at 0, as its completion numbers do
 	}
 	if f.o.EntryLag == 0 {
 		f.publish(w.next)
@@ -353,8 +354,8 @@
 	})
 }
 
-// Resize changes the capacity of a running worker. Its earlier capacity still counts for
-// lag.
+// Resize changes the capacity of a running worker. For the duration lag, starts that fit
+// its earlier capacity are still allowed.
 func (f *Fleet) Resize(id runner.WorkerID, capacity work.Resources, lag time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -367,7 +368,8 @@
 	f.record(runner.Change{Worker: w.Worker})
 }
 
-// maxCapacity returns, for each resource, the greatest of the capacities that count.
+// maxCapacity returns, for each resource, the greatest of the capacity and the earlier
+// capacities that still count.
 func (w *worker) maxCapacity() work.Resources {
 	w.capacities = slices.DeleteFunc(w.capacities, func(b timedLimit) bool { return time.Now().After(b.until) })
 	most := w.Capacity
@@ -412,8 +414,8 @@
 	return f.started[id]
 }
 
-// ExcessStops returns how often an order stopped a serving long-running task although as many
-// other tasks of its step as may be missing did not serve.
+// ExcessStops returns how often an order stopped a serving long-running task although
+// MaxInterrupted or more tasks of its step were not serving.
 func (f *Fleet) ExcessStops() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -443,7 +445,7 @@
 	return n
 }
 
-// Running returns the number of runs.
+// Running returns the number of runs in progress.
 func (f *Fleet) Running() int {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/epochworker/quota.go
+++ b/standin/epochworker/quota.go
@@ -6,14 +6,15 @@
 	"fennelshunt.example/fennelshunt/version/work"
 )
 
-// timedLimit is a cap or capacity that counts until a time; the zero time means that it is in force.
+// timedLimit is a cap or capacity; starts that fit it are allowed until the given time. The
+// zero time means that it is in force.
 type timedLimit struct {
 	cap   work.Resources
 	until time.Time
 }
 
-// SetCap sets the cap of an account. Earlier caps still count for lag, since the leader may
-// apply the new cap late; the highest of the caps that count is checked.
+// SetCap sets the cap of an account. For the duration lag, starts that fit an earlier cap
+// are still allowed, since the leader may apply the new cap late.
 func (f *Fleet) SetCap(account string, limit work.Resources, lag time.Duration) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/standin/kv/faults.go
+++ b/standin/kv/faults.go
@@ -37,7 +37,7 @@
 }
 
 // Counts are the calls received since the engine was created, by kind. A watch
-// counts once, however long it waits.
+// counts once, however long it waits; a transaction counts as Put.
 type Counts struct {
 	Get, List, Put, Delete, Watch, Grant, Renew, Revoke int
 	// Refused counts the calls over CallsPerSecond.
--- a/standin/kv/lease.go
+++ b/standin/kv/lease.go
@@ -65,8 +65,8 @@
 	})
 }
 
-// expire ends a lease when its timer fires, unless a renewal has moved the end
-// meanwhile.
+// expire ends a lease when its timer fires, unless a renewal has extended it meanwhile or
+// Faults.FreezeLeases keeps it.
 func (m *Memory) expire(id store.LeaseID) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
