--- a/connection/keys/ephemeral.go
+++ b/connection/keys/ephemeral.go
@@ -20,7 +20,7 @@
 )
 
 // Authority issues certificates for tests and demonstrations. It is kept in memory
-// only.
+// only. Its own certificate and those that it issues are valid for 30 days.
 type Authority struct {
 	cert *x509.Certificate
 	key  *ecdsa.PrivateKey
--- a/connection/keys/reload.go
+++ b/connection/keys/reload.go
@@ -11,8 +11,8 @@
 // about twice this time.
 const ReloadPeriod = 5 * time.Second
 
-// Reload reads the files again and reports whether they changed. On an error the
-// earlier ones stay in use.
+// Reload reads the files again and reports whether they changed. On an error, which is
+// a *FileError, the files loaded earlier stay in use.
 func (k *Keys) Reload() (changed bool, err error) {
 	if k.files == (Files{}) {
 		return false, nil // ephemeral keys have no files
--- a/connection/keys/shared.go
+++ b/connection/keys/shared.go
@@ -21,7 +21,7 @@
 	return encodePEM("PRIVATE KEY", der), nil
 }
 
-// ParseAuthority is the inverse of PEM and KeyPEM.
+// ParseAuthority is the inverse of PEM and KeyPEM. The error matches ErrNoAuthority.
 func ParseAuthority(certPEM, keyPEM []byte) (*Authority, error) {
 	pair, err := tls.X509KeyPair(certPEM, keyPEM)
 	if err != nil {
@@ -34,8 +34,8 @@
 	return &Authority{cert: pair.Leaf, key: key, pem: certPEM}, nil
 }
 
-// Identity returns keys for a daemon, issued by the authority and kept in memory
-// only.
+// Identity returns keys for a daemon, issued by the authority for PeerName and the
+// given names, and kept in memory only.
 func (a *Authority) Identity(names ...string) (*Keys, error) {
 	certPEM, keyPEM, err := a.Issue(append([]string{PeerName}, names...)...)
 	if err != nil {
--- a/connection/peer/backoff.go
+++ b/connection/peer/backoff.go
@@ -15,7 +15,7 @@
 // dialBackoff limits how often calls try a handshake with an unresponsive address:
 // each attempt sends several packets of full size, and the loss of a zone would
 // make every daemon spend more than its control traffic budget on them. Calls in
-// between fail at once as not sent.
+// between fail at once with ErrNotSent.
 type dialBackoff struct {
 	mu     sync.Mutex
 	failed map[string]dialFailure // by address
--- a/connection/runner/directory.go
+++ b/connection/runner/directory.go
@@ -9,7 +9,7 @@
 
 // Change is the current registration of a worker, or the removal of its entry.
 type Change struct {
-	Worker  Worker // if Removed, only the id is set: of an incarnation, or the name for any incarnation
+	Worker  Worker // if Removed, only the id is set: that of an incarnation, or a name for all its incarnations
 	Removed bool
 }
 
--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -99,7 +99,8 @@
 )
 
 // IncarnationError is the error of a renewal that another incarnation under the worker's name
-// has answered: its lease was renewed, and Report is its answer. Matches ErrRestarted.
+// has answered: the lease of that incarnation was renewed, and Report is its answer. Matches
+// ErrRestarted.
 type IncarnationError struct {
 	ID     WorkerID // the incarnation that answered
 	Report Report
@@ -196,7 +197,7 @@
 // Runner calls workers.
 type Runner interface {
 	// Start returns nil if the run is on the worker. A later incarnation under the same
-	// name may carry out the order.
+	// name may carry out the order. clock is the worker's clock at the answer.
 	Start(ctx context.Context, to Ref, s Start) (clock time.Duration, err error)
 	// Stop returns nil if the run is being stopped, has ended, or will be
 	// refused if its start order arrives later.
@@ -218,5 +219,7 @@
 // Adviser calls the advice service, which says which workers may run a step. The
 // service answers the calls of one daemon one at a time.
 type Adviser interface {
+	// Advise returns tickets for those of the workers that may run the step, which is
+	// named as by work.TaskID.StepName. The error may be ErrBusy.
 	Advise(ctx context.Context, step string, workers []WorkerID) (good []Ticket, err error)
 }
--- a/connection/store/adaptivetimeout.go
+++ b/connection/store/adaptivetimeout.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// AdaptiveTimeout is an adaptive call timeout: it is derived from the duration of recent
-// calls. It also records whether the store answers or refuses calls.
+// AdaptiveTimeout is a call timeout that is derived from the duration of recent calls. It
+// also records whether the store answers or refuses calls.
 //
 // A lost response or a dead connection is noticed only by the timeout. With a
 // fixed timeout that suits a slow store every lost response costs that long; with
@@ -141,9 +141,9 @@
 	return a.failing && time.Since(a.refusedAt) < d
 }
 
-// AwaitAnswer returns when a call has been answered after the last failed one, at the latest
-// after limit. It keeps each of a daemon's followers from calling the store ten times a
-// second during an outage; all calls are billed.
+// AwaitAnswer returns at once unless the last call failed; otherwise when a call has been
+// answered, limit has passed or ctx ends. It keeps each of a daemon's followers from calling
+// the store ten times a second during an outage; all calls are billed.
 func (a *AdaptiveTimeout) AwaitAnswer(ctx context.Context, limit time.Duration) {
 	a.mu.Lock()
 	if !a.failing {
--- a/connection/store/client.go
+++ b/connection/store/client.go
@@ -26,7 +26,7 @@
 	Budget Budget
 	// FleetSize is the initial number of daemons that share Budget.
 	FleetSize int
-	// CallTimeout bounds one call; a watch gets it beyond its wait.
+	// CallTimeout bounds one call; for a watch it is added to the time that it waits.
 	CallTimeout time.Duration
 	// OperationTimeout bounds an operation of several calls, such as the
 	// resolution of a lost response, whose context has no deadline.
--- a/connection/store/lease.go
+++ b/connection/store/lease.go
@@ -15,14 +15,14 @@
 	// renewalsPerTTL is how many renewals are tried in one time to live.
 	renewalsPerTTL = 3
 	// renewalJitter is the random part of the interval. Without it daemons that
-	// started together would renew at the same time for ever.
+	// started together would always renew at the same time.
 	renewalJitter = 0.2
 )
 
 // Lease is a lease of the store whose remaining validity is never overestimated,
 // also after its holder was paused.
 //
-// Two errors would let a holder rely on a lease that another daemon has by now:
+// Two errors would let a holder rely on a lease that another daemon holds already:
 // counting the time to live from the arrival of a renewal's response, which may
 // be handled long after the store renewed the lease if the holder is paused in
 // between; and counting by a clock that stands still while the VM is suspended.
@@ -99,9 +99,9 @@
 	return nil
 }
 
-// Serve renews the lease until ctx ends or the lease is lost, when it returns
-// ErrLeaseLost. During an outage it keeps trying, since the store may still have
-// the lease.
+// Serve renews the lease until ctx ends, whose error it returns, or the lease is lost:
+// the error then matches ErrLeaseLost. During an outage it keeps trying, since the
+// store may still have the lease.
 func (l *Lease) Serve(ctx context.Context) error {
 	pause := newRetryBackoff()
 	next := l.interval()
--- a/connection/store/presumedlost.go
+++ b/connection/store/presumedlost.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// minOutage is the time without an answered call from which on the next answer counts as
-// the end of an outage. A daemon renews its lease several times in it.
+// minOutage is the minimum time without an answered call after which the next answer counts
+// as the end of an outage. A daemon renews its lease several times within it.
 const minOutage = time.Second
 
 // Read makes a read that may take long once its response has started. It cancels the read
--- a/connection/store/readtimeout.go
+++ b/connection/store/readtimeout.go
@@ -14,7 +14,7 @@
 // attempt resets it.
 //
 // With a fixed timeout, a read that takes longer over a slow link would be cancelled
-// when most of the data has arrived and start over for ever, saturating the link.
+// when most of the data has arrived and start over endlessly, saturating the link.
 type ReadTimeout struct {
 	First time.Duration
 
--- a/connection/traffic/traffic.go
+++ b/connection/traffic/traffic.go
@@ -2,8 +2,8 @@
 // sent and received, and the connections opened for them. The counters show what a
 // daemon's network link and CPU are used for.
 //
-// Guarantees: counters never decrease; counting blocks a call only for the time of
-// an addition by another one.
+// Guarantees: counters never decrease; counting blocks a call only while another call
+// is being counted or the counters are read.
 package traffic
 
 import (
