--- a/version/history/apply.go
+++ b/version/history/apply.go
@@ -29,7 +29,7 @@
 	// back, after the caller's context has ended: short, since the caller waits
 	// for the answer. firstReadBack and lastReadBack bound the pause between
 	// attempts; the last one is far below readBackTime, so that a store that
-	// becomes available again before the end is still asked.
+	// becomes available again before the end is still read.
 	readBackTime  = 2 * time.Second
 	firstReadBack = 50 * time.Millisecond
 	lastReadBack  = 200 * time.Millisecond
--- a/version/history/history.go
+++ b/version/history/history.go
@@ -49,7 +49,7 @@
 // Option changes a History.
 type Option func(*History)
 
-// WithKeep sets how many versions the record keeps.
+// WithKeep sets how many versions the record keeps; at least 2*SegmentLength are kept.
 func WithKeep(versions uint64) Option {
 	return func(h *History) { h.keep = max(versions, 2*SegmentLength) }
 }
--- a/version/history/team.go
+++ b/version/history/team.go
@@ -13,7 +13,7 @@
 
 // By is the author of an apply.
 type By struct {
-	// Author is written to the record.
+	// Author is written to the record, truncated to 128 bytes.
 	Author string
 	// Team, if set, limits the author to files that hold only this team's work.
 	// It is checked on the state that the apply replaces, so that a file cannot
--- a/version/spec/config.go
+++ b/version/spec/config.go
@@ -24,7 +24,7 @@
 type Source interface {
 	// Current returns the configuration in force; never nil.
 	Current() *Config
-	// Changed returns a channel that is closed when a version later than the
-	// one Current returned before the call comes into force.
+	// Changed returns a channel that is closed when a later version comes into force
+	// than the one that Current returned before the call to Changed.
 	Changed() <-chan struct{}
 }
--- a/version/spec/spec.go
+++ b/version/spec/spec.go
@@ -33,7 +33,7 @@
 	// Quota bounds the resources that the team's running tasks use together; a zero
 	// dimension is unlimited.
 	Quota Resources `json:"quota,omitzero"`
-	// RequestsPerSecond bounds the team's callers; 0 means no limit.
+	// RequestsPerSecond bounds the rate of requests of the team's callers; 0 means no limit.
 	RequestsPerSecond float64 `json:"requests_per_second,omitempty"`
 }
 
--- a/version/work/account.go
+++ b/version/work/account.go
@@ -33,8 +33,9 @@
 	byKey map[KeyDigest]int
 }
 
-// NewAccounts indexes accounts. In case of ambiguity the account that is listed first
-// wins, and the error reports it without containing a key: the keys of a second account
+// NewAccounts indexes accounts. The result can also be used if there is an error, which
+// reports the accounts that are not used as listed, without containing a key. An account
+// without a name or with a negative weight or cap is left out. The keys of a second account
 // of the same name count for the first; a key in two accounts belongs to the first.
 func NewAccounts(list []Account) (*Accounts, error) {
 	a := &Accounts{byKey: map[KeyDigest]int{}}
@@ -81,8 +82,8 @@
 	return &a.list[at], true
 }
 
-// MayAccess reports whether callers of account may query and cancel a job that the account
-// owner submitted. Callers of another account may not; a job that was submitted without
+// MayAccess reports whether callers of account may query and cancel a job whose submitting
+// account is owner. Callers of another account may not; a job that was submitted without
 // an account is open to all.
 func MayAccess(owner, account string) bool { return owner == "" || owner == account }
 
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -57,8 +57,8 @@
 // Step is a part of a job: Count tasks with the same requirements.
 type Step struct {
 	Count    int           `cbor:"1,keyasint"`
-	Size     Resources     `cbor:"2,keyasint"` // of each task
-	Estimate time.Duration `cbor:"3,keyasint,omitempty"`
+	Size     Resources     `cbor:"2,keyasint"`           // of each task
+	Estimate time.Duration `cbor:"3,keyasint,omitempty"` // run time of each task
 	After    []int         `cbor:"4,keyasint,omitempty"` // earlier steps that must be done first
 	// Gang: the tasks make progress only while all of them run.
 	Gang bool `cbor:"5,keyasint,omitempty"`
@@ -77,7 +77,8 @@
 	// LongRunning: the tasks are long-running. They run until the job is cancelled and are
 	// restarted however they end.
 	LongRunning bool `cbor:"12,keyasint,omitempty"`
-	// MaxInterrupted is how many long-running tasks the system may have interrupted at a time.
+	// MaxInterrupted is how many of the step's long-running tasks the system may have
+	// interrupted at a time.
 	MaxInterrupted int `cbor:"13,keyasint,omitempty"`
 	// BestEffort: the tasks are best-effort. They use spare CPU, and the CPU that they request
 	// is not counted.
@@ -129,13 +130,13 @@
 type Catalog struct {
 	Version  int64
 	Queues   []Queue
-	MaxBody  int64
+	MaxBody  int64     // longest body of a submission, in bytes
 	Accounts *Accounts // nil: the configuration declares none
 	// Problems describes the entries of the version that cannot be used as declared.
 	Problems error
 }
 
-// Find returns the queue of the host whose prefix is the longest one of the path.
+// Find returns the queue of host with the longest prefix that path begins with.
 func (c *Catalog) Find(host, path string) (*Queue, bool) {
 	var best *Queue
 	for i := range c.Queues {
@@ -159,8 +160,8 @@
 	// A scheduler with a lower one must not start the job, so that one with this
 	// epoch or a higher one can rely on no earlier one having started it.
 	Epoch uint64 `cbor:"5,keyasint"`
-	// Repeat is how often the steps run, due Interval apart from StartAt on;
-	// 0 for a job that runs once, at once.
+	// Repeat is the number of occurrences of the steps, due at StartAt and then every
+	// Interval; 0 for a job that runs once, immediately.
 	Repeat   int           `cbor:"6,keyasint,omitempty"`
 	StartAt  int64         `cbor:"7,keyasint,omitempty"` // milliseconds since 1970
 	Interval time.Duration `cbor:"8,keyasint,omitempty"`
@@ -263,8 +264,8 @@
 const MaxTasks = 20_000
 
 // maxSpan bounds the time from a job's first occurrence to its last, and
-// maxStartAt when the first is due (the year 2200), in milliseconds since 1970:
-// both stay well inside what a time.Duration holds.
+// maxStartAt the time at which the first is due (the year 2200), in milliseconds since
+// 1970. A time.Duration can hold both.
 const (
 	maxSpan    = 100 * 365 * 24 * time.Hour
 	maxStartAt = 7_258_118_400_000
@@ -402,7 +403,7 @@
 	Index  int    `cbor:"1,keyasint,omitempty"`
 	Run    uint64 `cbor:"2,keyasint"`
 	Worker string `cbor:"3,keyasint"` // the incarnation that ended
-	// Sole: no run of another job had started there as recently.
+	// Sole: no run of another job had started there shortly before.
 	Sole bool `cbor:"4,keyasint,omitempty"`
 	// Undecided: whether it was a crash is not decided yet. The run is about to start or has
 	// started, or was lost with a worker that may only be unreachable.
