--- a/connection/runner/runner.go
+++ b/connection/runner/runner.go
@@ -99,7 +99,8 @@
 )
 
 // IncarnationError is the error of a renewal that another incarnation under the worker's name
-// has answered: its lease was renewed, and Report is its answer. Matches ErrRestarted.
+// has answered: the lease of that incarnation was renewed, and Report is its answer. Matches
+// ErrRestarted.
 type IncarnationError struct {
 	ID     WorkerID // the incarnation that answered
 	Report Report
