--- a/version/history/collect.go
+++ b/version/history/collect.go
@@ -186,12 +186,12 @@
 //
 // An apply may name such a chunk at the same time. If the chunk were deleted, the new
 // version would be in force without its content, and daemons that fetch it would fail
-// with ErrNoChunk and keep an earlier version. The order of steps prevents that: found holds revisions that were
-// read before the head; then the head is swapped with a higher Sweep, so that every
-// apply fails that read the head before; such an apply detects the higher Sweep and
-// writes its chunks again, which raises their revisions; and only the revision in found
-// is deleted. A collector that is suspended for any time in between deletes nothing
-// that was written again.
+// with ErrNoChunk and keep an earlier version. The order of steps prevents that: found
+// holds revisions that were read before the head; then the head is swapped with a
+// higher Sweep, so that every apply fails that read the head before; such an apply
+// detects the higher Sweep and writes its chunks again, which raises their revisions;
+// and only the revision in found is deleted. A collector that is suspended for any
+// time in between deletes nothing that was written again.
 func (h *History) collectChunks(ctx context.Context, found map[Hash]store.Revision) error {
 	for {
 		s, err := h.read(ctx)
