--- a/request/slots/manager.go
+++ b/request/slots/manager.go
@@ -320,8 +320,8 @@
 	return m.deliverReport(ctx, from, r)
 }
 
-// errPoolStops means that the pool may have processed a report, but has stopped answering.
-var errPoolStops = errors.New("slots: the pool has stopped")
+// errPoolStopped means that the pool may have processed a report, but has stopped answering.
+var errPoolStopped = errors.New("slots: the pool has stopped")
 
 func (m *Manager) deliverReport(ctx context.Context, from peer.Ref, r report) (reply, error) {
 	p := m.pool(r.Service)
@@ -331,7 +331,7 @@
 	}
 	var out reply
 	if !p.do(ctx, func() { out = p.report(from, r) }) {
-		return reply{}, errPoolStops
+		return reply{}, errPoolStopped
 	}
 	return out, nil
 }
--- a/request/submit/hedge.go
+++ b/request/submit/hedge.go
@@ -94,7 +94,7 @@
 		case r := <-results:
 			answered++
 			switch {
-			case r.err == nil, errors.Is(r.err, errGivenUp), errors.Is(r.err, errOtherAccount):
+			case r.err == nil, errors.Is(r.err, errIDCancelled), errors.Is(r.err, errOtherAccount):
 				if r.byOther {
 					s.forwardUntil.Store(time.Now().Add(forwardFirstFor).UnixNano())
 				}
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -63,7 +63,7 @@
 const (
 	CodeStore        = "store_unavailable"
 	CodeUnknown      = "outcome_unknown"
-	CodeGivenUp      = "given_up"
+	CodeIDCancelled  = "given_up"
 	CodeLeader       = "no_leader"
 	CodeOtherAccount = "other_account"
 )
@@ -79,8 +79,8 @@
 	return &verdict.Error{Verdict: verdict.NotRun, Status: http.StatusForbidden, Code: CodeOtherAccount, Err: errOtherAccount}
 }
 
-// Caller calls other daemons.
-type Caller interface {
+// PeerCaller calls other daemons.
+type PeerCaller interface {
 	CallAddr(ctx context.Context, addr string, method peer.Method, req, resp any) (peer.Ref, error)
 }
 
@@ -91,7 +91,7 @@
 	Store        store.Transactor
 	StoreTimeout *store.AdaptiveTimeout
 	View         *lead.View
-	Peers        Caller
+	Peers        PeerCaller
 	// Leading returns the host of this daemon's term of leadership, nil when it is not the leader.
 	Leading func() *dispatch.Host
 	// Preconditions returns the checks of a submission beyond the job's own keys; nil for none.
@@ -208,8 +208,8 @@
 			case last == nil:
 				written()
 				return nil
-			case errors.Is(last, errGivenUp):
-				return unavailable(CodeGivenUp, last)
+			case errors.Is(last, errIDCancelled):
+				return unavailable(CodeIDCancelled, last)
 			case errors.Is(last, errOtherAccount):
 				return refuseOtherAccount()
 			case errors.Is(last, store.ErrUnknownOutcome):
@@ -257,9 +257,9 @@
 // errJustRefused means that the store has just refused another call of this daemon.
 var errJustRefused = errors.New("submit: the store has just turned a call away")
 
-// errGivenUp means that a cancellation has marked the id, under which no job can be submitted
+// errIDCancelled means that a cancellation has marked the id, under which no job can be submitted
 // any more.
-var errGivenUp = errors.New("submit: the id was given up before it was handed in")
+var errIDCancelled = errors.New("submit: the id was given up before it was handed in")
 
 // create makes one attempt to write the job. All attempts write the same, and at most one of
 // them takes effect.
@@ -307,7 +307,7 @@
 		case err != nil:
 			return nil // this version cannot decode it, but the job exists
 		case p.State == work.Refused:
-			return errGivenUp
+			return errIDCancelled
 		}
 		owner = p.Account
 	} else if first, err := work.DecodeJob(found.Value); err == nil {
--- a/request/submit/submit_test.go
+++ b/request/submit/submit_test.go
@@ -198,7 +198,7 @@
 }
 
 // cellOf returns a service of daemon "a" whose view contains one other daemon.
-func cellOf(t *testing.T, m *kv.Memory, peers Caller) *Service {
+func cellOf(t *testing.T, m *kv.Memory, peers PeerCaller) *Service {
 	storeTimeout := &store.AdaptiveTimeout{Min: 200 * time.Millisecond, Max: 1500 * time.Millisecond}
 	ctx, cancel := context.WithCancel(t.Context())
 	t.Cleanup(cancel)
