--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -134,7 +134,7 @@
 	s := &n.submitted
 	n.metrics.Set("accepted", &s.Accepted)
 	n.metrics.Set("not_accepted", &s.NotAccepted)
-	n.metrics.Set("handed_over", &s.HandedOver)
+	n.metrics.Set("handed_over", &s.Forwarded)
 	n.metrics.Set("cancelled", &s.Cancelled)
 	n.metrics.Set("latency", &n.latencies)
 	n.metrics.Set("completed_by_account", &n.byAccount)
--- a/request/submit/peer.go
+++ b/request/submit/peer.go
@@ -73,7 +73,7 @@
 
 // Stats counts requests.
 type Stats struct {
-	Accepted, NotAccepted, HandedOver, Cancelled expvar.Int
+	Accepted, NotAccepted, Forwarded, Cancelled expvar.Int
 }
 
 // Stats returns the live counters.
--- a/request/submit/submit.go
+++ b/request/submit/submit.go
@@ -418,7 +418,7 @@
 	if !accepted {
 		return false, uncertain
 	}
-	s.stats.HandedOver.Add(1)
+	s.stats.Forwarded.Add(1)
 	return true, false
 }
 
