--- a/connection/store/swap.go
+++ b/connection/store/swap.go
@@ -138,14 +138,14 @@
 // errUnknowable means that no further read can determine the outcome.
 var errUnknowable = fmt.Errorf("%w: the history of the key is compacted", ErrUnknownOutcome)
 
-// errOpen means that the write has not taken effect yet and still may.
-var errOpen = errors.New("store: outcome open")
+// errPending means that the write has not taken effect yet and still may.
+var errPending = errors.New("store: outcome open")
 
 // resolveOnce reads the key back and, if the write may still take effect, sends it
 // again. ErrConflict and ErrLeaseLost are final; other errors are not.
 func (h *Handle) resolveOnce(ctx context.Context, w pendingWrite) (Revision, error) {
 	rev, err := h.lookUp(ctx, w)
-	if !errors.Is(err, errOpen) {
+	if !errors.Is(err, errPending) {
 		return rev, err
 	}
 	rev, err = h.put(ctx, w)
@@ -153,18 +153,18 @@
 		return rev, nil
 	}
 	if !errors.Is(err, ErrConflict) && !errors.Is(err, ErrLeaseLost) {
-		return 0, fmt.Errorf("%w: %w", errOpen, err)
+		return 0, fmt.Errorf("%w: %w", errPending, err)
 	}
 	// This attempt was refused; an earlier one may have taken effect meanwhile.
 	rev, found := h.lookUp(ctx, w)
-	if errors.Is(found, errOpen) && errors.Is(err, ErrLeaseLost) {
+	if errors.Is(found, errPending) && errors.Is(err, ErrLeaseLost) {
 		return 0, err
 	}
 	return rev, found
 }
 
 // lookUp reads the key back. It returns the revision of the write if it took
-// effect, ErrConflict if it did not and no longer can, errOpen if it still may,
+// effect, ErrConflict if it did not and no longer can, errPending if it still may,
 // errUnknowable, or the error of the read.
 func (h *Handle) lookUp(ctx context.Context, w pendingWrite) (Revision, error) {
 	item, id, err := h.get(ctx, w.key)
@@ -173,7 +173,7 @@
 	case err == nil && id == w.id:
 		return item.Revision, nil
 	case err == nil && item.Revision == w.prev:
-		return 0, errOpen
+		return 0, errPending
 	case err != nil && !absent && !errors.Is(err, ErrNotEnveloped):
 		return 0, fmt.Errorf("read back: %w", err)
 	}
@@ -200,7 +200,7 @@
 		}
 	}
 	if absent && w.prev == 0 {
-		return 0, errOpen
+		return 0, errPending
 	}
 	return 0, ErrConflict
 }
--- a/connection/store/update.go
+++ b/connection/store/update.go
@@ -73,7 +73,7 @@
 	pause := newRetryBackoff()
 	for {
 		err := h.lookUpDelete(ctx, key, prev)
-		if errors.Is(err, errOpen) {
+		if errors.Is(err, errPending) {
 			err = h.deleteOnce(ctx, key, prev)
 			if errors.Is(err, ErrNotFound) || errors.Is(err, ErrConflict) {
 				err = h.lookUpDelete(ctx, key, prev)
@@ -93,11 +93,11 @@
 }
 
 // lookUpDelete returns nil if revision prev of key was deleted, ErrConflict if
-// it was overwritten, errOpen if it is still there.
+// it was overwritten, errPending if it is still there.
 func (h *Handle) lookUpDelete(ctx context.Context, key string, prev Revision) error {
 	item, err := h.Get(ctx, key)
 	if err == nil && item.Revision == prev {
-		return errOpen
+		return errPending
 	}
 	if err != nil && !errors.Is(err, ErrNotFound) && !errors.Is(err, ErrNotEnveloped) {
 		return err
