--- a/connection/store/swap.go
+++ b/connection/store/swap.go
@@ -139,7 +139,7 @@
 var errUnknowable = fmt.Errorf("%w: the history of the key is compacted", ErrUnknownOutcome)
 
 // errPending means that the write has not taken effect yet and still may.
-var errPending = errors.New("store: outcome open")
+var errPending = errors.New("store: write has not taken effect yet")
 
 // resolveOnce reads the key back and, if the write may still take effect, sends it
 // again. ErrConflict and ErrLeaseLost are final; other errors are not.
--- a/version/work/account.go
+++ b/version/work/account.go
@@ -45,7 +45,7 @@
 		at, again := named[account.Name]
 		switch {
 		case account.Name == "":
-			problems = append(problems, errors.New("accounts: one without a name is left out; name it"))
+			problems = append(problems, errors.New("accounts: an account without a name is left out; give it a name"))
 			continue
 		case account.Weight < 0, account.Cap.CPU < 0, account.Cap.Memory < 0, account.Cap.GPU < 0:
 			problems = append(problems, fmt.Errorf("accounts: %q is left out: its weight or cap is negative; use 0 for no bound", account.Name))
