--- a/version/history/segment.go
+++ b/version/history/segment.go
@@ -101,13 +101,13 @@
 		return Change{}, false, err
 	}
 	if len(changes) == 0 {
-		return Change{}, false, fmt.Errorf("history: version %d is no longer on record", version)
+		return Change{}, false, fmt.Errorf("history: the change of version %d is no longer retained", version)
 	}
 	return changes[(version-1)%SegmentLength], true, nil
 }
 
 // List returns up to limit changes below version before (0: the latest), the
-// latest first. Changes that are no longer on record are left out.
+// latest first. Changes that are no longer retained are left out.
 func (h *History) List(ctx context.Context, before uint64, limit int) ([]Change, error) {
 	head, _, err := readHead(ctx, h.handle)
 	if err != nil {
