--- a/process/cellnode/metrics.go
+++ b/process/cellnode/metrics.go
@@ -23,9 +23,9 @@
 		v    uint64
 	}{
 		{"starts", s.Starts}, {"resent", s.Resent}, {"stops", s.Stops}, {"done", s.Done}, {"failed", s.Failed},
-		{"back", s.Back}, {"lost", s.Lost}, {"workers_gone", s.Gone}, {"lost_with_worker", s.LostWithWorker},
-		{"ends_missed", s.EndsMissed}, {"suspected", s.Suspected}, {"trials", s.Trials}, {"given_up", s.GivenUp}, {"adopted", s.Adopted}, {"orphans", s.Orphans}, {"commits", s.Commits}, {"bundles", s.Bundles},
-		{"advised", s.Advised}, {"holds", s.Holds}, {"aside", s.Aside}, {"moved", s.Moved}, {"over_quota", s.OverQuota}, {"engine_violations", s.Violations},
+		{"back", s.Requeued}, {"lost", s.Lost}, {"workers_gone", s.WorkersGone}, {"lost_with_worker", s.LostWithWorker},
+		{"ends_missed", s.CompletionsMissed}, {"suspected", s.Suspected}, {"trials", s.Trials}, {"given_up", s.GivenUp}, {"adopted", s.Adopted}, {"orphans", s.UntrackedRuns}, {"commits", s.Commits}, {"bundles", s.Batches},
+		{"advised", s.Advised}, {"holds", s.GangReservations}, {"aside", s.Quarantined}, {"moved", s.Moved}, {"over_quota", s.OverQuota}, {"engine_violations", s.Violations},
 	} {
 		v := new(expvar.Int)
 		v.Set(int64(c.v))
--- a/process/dispatch/batch.go
+++ b/process/dispatch/batch.go
@@ -55,7 +55,7 @@
 		e.include(ws, j, true)
 	}
 	e.dirty = slices.Delete(e.dirty, 0, n)
-	e.stats.Bundles++
+	e.stats.Batches++
 }
 
 // addUnbatched moves jobs out of batches as far as the write has space, the oldest first, and
--- a/process/dispatch/cell_test.go
+++ b/process/dispatch/cell_test.go
@@ -141,7 +141,7 @@
 			h := NewHost(HostOptions{Store: c.kv, StoreTimeout: storeTimeout, Runner: c.fleet, Directory: c.fleet, View: n.elector.View(),
 				Advise: c.advice.ask, Log: log, Policy: c.policy,
 				Accounts: func() (*work.Accounts, bool) { return c.accounts.Load(), true },
-				Count:    func(s Stats) { c.batches.Store(max(c.batches.Load(), s.Bundles)) },
+				Count:    func(s Stats) { c.batches.Store(max(c.batches.Load(), s.Batches)) },
 				Bounds:   Bounds{Lease: testLease, MaxLease: testLease, Gang: 3 * time.Second, Keep: 10 * time.Minute},
 				Violation: func(what string) {
 					c.mu.Lock()
--- a/process/dispatch/completions.go
+++ b/process/dispatch/completions.go
@@ -38,7 +38,7 @@
 // dropped those that were acknowledged to that epoch.
 func (e *Engine) noteMissedCompletions(w *worker, next int64) {
 	if missed := next - w.lastCompletion - 1; missed > 0 && (w.lastCompletion > 0 || w.newInEpoch) {
-		e.stats.EndsMissed += uint64(missed)
+		e.stats.CompletionsMissed += uint64(missed)
 		e.decide(Decision{What: "completions dropped before they were received", Worker: w.ID, Why: fmt.Sprintf("%d before number %d", missed, next)})
 	}
 }
@@ -75,7 +75,7 @@
 	case runner.Failed:
 		e.taskFailed(w, s, completion, alloc)
 	default:
-		e.stats.Back++
+		e.stats.Requeued++
 	}
 	if ours {
 		e.requeueEnded(s, completion.Task.Index)
@@ -151,7 +151,7 @@
 		return // a task that has served fails for a reason of its own, not because of its worker
 	}
 	if alloc != nil && j.countsAgainst(w.ID) && w.noteFailure(e.now, j.id) {
-		e.stats.Aside++
+		e.stats.Quarantined++
 		e.decide(Decision{What: "worker quarantined", Worker: w.ID, Why: "runs of different jobs failed there", Age: w.quarantine})
 	}
 	t.avoidWorker(w.ID, e.now)
--- a/process/dispatch/directory.go
+++ b/process/dispatch/directory.go
@@ -86,7 +86,7 @@
 	}
 	e.decide(Decision{What: "worker removed", Worker: w.ID, Why: why, Age: e.now - w.answered})
 	w.removed = true
-	e.stats.Gone++
+	e.stats.WorkersGone++
 	e.clearAllocs(w, why, ended)
 	e.resolve(w)
 	if ended {
--- a/process/dispatch/engine.go
+++ b/process/dispatch/engine.go
@@ -95,19 +95,19 @@
 
 // Stats holds the counters of an engine.
 type Stats struct {
-	// Resent counts unanswered starts that were sent again, Done, Failed and Back the
+	// Resent counts unanswered starts that were sent again, Done, Failed and Requeued the
 	// completions of runs that were done, failed, or ended otherwise, so that their tasks start
-	// again; Adopted the runs of earlier epochs that were taken over, and Orphans the
-	// unexpected runs that were stopped. Bundles counts batches of job states, Aside
-	// quarantines of workers, Moved runs that were stopped because they made no progress, and
-	// Holds gang reservations.
-	Starts, Resent, Stops, Done, Failed, Back, Lost, Adopted, Orphans uint64
-	Commits, Bundles, Violations, Advised, Aside, Moved, Holds        uint64
-	// Gone counts workers whose incarnation ended or that left; LostWithWorker counts the runs
-	// among Lost that ended with their worker.
-	Gone, LostWithWorker uint64
-	// EndsMissed counts completions that workers had dropped before any leader received them.
-	EndsMissed uint64
+	// again; Adopted the runs of earlier epochs that were taken over, and UntrackedRuns the
+	// unexpected runs that were stopped. Batches counts batches of job states, Quarantined
+	// quarantines of workers, and Moved runs that were stopped because they made no progress.
+	Starts, Resent, Stops, Done, Failed, Requeued, Lost, Adopted, UntrackedRuns uint64
+	Commits, Batches, Violations, Advised, Quarantined, Moved, GangReservations uint64
+	// WorkersGone counts workers whose incarnation ended or that left; LostWithWorker counts
+	// the runs among Lost that ended with their worker.
+	WorkersGone, LostWithWorker uint64
+	// CompletionsMissed counts completions that workers had dropped before any leader received
+	// them.
+	CompletionsMissed uint64
 	// Suspected counts runs that may have crashed their worker, Trials the starts of suspect
 	// tasks, GivenUp the jobs that failed because a task crashed its workers.
 	Suspected, Trials, GivenUp uint64
--- a/process/dispatch/gangreserve.go
+++ b/process/dispatch/gangreserve.go
@@ -80,7 +80,7 @@
 		x.w.gangReservations = append(x.w.gangReservations, gangReservation{s, need.Scale(n)})
 	}
 	s.gangReserved, s.gangReservedUntil = true, until
-	e.stats.Holds++
+	e.stats.GangReservations++
 	return true
 }
 
--- a/process/dispatch/health_test.go
+++ b/process/dispatch/health_test.go
@@ -50,7 +50,7 @@
 	h := readyHarness(t, workers...)
 	outcomes(t, h, 40, len(workers), func(job int) bool { return job%8 < 2 })
 	require.GreaterOrEqual(t, h.e.Stats().Failed, uint64(10*maxAttemptsOfTest))
-	require.Zero(t, h.e.Stats().Aside)
+	require.Zero(t, h.e.Stats().Quarantined)
 }
 
 func TestWorkerThatFailsSomeOfItsRunsIsQuarantined(t *testing.T) {
--- a/process/dispatch/reports.go
+++ b/process/dispatch/reports.go
@@ -162,7 +162,7 @@
 	if s != nil && j.active() && r.Run <= e.nextRun(0) && e.adopt(w, s, r) {
 		return
 	}
-	e.stats.Orphans++
+	e.stats.UntrackedRuns++
 	e.decide(Decision{What: "stop unexpected run", Task: r.Task, Run: r.Run, Worker: w.ID})
 	e.chargeUntracked(w, r.Task)
 	e.effects = append(e.effects, SendStop{To: w.Ref, Task: r.Task, Run: r.Run})
--- a/standin/cellsim/sim.go
+++ b/standin/cellsim/sim.go
@@ -213,12 +213,12 @@
 	s.stats.Stops += st.Stops
 	s.stats.Commits += st.Commits
 	s.stats.Advised += st.Advised
-	s.stats.Holds += st.Holds
+	s.stats.GangReservations += st.GangReservations
 	s.stats.Failed += st.Failed
-	s.stats.Back += st.Back
+	s.stats.Requeued += st.Requeued
 	s.stats.Moved += st.Moved
 	s.stats.Lost += st.Lost
-	s.stats.Aside += st.Aside
+	s.stats.Quarantined += st.Quarantined
 	s.stats.Violations += st.Violations
 }
 
