--- a/command/why/why.go
+++ b/command/why/why.go
@@ -73,7 +73,7 @@
 	fmt.Fprintf(w, "JOB\t%s\nSTATE\t%s\n", x.Job, x.State)
 	if x.Account != "" {
 		fmt.Fprintf(w, "ACCOUNT\t%s holds %.1f of %s cores, %d of %s MB in this shard%s\n", x.Account, float64(x.Held.MilliCPU)/1000, bound(x.Cap.MilliCPU/1000),
-			x.Held.MemoryMB, bound(x.Cap.MemoryMB), map[bool]string{true: "; submitted over its entitlement"}[x.Beyond])
+			x.Held.MemoryMB, bound(x.Cap.MemoryMB), map[bool]string{true: "; submitted over its entitlement"}[x.OverEntitlement])
 	}
 	for _, cause := range slices.Sorted(maps.Keys(x.Waited)) {
 		fmt.Fprintf(w, "WAITED FOR\t%s %.1f s\n", cause, seconds(x.Waited[cause]))
@@ -82,7 +82,7 @@
 		fmt.Fprintln(w, "\nOCCURRENCE\tSTEP\tTASKS\tDONE\tRUNNING\tBLOCKED BY\tREADY FOR")
 	}
 	for _, s := range x.Steps {
-		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%s\t%.1f s\n", s.Occurrence, s.Step, s.Tasks, s.Done, s.Running, orDash(s.Bound), seconds(s.OpenMS))
+		fmt.Fprintf(w, "%d\t%d\t%d\t%d\t%d\t%s\t%.1f s\n", s.Occurrence, s.Step, s.Tasks, s.Done, s.Running, orDash(s.WaitsFor), seconds(s.OpenMS))
 	}
 	for _, s := range x.Steps {
 		for _, t := range s.Suspects {
--- a/process/dispatch/explain.go
+++ b/process/dispatch/explain.go
@@ -12,8 +12,8 @@
 	Job     work.JobID `cbor:"1,keyasint" json:"job"`
 	State   string     `cbor:"2,keyasint" json:"state"`
 	Account string     `cbor:"3,keyasint,omitempty" json:"account,omitempty"`
-	// Beyond: submitted beyond what its account is entitled to.
-	Beyond bool `cbor:"4,keyasint,omitempty" json:"beyond,omitempty"`
+	// OverEntitlement: submitted beyond what its account is entitled to.
+	OverEntitlement bool `cbor:"4,keyasint,omitempty" json:"beyond,omitempty"`
 	// Held is what the account's runs use, without unconfirmed ones, and Cap is its limit,
 	// both in this shard of the cell. They are zero for a job without an account.
 	Held quota.Size `cbor:"5,keyasint" json:"held"`
@@ -30,8 +30,8 @@
 	Tasks      int `cbor:"3,keyasint" json:"tasks"`
 	Done       int `cbor:"4,keyasint" json:"done"`
 	Running    int `cbor:"5,keyasint" json:"running"`
-	// Bound is what the tasks that do not run are waiting for; "" for nothing.
-	Bound string `cbor:"6,keyasint,omitempty" json:"bound,omitempty"`
+	// WaitsFor is what the tasks that do not run are waiting for; "" for nothing.
+	WaitsFor string `cbor:"6,keyasint,omitempty" json:"bound,omitempty"`
 	// OpenMS is the time in milliseconds since the step's tasks became ready to start.
 	OpenMS int64 `cbor:"7,keyasint,omitempty" json:"open_ms,omitempty"`
 	// Suspects are tasks under which workers have crashed.
@@ -44,11 +44,11 @@
 	Crashes []work.Crash `cbor:"2,keyasint" json:"crashes"`
 }
 
-// Values of StepExplanation.Bound in addition to the names of wait causes.
+// Values of StepExplanation.WaitsFor in addition to the names of wait causes.
 const (
-	boundBefore = "steps before it"
-	boundTime   = "its time"
-	boundNever  = "a cap too small for it"
+	waitsForEarlierSteps = "steps before it"
+	waitsForStartTime    = "its time"
+	waitsForHigherCap    = "a cap too small for it"
 )
 
 // maxExplained bounds the steps that an explanation lists.
@@ -62,7 +62,7 @@
 	if j == nil || !known {
 		return Explanation{}, false
 	}
-	x := Explanation{Job: id, State: state.String(), Account: j.spec.Account, Beyond: j.overEntitled, Waited: map[string]int64{}}
+	x := Explanation{Job: id, State: state.String(), Account: j.spec.Account, OverEntitlement: j.overEntitled, Waited: map[string]int64{}}
 	if a := j.account; a != nil {
 		x.Held, x.Cap = a.Held(), a.Cap()
 	}
@@ -83,13 +83,13 @@
 	x := StepExplanation{Occurrence: s.occurrence.number, Step: s.number, Tasks: len(s.tasks), Done: len(s.tasks) - s.left, Running: s.live()}
 	switch {
 	case !s.ready():
-		x.Bound = boundBefore
+		x.WaitsFor = waitsForEarlierSteps
 	case s.occurrence.opens > e.now:
-		x.Bound = boundTime
+		x.WaitsFor = waitsForStartTime
 	case s.job.account != nil && !s.job.account.CanEverFit(s.charge().Times(s.startsTogether())):
-		x.Bound = boundNever
+		x.WaitsFor = waitsForHigherCap
 	case len(s.pending) > 0 && s.waitsFor != waitNothing:
-		x.Bound = s.waitsFor.String()
+		x.WaitsFor = s.waitsFor.String()
 	}
 	if s.opened {
 		x.OpenMS = (e.now - s.openedAt).Milliseconds()
