--- a/process/relay/bench_test.go
+++ b/process/relay/bench_test.go
@@ -28,7 +28,7 @@
 	m := &orders{Epoch: 3}
 	for i := range 3 {
 		m.Orders = append(m.Orders, order{Seq: uint64(i), Worker: "i-0123456789", Address: "10.1.64.36:8662", Budget: 350, Until: 486000,
-			Task: work.TaskID{Job: "5c0e7a21d94b36f8", Index: i}, Run: 65537, Ticket: "0123456789abcdef", Home: "10.1.0.17:7580"})
+			Task: work.TaskID{Job: "5c0e7a21d94b36f8", Index: i}, Run: 65537, Ticket: "0123456789abcdef", AcceptedBy: "10.1.0.17:7580"})
 	}
 	b.Run("orderConn", func(b *testing.B) {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/process/relay/message.go
+++ b/process/relay/message.go
@@ -25,7 +25,7 @@
 type order struct {
 	_       struct{} `cbor:",toarray"`
 	Seq     uint64   // sequence number of the order at its leader
-	What    action
+	Action  action
 	Worker  runner.WorkerID
 	Address string
 	// Budget is how long the call may take.
@@ -36,7 +36,7 @@
 	Run        uint64
 	Checkpoint string
 	Ticket     string
-	Home       string // for starts: the daemon that accepted the job and has its spec
+	AcceptedBy string // for starts: the daemon that accepted the job and has its spec
 	// Acknowledge and Wait are for renewals.
 	Acknowledge int64
 	Wait        int64
@@ -83,7 +83,7 @@
 	Number     int64
 	Task       work.TaskID
 	Run        uint64
-	How        runner.Outcome
+	Outcome    runner.Outcome
 	Checkpoint string
 }
 
@@ -226,7 +226,7 @@
 	}
 	for i := range o.Ended {
 		x := &o.Ended[i]
-		r.Ended[i] = runner.Completion{Number: x.Number, Task: x.Task, Run: x.Run, Outcome: x.How, Checkpoint: x.Checkpoint}
+		r.Ended[i] = runner.Completion{Number: x.Number, Task: x.Task, Run: x.Run, Outcome: x.Outcome, Checkpoint: x.Checkpoint}
 	}
 	return r
 }
@@ -240,6 +240,6 @@
 	}
 	for i := range r.Ended {
 		x := &r.Ended[i]
-		o.Ended[i] = completionRow{Number: x.Number, Task: x.Task, Run: x.Run, How: x.Outcome, Checkpoint: x.Checkpoint}
+		o.Ended[i] = completionRow{Number: x.Number, Task: x.Task, Run: x.Run, Outcome: x.Outcome, Checkpoint: x.Checkpoint}
 	}
 }
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -54,9 +54,9 @@
 	Epoch   uint64
 	Self    lead.Member
 	Members func() []lead.Member
-	// Spec returns the spec of a job: from owner, the daemon that accepted it, or from the
-	// store if owner is "".
-	Spec func(ctx context.Context, id work.JobID, owner string) (string, error)
+	// Spec returns the spec of a job: from acceptedBy, the daemon that accepted it, or from the
+	// store if acceptedBy is "".
+	Spec func(ctx context.Context, id work.JobID, acceptedBy string) (string, error)
 	Log  zerolog.Logger
 }
 
@@ -121,7 +121,7 @@
 
 // Start implements runner.Runner.
 func (r *Runner) Start(ctx context.Context, to runner.Ref, s runner.Start) (time.Duration, error) {
-	o := order{What: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, Home: s.AcceptedBy}
+	o := order{Action: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, AcceptedBy: s.AcceptedBy}
 	var clock time.Duration
 	err := r.issue(ctx, to, o, func(x *outcome) { clock = x.Clock }, func() (err error) {
 		if s.Spec, err = r.spec(ctx, s); err != nil {
@@ -147,13 +147,13 @@
 
 // Stop implements runner.Runner.
 func (r *Runner) Stop(ctx context.Context, to runner.Ref, task work.TaskID, run, epoch uint64) error {
-	return r.issue(ctx, to, order{What: doStop, Task: task, Run: run}, func(*outcome) {},
+	return r.issue(ctx, to, order{Action: doStop, Task: task, Run: run}, func(*outcome) {},
 		func() error { return r.o.Direct.Stop(ctx, to, task, run, epoch) })
 }
 
 // Renew implements runner.Runner.
 func (r *Runner) Renew(ctx context.Context, to runner.Ref, n runner.Renewal) (report runner.Report, err error) {
-	o := order{What: doRenew, Until: n.Until.Milliseconds(), Acknowledge: n.Acknowledge, Wait: n.Wait.Milliseconds()}
+	o := order{Action: doRenew, Until: n.Until.Milliseconds(), Acknowledge: n.Acknowledge, Wait: n.Wait.Milliseconds()}
 	err = r.issue(ctx, to, o, func(x *outcome) { report = x.report() }, func() (err error) {
 		n.Wait = waitWithin(ctx, n.Wait)
 		report, err = r.o.Direct.Renew(ctx, to, n)
--- a/process/relay/server.go
+++ b/process/relay/server.go
@@ -79,10 +79,10 @@
 // its tasks.
 func (s *Server) CacheSpec(id work.JobID, spec string) { s.specs.cacheSpec(id, spec) }
 
-// Spec returns the spec of a job, from the cache or from owner, the daemon that accepted
-// the job. The error is that neither has it, or that ctx ended first.
-func (s *Server) Spec(ctx context.Context, id work.JobID, owner string) (string, error) {
-	return s.specs.get(ctx, id, owner)
+// Spec returns the spec of a job, from the cache or from acceptedBy, the daemon that
+// accepted the job. The error is that neither has it, or that ctx ended first.
+func (s *Server) Spec(ctx context.Context, id work.JobID, acceptedBy string) (string, error) {
+	return s.specs.get(ctx, id, acceptedBy)
 }
 
 // Serve accepts connections of leaders until ctx ends.
@@ -222,7 +222,7 @@
 // call calls the order's worker and stores its answer in the outcome.
 func (s *Server) call(ctx context.Context, epoch uint64, o *order, result *outcome) error {
 	to, until := runner.Ref{ID: o.Worker, Address: o.Address}, time.Duration(o.Until)*time.Millisecond
-	switch o.What {
+	switch o.Action {
 	case doStart:
 		spec, err := s.specInTime(ctx, o)
 		if err != nil {
@@ -251,7 +251,7 @@
 	limit := time.Duration(specShare * float64(o.Budget) * float64(time.Millisecond))
 	bounded, cancel := context.WithTimeout(ctx, limit)
 	defer cancel()
-	spec, err := s.Spec(bounded, o.Task.Job, o.Home)
+	spec, err := s.Spec(bounded, o.Task.Job, o.AcceptedBy)
 	if err != nil && bounded.Err() != nil {
 		err = errSpecLate
 	}
--- a/process/relay/specs.go
+++ b/process/relay/specs.go
@@ -19,8 +19,9 @@
 	// of a wide gang at once, and 4,000 bytes for each of eight take 130 ms on a link
 	// of 2 Mbit/s.
 	specTimeout = 400 * time.Millisecond
-	// ownerRetryDelay is how long an accepting daemon that did not answer is not asked again.
-	ownerRetryDelay = time.Second
+	// unansweredRetryDelay is how long an accepting daemon that did not answer is
+	// not asked again.
+	unansweredRetryDelay = time.Second
 )
 
 // specCache caches the latest specs of jobs. It is safe for concurrent use.
@@ -58,21 +59,21 @@
 	return spec, ok
 }
 
-// get returns a job's spec, from the cache or from owner, the daemon that accepted the
-// job. The error is errNoSpec, or the context's if owner may still answer.
-func (c *specCache) get(ctx context.Context, id work.JobID, owner string) (string, error) {
+// get returns a job's spec, from the cache or from acceptedBy, the daemon that accepted the
+// job. The error is errNoSpec, or the context's if acceptedBy may still answer.
+func (c *specCache) get(ctx context.Context, id work.JobID, acceptedBy string) (string, error) {
 	if spec, ok := c.find(id); ok {
 		return spec, nil
 	}
-	if owner == "" || c.isDown(owner) {
+	if acceptedBy == "" || c.isDown(acceptedBy) {
 		return "", errNoSpec
 	}
 	found := c.flights.DoChan(string(id), func() (any, error) {
 		bounded, cancel := context.WithTimeout(context.WithoutCancel(ctx), specTimeout)
 		defer cancel()
 		var r specReply
-		if _, err := c.peers.CallAddr(bounded, owner, MethodSpec, specRequest{Job: id}, &r); err != nil {
-			c.markDown(owner)
+		if _, err := c.peers.CallAddr(bounded, acceptedBy, MethodSpec, specRequest{Job: id}, &r); err != nil {
+			c.markDown(acceptedBy)
 			return nil, err
 		}
 		if r.Known {
@@ -91,14 +92,14 @@
 	}
 }
 
-func (c *specCache) isDown(owner string) bool {
+func (c *specCache) isDown(acceptedBy string) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return time.Now().Before(c.down[owner])
+	return time.Now().Before(c.down[acceptedBy])
 }
 
 // markDown records that an accepting daemon did not answer, and drops expired records.
-func (c *specCache) markDown(owner string) {
+func (c *specCache) markDown(acceptedBy string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := time.Now()
@@ -107,7 +108,7 @@
 			delete(c.down, other)
 		}
 	}
-	c.down[owner] = now.Add(ownerRetryDelay)
+	c.down[acceptedBy] = now.Add(unansweredRetryDelay)
 }
 
 // register registers the method by which relays ask for specs.
