--- a/process/daemon/bound.go
+++ b/process/daemon/bound.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// handOverMargin is the time that a planned stop may take in addition to the requests in
+// handoverMargin is the time that a planned stop may take in addition to the requests in
 // flight, to transfer resources.
-const handOverMargin = 10 * time.Second
+const handoverMargin = 10 * time.Second
 
 // stopBound returns how long a planned stop may take.
 func (inc *incarnation) stopBound() time.Duration {
@@ -16,5 +16,5 @@
 // With the setting alone a planned stop would abort requests that their service allows to
 // run for longer: slow requests would end as "may have run" at each upgrade.
 func stopBound(drain, longestAttempt time.Duration) time.Duration {
-	return max(drain, drainGrace+longestAttempt+handOverMargin)
+	return max(drain, drainGrace+longestAttempt+handoverMargin)
 }
--- a/process/daemon/stop_test.go
+++ b/process/daemon/stop_test.go
@@ -68,7 +68,7 @@
 	for _, c := range []struct{ drain, attempt, want time.Duration }{
 		{time.Minute, 0, time.Minute},
 		{time.Minute, 20 * time.Second, time.Minute},
-		{time.Minute, 10 * time.Minute, 10*time.Minute + drainGrace + handOverMargin},
+		{time.Minute, 10 * time.Minute, 10*time.Minute + drainGrace + handoverMargin},
 	} {
 		require.Equal(t, c.want, stopBound(c.drain, c.attempt))
 	}
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -24,8 +24,8 @@
 	unready, unanswered int
 	failed              bool
 	reason              string
-	// asked holds the partitions that may have reserved capacity.
-	asked []*partition
+	// requested holds the partitions that may have reserved capacity.
+	requested []*partition
 }
 
 // serveGang tries to place all unfinished tasks of a gang at once and reports
@@ -99,11 +99,11 @@
 		return
 	}
 	if try.unready--; try.unready == 0 {
-		st.askReservations(try)
+		st.requestReservations(try)
 	}
 }
 
-func (st *state) askReservations(try *gangTry) {
+func (st *state) requestReservations(try *gangTry) {
 	groups := map[*partition][]*attempt{}
 	for _, a := range try.attempts {
 		p := st.partition(a.partition)
@@ -115,12 +115,12 @@
 	}
 	try.unanswered = len(groups)
 	for p, attempts := range groups {
-		try.asked = append(try.asked, p)
-		st.askReservation(try, p, attempts)
+		try.requested = append(try.requested, p)
+		st.requestReservation(try, p, attempts)
 	}
 }
 
-func (st *state) askReservation(try *gangTry, p *partition, attempts []*attempt) {
+func (st *state) requestReservation(try *gangTry, p *partition, attempts []*attempt) {
 	request := plan.Reserve{
 		Partition: p.name, Author: st.author(), Reservation: try.reservation, Seq: st.shard.seq.Add(1),
 		TTLMillis: st.o.Tuning.GangReservationTTL.Milliseconds(), Steps: make([]plan.Step, len(attempts)),
@@ -180,7 +180,7 @@
 	j := try.job
 	try.fail(reason)
 	j.gang = nil
-	for _, p := range try.asked {
+	for _, p := range try.requested {
 		release := plan.ReleaseReservation{Partition: p.name, Author: st.author(), Reservation: try.reservation}
 		// If the release is lost, the capacity is reserved until its TTL expires.
 		st.callOwner(p.owner, plan.MethodRelease, &release, nil, func(*state, error) {})
