--- a/process/jobs/events.go
+++ b/process/jobs/events.go
@@ -375,7 +375,7 @@
 	st.markDirty(j)
 	if crash.LimitReached(losses, sole) {
 		st.o.Metrics.CrashedWorkers.Add(1)
-		st.o.Log.Warn().Stringer("task", a.task()).Int("workers", losses).Int("sole", sole).Msg("task failed for good: its workers crashed repeatedly after its start")
+		st.o.Log.Warn().Stringer("task", a.task()).Int("workers", losses).Int("sole", sole).Msg("task failed permanently: its workers crashed repeatedly after its start")
 		st.finish(j, a, j.record.Failed.Add)
 		return
 	}
--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -140,7 +140,7 @@
 	}
 	spec, err := r.o.Spec(ctx, s.Task.Job, s.AcceptedBy)
 	if err != nil {
-		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // does not count against the worker
+		return "", fmt.Errorf("%w: get the job's spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
 	return spec, nil
 }
@@ -220,7 +220,7 @@
 	}
 	spec, err := r.o.Spec(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
 	if err != nil {
-		return nil, fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err)
+		return nil, fmt.Errorf("%w: get the job's spec: %w", runner.ErrUnknown, err)
 	}
 	return r.ask(ctx, c, o, r.specFor(c, o.Task.Job, spec))
 }
@@ -234,7 +234,7 @@
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrRestarted), errors.Is(err, runner.ErrStaleRun):
 		return err // these hold for the first order as well
 	}
-	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
+	return fmt.Errorf("%w: refused when issued again: %w", runner.ErrUnknown, errors.New(err.Error()))
 }
 
 // ask sends an order to a relay and waits for its outcome.
--- a/standin/callers/callers_test.go
+++ b/standin/callers/callers_test.go
@@ -59,7 +59,7 @@
 	}{
 		{"idempotent", 0, 0, "deadline_exceeded", 3},
 		{"keyed", 0, 1, "deadline_exceeded", 3},
-		{"keyed, outcome unknown for good", 0, 1, idem.CodeOutcomeUnknown, 1},
+		{"keyed, outcome permanently unknown", 0, 1, idem.CodeOutcomeUnknown, 1},
 		{"non-idempotent", 1, 0, "deadline_exceeded", 1},
 	} {
 		t.Run(c.name, func(t *testing.T) {
