--- a/process/relay/runner.go
+++ b/process/relay/runner.go
@@ -54,9 +54,9 @@
 	Epoch   uint64
 	Self    lead.Member
 	Members func() []lead.Member
-	// Spec returns the spec of a job: from owner, the daemon that accepted it, or from the
-	// store if owner is "".
-	Spec func(ctx context.Context, id work.JobID, owner string) (string, error)
+	// Spec returns the spec of a job: from acceptedBy, the daemon that accepted it, or from the
+	// store if acceptedBy is "".
+	Spec func(ctx context.Context, id work.JobID, acceptedBy string) (string, error)
 	Log  zerolog.Logger
 }
 
@@ -121,7 +121,7 @@
 
 // Start implements runner.Runner.
 func (r *Runner) Start(ctx context.Context, to runner.Ref, s runner.Start) (time.Duration, error) {
-	o := order{What: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, Home: s.AcceptedBy}
+	o := order{Action: doStart, Until: s.Until.Milliseconds(), Task: s.Task, Run: s.Run, Checkpoint: s.Checkpoint, Ticket: s.Ticket, AcceptedBy: s.AcceptedBy}
 	var clock time.Duration
 	err := r.issue(ctx, to, o, func(x *outcome) { clock = x.Clock }, func() (err error) {
 		if s.Spec, err = r.spec(ctx, s); err != nil {
@@ -140,20 +140,20 @@
 	}
 	spec, err := r.o.Spec(ctx, s.Task.Job, s.AcceptedBy)
 	if err != nil {
-		return "", fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err) // does not count against the worker
+		return "", fmt.Errorf("%w: get the job's spec: %w", runner.ErrUnknown, err) // does not count against the worker
 	}
 	return spec, nil
 }
 
 // Stop implements runner.Runner.
 func (r *Runner) Stop(ctx context.Context, to runner.Ref, task work.TaskID, run, epoch uint64) error {
-	return r.issue(ctx, to, order{What: doStop, Task: task, Run: run}, func(*outcome) {},
+	return r.issue(ctx, to, order{Action: doStop, Task: task, Run: run}, func(*outcome) {},
 		func() error { return r.o.Direct.Stop(ctx, to, task, run, epoch) })
 }
 
 // Renew implements runner.Runner.
 func (r *Runner) Renew(ctx context.Context, to runner.Ref, n runner.Renewal) (report runner.Report, err error) {
-	o := order{What: doRenew, Until: n.Until.Milliseconds(), Acknowledge: n.Acknowledge, Wait: n.Wait.Milliseconds()}
+	o := order{Action: doRenew, Until: n.Until.Milliseconds(), Acknowledge: n.Acknowledge, Wait: n.Wait.Milliseconds()}
 	err = r.issue(ctx, to, o, func(x *outcome) { report = x.report() }, func() (err error) {
 		n.Wait = waitWithin(ctx, n.Wait)
 		report, err = r.o.Direct.Renew(ctx, to, n)
@@ -220,7 +220,7 @@
 	}
 	spec, err := r.o.Spec(ctx, o.Task.Job, "") // the relay has already asked the accepting daemon
 	if err != nil {
-		return nil, fmt.Errorf("%w: its spec: %w", runner.ErrUnknown, err)
+		return nil, fmt.Errorf("%w: get the job's spec: %w", runner.ErrUnknown, err)
 	}
 	return r.ask(ctx, c, o, r.specFor(c, o.Task.Job, spec))
 }
@@ -234,7 +234,7 @@
 	case errors.Is(err, runner.ErrFenced), errors.Is(err, runner.ErrRestarted), errors.Is(err, runner.ErrStaleRun):
 		return err // these hold for the first order as well
 	}
-	return fmt.Errorf("%w: refused when given again: %w", runner.ErrUnknown, errors.New(err.Error()))
+	return fmt.Errorf("%w: refused when issued again: %w", runner.ErrUnknown, errors.New(err.Error()))
 }
 
 // ask sends an order to a relay and waits for its outcome.
