--- a/process/fair/fair.go
+++ b/process/fair/fair.go
@@ -34,7 +34,8 @@
 	Risk Policy = "risk"
 )
 
-// DefaultPolicy is the policy used for the zero value. It gives the best results of the three.
+// DefaultPolicy is the policy used for the zero value. All jobs together fare about equally
+// well under each of the three; the worst-served accounts fare best under Risk.
 const DefaultPolicy = Risk
 
 // Check returns an error for an unknown policy.
--- a/process/jobs/gangs.go
+++ b/process/jobs/gangs.go
@@ -12,9 +12,9 @@
 	"fennelshunt.example/fennelshunt/version/spec"
 )
 
-// gangTry is one attempt to reserve capacity for all tasks of a gang. It never
-// holds capacity while it waits for more: if one partition refuses its
-// reservation, the others are released.
+// gangTry is one try to reserve capacity for all tasks of a gang, with an attempt
+// for each task. It never holds capacity while it waits for more: if one partition
+// refuses its reservation, the others are released.
 type gangTry struct {
 	job         *job
 	reservation string
@@ -173,8 +173,8 @@
 	}
 }
 
-// abortTry releases all reservations and schedules the next attempt after a
-// random delay. The delay decreases with the age of the gang, so that of two
+// abortTry releases all reservations and schedules the next try after a random
+// delay. The delay decreases with the age of the gang, so that of two
 // gangs that repeatedly block each other the older one soon succeeds.
 func (st *state) abortTry(try *gangTry, reason string) {
 	j := try.job
@@ -199,7 +199,7 @@
 const delayHalvingAge = 10 * time.Second
 
 // gangRetryDelay returns a random delay whose mean grows from GangRetry with each
-// failed attempt, up to eight times GangRetry, and decreases with the gang's age.
+// failed try, up to eight times GangRetry, and decreases with the gang's age.
 func (st *state) gangRetryDelay(j *job) time.Duration {
 	age := float64(time.Since(j.arrived)) / float64(delayHalvingAge)
 	mean := float64(st.o.Tuning.GangRetry) * float64(min(j.tries, 8)) / (1 + age)
--- a/process/jobs/job.go
+++ b/process/jobs/job.go
@@ -94,8 +94,8 @@
 	wait       string
 	rejections []sched.Rejection
 	infeasible string
-	// gang is the reservation attempt in progress, nextTry the time of the next
-	// one, tries the number of failed ones.
+	// gang is the try to reserve capacity that is in progress, nextTry the time
+	// of the next one, tries the number of failed ones.
 	gang    *gangTry
 	nextTry time.Time
 	tries   int
