--- a/connection/store/client.go
+++ b/connection/store/client.go
@@ -164,9 +164,9 @@
 	return fmt.Errorf("%w: %w", ErrUnavailable, err)
 }
 
-// slowShare is the divisor of the call timeout after which a call whose caller's
-// deadline has passed counts as a failure of the store. Before that the deadline
-// was too short to say anything about the store.
+// slowShare sets when a call that ended at its caller's deadline counts as a failure
+// of the store: if it had run for at least 1/slowShare of the call timeout. A shorter
+// deadline says nothing about the store.
 const slowShare = 4
 
 // resultOf returns what the breaker is to conclude from a call.
--- a/version/work/work.go
+++ b/version/work/work.go
@@ -404,7 +404,8 @@
 	Index  int    `cbor:"1,keyasint,omitempty"`
 	Run    uint64 `cbor:"2,keyasint"`
 	Worker string `cbor:"3,keyasint"` // the incarnation that ended
-	// Sole: all runs that may have caused the crash belong to this task's job.
+	// Sole: no run of another job had started on the worker as recently, so that only runs
+	// of this task's job may have caused the crash.
 	Sole bool `cbor:"4,keyasint,omitempty"`
 	// Undecided: whether it was a crash is not decided yet. The run is about to start or has
 	// started, or was lost with a worker that may only be unreachable.
