--- a/standin/cell/chaos_test.go
+++ b/standin/cell/chaos_test.go
@@ -119,7 +119,7 @@
 	time.AfterFunc(time.Second, func() { x.c.Platform.VMs.Remove(w.VM.Name) })
 }
 
-// apply applies two versions of the same file at once.
+// apply applies the file of the next round in two concurrent calls.
 func (x *chaos) apply(ctx context.Context) {
 	x.applied++
 	for range 2 {
--- a/standin/cell/outage_test.go
+++ b/standin/cell/outage_test.go
@@ -16,9 +16,9 @@
 
 // TestStoreOutageStopsNothing guards against daemons that depend on the store: requests
 // are refused, tasks stay unplaced or results are lost while the store is down for
-// longer than the daemons' leases. This happens if a daemon calls the store before it
-// serves a request or starts a task, or treats an expired lease as a loss of
-// ownership.
+// longer than the daemons' leases, or after it has come back. This happens if a daemon
+// calls the store before it serves a request, or starts or keeps a task, or treats an
+// expired lease as a loss of ownership.
 func TestStoreOutageStopsNothing(t *testing.T) {
 	ctx, cancel := context.WithTimeout(t.Context(), 2*time.Minute)
 	defer cancel()
--- a/standin/cellsim/accounts.go
+++ b/standin/cellsim/accounts.go
@@ -26,7 +26,8 @@
 	capFactor = 1.9
 	// weightFactor is an account's weight relative to its mean submissions, in jobs per second.
 	weightFactor = 1.3
-	// accountRatio is the size of an account relative to the next larger one.
+	// accountRatio is the size of an account relative to the next larger one, before the
+	// same constant is added to all of them.
 	accountRatio = 0.82
 )
 
@@ -45,7 +46,7 @@
 	all := make([]Account, n)
 	sum, share := 0.0, 1.0
 	for i := range all {
-		all[i].Share = share + 0.15 // so that even the smallest account has a cap that fits a gang
+		all[i].Share = share + 0.15 // 0.15 of the largest, so that even the smallest account has a cap that fits a gang
 		sum += all[i].Share
 		share *= accountRatio
 	}
@@ -145,8 +146,9 @@
 	return sum
 }
 
-// SurveyClasses returns a variant of the load of Classes: gangs are rarer and longer, with
-// more expensive advice, and quick jobs are shorter.
+// SurveyClasses returns a variant of the load of Classes, for a customer whose work has
+// shifted: gangs are rarer and longer, with more expensive advice, and quick jobs are
+// shorter.
 func SurveyClasses(workers int, load float64) []Class {
 	classes := Classes(workers, load)
 	wide, many, quick := &classes[Wide], &classes[Many], &classes[Quick]
--- a/standin/cellsim/patterns.go
+++ b/standin/cellsim/patterns.go
@@ -15,7 +15,8 @@
 )
 
 // Patterns returns the patterns for a load of the given length: one without faults,
-// several with one kind of burst or fault each, and one with all faults.
+// several with one kind of burst or fault each, and one with all of them but the hot
+// accounts. The slow store and the hot accounts come with a burst of quick jobs.
 func Patterns(length time.Duration) []Pattern {
 	at := func(share float64, d time.Duration) Span {
 		from := time.Duration(share * float64(length))
@@ -45,6 +46,8 @@
 
 // Policies returns the policies to compare: the default one, variants with one or two of
 // its mechanisms switched off, one without all of them, and first come, first served.
+// The keys are values of the flag -policies; in them a chain is a write stream, a bundle
+// a batch, and a hold a gang reservation.
 func Policies() map[string]dispatch.Policy {
 	baseline := dispatch.Policy{WriteStreams: 1, NoBatches: true, NoGangReservations: true, NoPacking: true, NoParallelAdvice: true}
 	first := baseline
