--- a/process/partition/options.go
+++ b/process/partition/options.go
@@ -129,9 +129,10 @@
 }
 
 // taskExpiry is how long a task may still run after the last call that may have
-// renewed it, measured by the worker's clock. A heartbeat in flight when its
-// sender stopped can renew the lease once more before it expires, hence the sum
-// of both TTLs.
+// renewed it. A heartbeat in flight when its sender stopped can renew the lease
+// once more before it expires, hence the sum of both TTLs. The TTLs are measured
+// by the worker's clock and this time by the owner's, hence the allowance for
+// drift.
 func (t Timing) taskExpiry() time.Duration {
 	d := t.LeaseTTL + t.TaskTTL
 	return d + time.Duration(float64(d)*driftShare) + driftMargin
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -305,7 +305,8 @@
 	t.changed = n.changed
 }
 
-// stepDown ends this ownership at once because a higher epoch was seen.
+// stepDown ends this ownership at once, because a read of the store has shown that
+// this owner no longer holds the claim.
 func (o *owner) stepDown(err error) {
 	o.log.Warn().Err(err).Msg("partition was taken over by another daemon")
 	o.h.Lost(o.claim.Resource, o.claim.Epoch)
--- a/process/sched/ledger/ledger.go
+++ b/process/sched/ledger/ledger.go
@@ -1,6 +1,6 @@
 // Package ledger tracks the reserved capacity of each worker VM. Capacity is
 // reserved before a task starts and freed only by an explicit call, which the owner
-// of the worker makes after the task is confirmed to have stopped. A ledger is not
+// of the partition makes after the task is confirmed to have stopped. A ledger is not
 // safe for concurrent use.
 package ledger
 
--- a/process/sched/preempt/preempt.go
+++ b/process/sched/preempt/preempt.go
@@ -3,7 +3,7 @@
 // least work. Tasks of the same or a higher class are never preempted, nor are
 // non-idempotent tasks, which cannot be started again and would be lost.
 //
-// How a victim ends is decided by the owner of its worker, which checkpoints it if
+// How a victim ends is decided by the owner of the partition, which checkpoints it if
 // possible and otherwise stops it. Throttling is no alternative, as it does not
 // free reserved capacity.
 package preempt
--- a/process/sched/snapshot/ask.go
+++ b/process/sched/snapshot/ask.go
@@ -24,7 +24,7 @@
 	// RunTime is the expected run time; 0 means unknown. It is used only for
 	// backfilling beside a gang's reservation.
 	RunTime time.Duration
-	// Preempt allows the eviction of tasks of a lower class when no worker has
+	// Preempt allows the preemption of tasks of a lower class when no worker has
 	// enough free capacity.
 	Preempt bool
 }
