--- a/process/daemon/daemon.go
+++ b/process/daemon/daemon.go
@@ -142,7 +142,7 @@
 func (d *Daemon) Close() {
 	for _, l := range []net.Listener{d.listen.caller, d.listen.forward, d.listen.admin} {
 		if l != nil {
-			_ = l.Close() // may be closed already, which is the only possible error
+			_ = l.Close() // fails if Serve has closed it already, which is no problem
 		}
 	}
 }
--- a/process/daemon/work.go
+++ b/process/daemon/work.go
@@ -43,7 +43,7 @@
 }
 
 // shardOfJob returns the shard of a job's team. The team of a job that is no longer
-// declared is unknown; the first shard is returned.
+// declared is unknown; the tasks of such a job are reported to the first shard.
 func (w *scheduling) shardOfJob(job string) plan.Shard {
 	if j := w.inc.versions.Current().Jobs[job]; j != nil {
 		return w.jobs.ShardOf(j.Team)
--- a/process/fleet/evict.go
+++ b/process/fleet/evict.go
@@ -134,7 +134,7 @@
 }
 
 // compactRecords deletes old records of ended incarnations. Only the member with the
-// lowest id does so.
+// lowest id does so, since all members would otherwise send the same deletes to the store.
 func (l *loop) compactRecords(now time.Time) {
 	members := l.fleet.Members()
 	if l.options.Store == nil || len(members) == 0 || members[0].ID != l.fleet.self.ID {
--- a/process/ownership/state.go
+++ b/process/ownership/state.go
@@ -38,10 +38,10 @@
 	claims      map[Resource]entry
 	owned       map[Resource]Claim     // owned resources, for which Acquired was called
 	inFlight    map[Resource]bool      // a claim or transfer is in progress
-	lostEpochs  map[Resource]uint64    // highest lost epochs, which are never resumed
+	lostEpochs  map[Resource]uint64    // highest epochs acquired or lost, which are not acquired again
 	delays      map[Resource]retry     // pauses after failures
 	misplaced   map[Resource]time.Time // since when another member is the assigned owner
-	unowned     map[Resource]time.Time // since when a resource has no owner
+	unowned     map[Resource]time.Time // since when a resource has no running owner
 	assignments map[string]assignment  // by prefix
 	began       time.Time
 	leaving     bool
@@ -322,7 +322,8 @@
 	}
 }
 
-// ownerless reports whether no running daemon has a claim of r.
+// ownerless reports whether r, which this daemon does not own, has no claim by another
+// daemon either, or one whose incarnation is known to have ended.
 func (s *state) ownerless(r Resource) bool {
 	e, ok := s.claims[r]
 	if !ok || e.Released {
--- a/process/settings/settings.go
+++ b/process/settings/settings.go
@@ -66,7 +66,8 @@
 	// Start bounds how long, after the last renewal of the lease in the store, new
 	// work is started.
 	Start spec.Duration `json:"start,omitempty"`
-	// Renew bounds how long, after that, the leases of running work are renewed.
+	// Renew bounds how long, after the same renewal, the leases of running work are
+	// renewed. It is not less than Start.
 	Renew spec.Duration `json:"renew,omitempty"`
 }
 
