--- a/process/crash/crash.go
+++ b/process/crash/crash.go
@@ -37,7 +37,8 @@
 	maxRecords = 16
 )
 
-// Records are the crashes of workers under one task, and its open trials.
+// Records are the crashes of workers under one task, and its trials and losses of which it is
+// undecided whether they were crashes.
 type Records []work.Crash
 
 // Suspect reports whether the task may only be started where nothing else has just started.
@@ -73,7 +74,8 @@
 	r.add(work.Crash{Run: run, Worker: worker, Sole: sole, Undecided: true})
 }
 
-// add appends a record; if there are too many it replaces the oldest open one.
+// add appends a record. If there are maxRecords already, it first drops the oldest undecided
+// one, never a crash.
 func (r *Records) add(c work.Crash) {
 	if len(*r) >= maxRecords {
 		if i := slices.IndexFunc(*r, func(x work.Crash) bool { return x.Undecided }); i >= 0 {
@@ -98,9 +100,9 @@
 	}
 }
 
-// Settle closes or drops the records of a worker: its incarnation has ended, or it has
-// answered, so that it has not crashed and only the run live may still crash it. It reports
-// whether anything changed.
+// Settle decides the records of a worker. If its incarnation has ended, the undecided ones count
+// as crashes. Otherwise it has answered, so that it has not crashed, and all are dropped but
+// that of the run live, which may still crash it. Settle reports whether anything changed.
 func (r *Records) Settle(worker string, ended bool, live uint64) bool {
 	changed := false
 	if ended {
@@ -124,7 +126,7 @@
 	return len(*r) != before
 }
 
-// OnTrial reports whether the run is an open trial, which may still crash its worker.
+// OnTrial reports whether the run has an undecided record: it may still crash its worker.
 func (r Records) OnTrial(run uint64) bool {
 	return slices.ContainsFunc(r, func(c work.Crash) bool { return c.Undecided && c.Run == run })
 }
--- a/process/dispatch/crash.go
+++ b/process/dispatch/crash.go
@@ -78,7 +78,7 @@
 
 // startAnswered records that the worker was running when a start was sent that it has
 // answered. Runs that are past the crash window by then are cleared at once: if the worker
-// crashes before its next renewal, a successor would take an open trial for the cause.
+// crashes before its next renewal, a successor would take an undecided trial for the cause.
 func (e *Engine) startAnswered(alloc *allocation) {
 	alloc.w.noteAlive(alloc.sent)
 	e.settleCrashes(alloc.w, false)
--- a/process/dispatch/explain.go
+++ b/process/dispatch/explain.go
@@ -14,8 +14,9 @@
 	Account string     `cbor:"3,keyasint,omitempty" json:"account,omitempty"`
 	// OverEntitlement: submitted beyond what its account is entitled to.
 	OverEntitlement bool `cbor:"4,keyasint,omitempty" json:"beyond,omitempty"`
-	// Held is what the account's runs use, without unconfirmed ones, and Cap is its limit,
-	// both in this shard of the cell. They are zero for a job without an account.
+	// Held is what the account's runs use, without what an earlier leader may have started
+	// and no worker has reported yet. Cap is the account's limit. Both are those in this shard
+	// of the cell, and zero for a job without an account.
 	Held quota.Size `cbor:"5,keyasint" json:"held"`
 	Cap  quota.Size `cbor:"6,keyasint" json:"cap"`
 	// Waited is how long its steps waited, by cause, in milliseconds.
--- a/process/dispatch/fleet_test.go
+++ b/process/dispatch/fleet_test.go
@@ -42,8 +42,8 @@
 
 func TestSuccessorNeedNotWaitForACordonedWorker(t *testing.T) {
 	// After a change of the leader all waiting work stood still for eight seconds: a worker
-	// loses its power; a while later the leader fails, with jobs waiting that were submitted
-	// before the worker became unresponsive. Its successor could not tell what runs on that
+	// loses its power; a while later the leader fails, with jobs waiting, some of which were
+	// submitted before the worker became unresponsive. Its successor could not tell what runs on that
 	// worker, and waited until its lease had certainly expired.
 	h := newHarness(t, 1, "w-a", "w-b")
 	s := newSlowStore(h, 0)
