--- a/request/admission/admission.go
+++ b/request/admission/admission.go
@@ -63,7 +63,7 @@
 	Members func() int
 	// Saturated reports whether all slots of a service are in use. While it returns false, the
 	// window is not reduced to keep the fair order: every admitted request gets a slot as soon
-	// as its grant has arrived. nil means that slots are always short.
+	// as its grant has arrived. nil means that every service counts as saturated.
 	Saturated func(service string) bool
 	// Window is the maximum number of admitted requests of a service that wait for a slot. Slots
 	// are granted in order of arrival, without regard to teams.
--- a/request/forward/target.go
+++ b/request/forward/target.go
@@ -105,7 +105,8 @@
 	t.notifyLocked()
 }
 
-// notifyLocked wakes the dials that are waiting in the reserve method.
+// notifyLocked wakes the dials that are waiting in the reserve method. They wait only while the
+// daemon's share is used up, so begin calls it only in that case.
 func (t *target) notifyLocked() {
 	close(t.changed)
 	t.changed = make(chan struct{})
--- a/request/slots/churn_test.go
+++ b/request/slots/churn_test.go
@@ -250,7 +250,7 @@
 	}
 }
 
-// heal ends every fault; a daemon that was listed as removed restarts.
+// heal ends every fault; a daemon that was listed as ended restarts.
 func (c *churn) heal() {
 	c.net.SetLoss(0)
 	for i := range churnDaemons {
--- a/request/slots/ended_test.go
+++ b/request/slots/ended_test.go
@@ -12,7 +12,7 @@
 )
 
 // TestWaitersAreRefusedWhenTheIncarnationEnds guards against callers of a daemon that the others
-// have removed, who wait until their deadline for a slot that will not be granted: the waiter
+// list as ended, who wait until their deadline for a slot that will not be granted: the waiter
 // checked only its own deadline.
 func TestWaitersAreRefusedWhenTheIncarnationEnds(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
--- a/request/slots/holder.go
+++ b/request/slots/holder.go
@@ -159,7 +159,7 @@
 // pick takes the best usable idle credit: preferably in this daemon's zone, then on the instance
 // that it uses least and has used least recently.
 //
-// It takes none after validUntil. While this daemon was paused or disconnected, the pool may
+// It takes none after validUntil. While this daemon was suspended or disconnected, the pool may
 // have granted its slots to others, and an instance would get more requests than it has slots.
 // validUntil counts from the start of the renewal and is always earlier than the pool's own
 // deadline.
--- a/request/slots/pool.go
+++ b/request/slots/pool.go
@@ -274,7 +274,7 @@
 	p.endTakeover(now)
 	limit := p.limit()
 	for _, h := range p.holders {
-		// A member that is listed as removed may merely be unreachable from here: it too may start
+		// A member that is listed as ended may merely be unreachable from here: it too may start
 		// requests until its credits expire.
 		if now.After(h.expires.Add(limit + p.m.opts.Margin)) {
 			p.dropHolder(h)
--- a/request/slots/takeover.go
+++ b/request/slots/takeover.go
@@ -18,7 +18,7 @@
 // takeover is the state of a pool's owner while slots may be in use under an earlier owner by a
 // holder that is not accounted for.
 //
-// The earlier owner may be paused or unreachable from here, but reachable for some other daemon,
+// The earlier owner may be suspended or unreachable from here, but reachable for some other daemon,
 // and continue to grant slots that this owner grants too; or the requests of a failed daemon may
 // still run. An instance would then get more requests than it has slots. Therefore every slot
 // that no holder reported stays blocked until it is certain that no earlier owner grants any
@@ -105,9 +105,9 @@
 		case p.replaced(owner) || now.Sub(t.began) > p.m.opts.AuthorityBound:
 			p.resolve(owner, now)
 		case p.m.opts.Members.HasEnded(owner) && p.m.recentMajority(t.members()):
-			// A removed member may merely be unreachable. An owner that has lost the store stops
-			// once it has received nothing from a majority for a TTL, and the majority that
-			// answered here refuses it from now on.
+			// A member that is listed as ended may merely be unreachable. An owner that has lost
+			// the store stops once it has received nothing from a majority for a TTL, and the
+			// majority that answered here refuses it from now on.
 			p.resolve(owner, now.Add(p.m.opts.TTL))
 		}
 	}
--- a/request/verdict/verdict.go
+++ b/request/verdict/verdict.go
@@ -1,6 +1,5 @@
-// Package verdict classifies failed requests by whether they may have run. Every error on the
-// request path carries a verdict, and only NotRun permits sending a non-idempotent request
-// again.
+// Package verdict classifies requests by whether they may have run. Every error on the request
+// path carries a verdict, and only NotRun permits sending a non-idempotent request again.
 package verdict
 
 import "errors"
