--- a/process/cellnode/catalogpeer.go
+++ b/process/cellnode/catalogpeer.go
@@ -70,7 +70,8 @@
 }
 
 // followPeers pulls the configuration from other daemons: periodically from neighbours, and
-// from any daemon while the store does not respond.
+// more often, from any daemon, while this daemon's version is unconfirmed or the store
+// refuses its calls.
 //
 // If the store rejects a third of the daemons for some seconds while keys are replaced, those
 // daemons would otherwise continue to accept revoked keys and refuse callers with new ones,
--- a/process/lead/view.go
+++ b/process/lead/view.go
@@ -116,7 +116,7 @@
 }
 
 // hasBetterCandidate reports whether another member should lead rather than self: one
-// with more processor time, or one that started at least newerMargin later. In a rolling
+// with more processor time, or one that started more than newerMargin later. In a rolling
 // upgrade a daemon that has not been restarted yet soon will be, which would cost another
 // change of the leader.
 func (v *View) hasBetterCandidate(self Member) bool {
--- a/process/lead/witness.go
+++ b/process/lead/witness.go
@@ -185,7 +185,8 @@
 
 // confirmedByOthers asks other daemons whether the leader answers them, and reports
 // whether at least one says no and none says yes. Without any response this daemon may
-// itself be the partitioned one.
+// itself be the partitioned one. If there are no other daemons to ask, the missed pings of
+// this one are enough.
 func (e *Elector) confirmedByOthers(ctx context.Context, leader Member) bool {
 	members := slices.DeleteFunc(e.view.Members(), func(m Member) bool { return m.same(leader) || m.same(e.o.Self) })
 	if len(members) == 0 {
