--- a/cmd/fennelshuntd/main.go
+++ b/cmd/fennelshuntd/main.go
@@ -68,7 +68,7 @@
 			cancel()
 		}()
 		if err := d.Stop(ctx); err != nil {
-			o.Log.Warn().Err(err).Msg("planned stop did not complete")
+			o.Log.Warn().Err(err).Msg("planned stop did not complete; the daemon ends without repeating what failed")
 			cancel()
 		}
 	}()
--- a/process/cellnode/node.go
+++ b/process/cellnode/node.go
@@ -291,6 +291,6 @@
 	}
 	_ = sleep.For(ctx, min(drainPause, bound/2)) // if ctx ends early, Shutdown returns at once
 	if err := n.conns.Shutdown(ctx, func() { _ = n.listen.callers.Close() }); err != nil {
-		n.log.Warn().Err(err).Msg("requests in flight were aborted at the end of the planned stop")
+		n.log.Warn().Err(err).Msg("HTTP server did not shut down cleanly; connections still open were closed and their requests aborted")
 	}
 }
--- a/process/daemon/http.go
+++ b/process/daemon/http.go
@@ -102,6 +102,6 @@
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
 	defer cancel()
 	if err := conns.Shutdown(ctx, stopAccepting); err != nil {
-		h.inc.log.Warn().Err(err).Str("server", h.name).Msg("requests in flight were aborted at the end of the planned stop")
+		h.inc.log.Warn().Err(err).Str("server", h.name).Msg("HTTP server did not shut down cleanly; connections still open were closed and their requests aborted")
 	}
 }
--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -134,8 +134,10 @@
 
 func (inc *incarnation) supervise() {
 	inc.sup = suture.New("fennelshuntd", suture.Spec{
-		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("supervisor") },
-		Timeout:   leaveTimeout,
+		EventHook: func(e suture.Event) {
+			inc.log.Warn().Str("event", e.String()).Msg("component failed or did not stop in time, or restarts were paused or resumed")
+		},
+		Timeout: leaveTimeout,
 	})
 	inc.add(inc.node)
 	inc.add(&fleetService{inc})
@@ -215,7 +217,7 @@
 	err = errors.Join(err, inc.fleet.Leave(leaveCtx))
 	inc.left.Store(true)
 	close(inc.leftDone)
-	inc.log.Info().Err(err).Msg("planned stop: completed")
+	inc.log.Info().Err(err).Msg("planned stop ended; the daemon stops serving, and any error names what failed")
 	return err
 }
 
--- a/process/fleet/probe.go
+++ b/process/fleet/probe.go
@@ -189,7 +189,7 @@
 		return
 	}
 	l.fleet.stats.Suspicions.Add(1)
-	l.options.Log.Info().Str("member", string(target.ID)).Msg("member suspected: probes failed")
+	l.options.Log.Info().Str("member", string(target.ID)).Msg("member suspected: probes failed; it can be evicted unless it answers")
 	d := e.delta
 	d.Flags |= flagSuspect
 	l.merge(d, true)
--- a/process/jobs/jobs.go
+++ b/process/jobs/jobs.go
@@ -112,7 +112,7 @@
 }
 
 func (m *Manager) logEvent(e suture.Event) {
-	m.options.Log.Warn().Str("event", e.String()).Msg("shard supervisor event")
+	m.options.Log.Warn().Str("event", e.String()).Msg("supervisor of the job shards: a service failed or did not stop in time, or restarts were paused or resumed")
 }
 
 // Serve runs the shards until ctx ends.
--- a/process/jobs/round.go
+++ b/process/jobs/round.go
@@ -256,7 +256,7 @@
 		return
 	}
 	if j.infeasible == "" {
-		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the current workers or within its quota")
+		st.o.Log.Warn().Str("job", j.key.Job).Str("reason", infeasible).Msg("job can never run on the current workers or within its quota; it is checked again periodically")
 	}
 	j.infeasible = infeasible
 	st.queue.Remove(e)
--- a/process/jobs/shard.go
+++ b/process/jobs/shard.go
@@ -123,7 +123,7 @@
 	default:
 	}
 	if errors.Is(err, progress.ErrSuperseded) {
-		s.o.Log.Info().Int("shard", int(s.number)).Msg("shard stopped: a higher epoch owns it")
+		s.o.Log.Info().Int("shard", int(s.number)).Msg("shard stopped and not restarted under this claim: another writer has taken over its progress")
 		s.abandon()
 		return suture.ErrDoNotRestart
 	}
--- a/process/jobs/takeover.go
+++ b/process/jobs/takeover.go
@@ -79,7 +79,7 @@
 		return
 	}
 	st.takeover.done = true
-	st.o.Log.Info().Int("shard", int(st.shard.number)).Msg("shard takeover complete: every partition has listed its tasks")
+	st.o.Log.Info().Int("shard", int(st.shard.number)).Msg("shard takeover complete: every partition has listed its tasks or was removed")
 	for _, j := range st.jobs {
 		st.unblock(j)
 		st.stopPartialGang(j)
--- a/process/partition/owner.go
+++ b/process/partition/owner.go
@@ -308,7 +308,7 @@
 // stepDown ends this ownership at once, because a read of the store has shown that
 // this owner no longer holds the claim.
 func (o *owner) stepDown(err error) {
-	o.log.Warn().Err(err).Msg("partition was taken over by another daemon")
+	o.log.Warn().Err(err).Msg("partition claim is no longer held according to the store; this daemon stops owning the partition")
 	o.h.Lost(o.claim.Resource, o.claim.Epoch)
 }
 
--- a/process/partition/rebind.go
+++ b/process/partition/rebind.go
@@ -26,7 +26,7 @@
 		return nil
 	}
 	if refused := o.reserveCapacity(n, t, step); refused.Outcome != "" {
-		o.log.Error().Str("worker", string(n.id)).Str("reason", refused.Reason).Msg("task does not fit the worker that it was rebound to")
+		o.log.Error().Str("worker", string(n.id)).Str("reason", refused.Reason).Msg("task does not fit the worker chosen in place of the planned one; the step is refused")
 		return nil
 	}
 	o.h.o.Metrics.Rebound.Add(1)
--- a/process/partition/reports.go
+++ b/process/partition/reports.go
@@ -100,13 +100,13 @@
 	}
 	if other := o.live[ref.Task]; other != nil {
 		o.h.o.Metrics.DoubleRuns.Add(1)
-		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task found running twice; the attempt found last is stopped")
+		o.log.Error().Stringer("task", ref.Task).Str("worker", string(n.id)).Msg("task found live in two attempts; the one found last will be told to stop")
 		t.stopWanted = true
 	} else {
 		o.live[ref.Task] = t
 	}
 	if err := o.ledger.Adopt(n.id, t.holder(), report.Size); err != nil {
-		o.log.Error().Err(err).Stringer("task", ref.Task).Msg("adopted task not counted in the ledger")
+		o.log.Error().Err(err).Stringer("task", ref.Task).Msg("adopted task not counted in the ledger; its worker may be given more tasks than it has room for")
 	}
 	return t
 }
--- a/process/partition/stop.go
+++ b/process/partition/stop.go
@@ -196,7 +196,7 @@
 		return
 	}
 	if err := o.ledger.Reserve(n.id, t.holder(), available); err != nil {
-		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("reserving free capacity for a preempting task failed")
+		o.log.Error().Err(err).Stringer("task", t.ref.Task).Msg("reserving free capacity for a preempting task failed; other tasks may take it, and the task may not start")
 	}
 }
 
--- a/process/versions/loop.go
+++ b/process/versions/loop.go
@@ -148,7 +148,7 @@
 		return
 	}
 	l.replicator.metrics.failures.Add(1)
-	l.replicator.options.Log.Warn().Err(err).Msg("fetching a later configuration failed; retrying")
+	l.replicator.options.Log.Warn().Err(err).Msg("fetching a later configuration failed; retrying after a pause, until then this daemon keeps the one it has")
 	l.backingOff = true
 	l.retry.Reset(pause.NextBackOff())
 }
--- a/version/history/collect.go
+++ b/version/history/collect.go
@@ -50,7 +50,7 @@
 			return ctx.Err()
 		case r := <-h.rotated:
 			if err := h.collect(ctx, earlier, r.number); err != nil && ctx.Err() == nil {
-				h.log.Warn().Err(err).Uint64("segment", r.number).Msg("collection of old chunks failed; a later sweep repeats it")
+				h.log.Warn().Err(err).Uint64("segment", r.number).Msg("deleting old segments and chunks failed; later sweeps find the chunks, but segments may remain")
 			}
 			earlier = r
 		}
