--- a/process/daemon/incarnation.go
+++ b/process/daemon/incarnation.go
@@ -134,10 +134,8 @@
 
 func (inc *incarnation) supervise() {
 	inc.sup = suture.New("fennelshuntd", suture.Spec{
-		EventHook: func(e suture.Event) {
-			inc.log.Warn().Str("event", e.String()).Msg("component failed or did not stop in time, or restarts were paused or resumed")
-		},
-		Timeout: leaveTimeout,
+		EventHook: func(e suture.Event) { inc.log.Warn().Str("event", e.String()).Msg("component failure or restart") },
+		Timeout:   leaveTimeout,
 	})
 	inc.add(inc.node)
 	inc.add(&fleetService{inc})
